--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -84,7 +84,7 @@
     """
     if not team.counts_tokens:
         return 1
-    return team.plain_tokens if usage_tokens is None else max(0, usage_tokens)
+    return team.default_tokens if usage_tokens is None else max(0, usage_tokens)
 
 
 def build_limit(team: Team, tolerance: QuotaTolerance) -> Limit | None:
--- a/src/arbutuspulley/node/access.py
+++ b/src/arbutuspulley/node/access.py
@@ -46,7 +46,7 @@
         self._note(Event.KEY_REFUSED, now)
         # A key that was just added is not in force everywhere yet: only a word younger
         # than the time that this may take says that there is no such key.
-        if state.settings.withdrawal_ms is not None and not state.freshness.is_within(
+        if state.settings.revocation_ms is not None and not state.freshness.is_within(
             state.settings.apply_ms, now=now
         ):
             raise self._build_unsure("the key may be new")
--- a/src/arbutuspulley/node/accounts.py
+++ b/src/arbutuspulley/node/accounts.py
@@ -76,7 +76,7 @@
             self._link.tell_spent(team.name, cost)
             return Payment(team=team.name, cost=cost, is_local=False)
         part = get_lost_part(
-            self._local.get_alone_ms(now), ends_ms=self._state.settings.withdrawal_ms
+            self._local.get_alone_ms(now), ends_ms=self._state.settings.revocation_ms
         )
         part /= max(1.0, self._state.sharers)
         self._local.tolerance = build_tolerance(self._state.settings)
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -16,11 +16,11 @@
 from arbutuspulley.node.server_choice import CoordinatorFoundError, ServerChoice
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import (
+    AttemptOutcome,
     InboundRequest,
     ModelNeed,
     Route,
     ServerEntry,
-    TryEnd,
 )
 
 
@@ -132,7 +132,7 @@
         self._check_access(entry)
         return entry
 
-    def tell_end(self, incarnation: str, how: TryEnd) -> None:
+    def tell_end(self, incarnation: str, how: AttemptOutcome) -> None:
         """Tell the coordinator how a try at a server ended."""
         if self._request.need is None:
             return
@@ -173,7 +173,7 @@
         progress.is_late = granted.is_late
         entry = self._state.by_incarnation.get(granted.incarnation)
         if entry is None:
-            self.tell_end(granted.incarnation, TryEnd.UNUSED)
+            self.tell_end(granted.incarnation, AttemptOutcome.UNUSED)
             progress.avoid.add(granted.incarnation)
             progress.refused += 1
             if progress.refused > MOST_REFUSED:
@@ -186,7 +186,7 @@
         # A caller that has events waits for the next one, not for the first.
         is_begun = progress.first_ms is not None
         since = progress.last_event_at if is_begun else progress.started_at
-        aim_ms = route.gap_aim_ms if is_begun else route.aim_ms
+        aim_ms = route.gap_target_ms if is_begun else route.latency_target_ms
         return Ask(
             key=self._request.attempt_id,
             service=progress.service,
@@ -197,7 +197,7 @@
             left_ms=min(progress.ends_at, since + self._patience_ms) - now,
             avoid=tuple(progress.avoid),
             is_repeat=bool(progress.server),
-            pause_ms=route.gap_aim_ms,
+            pause_ms=route.gap_target_ms,
             team=team.name if team is not None else "",
             cost=0 if self._paid is not None else self._cost,
         )
@@ -240,5 +240,5 @@
         try:
             self._access.check()
         except RequestFailedError:
-            self.tell_end(entry.incarnation, TryEnd.UNUSED)
+            self.tell_end(entry.incarnation, AttemptOutcome.UNUSED)
             raise
--- a/src/arbutuspulley/node/confirmation.py
+++ b/src/arbutuspulley/node/confirmation.py
@@ -31,10 +31,10 @@
     def is_fresh(self) -> bool:
         """Whether the configuration is confirmed often enough by what is relayed."""
         state = self._state
-        withdrawal_ms = state.settings.withdrawal_ms
-        if withdrawal_ms is None:
+        revocation_ms = state.settings.revocation_ms
+        if revocation_ms is None:
             return True
-        limit_ms = int(withdrawal_ms * RELIED_ON_PART)
+        limit_ms = int(revocation_ms * RELIED_ON_PART)
         return state.freshness.is_within(limit_ms, now=state.clock.now())
 
     def note_beat(self, number: int, *, at: int) -> None:
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -35,11 +35,11 @@
 )
 from arbutuspulley.platform.transport import BrokenError, NotSentError, send_request
 from arbutuspulley.ports.fleet import (
+    AttemptOutcome,
     InboundRequest,
-    Repeat,
+    RetryPolicy,
     Route,
     ServerEntry,
-    TryEnd,
 )
 from arbutuspulley.routing.local import (
     note_done,
@@ -183,7 +183,7 @@
         if state.limits.get(entry.incarnation) is not None:
             state.metrics.limited_attempts.inc()
         known_breaks = self._poison.count_known(self._request)
-        how = TryEnd.FAILED
+        how = AttemptOutcome.FAILED
         took: int | None = None
         try:
             response = await send_request(
@@ -194,19 +194,19 @@
             )
             try:
                 answer = await self._take_answer(entry, response)
-                how = TryEnd.DONE
+                how = AttemptOutcome.DONE
                 self._poison.note_whole(self._request)
                 took = state.clock.now() - now
                 return answer
             except _NotRunError:
-                how = TryEnd.NOT_RUN
+                how = AttemptOutcome.NOT_RUN
                 progress.may_have_run -= 1
                 raise self._note_refused(entry) from None
             finally:
-                if how is not TryEnd.DONE:
+                if how is not AttemptOutcome.DONE:
                     response.close()
         except NotSentError:
-            how = TryEnd.UNREACHED
+            how = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
             note_unreachable(record, entry, now=state.clock.now())
             raise self._note_unreached(entry) from None
@@ -217,13 +217,16 @@
             raise self._note_broken(entry, str(error)) from None
         except asyncio.CancelledError:
             # The caller left or the time is up; that says nothing of the server.
-            how = TryEnd.LEFT
+            how = AttemptOutcome.LEFT
             raise
         finally:
-            note_done(record, entry, took_ms=took, failed=how is TryEnd.FAILED)
+            note_done(record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED)
             if took is not None and not self.route.is_stream:
                 note_pace(
-                    record, entry, aim_ms=self.route.aim_ms, now=state.clock.now()
+                    record,
+                    entry,
+                    aim_ms=self.route.latency_target_ms,
+                    now=state.clock.now(),
                 )
             state.metrics.attempts.labels(how.value).inc()
             self._acquisition.tell_end(entry.incarnation, how)
@@ -383,7 +386,7 @@
             id=self._request.attempt_id,
             server=entry.incarnation,
             why=detail,
-            repeat=self.route.repeat.value,
+            repeat=self.route.retry_policy.value,
         )
         if self._may_go_on():
             self._cutter.rest = b""
@@ -395,7 +398,7 @@
 
     def _may_go_on(self) -> bool:
         """Tell whether a request that may have run may be sent again."""
-        if self.route.repeat is Repeat.ONCE:
+        if self.route.retry_policy is RetryPolicy.ONCE:
             return False
         if self._answer is not None and not self.progress.last_event_id:
             return False
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -161,8 +161,8 @@
             refused=progress.refused if progress else 0,
             unreached=progress.unreached if progress else 0,
             may_have_run=progress.may_have_run if progress else 0,
-            aim_ms=exchange.route.aim_ms if exchange else 0,
-            pause_aim_ms=exchange.route.gap_aim_ms if exchange else 0,
+            aim_ms=exchange.route.latency_target_ms if exchange else 0,
+            pause_aim_ms=exchange.route.gap_target_ms if exchange else 0,
             resumes=progress.resumes if progress else 0,
             is_resumed=request.resumes,
         )
--- a/src/arbutuspulley/node/intake.py
+++ b/src/arbutuspulley/node/intake.py
@@ -10,7 +10,7 @@
     note_missing,
     note_unreachable,
 )
-from arbutuspulley.ports.fleet import TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome
 
 AIM_PART = 0.75
 """Part of the aim after which a waiting request counts as late: the rest is needed
@@ -72,9 +72,9 @@
         key, incarnation = message.key, message.incarnation
         if isinstance(message, Started):
             note_first(pool, key, incarnation, took_ms=message.took_ms, now=now)
-        elif message.how is TryEnd.NOT_RUN:
+        elif message.how is AttemptOutcome.NOT_RUN:
             note_missing(pool, key, incarnation, now=now)
-        elif message.how is TryEnd.UNREACHED:
+        elif message.how is AttemptOutcome.UNREACHED:
             note_unreachable(pool, key, incarnation, now=now)
         else:
             note_end(
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -39,7 +39,7 @@
 from arbutuspulley.node.questions import LinkLostError, Questions, RefusedError
 from arbutuspulley.node.roster import RosterCopy, apply_change
 from arbutuspulley.node.state import NodeState
-from arbutuspulley.ports.fleet import TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome
 from arbutuspulley.rpc.messages import Suspicion
 
 LINK_PATH = "/link"
@@ -353,7 +353,7 @@
             Ended(
                 key=granted.key,
                 incarnation=granted.incarnation,
-                how=TryEnd.UNUSED,
+                how=AttemptOutcome.UNUSED,
             )
         )
 
--- a/src/arbutuspulley/node/messages.py
+++ b/src/arbutuspulley/node/messages.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.data import Message
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.ports.fleet import ModelNeed, TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome, ModelNeed
 from arbutuspulley.rpc.messages import Suspicion
 
 
@@ -143,7 +143,7 @@
 
     key: str
     incarnation: str
-    how: TryEnd
+    how: AttemptOutcome
     events: int = 0
 
 
--- a/src/arbutuspulley/node/progress.py
+++ b/src/arbutuspulley/node/progress.py
@@ -96,7 +96,7 @@
         return left_ms
     longest = max(
         LEAST_PATIENCE_MS,
-        PATIENCE_AIMS * route.aim_ms,
-        PATIENCE_GAPS * route.gap_aim_ms,
+        PATIENCE_AIMS * route.latency_target_ms,
+        PATIENCE_GAPS * route.gap_target_ms,
     )
     return min(left_ms, longest)
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -87,7 +87,7 @@
 
         :param linked: the linked instances, the own one included.
         """
-        part = self.find_part(linked, ends_ms=self._state.settings.withdrawal_ms)
+        part = self.find_part(linked, ends_ms=self._state.settings.revocation_ms)
         self._ledger.set_part(part, now=self._state.clock.now())
 
     def find_part(self, linked: Sequence[NodeInfo], *, ends_ms: int | None) -> float:
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -146,7 +146,9 @@
 
     async def choose_plain(self) -> ServerEntry | None:
         """Choose a server of a service that runs no models, or wait for room at one."""
-        until = self._state.clock.now() + int(self._route.aim_ms * ROOM_WAIT_PART)
+        until = self._state.clock.now() + int(
+            self._route.latency_target_ms * ROOM_WAIT_PART
+        )
         while True:
             entry = await self._choose_within_limits(is_plain=True)
             if entry is not None or self._state.clock.now() >= until:
@@ -169,7 +171,7 @@
                     key=self._request.attempt_id,
                     incarnation=entry.incarnation,
                     need=need,
-                    pause_ms=self._route.gap_aim_ms,
+                    pause_ms=self._route.gap_target_ms,
                 )
             )
             # Whether it has the adapter is not known here. If it refuses, it gets this
@@ -188,7 +190,9 @@
 
         :return: whether there is one now.
         """
-        until = self._progress.started_at + self._route.aim_ms * FIRST_WAIT_PART
+        until = (
+            self._progress.started_at + self._route.latency_target_ms * FIRST_WAIT_PART
+        )
         while self._link.digest is None and self._state.clock.now() < until:
             await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
             if self._link.may_ask:
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -124,7 +124,7 @@
     except (msgspec.MsgspecError, WrongEntryError) as error:
         _refuse_entry(state, server_id, str(error))
         return
-    if before is not None and entry.born_ms < before.born_ms:
+    if before is not None and entry.started_ms < before.started_ms:
         # A row from before the server's start, written late. Taken, it would bring
         # back what the server held then.
         log_event(
@@ -145,7 +145,7 @@
 
 
 def _differs_in_holdings_only(before: ServerEntry, entry: ServerEntry) -> bool:
-    return msgspec.structs.replace(before, holdings=entry.holdings) == entry
+    return msgspec.structs.replace(before, loaded_models=entry.loaded_models) == entry
 
 
 def _refuse_entry(state: NodeState, server_id: str, why: str) -> None:
@@ -176,7 +176,7 @@
         server=entry.server_id,
         service=entry.service,
         address=entry.address,
-        born_ms=entry.born_ms,
+        born_ms=entry.started_ms,
     )
 
 
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -152,10 +152,10 @@
     @property
     def may_admit(self) -> bool:
         """Whether callers' keys may be believed: none was withdrawn unheard of."""
-        withdrawal_ms = self.settings.withdrawal_ms
-        if self.keys is None or withdrawal_ms is None:
+        revocation_ms = self.settings.revocation_ms
+        if self.keys is None or revocation_ms is None:
             return True
-        limit_ms = withdrawal_ms - MARGIN_MS
+        limit_ms = revocation_ms - MARGIN_MS
         return self.freshness.is_within(limit_ms, now=self.clock.now())
 
     @property
--- a/src/arbutuspulley/platform/incarnations.py
+++ b/src/arbutuspulley/platform/incarnations.py
@@ -9,14 +9,14 @@
 _SEPARATOR = "@"
 
 
-def build_incarnation(server_id: str, born_ms: int) -> str:
+def build_incarnation(server_id: str, started_ms: int) -> str:
     """Name a start of a server; no two starts have the same name.
 
-    :param born_ms: when it started, in Unix ms; 0 if it does not say.
+    :param started_ms: when it started, in Unix ms; 0 if it does not say.
     """
-    if not born_ms and _SEPARATOR not in server_id:
+    if not started_ms and _SEPARATOR not in server_id:
         return server_id
-    return f"{server_id}{_SEPARATOR}{born_ms}"
+    return f"{server_id}{_SEPARATOR}{started_ms}"
 
 
 def get_server_id(incarnation: str) -> str:
--- a/src/arbutuspulley/platform/messages.py
+++ b/src/arbutuspulley/platform/messages.py
@@ -9,10 +9,10 @@
 from arbutuspulley.ports.fleet import (
     EngineSpec,
     FleetConfiguration,
-    Holding,
     Limits,
+    LoadedModel,
     ModelSpec,
-    Repeat,
+    RetryPolicy,
     Route,
     ServerEntry,
     ServerReport,
@@ -139,7 +139,7 @@
     tenants: list[WireTeam] | None = None
 
 
-class WireHolding(_Wire):
+class WireLoadedModel(_Wire):
     """A loaded model; ``Adapters`` lists the names of those in memory."""
 
     name: str
@@ -161,7 +161,7 @@
     slots: int
     state: str
     born: int = msgspec.field(default=0, name="born")
-    models: list[WireHolding] = msgspec.field(default_factory=list)
+    models: list[WireLoadedModel] = msgspec.field(default_factory=list)
 
 
 class WireAvailable(_Wire):
@@ -178,7 +178,7 @@
     """
 
     born: int = msgspec.field(default=0, name="born")
-    models: list[WireHolding] = msgspec.field(default_factory=list)
+    models: list[WireLoadedModel] = msgspec.field(default_factory=list)
     busy: bool = False
     sequence: int = 0
     pending: list[str] = msgspec.field(default_factory=list)
@@ -252,13 +252,13 @@
     return ServerEntry(
         server_id=server_id,
         incarnation=build_incarnation(server_id, wire.born),
-        born_ms=wire.born,
+        started_ms=wire.born,
         service=wire.service,
         address=wire.address,
         zone=wire.zone,
         slots=wire.slots,
         is_leaving=wire.state == DRAINING,
-        holdings=_decode_holdings(wire.models),
+        loaded_models=_decode_loaded_models(wire.models),
     )
 
 
@@ -281,7 +281,7 @@
         incarnation=build_incarnation(server_id, wire.born),
         is_busy=wire.busy,
         orders=wire.sequence,
-        holdings=_decode_holdings(wire.models),
+        loaded_models=_decode_loaded_models(wire.models),
         pending=tuple(_split_pending(name) for name in wire.pending),
         in_memory=frozenset(wire.available.in_memory),
         on_disk=frozenset(wire.available.on_disk),
@@ -296,11 +296,11 @@
         name=wire.name,
         host=wire.hostname.lower(),
         prefix=wire.prefix,
-        repeat=_decode_repeat(wire),
+        retry_policy=_decode_retry_policy(wire),
         is_stream=wire.type == "streaming",
         timeout_ms=int(wire.timeout_ms),
-        aim_ms=int(wire.target_latency_ms),
-        gap_aim_ms=int(wire.target_gap_ms),
+        latency_target_ms=int(wire.target_latency_ms),
+        gap_target_ms=int(wire.target_gap_ms),
         priority=wire.priority,
         max_attempts=max(1, wire.max_attempts),
         shares=tuple(shares),
@@ -325,7 +325,7 @@
         rate_per_s=wire.rate_per_s,
         burst=wire.burst,
         counts_tokens=wire.unit == TOKENS,
-        plain_tokens=int(wire.plain_tokens),
+        default_tokens=int(wire.plain_tokens),
     )
 
 
@@ -335,12 +335,12 @@
     )
 
 
-def _decode_repeat(wire: WireRoute) -> Repeat:
+def _decode_retry_policy(wire: WireRoute) -> RetryPolicy:
     if wire.type == "safe":
-        return Repeat.ANY
+        return RetryPolicy.ANY
     if wire.type == "streaming" and wire.resumable:
-        return Repeat.RESUME
-    return Repeat.ONCE
+        return RetryPolicy.RESUME
+    return RetryPolicy.ONCE
 
 
 def _decode_service(wire: WireService) -> ServiceSpec:
@@ -372,9 +372,9 @@
     )
 
 
-def _decode_holdings(wire: list[WireHolding]) -> tuple[Holding, ...]:
+def _decode_loaded_models(wire: list[WireLoadedModel]) -> tuple[LoadedModel, ...]:
     return tuple(
-        Holding(
+        LoadedModel(
             model=one.name,
             adapters=tuple(_read_adapter_name(entry) for entry in one.adapters),
         )
--- a/src/arbutuspulley/platform/settings.py
+++ b/src/arbutuspulley/platform/settings.py
@@ -100,7 +100,7 @@
         retry_window_ms=int(file.bounds.budget_window_s * SECOND_MS),
         directory_ttl_s=file.bounds.directory_ttl_s,
         apply_ms=file.bounds.config_apply_ms,
-        withdrawal_ms=_get_withdrawal_ms(file.bounds),
+        revocation_ms=_get_revocation_ms(file.bounds),
         quota_window_ms=int(file.bounds.quota_window_s * SECOND_MS),
         quota_overage=file.bounds.quota_overage,
         quota_extra=file.bounds.quota_slack,
@@ -110,7 +110,7 @@
     )
 
 
-def _get_withdrawal_ms(bounds: _Bounds) -> int | None:
+def _get_revocation_ms(bounds: _Bounds) -> int | None:
     return bounds.revoke_ms if bounds.revoke_fail_closed else None
 
 
--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -129,7 +129,7 @@
         server.order_again_at = asked_at + CONFLICT_PAUSE_MS
     server.models = {
         one.model: set(one.adapters)
-        for one in report.holdings
+        for one in report.loaded_models
         if not (report.is_busy and one.model == server.unloading)
     }
     if not report.is_busy:
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -13,7 +13,7 @@
     get_speed,
     note_first_event,
 )
-from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ServerEntry, TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome, EngineSpec, ModelNeed, ServerEntry
 
 DEFAULT_ADAPTER_MS = 25
 """First guess of how long an adapter takes to load, in ms: adapters of some ten MB
@@ -240,7 +240,7 @@
         address=entry.address,
         zone=entry.zone,
         slots=entry.slots,
-        models={one.model: set(one.adapters) for one in entry.holdings},
+        models={one.model: set(one.adapters) for one in entry.loaded_models},
     )
 
 
@@ -381,7 +381,7 @@
     key: str,
     incarnation: str,
     *,
-    how: TryEnd,
+    how: AttemptOutcome,
     now: int,
     events: int = 0,
 ) -> None:
@@ -393,9 +393,9 @@
     if server is None:
         return
     run = server.runs.pop(key, None)
-    is_failed = how is TryEnd.FAILED
+    is_failed = how is AttemptOutcome.FAILED
     server.failure_share += FAILURE_MEMORY * (is_failed - server.failure_share)
-    if run is not None and run.first_at is not None and how is TryEnd.DONE:
+    if run is not None and run.first_at is not None and how is AttemptOutcome.DONE:
         took_ms = now - run.first_at
         note_run_time(pool.durations, run.need, took_ms=took_ms)
         note_stream(
--- a/src/arbutuspulley/ports/fleet.py
+++ b/src/arbutuspulley/ports/fleet.py
@@ -9,7 +9,7 @@
 from arbutuspulley.data import State, Value
 
 
-class Repeat(enum.StrEnum):
+class RetryPolicy(enum.StrEnum):
     """How often a request may run.
 
     ``ANY``: idempotent, it may run again. ``ONCE``: at most once. ``RESUME``: a
@@ -35,8 +35,10 @@
     :param prefix: path prefix; begins and ends with a slash.
     :param is_stream: whether answers are event streams.
     :param timeout_ms: longest time until the final answer.
-    :param aim_ms: time until the (first part of the) answer that earns full credit.
-    :param gap_aim_ms: longest pause between events of a stream that is still on time.
+    :param latency_target_ms: time until the (first part of the) answer that earns full
+        credit.
+    :param gap_target_ms: longest pause between events of a stream that is still on
+        time.
     :param priority: rank, 0 is the most urgent.
     :param max_attempts: most servers that may get one request.
     :param is_public: whether callers need no key.
@@ -45,11 +47,11 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    retry_policy: RetryPolicy
     is_stream: bool
     timeout_ms: int
-    aim_ms: int
-    gap_aim_ms: int
+    latency_target_ms: int
+    gap_target_ms: int
     priority: int
     max_attempts: int
     shares: tuple[Share, ...]
@@ -64,7 +66,7 @@
     :param rate_per_s: its quota over all instances; 0: none.
     :param burst: what it may use beyond the rate after a pause.
     :param counts_tokens: whether rate and burst are in tokens, not in requests.
-    :param plain_tokens: what a request costs that does not say how many it uses.
+    :param default_tokens: what a request costs that does not say how many it uses.
     """
 
     name: str
@@ -73,7 +75,7 @@
     rate_per_s: float = 0
     burst: float = 0
     counts_tokens: bool = False
-    plain_tokens: int = 0
+    default_tokens: int = 0
 
 
 class ModelSpec(Value, frozen=True):
@@ -144,7 +146,7 @@
     teams: tuple[Team, ...] | None = None
 
 
-class Holding(Value, frozen=True):
+class LoadedModel(Value, frozen=True):
     """A model that a server has in memory, with its adapters."""
 
     model: str
@@ -156,19 +158,20 @@
 
     :param server_id: the id that it goes by; it may start again under the same one.
     :param incarnation: names this start of the server.
-    :param born_ms: when it started, in Unix ms by its own clock; 0 if it does not say.
+    :param started_ms: when it started, in Unix ms by its own clock; 0 if it does not
+        say.
     :param is_leaving: whether it is draining.
     """
 
     server_id: str
     incarnation: str
-    born_ms: int
+    started_ms: int
     service: str
     address: str
     zone: str
     slots: int
     is_leaving: bool
-    holdings: tuple[Holding, ...]
+    loaded_models: tuple[LoadedModel, ...]
 
 
 class ServerReport(Value, frozen=True):
@@ -184,7 +187,7 @@
     incarnation: str
     is_busy: bool
     orders: int
-    holdings: tuple[Holding, ...]
+    loaded_models: tuple[LoadedModel, ...]
     pending: tuple[tuple[str, str], ...]
     in_memory: frozenset[str]
     on_disk: frozenset[str]
@@ -225,7 +228,7 @@
     UNKNOWN = "unknown"
 
 
-class TryEnd(enum.StrEnum):
+class AttemptOutcome(enum.StrEnum):
     """How a try at a server ended.
 
     ``DONE``: with a whole answer. ``FAILED``: the server broke off. ``NOT_RUN``: the
@@ -300,7 +303,7 @@
     :param lease_ms: no two holders may give orders within this time.
     :param checks_fences: whether servers refuse an order with an older fencing token.
     :param apply_ms: within this time a configuration is in force everywhere.
-    :param withdrawal_ms: within this time a key that was withdrawn works nowhere any
+    :param revocation_ms: within this time a key that was withdrawn works nowhere any
         more, also at an instance that can't hear of it; ``None``: no such bound.
     :param quota_window_ms: the time over which quotas are judged.
     :param quota_overage: part by which they may be exceeded in it.
@@ -326,7 +329,7 @@
     directory_ttl_s: float
     checks_fences: bool = False
     apply_ms: int = 2_000
-    withdrawal_ms: int | None = None
+    revocation_ms: int | None = None
     quota_window_ms: int = 10_000
     quota_overage: float = 0.0
     quota_extra: float = 0.0
--- a/src/arbutuspulley/routing/local.py
+++ b/src/arbutuspulley/routing/local.py
@@ -121,7 +121,7 @@
         and (
             _has_room(get_record(records, entry), entry, sharers)
             if need is None
-            else any(one.model == need.model for one in entry.holdings)
+            else any(one.model == need.model for one in entry.loaded_models)
         )
         and get_record(records, entry).in_flight < most_in_flight
     ]
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -26,7 +26,7 @@
     now = now or [NOW]
     state = build_state(
         clock=Clock(read=lambda: now[0]),
-        **{"withdrawal_ms": 5_000, "apply_ms": 3_000, **settings},
+        **{"revocation_ms": 5_000, "apply_ms": 3_000, **settings},
     )
     put_keys(state, 1, *keys)
     if age_ms is not None:
@@ -112,7 +112,7 @@
 
 
 def test_without_a_bound_an_old_word_is_believed():
-    state = build_instance("k1", age_ms=None, withdrawal_ms=None)
+    state = build_instance("k1", age_ms=None, revocation_ms=None)
     assert (check(state, "k1"), check(state, "k2")) == ("team-k1", 401)
 
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -167,7 +167,7 @@
 def test_a_coordinator_that_most_have_left_keeps_to_its_own_part():
     """Guards against quotas that a cut-off coordinator saves up and spends once the cut
     has healed."""
-    instance = Instance(withdrawal_ms=5_000)
+    instance = Instance(revocation_ms=5_000)
     quotas = build_quotas(instance)
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas.set_linked(infos)
@@ -213,7 +213,7 @@
 
 def test_what_a_cut_off_instance_keeps_runs_out_on_both_sides():
     """It can't confirm any key for longer, and its callers have gone to others."""
-    instance = Instance(withdrawal_ms=5_000)
+    instance = Instance(revocation_ms=5_000)
     quotas = build_quotas(instance)
     infos = [build_info("a"), build_info("b")]
     quotas.note_lost(infos[1])
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -15,7 +15,7 @@
 from arbutuspulley.node.messages import Ask, Digest, Ended, Granted, Refused, Spent
 from arbutuspulley.node.progress import Progress, RequestFailedError
 from arbutuspulley.platform.requests import decode_request
-from arbutuspulley.ports.fleet import Holding, ServerEntry, TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome, LoadedModel, ServerEntry
 from arbutuspulley.routing.table import find_route
 from scripts.platform_stage import HOST, build_configuration
 from tests.node_states import build_state
@@ -23,13 +23,13 @@
 ENTRY = ServerEntry(
     server_id="e1",
     incarnation="e1",
-    born_ms=0,
+    started_ms=0,
     service="llm",
     address="e1:1",
     zone="a1",
     slots=8,
     is_leaving=False,
-    holdings=(Holding(model="m0"),),
+    loaded_models=(LoadedModel(model="m0"),),
 )
 COST = 120
 
@@ -154,7 +154,7 @@
         trial.get_server()
     assert raised.value.status == 401
     ended = [one for one in trial.told if isinstance(one, Ended)]
-    assert [one.how for one in ended] == [TryEnd.UNUSED]
+    assert [one.how for one in ended] == [AttemptOutcome.UNUSED]
     trial.acquisition.give_back()
     assert trial.list_costs() == [COST, -COST]
 
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -8,10 +8,10 @@
 from arbutuspulley.node.progress import Progress
 from arbutuspulley.node.server_choice import ServerChoice
 from arbutuspulley.ports.fleet import (
-    Holding,
     InboundRequest,
+    LoadedModel,
     ModelNeed,
-    Repeat,
+    RetryPolicy,
     Route,
     ServerEntry,
     Share,
@@ -24,11 +24,11 @@
     name="chat",
     host="h",
     prefix="/",
-    repeat=Repeat.RESUME,
+    retry_policy=RetryPolicy.RESUME,
     is_stream=True,
     timeout_ms=5_000,
-    aim_ms=400,
-    gap_aim_ms=250,
+    latency_target_ms=400,
+    gap_target_ms=250,
     priority=0,
     max_attempts=2,
     shares=(Share(service="llm", weight=1),),
@@ -39,13 +39,13 @@
     entry = ServerEntry(
         server_id="s0",
         incarnation="s0",
-        born_ms=0,
+        started_ms=0,
         service="llm",
         address="127.0.0.1:1",
         zone="a1",
         slots=8,
         is_leaving=False,
-        holdings=(Holding(model="m0"),),
+        loaded_models=(LoadedModel(model="m0"),),
     )
     state.by_service = {"llm": [entry]}
     request = InboundRequest(
@@ -97,7 +97,7 @@
 
     entry, waited_ms = asyncio.run(scenario())
     assert entry.incarnation == "s0"
-    assert waited_ms < ROUTE.aim_ms
+    assert waited_ms < ROUTE.latency_target_ms
 
 
 def test_the_next_coordinator_counts_what_was_sent_without_one():
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -72,7 +72,7 @@
     """It is cut off from all others and from the store. It named itself alone, and all
     callers that asked it were refused there."""
     now = [10]
-    state = build_ready(now=now, withdrawal_ms=5_000)
+    state = build_ready(now=now, revocation_ms=5_000)
     state.keys = build_keys(())
     state.nodes, state.nodes_at = NODES, 10
     state.freshness.confirm(10, source="store")
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -94,7 +94,7 @@
     state = build_state()
     take(state, build_start("a", 20), is_whole=True)
     take(state, build_start("a", 10, state="draining"))
-    assert state.entries["a"].born_ms == 20
+    assert state.entries["a"].started_ms == 20
 
 
 def test_a_row_that_another_writer_overwrote_names_no_server(monkeypatch):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -144,7 +144,7 @@
 
 def test_an_instance_whose_word_grows_old_asks_the_store_itself():
     now = [1_000]
-    state = build_instance(now, withdrawal_ms=5_000)
+    state = build_instance(now, revocation_ms=5_000)
     link = Link(state=state)
     link.receive([Digest(is_holder=True, is_store_followed=True, configuration=1)])
     assert not link.is_relayed
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -11,13 +11,13 @@
 
 
 @pytest.mark.parametrize(
-    ("server_id", "born_ms"),
+    ("server_id", "started_ms"),
     [("e1", 0), ("e1", 5), ("e1@5", 0), ("e1@5", 6), ("@", 0), ("e1@", 0), ("@5", 0)],
 )
-def test_a_server_goes_by_its_id_on_the_wire(server_id, born_ms):
+def test_a_server_goes_by_its_id_on_the_wire(server_id, started_ms):
     """A server whose id ends like the name of another's start was asked for by that
     other's id, and the one that it reached refused each request."""
-    assert get_server_id(build_incarnation(server_id, born_ms)) == server_id
+    assert get_server_id(build_incarnation(server_id, started_ms)) == server_id
 
 
 @given(first=st.tuples(IDS, TIMES), second=st.tuples(IDS, TIMES))
--- a/tests/test_local_choice.py
+++ b/tests/test_local_choice.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from arbutuspulley.ports.fleet import Holding, ModelNeed, ServerEntry
+from arbutuspulley.ports.fleet import LoadedModel, ModelNeed, ServerEntry
 from arbutuspulley.routing.local import (
     CUT_EVERY_MS,
     NO_BOUND,
@@ -23,13 +23,13 @@
     return ServerEntry(
         server_id=name,
         incarnation=name,
-        born_ms=0,
+        started_ms=0,
         service="s",
         address=f"{name}:1",
         zone=zone,
         slots=6,
         is_leaving=is_leaving,
-        holdings=tuple(Holding(model=model) for model in models),
+        loaded_models=tuple(LoadedModel(model=model) for model in models),
     )
 
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -21,7 +21,7 @@
     select_answer_headers,
 )
 from arbutuspulley.platform.settings import read_settings
-from arbutuspulley.ports.fleet import Holding, ModelNeed, Repeat
+from arbutuspulley.ports.fleet import LoadedModel, ModelNeed, RetryPolicy
 from arbutuspulley.results import SettingError
 from arbutuspulley.settings import SettingsError
 from scripts.platform_stage import build_configuration
@@ -34,11 +34,11 @@
 def test_a_configuration_is_decoded():
     decoded = decode_configuration(encode(build_configuration(7)))
     assert decoded.version == 7
-    assert [route.repeat for route in decoded.routes] == [
-        Repeat.ONCE,
-        Repeat.RESUME,
-        Repeat.ONCE,
-        Repeat.ANY,
+    assert [route.retry_policy for route in decoded.routes] == [
+        RetryPolicy.ONCE,
+        RetryPolicy.RESUME,
+        RetryPolicy.ONCE,
+        RetryPolicy.ANY,
     ]
     assert decoded.routes[0].is_stream and not decoded.routes[2].is_stream
     assert decoded.services["llm"].engine.models["m0"].load_ms == 100
@@ -128,7 +128,7 @@
     }
     entry = decode_server("i-1", encode(row))
     assert entry.is_leaving
-    assert entry.holdings == (Holding(model="m0", adapters=("a1", "a3")),)
+    assert entry.loaded_models == (LoadedModel(model="m0", adapters=("a1", "a3")),)
     report = decode_report(
         "i-1",
         encode({"Busy": True, "Sequence": 4, "Pending": ["m0/a5@1"], "KvUsed": 1.5}),
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -408,5 +408,5 @@
 
     own, other = use_server(scenario)
     assert (own.orders, own.is_busy) == (1, True)
-    assert [one.model for one in own.holdings] == ["m0"]
+    assert [one.model for one in own.loaded_models] == ["m0"]
     assert other is None
--- a/tests/test_pool_grants.py
+++ b/tests/test_pool_grants.py
@@ -4,7 +4,7 @@
 
 from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
 from arbutuspulley.pool.state import note_end, note_missing, note_unreachable
-from arbutuspulley.ports.fleet import TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome
 from tests.pools import add_waiting, build_pool, build_server
 
 
@@ -79,7 +79,7 @@
     add_waiting(pool, "r1", "m0", tokens=60_000, late_at=0, give_up_at=90_000)
     assert get_granted(plan_grants(pool, now=10)) == {"r0": "s0"}
     assert get_granted(plan_grants(pool, now=6_000)) == {}
-    note_end(pool, "r0", "s0", how=TryEnd.DONE, now=1)
+    note_end(pool, "r0", "s0", how=AttemptOutcome.DONE, now=1)
     assert get_granted(plan_grants(pool, now=6_010)) == {"r1": "s0"}
 
 
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -10,7 +10,7 @@
 from arbutuspulley.pool.room import count_used_mb
 from arbutuspulley.pool.state import note_missing
 from arbutuspulley.ports.fleet import (
-    Holding,
+    LoadedModel,
     OrderAnswer,
     OrderKind,
     ServerReport,
@@ -36,7 +36,7 @@
         incarnation="s0",
         is_busy=is_busy,
         orders=orders,
-        holdings=tuple(Holding(model=model) for model in models),
+        loaded_models=tuple(LoadedModel(model=model) for model in models),
         pending=(),
         in_memory=frozenset(),
         on_disk=frozenset(),
--- a/tests/test_pool_restart.py
+++ b/tests/test_pool_restart.py
@@ -8,11 +8,11 @@
 from arbutuspulley.pool.room import count_used_mb
 from arbutuspulley.pool.state import note_end, note_entries, settle_due
 from arbutuspulley.ports.fleet import (
-    Holding,
+    AttemptOutcome,
+    LoadedModel,
     OrderAnswer,
     OrderKind,
     ServerEntry,
-    TryEnd,
 )
 from tests.pools import add_run, add_waiting, build_pool
 
@@ -21,13 +21,13 @@
     return ServerEntry(
         server_id="s0",
         incarnation=f"s0@{born}",
-        born_ms=born,
+        started_ms=born,
         service="llm",
         address="s0:1",
         zone="z1",
         slots=8,
         is_leaving=False,
-        holdings=tuple(Holding(model=model) for model in models),
+        loaded_models=tuple(LoadedModel(model=model) for model in models),
     )
 
 
@@ -60,7 +60,7 @@
     (order,) = plan_orders(pool, now=10)
     note_entries(pool, [build_entry(2)])
     note_answer(pool, order, OrderAnswer.ACCEPTED, now=20)
-    note_end(pool, "r9", "s0@1", how=TryEnd.FAILED, now=20)
+    note_end(pool, "r9", "s0@1", how=AttemptOutcome.FAILED, now=20)
     new = pool.servers["s0@2"]
     assert (new.loading, new.orders, new.failure_share) == ("", None, 0)
 
--- a/tests/test_pool_speed.py
+++ b/tests/test_pool_speed.py
@@ -18,7 +18,7 @@
     note_end,
     note_first,
 )
-from arbutuspulley.ports.fleet import ModelSpec, TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome, ModelSpec
 from tests.pools import add_waiting, build_pool, build_server, build_spec
 
 
@@ -96,7 +96,7 @@
         plan_grants(pool, now=now)
         took = 15 + int(tokens / tokens_per_ms)
         note_first(pool, key, "s1", took_ms=took, now=now + took)
-        note_end(pool, key, "s1", how=TryEnd.DONE, now=now + took)
+        note_end(pool, key, "s1", how=AttemptOutcome.DONE, now=now + took)
         now += 1_000
     return now
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -32,7 +32,7 @@
         rate_per_s=rate,
         burst=burst,
         counts_tokens=True,
-        plain_tokens=200,
+        default_tokens=200,
         **changes,
     )
 
@@ -74,7 +74,7 @@
 )
 def test_a_request_costs_what_it_says_or_the_plain_cost(changes, usage, cost):
     team = Team(
-        name="t", keys=(), **{"counts_tokens": True, "plain_tokens": 200, **changes}
+        name="t", keys=(), **{"counts_tokens": True, "default_tokens": 200, **changes}
     )
     assert get_cost(team, usage) == cost
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -52,7 +52,7 @@
 
 def get_view(state):
     return {
-        name: (entry.is_leaving, tuple(one.model for one in entry.holdings))
+        name: (entry.is_leaving, tuple(one.model for one in entry.loaded_models))
         for name, entry in state.entries.items()
     }
 
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from arbutuspulley.ports.fleet import FleetConfiguration, Repeat, Route, Share
+from arbutuspulley.ports.fleet import FleetConfiguration, RetryPolicy, Route, Share
 from arbutuspulley.routing.table import build_table, choose_service, find_route
 
 
@@ -13,11 +13,11 @@
         name=prefix,
         host=host,
         prefix=prefix,
-        repeat=Repeat.ONCE,
+        retry_policy=RetryPolicy.ONCE,
         is_stream=False,
         timeout_ms=1_000,
-        aim_ms=100,
-        gap_aim_ms=0,
+        latency_target_ms=100,
+        gap_target_ms=0,
         priority=1,
         max_attempts=1,
         shares=tuple(Share(service=name, weight=weight) for name, weight in shares),
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -16,7 +16,7 @@
 
 
 def build_choice(state, *, avoid=()):
-    route = msgspec.structs.replace(ROUTE, is_stream=False, aim_ms=120)
+    route = msgspec.structs.replace(ROUTE, is_stream=False, latency_target_ms=120)
     now = state.clock.now()
     progress = Progress(started_at=now, ends_at=now + 2_000)
     progress.service = "s"
