--- a/src/arbutuspulley/admission/repeats.py
+++ b/src/arbutuspulley/admission/repeats.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from arbutuspulley.data import State
-from arbutuspulley.membership.parts import get_part
+from arbutuspulley.membership.limit_shares import get_part
 
 SAFETY = 0.8
 """Part of the budget that is used: windows slide, and a repeat arrives later than it
--- a/src/arbutuspulley/routing/local.py
+++ b/src/arbutuspulley/routing/local.py
@@ -12,7 +12,7 @@
 
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State
-from arbutuspulley.membership.parts import get_part
+from arbutuspulley.membership.limit_shares import get_part
 from arbutuspulley.ports.fleet import ModelNeed, ServerEntry
 
 SUSPECT_MS = 500
