--- a/src/arbutuspulley/admission/repeats.py
+++ b/src/arbutuspulley/admission/repeats.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from arbutuspulley.data import State
-from arbutuspulley.membership.limit_shares import get_part
+from arbutuspulley.membership.limit_shares import get_instance_share
 
 SAFETY = 0.8
 """Part of the budget that is used: windows slide, and a repeat arrives later than it
@@ -41,7 +41,7 @@
 def take_repeat(budget: RepeatBudget, *, instances: float, now: int) -> bool:
     """Return whether a request may be sent once more, and count it if so."""
     _forget(budget, now=now)
-    extra = get_part(budget.extra, instances=instances)
+    extra = get_instance_share(budget.extra, instances=instances)
     allowed = SAFETY * (budget.ratio * len(budget.requests) + extra)
     if len(budget.repeats) + 1 > allowed:
         return False
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.capacity import get_claim_delay, is_much_better
+from arbutuspulley.membership.capacity import get_claim_delay_ms, has_much_more_capacity
 from arbutuspulley.membership.coordinator import (
     RENEW_MS,
     CoordinatorState,
@@ -156,7 +156,7 @@
             for one in state.nodes
             if one.is_ready and one.name != state.settings.name
         ]
-        delay = get_claim_delay(state.capacity, others)
+        delay = get_claim_delay_ms(state.capacity, others)
         return delay + state.chance.randrange(SPREAD_MS)
 
     def _get_read_pause(self) -> int:
@@ -182,7 +182,7 @@
     def _is_outdone(self, now: int) -> bool:
         """Tell whether a much better placed instance has been there for a while."""
         best = self._coordinator.find_best()
-        if not is_much_better(best, self._state.capacity):
+        if not has_much_more_capacity(best, self._state.capacity):
             self._better_since = None
             return False
         if self._better_since is None:
--- a/src/arbutuspulley/routing/local.py
+++ b/src/arbutuspulley/routing/local.py
@@ -12,7 +12,7 @@
 
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State
-from arbutuspulley.membership.limit_shares import get_part
+from arbutuspulley.membership.limit_shares import get_instance_share
 from arbutuspulley.ports.fleet import ModelNeed, ServerEntry
 
 SUSPECT_MS = 500
@@ -148,7 +148,9 @@
     """
     if not connections:
         return NO_BOUND
-    return max(1, int(get_part(CONNECTION_PART * connections, instances=instances)))
+    return max(
+        1, int(get_instance_share(CONNECTION_PART * connections, instances=instances))
+    )
 
 
 def note_sent(records: LocalRecords, entry: ServerEntry) -> None:
@@ -233,7 +235,7 @@
 
 
 def _has_room(record: ServerRecord, entry: ServerEntry, sharers: float) -> bool:
-    at_least = get_part(QUEUED * entry.slots, instances=sharers)
+    at_least = get_instance_share(QUEUED * entry.slots, instances=sharers)
     return record.in_flight < max(1.0, at_least, record.most)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -3,11 +3,11 @@
 import pytest
 
 from arbutuspulley.membership.capacity import (
-    LONGEST_DELAY_MS,
-    RANK_MS,
+    CLAIM_DELAY_PER_RANK_MS,
+    MAX_CLAIM_DELAY_MS,
     get_capacity,
-    get_claim_delay,
-    is_much_better,
+    get_claim_delay_ms,
+    has_much_more_capacity,
 )
 
 
@@ -24,10 +24,10 @@
     ("own", "known", "expected"),
     [
         (2.0, [2.0, 0.1, 0.1], 0),
-        (0.1, [2.0, 2.0, 0.1], 2 * RANK_MS),
-        (0.1, [2.0] * 50, LONGEST_DELAY_MS),
+        (0.1, [2.0, 2.0, 0.1], 2 * CLAIM_DELAY_PER_RANK_MS),
+        (0.1, [2.0] * 50, MAX_CLAIM_DELAY_MS),
         (2.0, [], 0),
-        (0.25, [], int(0.75 * LONGEST_DELAY_MS)),
+        (0.25, [], int(0.75 * MAX_CLAIM_DELAY_MS)),
     ],
     ids=["best", "third", "one of many", "first start, large", "first start, small"],
 )
@@ -35,7 +35,7 @@
     """72 instances start at once; six of them have four times the processor and twenty
     times the link. One of the others took the lease, and what it had to tell filled its
     link: callers waited for grants, and renewals came too late."""
-    assert get_claim_delay(own, known) == expected
+    assert get_claim_delay_ms(own, known) == expected
 
 
 @pytest.mark.parametrize(
@@ -44,4 +44,4 @@
     ids=["much", "a little", "own is enough", "none"],
 )
 def test_a_coordinator_gives_way_to_a_much_better_one_only(other, own, expected):
-    assert is_much_better(other, own) is expected
+    assert has_much_more_capacity(other, own) is expected
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -8,7 +8,7 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.membership.capacity import LONGEST_DELAY_MS
+from arbutuspulley.membership.capacity import MAX_CLAIM_DELAY_MS
 from arbutuspulley.membership.coordinator import CoordinatorState, LeaseRow
 from arbutuspulley.node.election import (
     HANDOVER_MS,
@@ -259,7 +259,7 @@
     members = build_members([1.0] * 6, LeaseStore(now), now)
     tell_all(members, [1.0] * 6)
     delays = [one.election._draw_delay() for one in members.values()]
-    assert max(delays) < SPREAD_MS < LONGEST_DELAY_MS
+    assert max(delays) < SPREAD_MS < MAX_CLAIM_DELAY_MS
 
 
 def test_a_new_coordinator_counts_what_its_own_instance_runs():
