--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -16,7 +16,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.coordinator import (
+from arbutuspulley.membership.coordinator_lease import (
     CoordinatorState,
     InheritedLoads,
     get_order_time,
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -7,7 +7,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.capacity import get_claim_delay_ms, has_much_more_capacity
-from arbutuspulley.membership.coordinator import (
+from arbutuspulley.membership.coordinator_lease import (
     RENEW_MS,
     CoordinatorState,
     LeaseRow,
--- a/src/arbutuspulley/node/orders.py
+++ b/src/arbutuspulley/node/orders.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.coordinator import UNSURE_ORDER_MS, CoordinatorState
+from arbutuspulley.membership.coordinator_lease import UNSURE_ORDER_MS, CoordinatorState
 from arbutuspulley.node.pool_log import log_order
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.engines import ORDER_TIMEOUT_MS, send_order
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,6 +1,6 @@
 """What the coordinator keeps of instances whose links come and go."""
 
-from arbutuspulley.membership.coordinator import CoordinatorState
+from arbutuspulley.membership.coordinator_lease import CoordinatorState
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.intake import take_running
 from arbutuspulley.node.messages import Hello, RunningRequest
--- a/tests/test_coordinator_lease.py
+++ b/tests/test_coordinator_lease.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from arbutuspulley.membership.coordinator import (
+from arbutuspulley.membership.coordinator_lease import (
     MARGIN_MS,
     UNSURE_ORDER_MS,
     CoordinatorState,
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -9,7 +9,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import MAX_CLAIM_DELAY_MS
-from arbutuspulley.membership.coordinator import CoordinatorState, LeaseRow
+from arbutuspulley.membership.coordinator_lease import CoordinatorState, LeaseRow
 from arbutuspulley.node.election import (
     HANDOVER_MS,
     LEASE_KEY,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 
 from arbutuspulley.admission.rates import LOOK_AGAIN_MS
 from arbutuspulley.clock import Clock
-from arbutuspulley.membership.coordinator import CoordinatorState
+from arbutuspulley.membership.coordinator_lease import CoordinatorState
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
--- a/tests/test_orders_sent.py
+++ b/tests/test_orders_sent.py
@@ -5,7 +5,7 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.membership.coordinator import UNSURE_ORDER_MS, CoordinatorState
+from arbutuspulley.membership.coordinator_lease import UNSURE_ORDER_MS, CoordinatorState
 from arbutuspulley.node import orders
 from arbutuspulley.node.orders import Orders
 from arbutuspulley.pool.answers import PlannedOrder
