--- a/src/arbutuspulley/membership/coordinator_lease.py
+++ b/src/arbutuspulley/membership/coordinator_lease.py
@@ -16,15 +16,15 @@
 
 from arbutuspulley.data import Message, State, Value
 
-RENEW_MS = 900
+RENEW_INTERVAL_MS = 900
 """Time between renewals, in ms: three fit into a lease of 3 s."""
 
-MARGIN_MS = 400
+EXPIRY_MARGIN_MS = 400
 """How much earlier than written a holder stops giving orders, in ms: an order takes a
 few ms, and its clock differs from the store's by an answer's delay at most."""
 
 
-UNSURE_ORDER_MS = 1_000
+UNANSWERED_ORDER_WAIT_MS = 1_000
 """How long after a release its successor gives no orders, in ms, if an order of the one
 before was not answered: its bytes may still be on their way through a full link."""
 
@@ -68,7 +68,7 @@
     unknown_until: int | None
 
 
-class CoordinatorState(State):
+class CoordinatorLeaseState(State):
     """What one process knows of the lease.
 
     :param offset_ms: the store's clock less the own one, at least: the largest seen,
@@ -93,14 +93,18 @@
     renewed_at: int = 0
 
 
-def note_store_clock(state: CoordinatorState, store_ms: float, *, now: int) -> None:
+def update_store_clock(
+    state: CoordinatorLeaseState, store_ms: float, *, now: int
+) -> None:
     """Take in the store's clock from an answer that has just come."""
     offset = store_ms - now
     if state.offset_ms is None or offset > state.offset_ms:
         state.offset_ms = offset
 
 
-def note_row(state: CoordinatorState, value: bytes | None, *, version: int) -> None:
+def update_row(
+    state: CoordinatorLeaseState, value: bytes | None, *, version: int
+) -> None:
     """Take in the row as read."""
     state.version = version
     try:
@@ -110,17 +114,19 @@
         state.row = None
 
 
-def is_holder(state: CoordinatorState, *, now: int) -> bool:
+def is_holder(state: CoordinatorLeaseState, *, now: int) -> bool:
     """Tell whether the lease certainly still runs."""
-    return now < state.held_until - MARGIN_MS
+    return now < state.held_until - EXPIRY_MARGIN_MS
 
 
-def may_order(state: CoordinatorState, *, now: int) -> bool:
+def may_order(state: CoordinatorLeaseState, *, now: int) -> bool:
     """Tell whether orders may be given; ask right before each order."""
     return is_holder(state, now=now) and now >= state.orders_from
 
 
-def may_order_on(state: CoordinatorState, *, misses: list[bool], known: int) -> bool:
+def may_order_during_outage(
+    state: CoordinatorLeaseState, *, store_unavailable: list[bool], known_instances: int
+) -> bool:
     """Tell whether a holder whose lease has lapsed may still give orders.
 
     It may while the store is away for everybody: nobody can take the lease then, and
@@ -129,16 +135,20 @@
     away, the others answer otherwise and take over. Should one that is cut off from
     all of them reach the store, servers that check fences refuse the older holder.
 
-    :param misses: for each instance that is heard of, whether it misses the store,
-        this one included.
-    :param known: instances that were known before.
+    :param store_unavailable: for each instance that is heard of, whether it misses the
+        store, this one included.
+    :param known_instances: instances that were known before.
     """
     if state.fence == 0 or not is_own_row(state):
         return False
-    return all(misses) and len(misses) >= 2 and 2 * len(misses) > known
+    return (
+        all(store_unavailable)
+        and len(store_unavailable) >= 2
+        and 2 * len(store_unavailable) > known_instances
+    )
 
 
-def get_order_time(state: CoordinatorState, *, now: int) -> int:
+def get_order_window_ms(state: CoordinatorLeaseState, *, now: int) -> int:
     """Return for how much longer orders may be sent, in ms; 0: not at all.
 
     A server that does not check fences takes any order that reaches it. What is still
@@ -146,10 +156,10 @@
     """
     if not may_order(state, now=now):
         return 0
-    return int(state.held_until - MARGIN_MS - now)
+    return int(state.held_until - EXPIRY_MARGIN_MS - now)
 
 
-def get_wait(state: CoordinatorState, *, now: int) -> int | None:
+def get_claim_wait_ms(state: CoordinatorLeaseState, *, now: int) -> int | None:
     """Return how long until the lease may be taken, in ms; 0: now.
 
     :return: ``None`` if the store's clock was never seen.
@@ -162,7 +172,7 @@
     return max(0, int(_get_free_at(state, row) - (now + state.offset_ms)))
 
 
-def get_free_ms(state: CoordinatorState, *, now: int) -> int:
+def get_free_ms(state: CoordinatorLeaseState, *, now: int) -> int:
     """Return for how long the lease has been free, in ms.
 
     One that nobody has held yet, or that this instance held, has always been.
@@ -173,7 +183,7 @@
     return max(0, int(now + state.offset_ms - _get_free_at(state, row)))
 
 
-def _get_free_at(state: CoordinatorState, row: LeaseRow) -> float:
+def _get_free_at(state: CoordinatorLeaseState, row: LeaseRow) -> float:
     """Return when a lease may be taken, on the store's clock."""
     if not row.holder:
         return row.expires_ms
@@ -181,7 +191,7 @@
 
 
 def build_claim(
-    state: CoordinatorState, *, now: int, loads: dict[str, list[int]] | None = None
+    state: CoordinatorLeaseState, *, now: int, loads: dict[str, list[int]] | None = None
 ) -> LeaseRow:
     """Build the row that takes or renews the lease.
 
@@ -208,7 +218,7 @@
 
 
 def _build_loads(
-    state: CoordinatorState, loads: dict[str, list[int]] | None
+    state: CoordinatorLeaseState, loads: dict[str, list[int]] | None
 ) -> dict[str, list[float]]:
     if loads is None:
         return state.row.loads_ms if state.row else {}
@@ -216,7 +226,7 @@
     return {service: [at + offset for at in times] for service, times in loads.items()}
 
 
-def get_inherited_loads(state: CoordinatorState) -> InheritedLoads:
+def get_inherited_loads(state: CoordinatorLeaseState) -> InheritedLoads:
     """Return what the row as last read tells of loads; ask before the claim.
 
     The row is written at each renewal, so loads that were ordered since are unknown,
@@ -234,7 +244,7 @@
     return InheritedLoads(loads=loads, unknown_until=until)
 
 
-def is_own_row(state: CoordinatorState) -> bool:
+def is_own_row(state: CoordinatorLeaseState) -> bool:
     """Tell whether the row as last read is this process's; ask before a release.
 
     After a cut the row may be another holder's by now. Released all the same, that
@@ -244,23 +254,24 @@
 
 
 def build_release(
-    state: CoordinatorState,
+    state: CoordinatorLeaseState,
     *,
     now: int,
     loads: dict[str, list[int]] | None = None,
-    is_unsure: bool = False,
+    has_unanswered_order: bool = False,
 ) -> LeaseRow:
     """Build the row that gives the lease back; the fence stays.
 
     :param loads: as for :func:`build_claim`.
-    :param is_unsure: whether an order was sent that was not answered. A server that
-        does not check fences takes it whenever it comes, also after the successor's.
+    :param has_unanswered_order: whether an order was sent that was not answered. A
+        server that does not check fences takes it whenever it comes, also after the
+        successor's.
     """
     row = state.row
     released_ms = now + (state.offset_ms or 0.0)
     orders_from = row.orders_from_ms if row else 0.0
-    if is_unsure:
-        orders_from = max(orders_from, released_ms + UNSURE_ORDER_MS)
+    if has_unanswered_order:
+        orders_from = max(orders_from, released_ms + UNANSWERED_ORDER_WAIT_MS)
     return LeaseRow(
         holder="",
         link="",
@@ -272,8 +283,8 @@
     )
 
 
-def note_claimed(
-    state: CoordinatorState,
+def confirm_claim(
+    state: CoordinatorLeaseState,
     claim: LeaseRow,
     *,
     version: int,
@@ -300,6 +311,6 @@
     state.renewed_at = sent_at
 
 
-def note_lost(state: CoordinatorState) -> None:
+def mark_lost(state: CoordinatorLeaseState) -> None:
     """The lease is not, or no longer, held."""
     state.held_until = 0
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -17,12 +17,12 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.coordinator_lease import (
-    CoordinatorState,
+    CoordinatorLeaseState,
     InheritedLoads,
-    get_order_time,
+    get_order_window_ms,
     is_holder,
     may_order,
-    may_order_on,
+    may_order_during_outage,
 )
 from arbutuspulley.node.following import take_news, take_update
 from arbutuspulley.node.intake import (
@@ -119,7 +119,7 @@
         self,
         *,
         state: NodeState,
-        lease: CoordinatorState,
+        lease: CoordinatorLeaseState,
         receive_local: Callable[[list[ToNode]], None],
     ) -> None:
         self._state = state
@@ -407,16 +407,16 @@
         now = self._state.clock.now()
         if self._orders_on():
             return ORDER_TIMEOUT_MS
-        return get_order_time(self._lease, now=now)
+        return get_order_window_ms(self._lease, now=now)
 
     def _orders_on(self) -> bool:
         """Tell whether orders go on though the lease could not be renewed."""
         if not self._state.settings.checks_fences or not self._state.store.is_failing:
             return False
-        return may_order_on(
+        return may_order_during_outage(
             self._lease,
-            misses=self._peers.list_misses(),
-            known=self._peers.most_heard,
+            store_unavailable=self._peers.list_misses(),
+            known_instances=self._peers.most_heard,
         )
 
     def _send_decision(self, pool: PoolState, decided: Grant | Refusal) -> None:
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -8,20 +8,20 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.capacity import get_claim_delay_ms, has_much_more_capacity
 from arbutuspulley.membership.coordinator_lease import (
-    RENEW_MS,
-    CoordinatorState,
+    RENEW_INTERVAL_MS,
+    CoordinatorLeaseState,
     LeaseRow,
     build_claim,
     build_release,
+    confirm_claim,
+    get_claim_wait_ms,
     get_free_ms,
     get_inherited_loads,
-    get_wait,
     is_holder,
     is_own_row,
-    note_claimed,
-    note_lost,
-    note_row,
-    note_store_clock,
+    mark_lost,
+    update_row,
+    update_store_clock,
 )
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.link import Link
@@ -85,7 +85,7 @@
         self,
         *,
         state: NodeState,
-        lease: CoordinatorState,
+        lease: CoordinatorLeaseState,
         link: Link,
         coordinator: Coordinator,
     ) -> None:
@@ -129,7 +129,7 @@
         if is_holder(self._lease, now=now) and self._coordinator.acts:
             if (
                 self._state.stopping_at is None
-                and now - self._lease.renewed_at >= RENEW_MS
+                and now - self._lease.renewed_at >= RENEW_INTERVAL_MS
             ):
                 await self._renew()
             elif self._is_outdone(now):
@@ -170,7 +170,7 @@
         One that reads it just as it becomes free would claim it ahead of them.
         """
         now = self._state.clock.now()
-        wait = get_wait(self._lease, now=now)
+        wait = get_claim_wait_ms(self._lease, now=now)
         if wait is None:
             return now + self._get_read_pause()
         self._delay_ms = self._draw_delay()
@@ -206,9 +206,9 @@
         """Read the lease's row."""
         answer = await self._state.store.read(LEASE_TABLE, key=LEASE_KEY)
         now = self._state.clock.now()
-        note_store_clock(self._lease, answer.now_ms, now=now)
+        update_store_clock(self._lease, answer.now_ms, now=now)
         row = answer.rows[0] if answer.rows else None
-        note_row(
+        update_row(
             self._lease,
             row.value if row else None,
             version=row.version if row else 0,
@@ -219,7 +219,7 @@
         await self._read()
         now = self._state.clock.now()
         self._follow_holder()
-        is_free = get_wait(self._lease, now=now) == 0
+        is_free = get_claim_wait_ms(self._lease, now=now) == 0
         is_willing = now >= self._rests_until and self._state.stopping_at is None
         is_due = get_free_ms(self._lease, now=now) >= self._delay_ms
         if is_free and is_willing and is_due:
@@ -269,7 +269,7 @@
             loads=self._coordinator.list_loads(),
         )
         if not await self._write(claim):
-            note_lost(self._lease)
+            mark_lost(self._lease)
             log_event(Event.LEASE_LAPSED, fence=claim.fence)
             await self._look()
 
@@ -281,9 +281,9 @@
             value=msgspec.json.encode(claim),
             expected=self._lease.version,
         )
-        note_store_clock(self._lease, answer.now_ms, now=self._state.clock.now())
+        update_store_clock(self._lease, answer.now_ms, now=self._state.clock.now())
         if answer.is_done:
-            note_claimed(
+            confirm_claim(
                 self._lease,
                 claim,
                 version=answer.version,
@@ -294,9 +294,9 @@
 
     async def _release(self) -> None:
         fence = self._lease.fence
-        note_lost(self._lease)
+        mark_lost(self._lease)
         # The successor may give orders as soon as the row is free.
-        is_unsure = not await self._coordinator.finish_orders()
+        has_unanswered_order = not await self._coordinator.finish_orders()
         try:
             if self._lease.version < 0:
                 await self._read()
@@ -306,7 +306,7 @@
                 self._lease,
                 now=self._state.clock.now(),
                 loads=self._coordinator.list_loads(),
-                is_unsure=is_unsure,
+                has_unanswered_order=has_unanswered_order,
             )
             await self._write(release)
             log_event(Event.LEASE_RELEASED, fence=fence)
@@ -314,7 +314,7 @@
             log_event(Event.LEASE_UNSETTLED, detail=error.detail)
             self._lease.version = -1
         finally:
-            note_lost(self._lease)
+            mark_lost(self._lease)
 
     def _step_down(self, why: str) -> None:
         log_event(Event.COORDINATION_ENDED, why=why)
--- a/src/arbutuspulley/node/orders.py
+++ b/src/arbutuspulley/node/orders.py
@@ -5,7 +5,10 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.coordinator_lease import UNSURE_ORDER_MS, CoordinatorState
+from arbutuspulley.membership.coordinator_lease import (
+    UNANSWERED_ORDER_WAIT_MS,
+    CoordinatorLeaseState,
+)
 from arbutuspulley.node.pool_log import log_order
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.engines import ORDER_TIMEOUT_MS, send_order
@@ -24,11 +27,11 @@
 
     __slots__ = ("_lease", "_state", "_tasks", "_unsure_at")
 
-    def __init__(self, *, state: NodeState, lease: CoordinatorState) -> None:
+    def __init__(self, *, state: NodeState, lease: CoordinatorLeaseState) -> None:
         self._state = state
         self._lease = lease
         self._tasks: set[asyncio.Task[None]] = set()
-        self._unsure_at = -UNSURE_ORDER_MS
+        self._unsure_at = -UNANSWERED_ORDER_WAIT_MS
 
     def send(
         self,
@@ -71,7 +74,7 @@
 
     def _is_unsure(self) -> bool:
         """Tell whether an order that was not answered may still be on its way."""
-        return self._state.clock.now() - self._unsure_at < UNSURE_ORDER_MS
+        return self._state.clock.now() - self._unsure_at < UNANSWERED_ORDER_WAIT_MS
 
     async def _send(
         self,
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -13,7 +13,7 @@
 
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.events import Event, log_event, set_up_stdout_logging
-from arbutuspulley.membership.coordinator_lease import CoordinatorState
+from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.directory import Directory
 from arbutuspulley.node.election import Election
@@ -130,7 +130,7 @@
         chance=random.Random(),
     )
     link = Link(state=state)
-    lease = CoordinatorState(
+    lease = CoordinatorLeaseState(
         name=settings.name,
         link=settings.link,
         boot=uuid.uuid4().hex,
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,6 +1,6 @@
 """What the coordinator keeps of instances whose links come and go."""
 
-from arbutuspulley.membership.coordinator_lease import CoordinatorState
+from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.intake import take_running
 from arbutuspulley.node.messages import Hello, RunningRequest
@@ -16,7 +16,7 @@
     """All connections are reset. An instance opens its link again before the
     coordinator has seen the end of the one before; a request that ended in between was
     never told. It held a slot of its server for the rest of the day."""
-    lease = CoordinatorState(name="own", link="own:1", boot="b", lease_ms=3_000)
+    lease = CoordinatorLeaseState(name="own", link="own:1", boot="b", lease_ms=3_000)
     state = build_state()
     coordinator = Coordinator(
         state=state, lease=lease, receive_local=lambda _messages: None
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -9,7 +9,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import MAX_CLAIM_DELAY_MS
-from arbutuspulley.membership.coordinator_lease import CoordinatorState, LeaseRow
+from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState, LeaseRow
 from arbutuspulley.node.election import (
     HANDOVER_MS,
     LEASE_KEY,
@@ -128,7 +128,7 @@
         state.chance = random.Random(seed)
         self.state = state
         self.coordinator = CoordinatorTrial()
-        self.lease = CoordinatorState(
+        self.lease = CoordinatorLeaseState(
             name=name, link=name, boot=f"{name}-boot", lease_ms=3_000
         )
         self.link = LinkTrial(members, now)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 
 from arbutuspulley.admission.rates import LOOK_AGAIN_MS
 from arbutuspulley.clock import Clock
-from arbutuspulley.membership.coordinator_lease import CoordinatorState
+from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
@@ -62,7 +62,7 @@
     sent = []
     coordinator = Coordinator(
         state=state,
-        lease=CoordinatorState(name="own", link="own:1", boot="b", lease_ms=3_000),
+        lease=CoordinatorLeaseState(name="own", link="own:1", boot="b", lease_ms=3_000),
         receive_local=sent.extend,
     )
     coordinator.acts = True
--- a/tests/test_orders_sent.py
+++ b/tests/test_orders_sent.py
@@ -5,7 +5,10 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.membership.coordinator_lease import UNSURE_ORDER_MS, CoordinatorState
+from arbutuspulley.membership.coordinator_lease import (
+    UNANSWERED_ORDER_WAIT_MS,
+    CoordinatorLeaseState,
+)
 from arbutuspulley.node import orders
 from arbutuspulley.node.orders import Orders
 from arbutuspulley.pool.answers import PlannedOrder
@@ -22,7 +25,7 @@
     used_mb=0,
 )
 
-LEASE = CoordinatorState(name="own", link="own:1", boot="b", lease_ms=3_000)
+LEASE = CoordinatorLeaseState(name="own", link="own:1", boot="b", lease_ms=3_000)
 
 
 def step_down(monkeypatch, *, answer_ms, answer, wait_ms=0):
@@ -59,8 +62,8 @@
         (5, OrderAnswer.CONFLICT, 0, True),
         (5, OrderAnswer.UNKNOWN, 0, False),
         (5_000, OrderAnswer.ACCEPTED, 0, False),
-        (5, OrderAnswer.UNKNOWN, UNSURE_ORDER_MS - 1, False),
-        (5, OrderAnswer.UNKNOWN, UNSURE_ORDER_MS, True),
+        (5, OrderAnswer.UNKNOWN, UNANSWERED_ORDER_WAIT_MS - 1, False),
+        (5, OrderAnswer.UNKNOWN, UNANSWERED_ORDER_WAIT_MS, True),
     ],
     ids=[
         "accepted",
