--- a/src/arbutuspulley/controller/asking.py
+++ b/src/arbutuspulley/controller/asking.py
@@ -9,7 +9,7 @@
 from arbutuspulley.controller.rows import list_written, take_rows
 from arbutuspulley.controller.state import Controller, is_store_up
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.observation import note_rows
+from arbutuspulley.membership.observation import update_rows
 from arbutuspulley.membership.outage import (
     OutageState,
     may_try,
@@ -61,7 +61,7 @@
         written = list_written(transaction, revision=outcome.revision)
         now = controller.clock.now()
         sessions = take_rows(controller.rows, written, now=now)
-        note_rows(controller.sessions, sessions, now=now)
+        update_rows(controller.sessions, sessions, now=now)
     return outcome
 
 
--- a/src/arbutuspulley/controller/following.py
+++ b/src/arbutuspulley/controller/following.py
@@ -56,11 +56,11 @@
     rows = controller.rows
     changed = take_rows(rows, page.rows, now=now)
     rows.revision, rows.table_id = page.revision, page.table_id
-    sessions.observe(controller.sessions, changed, sent_at=sent_at, now=now)
+    sessions.apply_scan(controller.sessions, changed, sent_at=sent_at, now=now)
     named = frozenset(row.record.session for row in rows.owners.values())
     for session in named:
-        sessions.mention(controller.sessions, session, now=now)
-    sessions.forget(controller.sessions, named=named)
+        sessions.track_session(controller.sessions, session, now=now)
+    sessions.prune_sessions(controller.sessions, referenced=named)
     _note_live(controller, now=now)
 
 
--- a/src/arbutuspulley/controller/placing.py
+++ b/src/arbutuspulley/controller/placing.py
@@ -17,7 +17,7 @@
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.data import State
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.observation import is_over
+from arbutuspulley.membership.observation import is_expired
 from arbutuspulley.placement.actions import Action, Blocked, Load, Unload
 from arbutuspulley.placement.planner import PlannerInputs, PlannerState, plan
 from arbutuspulley.placement.records import ServerLedger
@@ -163,7 +163,7 @@
         row.record.session
         for row in controller.sessions.rows.values()
         if row.record is not None
-        and not is_over(controller.sessions, row.record.session)
+        and not is_expired(controller.sessions, row.record.session)
     }
     alive = {name for name, summary in inputs.summaries.items() if summary.alive}
     for rank, action in enumerate(loads):
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -11,7 +11,7 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership import lease as leases
 from arbutuspulley.membership.lease import Renewal
-from arbutuspulley.membership.observation import list_dead
+from arbutuspulley.membership.observation import list_stale_rows
 from arbutuspulley.membership.ownership import (
     OwnerRow,
     build_claim,
@@ -139,7 +139,7 @@
 async def sweep_sessions(controller: Controller) -> None:
     """Delete rows of instances that are gone for good; one instance does each."""
     named = frozenset(row.record.session for row in controller.rows.owners.values())
-    for row in list_dead(controller.sessions, named=named):
+    for row in list_stale_rows(controller.sessions, referenced=named):
         chosen = choose_poller(row.instance, candidates=controller.live)
         if chosen != controller.settings.instance:
             continue
--- a/src/arbutuspulley/membership/observation.py
+++ b/src/arbutuspulley/membership/observation.py
@@ -12,7 +12,7 @@
 from arbutuspulley.membership.lease import compute_margin
 from arbutuspulley.membership.records import SessionRecord
 
-DEAD_LEASES = 30
+STALE_LEASES = 30
 """Leases after which the row of a lapsed session is deleted."""
 
 
@@ -31,7 +31,7 @@
     """What an observer knows of all sessions of its group.
 
     :param rows: the latest row of each instance that has one.
-    :param signs: when each session id last showed a sign of life, in milliseconds
+    :param last_seen: when each session id last showed a sign of life, in milliseconds
         of the observer's clock; those known to be over are not in it.
     :param ended: session ids that their own holder has given up.
     :param checked_at: when the last scan that succeeded was sent.
@@ -39,12 +39,12 @@
 
     lease_ms: int
     rows: dict[str, SessionRow] = {}
-    signs: dict[str, int] = {}
+    last_seen: dict[str, int] = {}
     ended: set[str] = set()
     checked_at: int | None = None
 
 
-def observe(
+def apply_scan(
     state: ObservationState, rows: Iterable[SessionRow], *, sent_at: int, now: int
 ) -> None:
     """Take in a scan that succeeded.
@@ -58,28 +58,30 @@
     :param now: when its answer was there.
     """
     if state.checked_at is not None and sent_at - state.checked_at > _gap(state):
-        state.signs = dict.fromkeys(state.signs, now)
-    note_rows(state, rows, now=now)
+        state.last_seen = dict.fromkeys(state.last_seen, now)
+    update_rows(state, rows, now=now)
     state.checked_at = sent_at
 
 
-def note_rows(state: ObservationState, rows: Iterable[SessionRow], *, now: int) -> None:
+def update_rows(
+    state: ObservationState, rows: Iterable[SessionRow], *, now: int
+) -> None:
     """Take in session rows that are known otherwise, as own transactions are."""
     for row in rows:
         _take_row(state, row, now=now)
 
 
-def mention(state: ObservationState, session: str, *, now: int) -> None:
+def track_session(state: ObservationState, session: str, *, now: int) -> None:
     """Take in that an ownership row names a session.
 
     One that was never seen alive, for example because its instance restarted
     before this observer did, gets the full wait from its first mention.
     """
     if session and session not in state.ended:
-        state.signs.setdefault(session, now)
+        state.last_seen.setdefault(session, now)
 
 
-def is_over(state: ObservationState, session: str) -> bool:
+def is_expired(state: ObservationState, session: str) -> bool:
     """Tell whether a session's holder has certainly stopped ordering.
 
     A row that another process of the same instance has overwritten doesn't prove
@@ -87,7 +89,7 @@
     """
     if not session or session in state.ended:
         return True
-    sign = state.signs.get(session)
+    sign = state.last_seen.get(session)
     if sign is None or state.checked_at is None:
         return False
     return state.checked_at - sign >= state.lease_ms + compute_margin(state.lease_ms)
@@ -98,24 +100,26 @@
     return frozenset(
         instance
         for instance, row in state.rows.items()
-        if row.record is not None and not is_over(state, row.record.session)
+        if row.record is not None and not is_expired(state, row.record.session)
     )
 
 
-def list_dead(state: ObservationState, *, named: frozenset[str]) -> list[SessionRow]:
+def list_stale_rows(
+    state: ObservationState, *, referenced: frozenset[str]
+) -> list[SessionRow]:
     """Return rows of sessions that were over long ago and own nothing any more.
 
     Instances are replaced daily under new names; without this their rows stay.
 
-    :param named: the sessions that ownership rows name.
+    :param referenced: the sessions that ownership rows name.
     """
     dead: list[SessionRow] = []
     for row in state.rows.values():
         session = row.record.session if row.record else ""
-        sign = state.signs.get(session)
-        if sign is None or session in named or state.checked_at is None:
+        sign = state.last_seen.get(session)
+        if sign is None or session in referenced or state.checked_at is None:
             continue
-        if state.checked_at - sign >= DEAD_LEASES * state.lease_ms:
+        if state.checked_at - sign >= STALE_LEASES * state.lease_ms:
             dead.append(row)
     return dead
 
@@ -128,21 +132,21 @@
     return None
 
 
-def forget(state: ObservationState, *, named: frozenset[str]) -> None:
+def prune_sessions(state: ObservationState, *, referenced: frozenset[str]) -> None:
     """Drop sessions that no row holds or names any more.
 
-    :param named: the sessions that ownership rows name.
+    :param referenced: the sessions that ownership rows name.
     """
     held = {row.record.session for row in state.rows.values() if row.record}
-    kept = held | named
-    state.signs = {key: at for key, at in state.signs.items() if key in kept}
+    kept = held | referenced
+    state.last_seen = {key: at for key, at in state.last_seen.items() if key in kept}
     state.ended &= kept
 
 
 def reset(state: ObservationState) -> None:
     """Begin anew, as the table's history was replaced by a backup's."""
     state.rows = {}
-    state.signs = {}
+    state.last_seen = {}
     state.ended = set()
     state.checked_at = None
 
@@ -160,12 +164,12 @@
     if row.record.ended:
         _end(state, row.record.ended)
     if row.record.session not in state.ended:
-        state.signs[row.record.session] = now
+        state.last_seen[row.record.session] = now
 
 
 def _end(state: ObservationState, session: str) -> None:
     state.ended.add(session)
-    state.signs.pop(session, None)
+    state.last_seen.pop(session, None)
 
 
 def _gap(state: ObservationState) -> int:
--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -73,7 +73,7 @@
     free: list[str] = []
     for server in names:
         row = owners.get(server)
-        if row is None or observing.is_over(sessions, row.record.session):
+        if row is None or observing.is_expired(sessions, row.record.session):
             free.append(server)
         else:
             counts[row.record.instance] += 1
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -27,7 +27,7 @@
 def observe_until(state, end, *, rows=(), step=1_000, start=0):
     """Scan every step; ``rows`` come with the first scan."""
     for now in range(start, end + 1, step):
-        observing.observe(state, rows if now == start else (), sent_at=now, now=now)
+        observing.apply_scan(state, rows if now == start else (), sent_at=now, now=now)
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
 def test_session_is_over_when_its_row_stays_unchanged(until, over):
     state = ObservationState(lease_ms=LEASE_MS)
     observe_until(state, until, rows=(build_row(),))
-    assert observing.is_over(state, "s1") is over
+    assert observing.is_expired(state, "s1") is over
     assert observing.list_live(state) == (frozenset() if over else {"a"})
 
 
@@ -44,7 +44,7 @@
     state = ObservationState(lease_ms=LEASE_MS)
     observe_until(state, 9_000, rows=(build_row(),))
     observe_until(state, 19_000, rows=(build_row(revision=2),), start=10_000)
-    assert not observing.is_over(state, "s1")
+    assert not observing.is_expired(state, "s1")
 
 
 def test_outage_of_ten_minutes_proves_nothing():
@@ -56,9 +56,9 @@
     state = ObservationState(lease_ms=LEASE_MS)
     observe_until(state, 3_000, rows=(build_row(),))
     observe_until(state, 600_000, start=600_000)
-    assert not observing.is_over(state, "s1")
+    assert not observing.is_expired(state, "s1")
     observe_until(state, 600_000 + WAIT_MS, start=601_000)
-    assert observing.is_over(state, "s1")
+    assert observing.is_expired(state, "s1")
 
 
 def test_time_since_the_last_scan_does_not_count():
@@ -67,9 +67,9 @@
     Its clock goes on, but it has not seen whether the row changed meanwhile.
     """
     state = ObservationState(lease_ms=LEASE_MS)
-    observing.observe(state, (build_row(),), sent_at=0, now=0)
-    observing.observe(state, (), sent_at=1_000, now=50_000)
-    assert not observing.is_over(state, "s1")
+    observing.apply_scan(state, (build_row(),), sent_at=0, now=0)
+    observing.apply_scan(state, (), sent_at=1_000, now=50_000)
+    assert not observing.is_expired(state, "s1")
 
 
 @pytest.mark.parametrize(
@@ -92,33 +92,36 @@
     """
     state = ObservationState(lease_ms=LEASE_MS)
     observe_until(state, 2_000, rows=(build_row(),))
-    observing.observe(state, rows, sent_at=3_000, now=3_000)
-    assert observing.is_over(state, "s1") is over
+    observing.apply_scan(state, rows, sent_at=3_000, now=3_000)
+    assert observing.is_expired(state, "s1") is over
     observe_until(state, 14_000, start=4_000)
-    assert observing.is_over(state, "s1")
+    assert observing.is_expired(state, "s1")
 
 
 def test_session_only_named_by_an_owner_row_gets_the_full_wait():
     state = ObservationState(lease_ms=LEASE_MS)
-    observing.observe(state, (), sent_at=0, now=0)
-    observing.mention(state, "s0", now=0)
+    observing.apply_scan(state, (), sent_at=0, now=0)
+    observing.track_session(state, "s0", now=0)
     observe_until(state, 10_000, start=1_000)
-    assert not observing.is_over(state, "s0")
+    assert not observing.is_expired(state, "s0")
     observe_until(state, WAIT_MS, start=WAIT_MS)
-    assert observing.is_over(state, "s0")
+    assert observing.is_expired(state, "s0")
 
 
 def test_rows_of_the_dead_are_listed_once_nothing_names_them():
     state = ObservationState(lease_ms=LEASE_MS)
     observe_until(state, 301_000, rows=(build_row(),))
-    named = observing.list_dead(state, named=frozenset({"s1"}))
-    assert (named, len(observing.list_dead(state, named=frozenset()))) == ([], 1)
+    named = observing.list_stale_rows(state, referenced=frozenset({"s1"}))
+    assert (named, len(observing.list_stale_rows(state, referenced=frozenset()))) == (
+        [],
+        1,
+    )
 
 
 def test_older_row_of_a_late_scan_is_ignored():
     state = ObservationState(lease_ms=LEASE_MS)
     rows = (build_row(session="s2", revision=9), build_row(revision=3))
-    observing.observe(state, rows, sent_at=0, now=0)
+    observing.apply_scan(state, rows, sent_at=0, now=0)
     assert state.rows["a"].record.session == "s2"
 
 
@@ -150,7 +153,7 @@
             sent_at, now = now, now + first
             rows = (row,) if row is not None else ()
             now += second
-            observing.observe(observer, rows, sent_at=read(sent_at), now=read(now))
+            observing.apply_scan(observer, rows, sent_at=read(sent_at), now=read(now))
         else:
             renewal = leases.begin_renewal(holder, now=now, chance=chance)
             now += first
@@ -162,7 +165,7 @@
             holder.revision = revision
             if step == "renew":
                 leases.confirm_renewal(holder, renewal, revision=revision)
-        if leases.may_order(holder, now=now) and observing.is_over(
+        if leases.may_order(holder, now=now) and observing.is_expired(
             observer, holder.session
         ):
             # It may only have been found over before it was first held; the claim
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -36,7 +36,7 @@
         )
         for number, name in enumerate(names, start=1)
     ]
-    observing.observe(state, rows, sent_at=now, now=now)
+    observing.apply_scan(state, rows, sent_at=now, now=now)
     return state
 
 
@@ -65,7 +65,7 @@
             return owners
         for name, chosen in claimed.items():
             for server in chosen:
-                assert observing.is_over(
+                assert observing.is_expired(
                     sessions, owners[server].record.session if server in owners else ""
                 )
                 fence = owners[server].record.fence if server in owners else 0
@@ -225,7 +225,7 @@
     owners["s1"] = OwnerRow(record=owners["s1"].record, revision=fence_revision)
     record = SessionRecord(instance="c", session="s-c", site="x", address="x:1")
     row = SessionRow(instance="c", revision=revisions["c"], record=record)
-    observing.observe(sessions, (row,), sent_at=0, now=0)
+    observing.apply_scan(sessions, (row,), sent_at=0, now=0)
     claim = build_claim("a", ["s1"], owners, sessions, revision=revisions["a"])
     put_session(fake, renewed, renewal=2)
     assert isinstance(fake.platform.table.transact(claim), Conflict)
