--- a/src/arbutuspulley/controller/asking.py
+++ b/src/arbutuspulley/controller/asking.py
@@ -12,9 +12,9 @@
 from arbutuspulley.membership.observation import update_rows
 from arbutuspulley.membership.outage import (
     OutageState,
-    may_try,
-    note_failure,
-    note_success,
+    may_call,
+    record_failure,
+    record_success,
 )
 from arbutuspulley.ports.commit import commit
 from arbutuspulley.ports.platform import Committed, Conflict, Transaction
@@ -72,7 +72,7 @@
     function: Callable[[], _Result],
 ) -> _Result:
     now = controller.clock.now()
-    if not may_try(outage, now=now, chance=controller.chance):
+    if not may_call(outage, now=now, chance=controller.chance):
         raise PlatformUnavailableError(detail="the platform is down")
     try:
         result = await asyncio.get_running_loop().run_in_executor(pool, function)
@@ -85,12 +85,12 @@
 
 def _note_failure(controller: Controller, outage: OutageState, detail: str) -> None:
     now = controller.clock.now()
-    if note_failure(outage, now=now, chance=controller.chance):
+    if record_failure(outage, now=now, chance=controller.chance):
         log_event(Event.PLATFORM_DOWN, level=logging.WARNING, detail=detail)
     controller.metrics.store_up.set(is_store_up(controller))
 
 
 def _note_success(controller: Controller, outage: OutageState) -> None:
-    if note_success(outage) and is_store_up(controller):
+    if record_success(outage) and is_store_up(controller):
         log_event(Event.PLATFORM_UP)
     controller.metrics.store_up.set(is_store_up(controller))
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -25,7 +25,7 @@
 from arbutuspulley.delivery.claims import ClaimState, make_claim, settle_claim
 from arbutuspulley.delivery.trials import record_clearance, record_deaths
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.outage import note_failure
+from arbutuspulley.membership.outage import record_failure
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 from arbutuspulley.rpc import channel
 from arbutuspulley.rpc.messages import (
@@ -114,7 +114,7 @@
         )
     if reply.state == ClaimState.UNAVAILABLE:
         now = controller.clock.now()
-        note_failure(controller.writes, now=now, chance=controller.chance)
+        record_failure(controller.writes, now=now, chance=controller.chance)
     return reply
 
 
--- a/src/arbutuspulley/membership/outage.py
+++ b/src/arbutuspulley/membership/outage.py
@@ -1,7 +1,7 @@
 """Whether the platform is up, and when to ask it again: bounded, with jitter.
 
 While it is down, an instance sends one probe at a time. Waits double from
-:data:`FIRST_WAIT_MS` to the longest wait, and each is drawn between half and the
+:data:`INITIAL_BACKOFF_MS` to the longest wait, and each is drawn between half and the
 whole of that, so that instances spread out; the first calls after an outage spread
 by the same draw. At a longest wait of 5 s, 6 instances probe 1.6 times a second
 together; at 10 s, 360 instances probe 48 times.
@@ -12,42 +12,42 @@
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State
 
-FIRST_WAIT_MS = 250
+INITIAL_BACKOFF_MS = 250
 """Longest wait after the first failure in a row."""
 
-LONGEST_WAIT_MS = 10_000
+MAX_BACKOFF_MS = 10_000
 """Longest wait between two probes, whatever the lease."""
 
-FAILURES_TO_DOWN = 2
+DOWN_AFTER_FAILURES = 2
 """Failures in a row after which the platform counts as down."""
 
 
 class OutageState(State):
     """What an instance knows of the platform's state.
 
-    :param longest_wait_ms: longest wait between two probes.
+    :param max_backoff_ms: longest wait between two probes.
     :param failures: calls in a row that had no answer.
     :param next_at: earliest time of the next call while failures go on.
     :param up: whether callers' work may rely on the platform now.
     """
 
-    longest_wait_ms: int = LONGEST_WAIT_MS
+    max_backoff_ms: int = MAX_BACKOFF_MS
     failures: int = 0
     next_at: int = 0
     up: bool = False
 
 
-def choose_longest_wait(lease_ms: int) -> int:
+def choose_max_backoff_ms(lease_ms: int) -> int:
     """Return the longest wait for a lease: half of it.
 
     After an outage all leases are over. Instances that are back first give the
     others a lease to come back, too; with a longer wait some would miss that, and
     their servers would move for nothing.
     """
-    return min(LONGEST_WAIT_MS, lease_ms // 2)
+    return min(MAX_BACKOFF_MS, lease_ms // 2)
 
 
-def may_try(state: OutageState, *, now: int, chance: random.Random) -> bool:
+def may_call(state: OutageState, *, now: int, chance: random.Random) -> bool:
     """Tell whether a call may be made now; while down, reserves the next probe.
 
     Only one of several loops gets the probe, so that an outage isn't met by
@@ -61,20 +61,20 @@
     return True
 
 
-def note_failure(state: OutageState, *, now: int, chance: random.Random) -> bool:
+def record_failure(state: OutageState, *, now: int, chance: random.Random) -> bool:
     """Take in a call that the platform did not answer.
 
     :return: whether the platform counts as down from now on and did not before.
     """
     state.failures += 1
     state.next_at = now + _draw_wait(state, chance)
-    if state.failures < FAILURES_TO_DOWN or not state.up:
+    if state.failures < DOWN_AFTER_FAILURES or not state.up:
         return False
     state.up = False
     return True
 
 
-def note_success(state: OutageState) -> bool:
+def record_success(state: OutageState) -> bool:
     """Take in an answer.
 
     :return: whether the platform counts as up from now on and did not before.
@@ -87,6 +87,6 @@
 
 def _draw_wait(state: OutageState, chance: random.Random) -> int:
     bound = double_pause(
-        FIRST_WAIT_MS, longest_ms=state.longest_wait_ms, count=state.failures
+        INITIAL_BACKOFF_MS, longest_ms=state.max_backoff_ms, count=state.failures
     )
     return chance.randint(bound // 2, bound)
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -25,7 +25,7 @@
 from arbutuspulley.loop import LoopThread
 from arbutuspulley.membership.lease import LeaseState
 from arbutuspulley.membership.observation import ObservationState
-from arbutuspulley.membership.outage import OutageState, choose_longest_wait
+from arbutuspulley.membership.outage import OutageState, choose_max_backoff_ms
 from arbutuspulley.settings import (
     Check,
     check_address,
@@ -75,8 +75,8 @@
         lease=LeaseState(instance=settings.instance, lease_ms=settings.lease_ms),
         sessions=ObservationState(lease_ms=settings.lease_ms),
         rows=GroupRows(group=settings.group),
-        reads=OutageState(longest_wait_ms=choose_longest_wait(settings.lease_ms)),
-        writes=OutageState(longest_wait_ms=choose_longest_wait(settings.lease_ms)),
+        reads=OutageState(max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)),
+        writes=OutageState(max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)),
         news=NewsState(epoch=uuid.uuid4().hex),
     )
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -12,7 +12,7 @@
 from arbutuspulley.controller.state import Controller, ControllerSettings, Pools
 from arbutuspulley.membership.lease import LeaseState
 from arbutuspulley.membership.observation import ObservationState
-from arbutuspulley.membership.outage import OutageState, choose_longest_wait
+from arbutuspulley.membership.outage import OutageState, choose_max_backoff_ms
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
 LEASE_MS = 10_000
@@ -65,8 +65,8 @@
         lease=LeaseState(instance=name, lease_ms=LEASE_MS),
         sessions=ObservationState(lease_ms=LEASE_MS),
         rows=GroupRows(group="main"),
-        reads=OutageState(longest_wait_ms=choose_longest_wait(LEASE_MS)),
-        writes=OutageState(longest_wait_ms=choose_longest_wait(LEASE_MS)),
+        reads=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
+        writes=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
         news=NewsState(epoch=name),
     )
     node.force.configuration = configuration
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -11,18 +11,18 @@
 
 def fail(state, times, *, now=0):
     chance = random.Random(1)
-    return [outage.note_failure(state, now=now, chance=chance) for _ in range(times)]
+    return [outage.record_failure(state, now=now, chance=chance) for _ in range(times)]
 
 
 def test_down_after_two_failures_in_a_row_and_up_with_the_first_answer():
     state = OutageState()
-    assert outage.note_success(state)
+    assert outage.record_success(state)
     assert fail(state, 3) == [False, True, False]
     assert not state.up
-    assert outage.note_success(state)
+    assert outage.record_success(state)
     assert state.up
     assert fail(state, 1) == [False]
-    assert not outage.note_success(state)
+    assert not outage.record_success(state)
 
 
 @pytest.mark.parametrize(
@@ -33,7 +33,7 @@
     waits = set()
     for seed in range(200):
         state = OutageState(failures=failures - 1)
-        outage.note_failure(state, now=0, chance=random.Random(seed))
+        outage.record_failure(state, now=0, chance=random.Random(seed))
         waits.add(state.next_at)
     assert least <= min(waits) <= max(waits) <= most
     assert len(waits) > 20
@@ -43,9 +43,9 @@
     state = OutageState()
     fail(state, 10)
     chance = random.Random(2)
-    assert not outage.may_try(state, now=state.next_at - 1, chance=chance)
+    assert not outage.may_call(state, now=state.next_at - 1, chance=chance)
     due = state.next_at
-    tries = [outage.may_try(state, now=due, chance=chance) for _ in range(4)]
+    tries = [outage.may_call(state, now=due, chance=chance) for _ in range(4)]
     assert tries == [True, False, False, False]
 
 
@@ -55,15 +55,15 @@
     states = [OutageState(up=True) for _ in range(instances)]
     first = {}
     probes = Counter()
-    for now in range(0, length_ms + outage.LONGEST_WAIT_MS + step_ms, step_ms):
+    for now in range(0, length_ms + outage.MAX_BACKOFF_MS + step_ms, step_ms):
         for index, state in enumerate(states):
-            if index in first or not outage.may_try(state, now=now, chance=chance):
+            if index in first or not outage.may_call(state, now=now, chance=chance):
                 continue
             probes[now // 1_000] += 1
             if now < length_ms:
-                outage.note_failure(state, now=now, chance=chance)
+                outage.record_failure(state, now=now, chance=chance)
             else:
-                outage.note_success(state)
+                outage.record_success(state)
                 first[index] = now - length_ms
     return first, probes
 
@@ -79,7 +79,7 @@
     """
     first, probes = run_outage(instances, length_ms=600_000)
     assert len(first) == instances
-    assert max(first.values()) <= outage.LONGEST_WAIT_MS
+    assert max(first.values()) <= outage.MAX_BACKOFF_MS
     busiest = max(Counter(at // 1_000 for at in first.values()).values())
     assert busiest <= max(3, instances // 4)
     late = [probes[second] for second in range(60, 600)]
