--- a/src/arbutuspulley/controller/asking.py
+++ b/src/arbutuspulley/controller/asking.py
@@ -40,12 +40,12 @@
     transaction: Transaction,
     *,
     pool: Executor | None = None,
-    max_tries: int = COMMIT_TRIES,
+    max_attempts: int = COMMIT_TRIES,
 ) -> Committed | Conflict:
     """Commit a transaction of the controller's own and take in what it wrote.
 
     :param pool: threads to use, by default those for all store calls.
-    :param max_tries: sends of the transaction if its reply is lost.
+    :param max_attempts: sends of the transaction if its reply is lost.
     :raises PlatformUnavailableError: if it certainly had no effect.
     :raises OutcomeUnknownError: if that could not be found out; the rows tell it
         when they are next read.
@@ -55,7 +55,7 @@
         controller,
         controller.writes,
         pool or controller.pools.store,
-        lambda: commit(table, transaction, max_tries=max_tries),
+        lambda: commit(table, transaction, max_attempts=max_attempts),
     )
     if isinstance(outcome, Committed):
         written = list_written(transaction, revision=outcome.revision)
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -210,7 +210,7 @@
         writes=(Write(key=key, value=encode(record)),),
     )
     return await transact(
-        controller, transaction, pool=controller.pools.lease, max_tries=1
+        controller, transaction, pool=controller.pools.lease, max_attempts=1
     )
 
 
--- a/src/arbutuspulley/membership/lease.py
+++ b/src/arbutuspulley/membership/lease.py
@@ -15,7 +15,7 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.membership.records import SessionRecord
 
-MARGIN_PART = 10
+MARGIN_DIVISOR = 10
 """The margin is this part of the lease: a tenth, on either side."""
 
 _SESSION_BITS = 64
@@ -60,7 +60,7 @@
 
 def compute_margin(lease_ms: int) -> int:
     """Return how much earlier a holder stops, and how much later others act."""
-    return lease_ms // MARGIN_PART
+    return lease_ms // MARGIN_DIVISOR
 
 
 def may_order(state: LeaseState, *, now: int) -> bool:
--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -24,10 +24,10 @@
 )
 from arbutuspulley.ports.platform import ABSENT, Precondition, Transaction, Write
 
-CLAIMS_AT_ONCE = 16
+MAX_CLAIMS_PER_TRANSACTION = 16
 """Most servers claimed in one transaction."""
 
-HANDOVERS_AT_ONCE = 2
+MAX_HANDOVERS_PER_ROUND = 2
 """Most servers handed over in one round, so that ownership shifts gradually."""
 
 SETTLE_LEASES = 2
@@ -51,7 +51,7 @@
     }
 
 
-def compute_bound(*, servers: int, live: int) -> int:
+def compute_fair_share(*, servers: int, live: int) -> int:
     """Return how many servers one instance should own at most."""
     return math.ceil(servers / max(1, live))
 
@@ -77,7 +77,7 @@
             free.append(server)
         else:
             counts[row.record.instance] += 1
-    bound = compute_bound(servers=len(names), live=len(live))
+    bound = compute_fair_share(servers=len(names), live=len(live))
     mine: list[str] = []
     for server in free:
         chosen = _assign(server, owners.get(server), live, counts, bound)
@@ -86,7 +86,7 @@
         counts[chosen] += 1
         if chosen == instance:
             mine.append(server)
-    return tuple(mine[:CLAIMS_AT_ONCE])
+    return tuple(mine[:MAX_CLAIMS_PER_TRANSACTION])
 
 
 def choose_reclaims(
@@ -104,7 +104,7 @@
         for server, row in sorted(owned.items())
         if fences.get(server, 0) > row.record.fence
     ]
-    return tuple(behind[:CLAIMS_AT_ONCE])
+    return tuple(behind[:MAX_CLAIMS_PER_TRANSACTION])
 
 
 def choose_releases(
@@ -125,11 +125,11 @@
     if instance not in live or unchanged_ms < SETTLE_LEASES * lease_ms:
         return ()
     held = [server for server in owned if server in names]
-    excess = len(held) - compute_bound(servers=len(names), live=len(live))
+    excess = len(held) - compute_fair_share(servers=len(names), live=len(live))
     if excess <= 0:
         return ()
     held.sort(key=lambda server: score(server, instance))
-    return tuple(held[: min(excess, HANDOVERS_AT_ONCE)])
+    return tuple(held[: min(excess, MAX_HANDOVERS_PER_ROUND)])
 
 
 def choose_poller(server: str, *, candidates: Iterable[str]) -> str | None:
--- a/src/arbutuspulley/ports/commit.py
+++ b/src/arbutuspulley/ports/commit.py
@@ -22,10 +22,10 @@
 )
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 """How often a transaction with a lost reply is read back or sent again."""
 
-FIRST_PAUSE_MS = 50
+INITIAL_BACKOFF_MS = 50
 """Longest pause before the first read back; it doubles with each try."""
 
 
@@ -33,7 +33,7 @@
     table: Table,
     transaction: Transaction,
     *,
-    max_tries: int = MAX_TRIES,
+    max_attempts: int = MAX_ATTEMPTS,
     pause: Callable[[int], None] | None = None,
 ) -> Committed | Conflict:
     """Send a transaction and find out how it ended. Blocks: for worker threads.
@@ -45,7 +45,7 @@
     should only be deleted by who created it.
 
     :param transaction: with a fresh token, which all copies keep.
-    :param max_tries: bounds what is done about a lost reply.
+    :param max_attempts: bounds what is done about a lost reply.
     :param pause: waits before each try, given the longest time in ms; by default
         a random part of it, so that instances don't come back in step.
     :return: ``Committed`` only if this very transaction took effect; ``Conflict``
@@ -60,7 +60,7 @@
     try:
         return table.transact(transaction)
     except OutcomeUnknownError:
-        return _resolve(table, transaction, guarded, max_tries, pause or _pause)
+        return _resolve(table, transaction, guarded, max_attempts, pause or _pause)
 
 
 def _list_guarded(transaction: Transaction) -> list[Precondition]:
@@ -76,11 +76,11 @@
     table: Table,
     transaction: Transaction,
     guarded: list[Precondition],
-    max_tries: int,
+    max_attempts: int,
     pause: Callable[[int], None],
 ) -> Committed | Conflict:
-    for number in range(max_tries):
-        pause(FIRST_PAUSE_MS << number)
+    for number in range(max_attempts):
+        pause(INITIAL_BACKOFF_MS << number)
         # An unavailable platform settles nothing here: the first copy may have
         # taken effect, or still be on its way, so this never becomes "no effect".
         with contextlib.suppress(PlatformUnavailableError):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def trial(running, monkeypatch, tmp_path):
-    monkeypatch.setattr(commit, "FIRST_PAUSE_MS", 0)
+    monkeypatch.setattr(commit, "INITIAL_BACKOFF_MS", 0)
     monkeypatch.setenv("ARBUTUS_CONSOLE", running.url)
     monkeypatch.setenv("ARBUTUS_KEY", "key-of-ayu")
     monkeypatch.chdir(tmp_path)
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from arbutuspulley.ports.commit import FIRST_PAUSE_MS, MAX_TRIES, commit
+from arbutuspulley.ports.commit import INITIAL_BACKOFF_MS, MAX_ATTEMPTS, commit
 from arbutuspulley.ports.platform import (
     Committed,
     Conflict,
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize(
     ("reads_refused", "sends"),
-    [(MAX_TRIES, ["reply_lost"]), (0, ["late", *["refused"] * MAX_TRIES])],
+    [(MAX_ATTEMPTS, ["reply_lost"]), (0, ["late", *["refused"] * MAX_ATTEMPTS])],
     ids=["read_back", "second_send"],
 )
 def test_an_outage_after_a_lost_reply_is_not_called_no_effect(reads_refused, sends):
@@ -171,13 +171,15 @@
         link.commit(build("a"))
     link.deliver_late()
     assert link.applied == ["a"]
-    assert link.waited == [FIRST_PAUSE_MS << number for number in range(MAX_TRIES)]
+    assert link.waited == [
+        INITIAL_BACKOFF_MS << number for number in range(MAX_ATTEMPTS)
+    ]
 
 
 def test_a_short_outage_after_a_lost_reply_is_waited_out():
     """As above, but the store is back before the tries are used up."""
     link = Link("reply_lost")
-    link.reads_refused = MAX_TRIES - 1
+    link.reads_refused = MAX_ATTEMPTS - 1
     assert link.commit(build("a")) == Committed(revision=1)
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def trial(running, monkeypatch):
-    monkeypatch.setattr(commit, "FIRST_PAUSE_MS", 0)
+    monkeypatch.setattr(commit, "INITIAL_BACKOFF_MS", 0)
     running.reset()
     return running
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -152,7 +152,7 @@
     while any(chosen := release(owners, names, 2 * LEASE_MS).values()):
         rounds += 1
         released = [server for part in chosen for server in part]
-        assert len(released) <= ownership.HANDOVERS_AT_ONCE
+        assert len(released) <= ownership.MAX_HANDOVERS_PER_ROUND
         for server in released:
             last = owners[server].record
             owners[server] = own(server, last.instance, fence=last.fence, session="")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -326,7 +326,7 @@
     outcome = commit(
         bench.hasty.table,
         build("own", expect={"a": 0}, a=b"1"),
-        max_tries=20,
+        max_attempts=20,
         pause=lambda _longest_ms: bench.proxy.heal(),
     )
     assert outcome == Committed(revision=1)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def fake(monkeypatch):
-    monkeypatch.setattr(commit, "FIRST_PAUSE_MS", 0)
+    monkeypatch.setattr(commit, "INITIAL_BACKOFF_MS", 0)
     return FakePlatform()
 
 
