--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -55,7 +55,7 @@
 _Result = TypeVar("_Result")
 
 
-def build_unary(controller: Controller) -> dict[channel.Method, channel.Unary]:
+def build_unary(controller: Controller) -> dict[channel.Method, channel.UnaryHandler]:
     """Return the handlers of plain methods."""
     return {
         channel.REPORT: lambda request: _take_report(controller, request),
@@ -69,7 +69,9 @@
     }
 
 
-def build_streaming(controller: Controller) -> dict[channel.Method, channel.Streaming]:
+def build_streaming(
+    controller: Controller,
+) -> dict[channel.Method, channel.StreamingHandler]:
     """Return the handlers of streaming methods."""
     return {channel.WATCH: lambda request: _watch(controller, request)}
 
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -282,7 +282,7 @@
             expected=self._lease.version,
         )
         update_store_clock(self._lease, answer.now_ms, now=self._state.clock.now())
-        if answer.is_done:
+        if answer.is_applied:
             confirm_claim(
                 self._lease,
                 claim,
@@ -290,7 +290,7 @@
                 sent_at=sent_at,
                 store_ms=answer.now_ms,
             )
-        return answer.is_done
+        return answer.is_applied
 
     async def _release(self) -> None:
         fence = self._lease.fence
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -238,7 +238,7 @@
             priority = LATE_PRIORITY if is_late else min(7, self._acquisition.priority)
         return build_headers(
             self._request,
-            left_ms=max(1, self.progress.ends_at - now),
+            remaining_ms=max(1, self.progress.ends_at - now),
             incarnation=entry.incarnation,
             priority=priority,
             last_event_id=self.progress.last_event_id,
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -21,7 +21,7 @@
     decode_configuration,
 )
 from arbutuspulley.platform.store import (
-    FEED_SLACK_S,
+    FEED_TIMEOUT_MARGIN_S,
     FEED_WAIT_MS,
     HistoryLostError,
     RowsAnswer,
@@ -47,7 +47,7 @@
 """A store that was away longer than this, in ms, may have let entries lapse of
 servers that live: they could not write to it either."""
 
-FOLLOWED_MS = FEED_WAIT_MS + int(FEED_SLACK_S * SECOND_MS) + GATHER_MS
+FOLLOWED_MS = FEED_WAIT_MS + int(FEED_TIMEOUT_MARGIN_S * SECOND_MS) + GATHER_MS
 """A table whose changes the store has not told for so long, in ms, is not followed: a
 call for changes is answered or given up within this time."""
 
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -487,7 +487,9 @@
         self._confirmation.note_beat(number, at=now)
         return Beat(
             is_ready=state.is_ready,
-            misses_store=state.store.is_failing if state.store.is_recent else None,
+            misses_store=state.store.is_failing
+            if state.store.is_result_recent
+            else None,
             follows_store=is_followed(state),
             roster=self._roster.version,
             configuration=state.configuration_version,
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -8,9 +8,9 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import RelayedRow, StoreNews
 from arbutuspulley.node.state import NodeState
-from arbutuspulley.platform.messages import WrongEntryError, decode_server
+from arbutuspulley.platform.messages import InvalidServerEntryError, decode_server
 from arbutuspulley.platform.store import StoredRow
-from arbutuspulley.platform.transport import forget_connections
+from arbutuspulley.platform.transport import discard_idle_connections
 from arbutuspulley.ports.fleet import ServerEntry
 from arbutuspulley.routing.local import forget_others
 
@@ -121,7 +121,7 @@
     before = state.entries.get(server_id)
     try:
         entry = decode_server(server_id, value)
-    except (msgspec.MsgspecError, WrongEntryError) as error:
+    except (msgspec.MsgspecError, InvalidServerEntryError) as error:
         _refuse_entry(state, server_id, str(error))
         return
     if before is not None and entry.started_ms < before.started_ms:
@@ -170,7 +170,7 @@
     if before is not None and state.session is not None:
         # Its connections are those of the start before: a request that is sent on
         # one breaks off and may not be sent again.
-        forget_connections(state.session, entry.address)
+        discard_idle_connections(state.session, entry.address)
     log_event(
         Event.SERVER_LISTED,
         server=entry.server_id,
--- a/src/arbutuspulley/platform/messages.py
+++ b/src/arbutuspulley/platform/messages.py
@@ -26,7 +26,7 @@
 """Time-out of a route that names none, in ms: a caller rarely waits longer for
 anything."""
 
-DEFAULT_AIM_MS = 1_000
+DEFAULT_LATENCY_TARGET_MS = 1_000
 """Latency objective of a route that names none, in ms: a second feels
 immediate to a person who asked for text."""
 
@@ -41,7 +41,7 @@
 _ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 
 
-class WrongEntryError(ValueError):
+class InvalidServerEntryError(ValueError):
     """A server's row is no entry of a server, though it can be read."""
 
 
@@ -67,7 +67,7 @@
     name: str = ""
     type: str = "unsafe"
     timeout_ms: float = DEFAULT_TIMEOUT_MS
-    target_latency_ms: float = DEFAULT_AIM_MS
+    target_latency_ms: float = DEFAULT_LATENCY_TARGET_MS
     target_gap_ms: float = 0
     priority: int = 5
     max_attempts: int = 1
@@ -264,11 +264,13 @@
 
 def _check_server(wire: WireServer) -> None:
     if wire.state not in (READY, DRAINING):
-        raise WrongEntryError(f"unknown state {wire.state!r}")
+        raise InvalidServerEntryError(f"unknown state {wire.state!r}")
     if not _ADDRESS.fullmatch(wire.address):
-        raise WrongEntryError(f"no address: {wire.address!r}")
+        raise InvalidServerEntryError(f"no address: {wire.address!r}")
     if wire.slots < 1 or wire.born < 0:
-        raise WrongEntryError(f"out of range: slots {wire.slots}, born {wire.born}")
+        raise InvalidServerEntryError(
+            f"out of range: slots {wire.slots}, born {wire.born}"
+        )
 
 
 def decode_report(server_id: str, body: bytes) -> ServerReport:
--- a/src/arbutuspulley/platform/names.py
+++ b/src/arbutuspulley/platform/names.py
@@ -39,7 +39,7 @@
 TEAM = "X-Arbutuspulley-Tenant"
 """Name of the team that the client's key belongs to, for servers."""
 
-OWN_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         DEADLINE,
--- a/src/arbutuspulley/platform/requests.py
+++ b/src/arbutuspulley/platform/requests.py
@@ -24,7 +24,7 @@
     kept = [
         (name, value)
         for name, value in listed
-        if name.lower() not in dropped and _fold(name) not in names.OWN_HEADERS
+        if name.lower() not in dropped and _fold(name) not in names.RESERVED_HEADERS
     ]
     keys = [value for name, value in listed if name.lower() == names.KEY.lower()]
     return InboundRequest(
@@ -44,7 +44,7 @@
 def build_headers(
     request: InboundRequest,
     *,
-    left_ms: int,
+    remaining_ms: int,
     incarnation: str,
     priority: int | None,
     last_event_id: str = "",
@@ -52,14 +52,14 @@
 ) -> list[tuple[str, str]]:
     """Build the headers of a request to a server.
 
-    :param left_ms: how long its answer is still waited for.
+    :param remaining_ms: how long its answer is still waited for.
     :param incarnation: the only start of the server that may run it.
     :param priority: rank at a model server, ``None`` for a plain service.
     :param last_event_id: event after which a stream shall go on.
     :param team: that the caller belongs to; empty if it needs no key.
     """
     headers = list(request.headers)
-    headers.append((names.DEADLINE, str(left_ms)))
+    headers.append((names.DEADLINE, str(remaining_ms)))
     headers.append((names.EXPECT_INSTANCE, get_server_id(incarnation)))
     if team:
         headers.append((names.TEAM, team))
@@ -143,7 +143,7 @@
 
 
 def _list_dropped(connection: str) -> frozenset[str]:
-    return names.OWN_HEADERS | names.CONNECTION_HEADERS | _split_tokens(connection)
+    return names.RESERVED_HEADERS | names.CONNECTION_HEADERS | _split_tokens(connection)
 
 
 def _split_tokens(connection: str) -> frozenset[str]:
--- a/src/arbutuspulley/platform/store.py
+++ b/src/arbutuspulley/platform/store.py
@@ -18,18 +18,18 @@
 within a third of a second when it is slow; a silent one must be noticed well within a
 lease of 3 s."""
 
-LONGEST_TRANSFER_S = 10.0
+MAX_TRANSFER_S = 10.0
 """How long a call may take whose answer keeps coming, in s: some megabytes take so long
 over a slow link. Given up sooner, it would be asked for again from its start."""
 
 FEED_WAIT_MS = 1_000
-FEED_SLACK_S = 0.5
+FEED_TIMEOUT_MARGIN_S = 0.5
 """How long the store may hold a call for changes, in ms, and how much later its answer
 is given up, in s. A call that the store swallowed while it was silent is never
 answered, also after its return. Until it is given up, whoever made it believes that it
 hears of all changes; and so do all whom it tells, who have 2 s to put one in force."""
 
-RECENT_MS = 2_600
+RESULT_RECENT_MS = 2_600
 """How long the outcome of a call tells of the store, in ms: as long as an instance that
 is turned away takes for the next one, its pause included."""
 
@@ -68,10 +68,10 @@
 class WriteAnswer(State):
     """How a conditional write went.
 
-    :param is_done: ``False`` if its condition did not hold.
+    :param is_applied: ``False`` if its condition did not hold.
     """
 
-    is_done: bool
+    is_applied: bool
     version: int
     now_ms: float
 
@@ -81,8 +81,9 @@
     :class:`~arbutuspulley.results.PlatformUnavailableError` if nothing was done, and a
     write :class:`~arbutuspulley.results.OutcomeUnknownError` if its answer was lost.
 
-    ``is_failing`` tells whether the last call that ended got no usable answer,
-    ``is_recent`` whether that was lately enough to tell of the store as it is now.
+    ``is_failing`` tells whether the last call that ended got no usable answer, and
+    ``is_result_recent`` whether that was recent enough to reflect the store's present
+    state.
 
     :param address: ``host:port`` of the store.
     :param count_call: called with the name of each call.
@@ -106,16 +107,16 @@
         count_call: Callable[[str], None] = lambda _name: None,
     ) -> None:
         self._clock = clock or Clock()
-        self._ended_at = -RECENT_MS
+        self._ended_at = -RESULT_RECENT_MS
         self._session = session
         self._base = f"http://{address}"
         self._count_call = count_call
         self.is_failing = False
 
     @property
-    def is_recent(self) -> bool:
+    def is_result_recent(self) -> bool:
         """Whether a call has ended lately."""
-        return self._clock.now() - self._ended_at < RECENT_MS
+        return self._clock.now() - self._ended_at < RESULT_RECENT_MS
 
     def _note_end(self, *, failed: bool) -> None:
         self.is_failing = failed
@@ -147,7 +148,7 @@
         :raises HistoryLostError: if the history after ``after`` is gone.
         """
         params = {"Table": table, "after": str(after), "WaitMs": str(FEED_WAIT_MS)}
-        limit = FEED_WAIT_MS / 1_000 + FEED_SLACK_S
+        limit = FEED_WAIT_MS / 1_000 + FEED_TIMEOUT_MARGIN_S
         answer = await self._get(names.STORE_FEED_PATH, params, limit)
         return RowsAnswer(
             rows=_convert_rows(answer), version=answer.ver, now_ms=answer.now_ms
@@ -177,7 +178,7 @@
             raise PlatformUnavailableError(detail=f"the store answered {status}")
         decoded = _decode(answer)
         return WriteAnswer(
-            is_done=status == 200, version=decoded.ver, now_ms=decoded.now_ms
+            is_applied=status == 200, version=decoded.ver, now_ms=decoded.now_ms
         )
 
     async def _get(self, path: str, params: dict[str, str], limit: float) -> WireRows:
@@ -208,7 +209,7 @@
         self._count_call(path.strip("/"))
         url = yarl.URL(self._base + path)
         timeout = aiohttp.ClientTimeout(
-            total=limit + LONGEST_TRANSFER_S,
+            total=limit + MAX_TRANSFER_S,
             sock_connect=CALL_TIMEOUT_S,
             sock_read=limit,
         )
--- a/src/arbutuspulley/platform/transport.py
+++ b/src/arbutuspulley/platform/transport.py
@@ -19,16 +19,16 @@
 """How long a new connection may take, in s; data centres are 1 ms apart, and a lost
 opening packet is sent again after a second at the earliest."""
 
-IDLE_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 """How long an unused connection is kept, in s, if the server does not say for how long
 it keeps it. A request that crosses the server's close may have run."""
 
-IDLE_MARGIN_S = 2.0
+IDLE_TIMEOUT_MARGIN_S = 2.0
 """How much sooner than the server a connection is given up, in s: its time is in whole
 seconds, and a loop that is held up sees a close late. No more is given away, since
 each connection that is kept spares its next request a handshake."""
 
-MOST_IDLE_S = 30.0
+MAX_IDLE_TIMEOUT_S = 30.0
 """Most of that, in s."""
 
 KEEPALIVE_IDLE_S = 1
@@ -99,7 +99,7 @@
         address = f"{peer[0]}:{peer[1]}" if peer else ""
         if self._heard_at <= self._restarts.get(address, 0):
             return False
-        idle_s = self._idle_times.get(address, IDLE_S)
+        idle_s = self._idle_times.get(address, DEFAULT_IDLE_TIMEOUT_S)
         return _read_clock() - self._heard_at <= idle_s
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -118,7 +118,7 @@
         super().__init__(
             limit=0,
             limit_per_host=0,
-            keepalive_timeout=MOST_IDLE_S,
+            keepalive_timeout=MAX_IDLE_TIMEOUT_S,
             use_dns_cache=False,
             socket_factory=open_socket,
         )
@@ -165,7 +165,7 @@
     return session
 
 
-def forget_connections(session: aiohttp.ClientSession, address: str) -> None:
+def discard_idle_connections(session: aiohttp.ClientSession, address: str) -> None:
     """Use no connection to a server again that is idle by now.
 
     :param address: its host and port.
@@ -209,7 +209,7 @@
 ) -> None:
     found = _KEEP_ALIVE.search(headers.get("Keep-Alive", ""))
     if found is not None and isinstance(session.connector, _Connector):
-        idle_s = min(MOST_IDLE_S, int(found[1]) - IDLE_MARGIN_S)
+        idle_s = min(MAX_IDLE_TIMEOUT_S, int(found[1]) - IDLE_TIMEOUT_MARGIN_S)
         session.connector.idle_times[address] = idle_s
 
 
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -80,10 +80,10 @@
         self.sent = sent
 
 
-Unary = Callable[[Any], Awaitable[Message]]
+UnaryHandler = Callable[[Any], Awaitable[Message]]
 """Handler of a plain method: takes the typed request, returns the typed reply."""
 
-Streaming = Callable[[Any], AsyncIterator[Message]]
+StreamingHandler = Callable[[Any], AsyncIterator[Message]]
 """Handler of a streaming method."""
 
 
@@ -149,8 +149,8 @@
     *,
     address: str,
     key: str,
-    unary: dict[Method, Unary],
-    streaming: dict[Method, Streaming],
+    unary: dict[Method, UnaryHandler],
+    streaming: dict[Method, StreamingHandler],
 ) -> grpc.aio.Server:
     """Start serving methods on the running loop.
 
@@ -216,7 +216,7 @@
 
 
 def _guard_unary(
-    handler: Unary, key: str, name: str
+    handler: UnaryHandler, key: str, name: str
 ) -> Callable[..., Awaitable[Message]]:
     async def handle(request: Any, context: grpc.aio.ServicerContext) -> Message:
         if not _is_trusted(context, key):
@@ -232,7 +232,7 @@
 
 
 def _guard_streaming(
-    handler: Streaming, key: str
+    handler: StreamingHandler, key: str
 ) -> Callable[..., AsyncIterator[Message]]:
     async def handle(
         request: Any, context: grpc.aio.ServicerContext
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -46,10 +46,12 @@
         return RowsAnswer(rows=rows, version=self.version, now_ms=self._now[0])
 
     async def write(self, table, *, key, value, expected):
-        is_done = expected == self.version
-        if is_done:
+        is_applied = expected == self.version
+        if is_applied:
             self.row, self.version = value, self.version + 1
-        return WriteAnswer(is_done=is_done, version=self.version, now_ms=self._now[0])
+        return WriteAnswer(
+            is_applied=is_applied, version=self.version, now_ms=self._now[0]
+        )
 
 
 class CoordinatorTrial:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -21,7 +21,7 @@
 
 def build_instance(now, *, version=1, **settings):
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
-    state.store = SimpleNamespace(is_failing=False, is_recent=False)
+    state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
     put_in_force(state, msgspec.json.encode(build_configuration(version)), by="store")
     return state
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -57,7 +57,7 @@
     await site.start()
     port = site._server.sockets[0].getsockname()[1]
     state = build_state()
-    state.store = SimpleNamespace(is_failing=False, is_recent=False)
+    state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
     link = Link(state=state)
     async with aiohttp.ClientSession() as session:
         state.session = session
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.platform.incarnations import get_server_id
 from arbutuspulley.platform.messages import (
-    WrongEntryError,
+    InvalidServerEntryError,
     decode_configuration,
     decode_report,
     decode_rows,
@@ -93,13 +93,13 @@
 def test_a_row_of_another_writer_names_no_server(changes):
     row = {**SERVER_ROW, **changes}
     row = {name: value for name, value in row.items() if value is not None}
-    with pytest.raises((msgspec.MsgspecError, WrongEntryError)):
+    with pytest.raises((msgspec.MsgspecError, InvalidServerEntryError)):
         decode_server("i-1", encode(row))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b"\xff\x00", b"null", b'"x"'])
 def test_bytes_that_are_no_row_name_no_server(body):
-    with pytest.raises((msgspec.MsgspecError, WrongEntryError)):
+    with pytest.raises((msgspec.MsgspecError, InvalidServerEntryError)):
         decode_server("i-1", body)
 
 
@@ -175,7 +175,7 @@
     assert request.need == ModelNeed(
         model="m0", adapter="a3", prompt_tokens=1460, output_tokens=80
     )
-    sent = dict(build_headers(request, left_ms=700, incarnation="i-1", priority=2))
+    sent = dict(build_headers(request, remaining_ms=700, incarnation="i-1", priority=2))
     assert sent == {
         "Host": "Shop.Example:80",
         "X-Arbutuspulley-Attempt-Id": "a1",
@@ -202,7 +202,7 @@
     request = decode_request(method="POST", path="/", headers=headers)
     assert request.resumes
     sent = build_headers(
-        request, left_ms=1, incarnation="i", priority=None, last_event_id="9"
+        request, remaining_ms=1, incarnation="i", priority=None, last_event_id="9"
     )
     assert [value for name, value in sent if name.lower() == "last-event-id"] == ["9"]
 
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "expected", "is_done", "left"),
+    ("key", "expected", "is_applied", "left"),
     [
         ("a", 1, True, b"2"),
         ("a", 0, False, b"1"),
@@ -51,14 +51,16 @@
     ],
     ids=["current", "must be absent", "newer", "absent", "was there"],
 )
-def test_a_row_is_written_only_over_the_version_expected(key, expected, is_done, left):
+def test_a_row_is_written_only_over_the_version_expected(
+    key, expected, is_applied, left
+):
     async def scenario(standin, client):
         await write(client, "a", b"1", 0)
         answer = await write(client, key, b"2", expected)
         rows = (await client.read(TABLE, key=key)).rows
-        return answer.is_done, rows[0].value if rows else None
+        return answer.is_applied, rows[0].value if rows else None
 
-    assert use_store(scenario) == (is_done, left)
+    assert use_store(scenario) == (is_applied, left)
 
 
 def test_a_late_duplicate_changes_nothing():
@@ -71,7 +73,7 @@
         await write(client, "a", b"new", 2)
         again = await write(client, "a", b"old", 1)
         (row,) = (await client.read(TABLE, key="a")).rows
-        return again.is_done, row.value, row.version
+        return again.is_applied, row.value, row.version
 
     assert use_store(scenario) == (False, b"new", 3)
 
@@ -305,7 +307,7 @@
     busy link, is thrown away each time and asked for again."""
     monkeypatch.setattr(store, "CALL_TIMEOUT_S", 0.3)
     monkeypatch.setattr(store, "FEED_WAIT_MS", 100)
-    monkeypatch.setattr(store, "FEED_SLACK_S", 0.2)
+    monkeypatch.setattr(store, "FEED_TIMEOUT_MARGIN_S", 0.2)
     handler = functools.partial(answer_slowly, pieces=pieces, pause_s=pause_s)
 
     async def scenario():
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -304,7 +304,7 @@
     """Build a link of an instance that has a version in force, and its time."""
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
-    state.store = SimpleNamespace(is_failing=False, is_recent=False)
+    state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
     if version:
         put_in_force(state, encode_version(version), by="store")
     return now, state, Link(state=state)
--- a/tests/test_request_keys.py
+++ b/tests/test_request_keys.py
@@ -28,7 +28,9 @@
 
 def pass_on(headers, *, team):
     request = decode_request(method="POST", path="/a/", headers=headers)
-    sent = build_headers(request, left_ms=100, incarnation="i", priority=1, team=team)
+    sent = build_headers(
+        request, remaining_ms=100, incarnation="i", priority=1, team=team
+    )
     return request, sent
 
 
