--- a/src/arbutuspulley/platform/messages.py
+++ b/src/arbutuspulley/platform/messages.py
@@ -282,7 +282,7 @@
     return ServerReport(
         incarnation=build_incarnation(server_id, wire.born),
         is_busy=wire.busy,
-        orders=wire.sequence,
+        accepted_orders=wire.sequence,
         loaded_models=_decode_loaded_models(wire.models),
         pending=tuple(_split_pending(name) for name in wire.pending),
         in_memory=frozenset(wire.available.in_memory),
--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -122,9 +122,9 @@
     if is_older and asked_at - server.ordered_at < REPORT_LAG_MS // 2:
         return
     if server.loading and report.is_busy and server.loading_until != NEVER:
-        server.orders = report.orders
+        server.orders = report.accepted_orders
         return
-    server.orders = None if report.is_busy else report.orders
+    server.orders = None if report.is_busy else report.accepted_orders
     if report.is_busy:
         server.order_again_at = asked_at + CONFLICT_PAUSE_MS
     server.models = {
--- a/src/arbutuspulley/ports/fleet.py
+++ b/src/arbutuspulley/ports/fleet.py
@@ -179,14 +179,14 @@
 
     :param incarnation: the start of the server that tells it.
     :param is_busy: whether an order is being carried out.
-    :param orders: number of orders accepted since its start.
+    :param accepted_orders: number of orders accepted since its start.
     :param pending: adapters on their way, as ``(model, adapter)``.
     :param warm: models whose weights are in host memory or on disk.
     """
 
     incarnation: str
     is_busy: bool
-    orders: int
+    accepted_orders: int
     loaded_models: tuple[LoadedModel, ...]
     pending: tuple[tuple[str, str], ...]
     in_memory: frozenset[str]
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -133,7 +133,7 @@
         "i-1",
         encode({"Busy": True, "Sequence": 4, "Pending": ["m0/a5@1"], "KvUsed": 1.5}),
     )
-    assert (report.is_busy, report.orders) == (True, 4)
+    assert (report.is_busy, report.accepted_orders) == (True, 4)
     assert report.pending == (("m0", "a5"),)
 
 
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -383,7 +383,7 @@
             within_ms=0,
         )
         report = await fetch_report(session, address=server.address, incarnation="s1")
-        return answer, report.orders
+        return answer, report.accepted_orders
 
     assert use_server(scenario) == (OrderAnswer.REFUSED, 0)
 
@@ -409,6 +409,6 @@
         return own, other
 
     own, other = use_server(scenario)
-    assert (own.orders, own.is_busy) == (1, True)
+    assert (own.accepted_orders, own.is_busy) == (1, True)
     assert [one.model for one in own.loaded_models] == ["m0"]
     assert other is None
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -35,7 +35,7 @@
     return ServerReport(
         incarnation="s0",
         is_busy=is_busy,
-        orders=orders,
+        accepted_orders=orders,
         loaded_models=tuple(LoadedModel(model=model) for model in models),
         pending=(),
         in_memory=frozenset(),
