--- a/src/arbutuspulley/controller/asking.py
+++ b/src/arbutuspulley/controller/asking.py
@@ -9,12 +9,12 @@
 from arbutuspulley.controller.rows import list_written, take_rows
 from arbutuspulley.controller.state import Controller, is_store_up
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.observation import note_rows
+from arbutuspulley.membership.observation import update_rows
 from arbutuspulley.membership.outage import (
     OutageState,
-    may_try,
-    note_failure,
-    note_success,
+    may_call,
+    record_failure,
+    record_success,
 )
 from arbutuspulley.ports.commit import commit
 from arbutuspulley.ports.platform import Committed, Conflict, Transaction
@@ -40,12 +40,12 @@
     transaction: Transaction,
     *,
     pool: Executor | None = None,
-    max_tries: int = COMMIT_TRIES,
+    max_attempts: int = COMMIT_TRIES,
 ) -> Committed | Conflict:
     """Commit a transaction of the controller's own and take in what it wrote.
 
     :param pool: threads to use, by default those for all store calls.
-    :param max_tries: sends of the transaction if its reply is lost.
+    :param max_attempts: sends of the transaction if its reply is lost.
     :raises PlatformUnavailableError: if it certainly had no effect.
     :raises OutcomeUnknownError: if that could not be found out; the rows tell it
         when they are next read.
@@ -55,13 +55,13 @@
         controller,
         controller.writes,
         pool or controller.pools.store,
-        lambda: commit(table, transaction, max_tries=max_tries),
+        lambda: commit(table, transaction, max_attempts=max_attempts),
     )
     if isinstance(outcome, Committed):
         written = list_written(transaction, revision=outcome.revision)
         now = controller.clock.now()
         sessions = take_rows(controller.rows, written, now=now)
-        note_rows(controller.sessions, sessions, now=now)
+        update_rows(controller.sessions, sessions, now=now)
     return outcome
 
 
@@ -72,7 +72,7 @@
     function: Callable[[], _Result],
 ) -> _Result:
     now = controller.clock.now()
-    if not may_try(outage, now=now, chance=controller.chance):
+    if not may_call(outage, now=now, chance=controller.chance):
         raise PlatformUnavailableError(detail="the platform is down")
     try:
         result = await asyncio.get_running_loop().run_in_executor(pool, function)
@@ -85,12 +85,12 @@
 
 def _note_failure(controller: Controller, outage: OutageState, detail: str) -> None:
     now = controller.clock.now()
-    if note_failure(outage, now=now, chance=controller.chance):
+    if record_failure(outage, now=now, chance=controller.chance):
         log_event(Event.PLATFORM_DOWN, level=logging.WARNING, detail=detail)
     controller.metrics.store_up.set(is_store_up(controller))
 
 
 def _note_success(controller: Controller, outage: OutageState) -> None:
-    if note_success(outage) and is_store_up(controller):
+    if record_success(outage) and is_store_up(controller):
         log_event(Event.PLATFORM_UP)
     controller.metrics.store_up.set(is_store_up(controller))
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -25,7 +25,7 @@
 from arbutuspulley.delivery.claims import ClaimState, make_claim, settle_claim
 from arbutuspulley.delivery.trials import record_clearance, record_deaths
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.membership.outage import note_failure
+from arbutuspulley.membership.outage import record_failure
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 from arbutuspulley.rpc import channel
 from arbutuspulley.rpc.messages import (
@@ -55,7 +55,7 @@
 _Result = TypeVar("_Result")
 
 
-def build_unary(controller: Controller) -> dict[channel.Method, channel.Unary]:
+def build_unary(controller: Controller) -> dict[channel.Method, channel.UnaryHandler]:
     """Return the handlers of plain methods."""
     return {
         channel.REPORT: lambda request: _take_report(controller, request),
@@ -69,7 +69,9 @@
     }
 
 
-def build_streaming(controller: Controller) -> dict[channel.Method, channel.Streaming]:
+def build_streaming(
+    controller: Controller,
+) -> dict[channel.Method, channel.StreamingHandler]:
     """Return the handlers of streaming methods."""
     return {channel.WATCH: lambda request: _watch(controller, request)}
 
@@ -114,7 +116,7 @@
         )
     if reply.state == ClaimState.UNAVAILABLE:
         now = controller.clock.now()
-        note_failure(controller.writes, now=now, chance=controller.chance)
+        record_failure(controller.writes, now=now, chance=controller.chance)
     return reply
 
 
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -39,7 +39,7 @@
 from arbutuspulley.node.questions import LinkLostError, Questions, RefusedError
 from arbutuspulley.node.roster import RosterCopy, apply_change
 from arbutuspulley.node.state import NodeState
-from arbutuspulley.ports.fleet import TryEnd
+from arbutuspulley.ports.fleet import AttemptOutcome
 from arbutuspulley.rpc.messages import Suspicion
 
 LINK_PATH = "/link"
@@ -353,7 +353,7 @@
             Ended(
                 key=granted.key,
                 incarnation=granted.incarnation,
-                how=TryEnd.UNUSED,
+                how=AttemptOutcome.UNUSED,
             )
         )
 
@@ -487,7 +487,9 @@
         self._confirmation.note_beat(number, at=now)
         return Beat(
             is_ready=state.is_ready,
-            misses_store=state.store.is_failing if state.store.is_recent else None,
+            misses_store=state.store.is_failing
+            if state.store.is_result_recent
+            else None,
             follows_store=is_followed(state),
             roster=self._roster.version,
             configuration=state.configuration_version,
--- a/src/arbutuspulley/platform/messages.py
+++ b/src/arbutuspulley/platform/messages.py
@@ -9,10 +9,10 @@
 from arbutuspulley.ports.fleet import (
     EngineSpec,
     FleetConfiguration,
-    Holding,
     Limits,
+    LoadedModel,
     ModelSpec,
-    Repeat,
+    RetryPolicy,
     Route,
     ServerEntry,
     ServerReport,
@@ -26,7 +26,7 @@
 """Time-out of a route that names none, in ms: a caller rarely waits longer for
 anything."""
 
-DEFAULT_AIM_MS = 1_000
+DEFAULT_LATENCY_TARGET_MS = 1_000
 """Latency objective of a route that names none, in ms: a second feels
 immediate to a person who asked for text."""
 
@@ -41,7 +41,7 @@
 _ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 
 
-class WrongEntryError(ValueError):
+class InvalidServerEntryError(ValueError):
     """A server's row is no entry of a server, though it can be read."""
 
 
@@ -67,7 +67,7 @@
     name: str = ""
     type: str = "unsafe"
     timeout_ms: float = DEFAULT_TIMEOUT_MS
-    target_latency_ms: float = DEFAULT_AIM_MS
+    target_latency_ms: float = DEFAULT_LATENCY_TARGET_MS
     target_gap_ms: float = 0
     priority: int = 5
     max_attempts: int = 1
@@ -139,7 +139,7 @@
     tenants: list[WireTeam] | None = None
 
 
-class WireHolding(_Wire):
+class WireLoadedModel(_Wire):
     """A loaded model; ``Adapters`` lists the names of those in memory."""
 
     name: str
@@ -161,7 +161,7 @@
     slots: int
     state: str
     born: int = msgspec.field(default=0, name="born")
-    models: list[WireHolding] = msgspec.field(default_factory=list)
+    models: list[WireLoadedModel] = msgspec.field(default_factory=list)
 
 
 class WireAvailable(_Wire):
@@ -178,7 +178,7 @@
     """
 
     born: int = msgspec.field(default=0, name="born")
-    models: list[WireHolding] = msgspec.field(default_factory=list)
+    models: list[WireLoadedModel] = msgspec.field(default_factory=list)
     busy: bool = False
     sequence: int = 0
     pending: list[str] = msgspec.field(default_factory=list)
@@ -252,23 +252,25 @@
     return ServerEntry(
         server_id=server_id,
         incarnation=build_incarnation(server_id, wire.born),
-        born_ms=wire.born,
+        started_ms=wire.born,
         service=wire.service,
         address=wire.address,
         zone=wire.zone,
         slots=wire.slots,
         is_leaving=wire.state == DRAINING,
-        holdings=_decode_holdings(wire.models),
+        loaded_models=_decode_loaded_models(wire.models),
     )
 
 
 def _check_server(wire: WireServer) -> None:
     if wire.state not in (READY, DRAINING):
-        raise WrongEntryError(f"unknown state {wire.state!r}")
+        raise InvalidServerEntryError(f"unknown state {wire.state!r}")
     if not _ADDRESS.fullmatch(wire.address):
-        raise WrongEntryError(f"no address: {wire.address!r}")
+        raise InvalidServerEntryError(f"no address: {wire.address!r}")
     if wire.slots < 1 or wire.born < 0:
-        raise WrongEntryError(f"out of range: slots {wire.slots}, born {wire.born}")
+        raise InvalidServerEntryError(
+            f"out of range: slots {wire.slots}, born {wire.born}"
+        )
 
 
 def decode_report(server_id: str, body: bytes) -> ServerReport:
@@ -280,8 +282,8 @@
     return ServerReport(
         incarnation=build_incarnation(server_id, wire.born),
         is_busy=wire.busy,
-        orders=wire.sequence,
-        holdings=_decode_holdings(wire.models),
+        accepted_orders=wire.sequence,
+        loaded_models=_decode_loaded_models(wire.models),
         pending=tuple(_split_pending(name) for name in wire.pending),
         in_memory=frozenset(wire.available.in_memory),
         on_disk=frozenset(wire.available.on_disk),
@@ -296,11 +298,11 @@
         name=wire.name,
         host=wire.hostname.lower(),
         prefix=wire.prefix,
-        repeat=_decode_repeat(wire),
+        retry_policy=_decode_retry_policy(wire),
         is_stream=wire.type == "streaming",
         timeout_ms=int(wire.timeout_ms),
-        aim_ms=int(wire.target_latency_ms),
-        gap_aim_ms=int(wire.target_gap_ms),
+        latency_target_ms=int(wire.target_latency_ms),
+        gap_target_ms=int(wire.target_gap_ms),
         priority=wire.priority,
         max_attempts=max(1, wire.max_attempts),
         shares=tuple(shares),
@@ -325,7 +327,7 @@
         rate_per_s=wire.rate_per_s,
         burst=wire.burst,
         counts_tokens=wire.unit == TOKENS,
-        plain_tokens=int(wire.plain_tokens),
+        default_tokens=int(wire.plain_tokens),
     )
 
 
@@ -335,12 +337,12 @@
     )
 
 
-def _decode_repeat(wire: WireRoute) -> Repeat:
+def _decode_retry_policy(wire: WireRoute) -> RetryPolicy:
     if wire.type == "safe":
-        return Repeat.ANY
+        return RetryPolicy.ANY
     if wire.type == "streaming" and wire.resumable:
-        return Repeat.RESUME
-    return Repeat.ONCE
+        return RetryPolicy.RESUME
+    return RetryPolicy.ONCE
 
 
 def _decode_service(wire: WireService) -> ServiceSpec:
@@ -372,9 +374,9 @@
     )
 
 
-def _decode_holdings(wire: list[WireHolding]) -> tuple[Holding, ...]:
+def _decode_loaded_models(wire: list[WireLoadedModel]) -> tuple[LoadedModel, ...]:
     return tuple(
-        Holding(
+        LoadedModel(
             model=one.name,
             adapters=tuple(_read_adapter_name(entry) for entry in one.adapters),
         )
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -8,8 +8,8 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.membership.capacity import LONGEST_DELAY_MS
-from arbutuspulley.membership.coordinator import CoordinatorState, LeaseRow
+from arbutuspulley.membership.capacity import MAX_CLAIM_DELAY_MS
+from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState, LeaseRow
 from arbutuspulley.node.election import (
     HANDOVER_MS,
     LEASE_KEY,
@@ -46,10 +46,12 @@
         return RowsAnswer(rows=rows, version=self.version, now_ms=self._now[0])
 
     async def write(self, table, *, key, value, expected):
-        is_done = expected == self.version
-        if is_done:
+        is_applied = expected == self.version
+        if is_applied:
             self.row, self.version = value, self.version + 1
-        return WriteAnswer(is_done=is_done, version=self.version, now_ms=self._now[0])
+        return WriteAnswer(
+            is_applied=is_applied, version=self.version, now_ms=self._now[0]
+        )
 
 
 class CoordinatorTrial:
@@ -128,7 +130,7 @@
         state.chance = random.Random(seed)
         self.state = state
         self.coordinator = CoordinatorTrial()
-        self.lease = CoordinatorState(
+        self.lease = CoordinatorLeaseState(
             name=name, link=name, boot=f"{name}-boot", lease_ms=3_000
         )
         self.link = LinkTrial(members, now)
@@ -259,7 +261,7 @@
     members = build_members([1.0] * 6, LeaseStore(now), now)
     tell_all(members, [1.0] * 6)
     delays = [one.election._draw_delay() for one in members.values()]
-    assert max(delays) < SPREAD_MS < LONGEST_DELAY_MS
+    assert max(delays) < SPREAD_MS < MAX_CLAIM_DELAY_MS
 
 
 def test_a_new_coordinator_counts_what_its_own_instance_runs():
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.platform.incarnations import get_server_id
 from arbutuspulley.platform.messages import (
-    WrongEntryError,
+    InvalidServerEntryError,
     decode_configuration,
     decode_report,
     decode_rows,
@@ -21,7 +21,7 @@
     select_answer_headers,
 )
 from arbutuspulley.platform.settings import read_settings
-from arbutuspulley.ports.fleet import Holding, ModelNeed, Repeat
+from arbutuspulley.ports.fleet import LoadedModel, ModelNeed, RetryPolicy
 from arbutuspulley.results import SettingError
 from arbutuspulley.settings import SettingsError
 from scripts.platform_stage import build_configuration
@@ -34,11 +34,11 @@
 def test_a_configuration_is_decoded():
     decoded = decode_configuration(encode(build_configuration(7)))
     assert decoded.version == 7
-    assert [route.repeat for route in decoded.routes] == [
-        Repeat.ONCE,
-        Repeat.RESUME,
-        Repeat.ONCE,
-        Repeat.ANY,
+    assert [route.retry_policy for route in decoded.routes] == [
+        RetryPolicy.ONCE,
+        RetryPolicy.RESUME,
+        RetryPolicy.ONCE,
+        RetryPolicy.ANY,
     ]
     assert decoded.routes[0].is_stream and not decoded.routes[2].is_stream
     assert decoded.services["llm"].engine.models["m0"].load_ms == 100
@@ -93,13 +93,13 @@
 def test_a_row_of_another_writer_names_no_server(changes):
     row = {**SERVER_ROW, **changes}
     row = {name: value for name, value in row.items() if value is not None}
-    with pytest.raises((msgspec.MsgspecError, WrongEntryError)):
+    with pytest.raises((msgspec.MsgspecError, InvalidServerEntryError)):
         decode_server("i-1", encode(row))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b"\xff\x00", b"null", b'"x"'])
 def test_bytes_that_are_no_row_name_no_server(body):
-    with pytest.raises((msgspec.MsgspecError, WrongEntryError)):
+    with pytest.raises((msgspec.MsgspecError, InvalidServerEntryError)):
         decode_server("i-1", body)
 
 
@@ -128,12 +128,12 @@
     }
     entry = decode_server("i-1", encode(row))
     assert entry.is_leaving
-    assert entry.holdings == (Holding(model="m0", adapters=("a1", "a3")),)
+    assert entry.loaded_models == (LoadedModel(model="m0", adapters=("a1", "a3")),)
     report = decode_report(
         "i-1",
         encode({"Busy": True, "Sequence": 4, "Pending": ["m0/a5@1"], "KvUsed": 1.5}),
     )
-    assert (report.is_busy, report.orders) == (True, 4)
+    assert (report.is_busy, report.accepted_orders) == (True, 4)
     assert report.pending == (("m0", "a5"),)
 
 
@@ -175,7 +175,7 @@
     assert request.need == ModelNeed(
         model="m0", adapter="a3", prompt_tokens=1460, output_tokens=80
     )
-    sent = dict(build_headers(request, left_ms=700, incarnation="i-1", priority=2))
+    sent = dict(build_headers(request, remaining_ms=700, incarnation="i-1", priority=2))
     assert sent == {
         "Host": "Shop.Example:80",
         "X-Arbutuspulley-Attempt-Id": "a1",
@@ -202,7 +202,7 @@
     request = decode_request(method="POST", path="/", headers=headers)
     assert request.resumes
     sent = build_headers(
-        request, left_ms=1, incarnation="i", priority=None, last_event_id="9"
+        request, remaining_ms=1, incarnation="i", priority=None, last_event_id="9"
     )
     assert [value for name, value in sent if name.lower() == "last-event-id"] == ["9"]
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -52,7 +52,7 @@
 
 def get_view(state):
     return {
-        name: (entry.is_leaving, tuple(one.model for one in entry.holdings))
+        name: (entry.is_leaving, tuple(one.model for one in entry.loaded_models))
         for name, entry in state.entries.items()
     }
 
@@ -304,7 +304,7 @@
     """Build a link of an instance that has a version in force, and its time."""
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
-    state.store = SimpleNamespace(is_failing=False, is_recent=False)
+    state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
     if version:
         put_in_force(state, encode_version(version), by="store")
     return now, state, Link(state=state)
