--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -14,12 +14,12 @@
 from arbutuspulley.data import Value
 from arbutuspulley.node.link import BEAT_MS
 from arbutuspulley.node.messages import (
-    Beat,
-    Digest,
-    Learnt,
+    CoordinatorEstimates,
+    CoordinatorStatus,
+    Heartbeat,
     NodeInfo,
+    QuotaUsage,
     RosterChange,
-    Spent,
 )
 from arbutuspulley.node.peers import SUCCESSORS
 from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS
@@ -107,7 +107,7 @@
     change = take_view(roster, select_view([*infos, joined], site="site-0"))
     changed = _count(change) if change is not None else 0
     beats = SECOND_MS / BEAT_MS
-    digest = Digest(
+    digest = CoordinatorStatus(
         is_holder=True,
         instances=linked,
         takers=linked,
@@ -119,7 +119,7 @@
         number=10_000,
         fresh_beat=10_000,
     )
-    beat = Beat(
+    beat = Heartbeat(
         is_ready=True,
         follows_store=True,
         roster=500,
@@ -128,7 +128,7 @@
         vouches=10_000,
     )
     spent = TEAMS_PER_BEAT * len(
-        msgspec.msgpack.encode(Spent(team="team-1000", cost=10_000))
+        msgspec.msgpack.encode(QuotaUsage(team="team-1000", cost=10_000))
     )
     servers = SERVERS_PER_INSTANCE[instances] * instances
     if instances == 360:
@@ -148,7 +148,9 @@
     )
 
 
-def _count(message: Beat | Digest | Learnt | RosterChange) -> int:
+def _count(
+    message: Heartbeat | CoordinatorStatus | CoordinatorEstimates | RosterChange,
+) -> int:
     return len(msgspec.msgpack.encode([message])) + FRAME_BYTES
 
 
@@ -164,9 +166,11 @@
     )
 
 
-def _build_learnt(models: int) -> Learnt:
+def _build_learnt(models: int) -> CoordinatorEstimates:
     demand = {f"model{number}": 1_000.5 for number in range(models)}
-    return Learnt(speeds={"service": {"16100/14": 30.5}}, demand={"service": demand})
+    return CoordinatorEstimates(
+        speeds={"service": {"16100/14": 30.5}}, demand={"service": demand}
+    )
 
 
 if __name__ == "__main__":
--- a/src/arbutuspulley/node/accounts.py
+++ b/src/arbutuspulley/node/accounts.py
@@ -9,7 +9,7 @@
 from arbutuspulley.data import Value
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Overdrawn
+from arbutuspulley.node.messages import QuotaExceeded
 from arbutuspulley.node.progress import RequestFailedError
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import InboundRequest, NodeSettings, Team
@@ -114,5 +114,5 @@
             status=429, reason="the team's quota is used up", retry_after_ms=wait_ms
         )
 
-    def _take_overdrawn(self, message: Overdrawn) -> None:
+    def _take_overdrawn(self, message: QuotaExceeded) -> None:
         self._debts[message.team] = self._state.clock.now() + message.wait_ms
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -4,7 +4,7 @@
 from arbutuspulley.node.accounts import Accounts, Payment
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Ask, Ended, Granted
+from arbutuspulley.node.messages import AttemptEnded, Granted, GrantRequest
 from arbutuspulley.node.progress import (
     MOST_REFUSED,
     Progress,
@@ -138,7 +138,7 @@
             return
         self._link.forget_run(self._request.attempt_id)
         self._link.tell(
-            Ended(
+            AttemptEnded(
                 key=self._request.attempt_id,
                 incarnation=incarnation,
                 how=how,
@@ -181,13 +181,13 @@
             raise RetryError
         return entry
 
-    def _build_ask(self, need: ModelNeed, now: int) -> Ask:
+    def _build_ask(self, need: ModelNeed, now: int) -> GrantRequest:
         progress, route, team = self._progress, self._route, self._access.team
         # A caller that has events waits for the next one, not for the first.
         is_begun = progress.first_ms is not None
         since = progress.last_event_at if is_begun else progress.started_at
         aim_ms = route.gap_aim_ms if is_begun else route.aim_ms
-        return Ask(
+        return GrantRequest(
             key=self._request.attempt_id,
             service=progress.service,
             need=need,
@@ -202,7 +202,7 @@
             cost=0 if self._paid is not None else self._cost,
         )
 
-    async def _ask(self, ask: Ask) -> Granted:
+    async def _ask(self, ask: GrantRequest) -> Granted:
         """Ask the coordinator, which charges the request."""
         if ask.cost:
             self._paid = Payment(team=ask.team, cost=ask.cost, is_local=False)
--- a/src/arbutuspulley/node/confirmation.py
+++ b/src/arbutuspulley/node/confirmation.py
@@ -4,7 +4,7 @@
 """
 
 from arbutuspulley.admission.freshness import Marks
-from arbutuspulley.node.messages import Digest
+from arbutuspulley.node.messages import CoordinatorStatus
 from arbutuspulley.node.state import NodeState
 
 RELIED_ON_PART = 0.7
@@ -41,7 +41,7 @@
         """Note that a beat is sent."""
         self._beats.note(number, at=at)
 
-    def take_digest(self, digest: Digest, *, at: int) -> None:
+    def take_digest(self, digest: CoordinatorStatus, *, at: int) -> None:
         """Take in what a digest says of how new the configuration in force is."""
         state = self._state
         self._digests.note(digest.number, at=at)
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -34,22 +34,22 @@
 )
 from arbutuspulley.node.link import BEAT_MS
 from arbutuspulley.node.messages import (
-    Ask,
-    Beat,
-    ConfigurationUpdate,
+    CancelRequest,
+    ConfigurationDelta,
+    CoordinatorEstimates,
     Granted,
+    GrantRequest,
+    Heartbeat,
     Hello,
-    Learnt,
     NodeInfo,
-    Permission,
+    PermissionRequest,
+    QuotaUsage,
     Refused,
     ServerLimit,
-    Spent,
-    StoreNews,
-    Suspected,
+    StoreUpdate,
+    SuspicionUpdate,
     ToCoordinator,
     ToNode,
-    Withdraw,
     decode_from_node,
 )
 from arbutuspulley.node.orders import Orders
@@ -232,7 +232,7 @@
         for message in messages:
             self._take_one(origin, message, now=now)
         # What was spent changes no decision on who goes to which server.
-        if any(not isinstance(message, Spent) for message in messages):
+        if any(not isinstance(message, QuotaUsage) for message in messages):
             self.kick()
 
     async def serve_link(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -298,29 +298,29 @@
             self.kick()
 
     def _take_one(self, origin: str, message: ToCoordinator, *, now: int) -> None:
-        if isinstance(message, Ask):
+        if isinstance(message, GrantRequest):
             self._take_ask(origin, message, now=now)
-        elif isinstance(message, Spent):
+        elif isinstance(message, QuotaUsage):
             overdrawn = self._quotas.take_spent(message, now=now)
             if overdrawn is not None:
                 self._peers.send(origin, overdrawn)
-        elif isinstance(message, Permission):
+        elif isinstance(message, PermissionRequest):
             self._peers.send(origin, self._rates.answer(message, now=now))
         elif isinstance(message, ServerLimit):
             self._take_limits((message,))
-        elif isinstance(message, Beat):
+        elif isinstance(message, Heartbeat):
             if self._peers.take_beat(origin, message):
                 self._tell_lost()
-        elif isinstance(message, StoreNews):
+        elif isinstance(message, StoreUpdate):
             self._relay_news(take_news(self._state, message, by="follower"))
-        elif isinstance(message, ConfigurationUpdate):
+        elif isinstance(message, ConfigurationDelta):
             if take_update(self._state, message, by="follower"):
                 self._peers.tell_configuration()
         elif isinstance(message, Hello):
             take_running(self._pools, origin, message, now=now)
-        elif isinstance(message, Suspected):
+        elif isinstance(message, SuspicionUpdate):
             self._peers.send_all(message)
-        elif isinstance(message, Withdraw):
+        elif isinstance(message, CancelRequest):
             take_withdrawal(self._pools, message)
         else:
             take_outcome(self._pools, message, now=now)
@@ -341,11 +341,11 @@
         if self.acts and not self._peers.is_store_followed():
             self._send_digest()
 
-    def _relay_news(self, news: StoreNews) -> None:
+    def _relay_news(self, news: StoreUpdate) -> None:
         if self.acts and (news.configuration or news.rows):
             self._peers.tell_news(news)
 
-    def _take_ask(self, origin: str, ask: Ask, *, now: int) -> None:
+    def _take_ask(self, origin: str, ask: GrantRequest, *, now: int) -> None:
         # Charged before anything else: whoever is refused for another reason gives the
         # cost back.
         over_quota = self._quotas.charge(ask, now=now)
@@ -474,7 +474,7 @@
     def _tell_learnt(self) -> None:
         speeds = {name: list_speeds(pool) for name, pool in self._pools.items()}
         demand = {name: list_demand(pool) for name, pool in self._pools.items()}
-        self._peers.send_successors(Learnt(speeds=speeds, demand=demand))
+        self._peers.send_successors(CoordinatorEstimates(speeds=speeds, demand=demand))
 
     def _send_digest(self) -> None:
         now = self._state.clock.now()
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -14,7 +14,7 @@
 from arbutuspulley.node.acquisition import Acquisition, NoServerError, RetryError
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Started
+from arbutuspulley.node.messages import ResponseStarted
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.progress import (
     ANSWER_TIME_MS,
@@ -329,7 +329,7 @@
             progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
         if not progress.events:
             self._link.tell(
-                Started(
+                ResponseStarted(
                     key=self._request.attempt_id,
                     incarnation=entry.incarnation,
                     took_ms=now - progress.sent_at,
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -13,7 +13,7 @@
 from arbutuspulley.admission.keys import build_keys
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.node.messages import ConfigurationUpdate, StoreNews
+from arbutuspulley.node.messages import ConfigurationDelta, StoreUpdate
 from arbutuspulley.node.server_rows import RETURN_MS, take_servers
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform import names
@@ -151,7 +151,7 @@
         is_whole: bool,
         was_away: bool,
         version: int,
-    ) -> StoreNews:
+    ) -> StoreUpdate:
         """Take the rows in and return what of them was new."""
 
 
@@ -300,7 +300,7 @@
         return answer.version
 
     def _note_behind(
-        self, answer: RowsAnswer, news: StoreNews, version: int | None
+        self, answer: RowsAnswer, news: StoreUpdate, version: int | None
     ) -> bool:
         """Tell whether more has changed than one answer in time would have brought.
 
@@ -330,7 +330,7 @@
         log_event(Event.PLATFORM_UP, table=self._table, away_ms=away_ms)
 
 
-def take_configuration(state: NodeState, rows: list[StoredRow]) -> StoreNews:
+def take_configuration(state: NodeState, rows: list[StoredRow]) -> StoreUpdate:
     """Put a newer configuration in force; an older one never."""
     body = b""
     for row in rows:
@@ -338,7 +338,7 @@
             continue
         if put_in_force(state, row.value, by="store"):
             body = row.value
-    return StoreNews(configuration=body)
+    return StoreUpdate(configuration=body)
 
 
 def put_in_force(state: NodeState, body: bytes, *, by: str) -> bool:
@@ -385,7 +385,7 @@
     return True
 
 
-def take_update(state: NodeState, update: ConfigurationUpdate, *, by: str) -> bool:
+def take_update(state: NodeState, update: ConfigurationDelta, *, by: str) -> bool:
     """Take in a newer configuration that another instance tells.
 
     :param by: which, as for :func:`put_in_force`.
@@ -406,7 +406,7 @@
     return put_in_force(state, body, by=by)
 
 
-def take_news(state: NodeState, news: StoreNews, *, by: str) -> StoreNews:
+def take_news(state: NodeState, news: StoreUpdate, *, by: str) -> StoreUpdate:
     """Take in what the store has told another instance.
 
     :param by: which: the ``coordinator`` or a ``follower``.
--- a/src/arbutuspulley/node/intake.py
+++ b/src/arbutuspulley/node/intake.py
@@ -1,6 +1,12 @@
 """Takes what instances tell their coordinator into its pools."""
 
-from arbutuspulley.node.messages import Ask, Ended, Hello, Started, Withdraw
+from arbutuspulley.node.messages import (
+    AttemptEnded,
+    CancelRequest,
+    GrantRequest,
+    Hello,
+    ResponseStarted,
+)
 from arbutuspulley.pool.state import (
     PoolState,
     Run,
@@ -20,7 +26,7 @@
 """Part of the time that a caller waits after which its request is given up."""
 
 
-def build_waiting(origin: str, ask: Ask, *, now: int) -> Waiting:
+def build_waiting(origin: str, ask: GrantRequest, *, now: int) -> Waiting:
     """Build the entry of a request that needs a server.
 
     :param origin: the instance that asks.
@@ -63,14 +69,14 @@
 
 
 def take_outcome(
-    pools: dict[str, PoolState], message: Started | Ended, *, now: int
+    pools: dict[str, PoolState], message: ResponseStarted | AttemptEnded, *, now: int
 ) -> None:
     """Take in that a run has begun to answer, or has ended."""
     for pool in pools.values():
         if message.incarnation not in pool.servers:
             continue
         key, incarnation = message.key, message.incarnation
-        if isinstance(message, Started):
+        if isinstance(message, ResponseStarted):
             note_first(pool, key, incarnation, took_ms=message.took_ms, now=now)
         elif message.how is TryEnd.NOT_RUN:
             note_missing(pool, key, incarnation, now=now)
@@ -87,7 +93,7 @@
             )
 
 
-def take_withdrawal(pools: dict[str, PoolState], message: Withdraw) -> None:
+def take_withdrawal(pools: dict[str, PoolState], message: CancelRequest) -> None:
     """Forget a request whose caller has left."""
     pool = pools.get(message.service)
     if pool is None:
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -5,7 +5,7 @@
 from arbutuspulley.admission.rates import LocalRates
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Permission, ServerLimit, ServerLimits
+from arbutuspulley.node.messages import PermissionRequest, ServerLimit, ServerLimits
 from arbutuspulley.node.questions import LinkLostError, RefusedError
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import read_server_limit
@@ -63,7 +63,7 @@
         if per_s is None:
             return 0
         attempt_id = request.attempt_id
-        message = Permission(key=attempt_id, incarnation=entry.incarnation)
+        message = PermissionRequest(key=attempt_id, incarnation=entry.incarnation)
         try:
             await self._link.ask_permission(message)
         except RefusedError as error:
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -12,27 +12,27 @@
 from arbutuspulley.node.echo import Echo
 from arbutuspulley.node.following import is_followed, take_news, take_update
 from arbutuspulley.node.messages import (
-    Ask,
-    Beat,
-    ConfigurationUpdate,
-    Digest,
-    Ended,
+    AttemptEnded,
+    CancelRequest,
+    ConfigurationDelta,
+    CoordinatorEstimates,
+    CoordinatorStatus,
     Granted,
+    GrantRequest,
+    Heartbeat,
     Hello,
-    Learnt,
-    Overdrawn,
-    Permission,
+    PermissionRequest,
+    QuotaExceeded,
+    QuotaUsage,
     Refused,
     RosterChange,
     RunningRequest,
     ServerLimit,
     ServerLimits,
-    Spent,
-    StoreNews,
-    Suspected,
+    StoreUpdate,
+    SuspicionUpdate,
     ToCoordinator,
     ToNode,
-    Withdraw,
     decode_from_coordinator,
     encode_frame,
 )
@@ -62,8 +62,8 @@
 fall silent for good while new ones work."""
 
 PERMISSION_S = 0.2
-"""How long an answer to :class:`Permission` is awaited, in s. It needs no decision, and
-plain requests are due within some 0.1 to 0.4 s."""
+"""How long an answer to :class:`PermissionRequest` is awaited, in s. It needs no
+decision, and plain requests are due within some 0.1 to 0.4 s."""
 
 CONNECT_S = 0.5
 """How long opening a link may take, in s."""
@@ -118,9 +118,9 @@
         self._running: dict[str, tuple[int, RunningRequest]] = {}
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
-        self.digest: Digest | None = None
+        self.digest: CoordinatorStatus | None = None
         self.take_suspicions: Callable[[tuple[Suspicion, ...]], None] = _ignore
-        self.take_overdrawn: Callable[[Overdrawn], None] = _ignore
+        self.take_overdrawn: Callable[[QuotaExceeded], None] = _ignore
         self.take_limits: Callable[[ServerLimits], None] = _ignore
         self.take_local: Callable[[list[ToCoordinator]], None] | None = None
         state.on_news.append(self._hand_on)
@@ -172,7 +172,7 @@
             for begun_at, run in self._running.values()
         ]
 
-    async def ask(self, ask: Ask) -> Granted:
+    async def ask(self, ask: GrantRequest) -> Granted:
         """Wait until a server is granted.
 
         :raises LinkLostError: if no coordinator answers.
@@ -185,7 +185,7 @@
         try:
             granted = await self._questions.ask(ask.key, lambda: self.tell(ask))
         except asyncio.CancelledError:
-            self.tell(Withdraw(key=ask.key, service=ask.service))
+            self.tell(CancelRequest(key=ask.key, service=ask.service))
             raise
         self.note_run(
             RunningRequest(
@@ -197,7 +197,7 @@
         )
         return granted
 
-    async def ask_permission(self, message: Permission) -> None:
+    async def ask_permission(self, message: PermissionRequest) -> None:
         """Wait until a request may be sent to a server that names a rate limit.
 
         :raises LinkLostError: if no coordinator answers.
@@ -232,23 +232,23 @@
         if self._is_closed:
             return
         if self.take_local is not None:
-            self.take_local([Spent(team=team, cost=cost)])
+            self.take_local([QuotaUsage(team=team, cost=cost)])
             return
         self._spent[team] = self._spent.get(team, 0) + cost
 
     def receive(self, messages: list[ToNode]) -> None:
         """Take in what the coordinator sent."""
         for message in messages:
-            if isinstance(message, Digest):
+            if isinstance(message, CoordinatorStatus):
                 self._take_digest(message)
                 continue
-            if isinstance(message, Learnt):
+            if isinstance(message, CoordinatorEstimates):
                 self._state.learnt = message
                 continue
-            if isinstance(message, Suspected):
+            if isinstance(message, SuspicionUpdate):
                 self.take_suspicions(message.suspicions)
                 continue
-            if isinstance(message, Overdrawn):
+            if isinstance(message, QuotaExceeded):
                 self.take_overdrawn(message)
                 continue
             if isinstance(message, ServerLimits):
@@ -257,10 +257,10 @@
             if isinstance(message, RosterChange):
                 self._take_roster(message)
                 continue
-            if isinstance(message, StoreNews):
+            if isinstance(message, StoreUpdate):
                 take_news(self._state, message, by="coordinator")
                 continue
-            if isinstance(message, ConfigurationUpdate):
+            if isinstance(message, ConfigurationDelta):
                 take_update(self._state, message, by="coordinator")
                 continue
             self._take_decision(message)
@@ -280,7 +280,7 @@
         if self.take_local is None and self._follows:
             self.tell(self.build_beat())
 
-    def _hand_on(self, news: StoreNews) -> None:
+    def _hand_on(self, news: StoreUpdate) -> None:
         """Tell the coordinator what the store has told this instance."""
         if self.take_local is not None:
             return
@@ -300,7 +300,7 @@
         if known:
             self.tell(self._state.versions.build(known))
         elif self._follows:
-            self.tell(StoreNews(configuration=self._state.configuration_body))
+            self.tell(StoreUpdate(configuration=self._state.configuration_body))
         else:
             return
         self._version_there = version
@@ -350,14 +350,14 @@
     def _return_grant(self, granted: Granted) -> None:
         # Its caller left, or stopped waiting, as the grant was on its way.
         self.tell(
-            Ended(
+            AttemptEnded(
                 key=granted.key,
                 incarnation=granted.incarnation,
                 how=TryEnd.UNUSED,
             )
         )
 
-    def _take_digest(self, digest: Digest) -> None:
+    def _take_digest(self, digest: CoordinatorStatus) -> None:
         self.digest = digest
         self._heard_at = self._state.clock.now()
         self._echo.note_heard(digest.beat)
@@ -459,8 +459,8 @@
                 frame.extend(self._take_spent())
                 await socket.send_bytes(encode_frame(frame))
 
-    def _take_spent(self) -> list[Spent]:
-        spent = [Spent(team=team, cost=cost) for team, cost in self._spent.items()]
+    def _take_spent(self) -> list[QuotaUsage]:
+        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._spent.items()]
         self._spent.clear()
         return spent
 
@@ -479,13 +479,13 @@
             ),
         )
 
-    def build_beat(self) -> Beat:
+    def build_beat(self) -> Heartbeat:
         """Return what this instance says of itself."""
         state = self._state
         now = state.clock.now()
         number = self._echo.note_sent(now)
         self._confirmation.note_beat(number, at=now)
-        return Beat(
+        return Heartbeat(
             is_ready=state.is_ready,
             misses_store=state.store.is_failing if state.store.is_recent else None,
             follows_store=is_followed(state),
--- a/src/arbutuspulley/node/messages.py
+++ b/src/arbutuspulley/node/messages.py
@@ -57,7 +57,7 @@
 
     :param store_version: up to which version of the store it knows the servers' rows.
     :param configuration: version that it has in force; 0: none.
-    :param reads_updates: whether it understands :class:`ConfigurationUpdate`.
+    :param reads_updates: whether it understands :class:`ConfigurationDelta`.
     :param limits: that it knows.
     """
 
@@ -69,7 +69,7 @@
     limits: tuple[ServerLimit, ...] = ()
 
 
-class Beat(Message, frozen=True, tag="beat"):
+class Heartbeat(Message, frozen=True, tag="beat"):
     """Sent at intervals.
 
     :param is_ready: whether the instance takes callers.
@@ -92,7 +92,7 @@
     vouches: int = 0
 
 
-class Ask(Message, frozen=True, tag="ask"):
+class GrantRequest(Message, frozen=True, tag="ask"):
     """A request that needs a model server.
 
     :param aim_ms: how long until its first part is late.
@@ -117,7 +117,7 @@
     cost: int = 0
 
 
-class Permission(Message, frozen=True, tag="permission"):
+class PermissionRequest(Message, frozen=True, tag="permission"):
     """Asks to send a request to a server that names a rate limit.
 
     Answered by :class:`Granted` or :class:`Refused`.
@@ -127,7 +127,7 @@
     incarnation: str
 
 
-class Started(Message, frozen=True, tag="started"):
+class ResponseStarted(Message, frozen=True, tag="started"):
     """The first part of an answer came so many ms after the request was sent."""
 
     key: str
@@ -135,7 +135,7 @@
     took_ms: int
 
 
-class Ended(Message, frozen=True, tag="ended"):
+class AttemptEnded(Message, frozen=True, tag="ended"):
     """A granted request ended.
 
     :param events: of its stream, as far as this server made them.
@@ -147,7 +147,7 @@
     events: int = 0
 
 
-class Spent(Message, frozen=True, tag="spent"):
+class QuotaUsage(Message, frozen=True, tag="spent"):
     """What an instance has spent of a team's quota without asking.
 
     :param cost: negative if requests that were charged did not run.
@@ -157,7 +157,7 @@
     cost: int
 
 
-class Withdraw(Message, frozen=True, tag="withdraw"):
+class CancelRequest(Message, frozen=True, tag="withdraw"):
     """The caller of a waiting request has left."""
 
     key: str
@@ -184,7 +184,7 @@
     is_over_quota: bool = False
 
 
-class Overdrawn(Message, frozen=True, tag="overdrawn"):
+class QuotaExceeded(Message, frozen=True, tag="overdrawn"):
     """A team has spent more than its quota.
 
     :param wait_ms: how long until that has come back.
@@ -194,7 +194,7 @@
     wait_ms: int
 
 
-class Digest(Message, frozen=True, tag="digest"):
+class CoordinatorStatus(Message, frozen=True, tag="digest"):
     """The coordinator's account, sent at intervals; it also shows it lives.
 
     :param is_holder: whether it holds the lease; without, it gives no orders.
@@ -252,11 +252,11 @@
     value: bytes = b""
 
 
-class StoreNews(Message, frozen=True, tag="news"):
+class StoreUpdate(Message, frozen=True, tag="news"):
     """What the store told one instance, for others.
 
     :param configuration: as the store holds it; empty: nothing new. Sent only to who
-        does not understand :class:`ConfigurationUpdate`.
+        does not understand :class:`ConfigurationDelta`.
     :param was_away: whether the store was away shortly before: rows may be gone of
         servers that live.
     """
@@ -266,7 +266,7 @@
     was_away: bool = False
 
 
-class UpdateStep(Message, frozen=True, array_like=True):
+class DeltaStep(Message, frozen=True, array_like=True):
     """One step of an update: parts of the base are copied, new ones follow.
 
     :param start: first of the parts that are copied.
@@ -279,7 +279,7 @@
     fresh: int
 
 
-class ConfigurationUpdate(Message, frozen=True, tag="configuration"):
+class ConfigurationDelta(Message, frozen=True, tag="configuration"):
     """What leads from one version of the configuration to a newer one.
 
     :param base: the version that the steps copy from; 0: none.
@@ -289,12 +289,12 @@
 
     version: int
     base: int
-    steps: tuple[UpdateStep, ...]
+    steps: tuple[DeltaStep, ...]
     text: bytes
     checksum: int
 
 
-class Suspected(Message, frozen=True, tag="suspected"):
+class SuspicionUpdate(Message, frozen=True, tag="suspected"):
     """Requests that were in flight as a server broke off, or were cleared of that.
 
     Sent by whoever finds it to the coordinator, and by it to all.
@@ -314,7 +314,7 @@
     are_all: bool = False
 
 
-class Learnt(Message, frozen=True, tag="learnt"):
+class CoordinatorEstimates(Message, frozen=True, tag="learnt"):
     """What the coordinator has learnt of its servers, for whoever succeeds it.
 
     :param speeds: prompt tokens that a server reads in a ms, by service and kind of
@@ -328,29 +328,29 @@
 
 ToCoordinator = (
     Hello
-    | Beat
-    | Ask
-    | Permission
+    | Heartbeat
+    | GrantRequest
+    | PermissionRequest
     | ServerLimit
-    | Started
-    | Ended
-    | Spent
-    | Withdraw
-    | Suspected
-    | StoreNews
-    | ConfigurationUpdate
+    | ResponseStarted
+    | AttemptEnded
+    | QuotaUsage
+    | CancelRequest
+    | SuspicionUpdate
+    | StoreUpdate
+    | ConfigurationDelta
 )
 ToNode = (
     Granted
     | Refused
-    | Overdrawn
-    | Digest
+    | QuotaExceeded
+    | CoordinatorStatus
     | ServerLimits
-    | Learnt
-    | Suspected
+    | CoordinatorEstimates
+    | SuspicionUpdate
     | RosterChange
-    | StoreNews
-    | ConfigurationUpdate
+    | StoreUpdate
+    | ConfigurationDelta
 )
 
 M = TypeVar("M")
--- a/src/arbutuspulley/node/peer.py
+++ b/src/arbutuspulley/node/peer.py
@@ -9,8 +9,8 @@
 from arbutuspulley.admission.freshness import Marks
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import (
-    Digest,
-    Learnt,
+    CoordinatorEstimates,
+    CoordinatorStatus,
     NodeInfo,
     ToNode,
     encode_frame,
@@ -95,7 +95,7 @@
         would queue up before what callers wait for. It goes to the end, since it speaks
         of all that was sent before it.
         """
-        if isinstance(message, Digest | Learnt):
+        if isinstance(message, CoordinatorStatus | CoordinatorEstimates):
             kind = type(message)
             self.outgoing = [one for one in self.outgoing if type(one) is not kind]
         self.outgoing.append(message)
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -9,13 +9,13 @@
 from arbutuspulley.node.following import is_followed
 from arbutuspulley.node.link import SILENCE_MS
 from arbutuspulley.node.messages import (
-    Beat,
-    Digest,
+    CoordinatorEstimates,
+    CoordinatorStatus,
+    Heartbeat,
     Hello,
-    Learnt,
     NodeInfo,
     RosterChange,
-    StoreNews,
+    StoreUpdate,
     ToNode,
 )
 from arbutuspulley.node.peer import Peer
@@ -111,7 +111,7 @@
         log_event(Event.PEER_DOWN, instance=peer.info.name)
         return True
 
-    def take_beat(self, origin: str, beat: Beat) -> bool:
+    def take_beat(self, origin: str, beat: Heartbeat) -> bool:
         """Take in what an instance says of itself.
 
         :return: whether it has just lost the store.
@@ -136,7 +136,7 @@
             peer.send(build_whole(self._get_roster(peer.info.site)))
         return has_lost_store
 
-    def _take_word(self, peer: Peer, beat: Beat) -> None:
+    def _take_word(self, peer: Peer, beat: Heartbeat) -> None:
         """Take in what a beat says of how new the configuration in force is."""
         state = self._state
         peer.beats.note(beat.number, at=state.clock.now())
@@ -191,14 +191,14 @@
         for peer in self._by_name.values():
             peer.send(message)
 
-    def send_successors(self, learnt: Learnt) -> None:
+    def send_successors(self, learnt: CoordinatorEstimates) -> None:
         """Send what was learnt to those that will claim the lease first."""
         ready = [one for one in self._by_name.values() if one.info.is_ready]
         ready.sort(key=lambda one: (-one.info.capacity, one.info.name))
         for peer in ready[:SUCCESSORS]:
             peer.send(learnt)
 
-    def tell_news(self, news: StoreNews) -> None:
+    def tell_news(self, news: StoreUpdate) -> None:
         """Relay what the store has told, as far as it can't wait."""
         if news.configuration:
             self.tell_configuration()
@@ -225,7 +225,7 @@
         news = self._relay.flush(self._state.clock.now())
         if news is not None:
             self.send_others(news)
-        digest = Digest(
+        digest = CoordinatorStatus(
             is_holder=is_holder,
             instances=count,
             takers=self._takers,
@@ -239,7 +239,7 @@
             self._send_digest_to(peer, digest)
         return count
 
-    def _send_digest_to(self, peer: Peer, digest: Digest) -> None:
+    def _send_digest_to(self, peer: Peer, digest: CoordinatorStatus) -> None:
         state = self._state
         peer.digest += 1
         peer.digests.note(peer.digest, at=state.clock.now())
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -20,7 +20,7 @@
 )
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Suspected
+from arbutuspulley.node.messages import SuspicionUpdate
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import InboundRequest
 from arbutuspulley.rpc.messages import Suspicion
@@ -92,7 +92,7 @@
         if deaths >= MOST_DEATHS:
             event = Event.REQUEST_QUARANTINED
         log_event(event, id=request.attempt_id, server=incarnation, deaths=deaths)
-        self._link.tell(Suspected(suspicions=(suspicion,)))
+        self._link.tell(SuspicionUpdate(suspicions=(suspicion,)))
 
     def note_whole(self, request: InboundRequest) -> None:
         """A request ran whole; it is no cause of any break."""
@@ -102,7 +102,7 @@
         fingerprint = suspicion.fingerprint
         clear_suspicion(self._suspects, fingerprint, now=self._state.clock.now())
         cleared = self._suspects.suspicions[fingerprint]
-        self._link.tell(Suspected(suspicions=(cleared,)))
+        self._link.tell(SuspicionUpdate(suspicions=(cleared,)))
 
     def take(self, suspicions: tuple[Suspicion, ...]) -> None:
         """Take in what another instance found."""
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -6,7 +6,13 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.node.accounts import build_tolerance
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
-from arbutuspulley.node.messages import Ask, NodeInfo, Overdrawn, Refused, Spent
+from arbutuspulley.node.messages import (
+    GrantRequest,
+    NodeInfo,
+    QuotaExceeded,
+    QuotaUsage,
+    Refused,
+)
 from arbutuspulley.node.state import NodeState
 
 LOST_MS = 20 * SECOND_MS
@@ -51,7 +57,7 @@
         limits = build_limits(teams or (), build_tolerance(state.settings))
         self._ledger.set_limits(limits, now=state.clock.now())
 
-    def charge(self, ask: Ask, *, now: int) -> Refused | None:
+    def charge(self, ask: GrantRequest, *, now: int) -> Refused | None:
         """Charge a request to its team.
 
         :return: the refusal, if the team has too little left.
@@ -63,7 +69,7 @@
             return None
         return Refused(key=ask.key, retry_after_ms=wait_ms, is_over_quota=True)
 
-    def take_spent(self, spent: Spent, *, now: int) -> Overdrawn | None:
+    def take_spent(self, spent: QuotaUsage, *, now: int) -> QuotaExceeded | None:
         """Take in what an instance has spent.
 
         :return: what it is to be told, if the team is in debt.
@@ -71,7 +77,7 @@
         wait_ms = self._ledger.note_spent(spent.team, spent.cost, now=now)
         if not wait_ms or spent.cost <= 0:
             return None
-        return Overdrawn(team=spent.team, wait_ms=wait_ms)
+        return QuotaExceeded(team=spent.team, wait_ms=wait_ms)
 
     def note_linked(self, name: str) -> None:
         """An instance is linked and counts here."""
--- a/src/arbutuspulley/node/rates.py
+++ b/src/arbutuspulley/node/rates.py
@@ -6,7 +6,7 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import (
     Granted,
-    Permission,
+    PermissionRequest,
     Refused,
     ServerLimit,
     ServerLimits,
@@ -58,7 +58,7 @@
             for server in pool.servers.values():
                 server.limit = self._ledger.get(server.incarnation)
 
-    def answer(self, message: Permission, *, now: int) -> Granted | Refused:
+    def answer(self, message: PermissionRequest, *, now: int) -> Granted | Refused:
         """Tell an instance whether it may send a request now."""
         wait_ms = self._ledger.charge(message.incarnation, now=now)
         if wait_ms:
--- a/src/arbutuspulley/node/relay.py
+++ b/src/arbutuspulley/node/relay.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.node.messages import Hello, NodeInfo, RelayedRow, StoreNews
+from arbutuspulley.node.messages import Hello, NodeInfo, RelayedRow, StoreUpdate
 from arbutuspulley.node.server_rows import list_rows
 from arbutuspulley.node.state import NodeState
 
@@ -54,7 +54,7 @@
         held = (row.version - 1 for row in self._quiet.values())
         return min(held, default=self._state.store_version)
 
-    def select(self, news: StoreNews) -> StoreNews | None:
+    def select(self, news: StoreUpdate) -> StoreUpdate | None:
         """Return what of some news is to be told at once; the rest is held back."""
         urgent: list[RelayedRow] = []
         for row in news.rows:
@@ -65,9 +65,9 @@
                 urgent.append(row)
         if not urgent:
             return None
-        return StoreNews(rows=tuple(urgent), was_away=news.was_away)
+        return StoreUpdate(rows=tuple(urgent), was_away=news.was_away)
 
-    def flush(self, now: int) -> StoreNews | None:
+    def flush(self, now: int) -> StoreUpdate | None:
         """Return what was held back, once its time has come."""
         if now - self._flushed_at < QUIET_MS:
             return None
@@ -79,16 +79,16 @@
             if left < 0:
                 break
             rows.append(self._quiet.pop(row.key))
-        return StoreNews(rows=tuple(rows)) if rows else None
+        return StoreUpdate(rows=tuple(rows)) if rows else None
 
-    def build_catch_up(self, hello: Hello) -> StoreNews | None:
+    def build_catch_up(self, hello: Hello) -> StoreUpdate | None:
         """Return what rows an instance misses that has just linked up."""
         rows = list_rows(self._state, after=hello.store_version)
-        return StoreNews(rows=rows) if rows else None
+        return StoreUpdate(rows=rows) if rows else None
 
-    def build_whole(self, _base: int) -> StoreNews:
+    def build_whole(self, _base: int) -> StoreUpdate:
         """Return the configuration for an instance that understands no updates."""
-        return StoreNews(configuration=self._state.configuration_body)
+        return StoreUpdate(configuration=self._state.configuration_body)
 
     def choose_followers(self, peers: Iterable[NodeInfo]) -> None:
         """Choose who else follows the store: the best placed, in other data centres.
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.node.messages import RelayedRow, StoreNews
+from arbutuspulley.node.messages import RelayedRow, StoreUpdate
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.messages import WrongEntryError, decode_server
 from arbutuspulley.platform.store import StoredRow
@@ -34,7 +34,7 @@
     is_whole: bool,
     was_away: bool,
     version: int = 0,
-) -> StoreNews:
+) -> StoreUpdate:
     """Bring the servers' entries up to date.
 
     Rows come by several ways, and the newest version of each counts: one that a relay
@@ -64,7 +64,7 @@
         RelayedRow(key=row.key, version=row.version, value=row.value or b"")
         for row in news
     )
-    return StoreNews(rows=relayed, was_away=was_away)
+    return StoreUpdate(rows=relayed, was_away=was_away)
 
 
 def list_rows(state: NodeState, *, after: int) -> tuple[RelayedRow, ...]:
@@ -190,7 +190,7 @@
         RelayedRow(key=key, version=state.row_versions.get(key, 0)) for key in dropped
     )
     if rows:
-        state.tell_news(StoreNews(rows=rows))
+        state.tell_news(StoreUpdate(rows=rows))
 
 
 def _drop_entries(
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -12,7 +12,7 @@
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
 from arbutuspulley.node.callers import count_sharers, select_takers
-from arbutuspulley.node.messages import Learnt, NodeInfo, StoreNews
+from arbutuspulley.node.messages import CoordinatorEstimates, NodeInfo, StoreUpdate
 from arbutuspulley.node.metrics import NodeMetrics
 from arbutuspulley.node.versions import Versions
 from arbutuspulley.platform.store import StoreClient
@@ -137,11 +137,11 @@
         self._sharers = 0.0
         self._sharers_basis: tuple[object, ...] = ()
         self.coordinates = False
-        self.learnt = Learnt(speeds={})
+        self.learnt = CoordinatorEstimates(speeds={})
         self.in_flight = 0
         self.stopping_at: int | None = None
         self.on_change: list[Callable[[], None]] = []
-        self.on_news: list[Callable[[StoreNews], None]] = []
+        self.on_news: list[Callable[[StoreUpdate], None]] = []
         self.on_lost: list[Callable[[], None]] = []
 
     @property
@@ -213,7 +213,7 @@
         for call in self.on_change:
             call()
 
-    def tell_news(self, news: StoreNews) -> None:
+    def tell_news(self, news: StoreUpdate) -> None:
         """Hand on what the store has told this process."""
         for call in self.on_news:
             call(news)
--- a/src/arbutuspulley/node/versions.py
+++ b/src/arbutuspulley/node/versions.py
@@ -7,7 +7,7 @@
 import zlib
 from collections.abc import Iterable
 
-from arbutuspulley.node.messages import ConfigurationUpdate, UpdateStep
+from arbutuspulley.node.messages import ConfigurationDelta, DeltaStep
 
 _SEPARATOR = b"},"
 """Ends a part. Entries of the operator's JSON end so, but any cut gives right results:
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._bodies: dict[int, bytes] = {}
-        self._built: dict[int, ConfigurationUpdate] = {}
+        self._built: dict[int, ConfigurationDelta] = {}
 
     @property
     def newest(self) -> int:
@@ -52,7 +52,7 @@
         older = [len(body) for one, body in self._bodies.items() if one != newest]
         return len(older) >= MOST_KEPT or sum(older) > MOST_KEPT_BYTES
 
-    def build(self, base: int) -> ConfigurationUpdate:
+    def build(self, base: int) -> ConfigurationDelta:
         """Return what leads from a version to the newest one.
 
         :param base: the version that the receiver has; if it is not known here, the
@@ -63,13 +63,13 @@
             update = self._built[base] = self._build(base)
         return update
 
-    def _build(self, base: int) -> ConfigurationUpdate:
+    def _build(self, base: int) -> ConfigurationDelta:
         newest = self.newest
         body = self._bodies[newest]
         is_known = base in self._bodies
         old = self._bodies[base].split(_SEPARATOR) if is_known else []
         steps, added = _compare(old, body.split(_SEPARATOR))
-        return ConfigurationUpdate(
+        return ConfigurationDelta(
             version=newest,
             base=base if is_known else 0,
             steps=tuple(steps),
@@ -77,7 +77,7 @@
             checksum=zlib.crc32(body),
         )
 
-    def apply(self, update: ConfigurationUpdate) -> bytes | None:
+    def apply(self, update: ConfigurationDelta) -> bytes | None:
         """Return the version that an update leads to.
 
         :return: ``None`` if its base is not known here or it was not made for it.
@@ -95,15 +95,13 @@
         return body if zlib.crc32(body) == update.checksum else None
 
 
-def _compare(
-    old: list[bytes], new: list[bytes]
-) -> tuple[list[UpdateStep], list[bytes]]:
+def _compare(old: list[bytes], new: list[bytes]) -> tuple[list[DeltaStep], list[bytes]]:
     """Return steps that lead from old parts to new ones, and the parts they add.
 
     Takes time in proportion to the parts, whatever is repeated among them.
     """
     where = {part: number for number, part in enumerate(old)}
-    steps: list[UpdateStep] = []
+    steps: list[DeltaStep] = []
     added: list[bytes] = []
     start = count = fresh = 0
     for part in new:
@@ -117,14 +115,14 @@
             fresh += 1
             added.append(part)
             continue
-        steps.append(UpdateStep(start=start, count=count, fresh=fresh))
+        steps.append(DeltaStep(start=start, count=count, fresh=fresh))
         start, count, fresh = found, 1, 0
-    steps.append(UpdateStep(start=start, count=count, fresh=fresh))
+    steps.append(DeltaStep(start=start, count=count, fresh=fresh))
     return steps, added
 
 
 def _follow(
-    steps: Iterable[UpdateStep], old: list[bytes], added: Iterable[bytes]
+    steps: Iterable[DeltaStep], old: list[bytes], added: Iterable[bytes]
 ) -> Iterable[bytes]:
     fresh = iter(added)
     for step in steps:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -6,7 +6,12 @@
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Ask, Digest, Overdrawn, Spent
+from arbutuspulley.node.messages import (
+    CoordinatorStatus,
+    GrantRequest,
+    QuotaExceeded,
+    QuotaUsage,
+)
 from arbutuspulley.node.progress import RequestFailedError
 from arbutuspulley.node.quotas import Quotas, get_part
 from arbutuspulley.platform.requests import decode_request
@@ -44,28 +49,31 @@
     instance = Instance(coordinates=True)
     payment = instance.pay(200)
     instance.accounts.give_back(payment)
-    assert instance.told == [Spent(team="t", cost=200), Spent(team="t", cost=-200)]
+    assert instance.told == [
+        QuotaUsage(team="t", cost=200),
+        QuotaUsage(team="t", cost=-200),
+    ]
 
 
 def test_what_was_spent_goes_out_with_the_next_frame():
     instance = Instance()
-    instance.link.receive([Digest(is_holder=True)])
+    instance.link.receive([CoordinatorStatus(is_holder=True)])
     instance.pay(200)
     instance.pay(300)
-    assert instance.link._take_spent() == [Spent(team="t", cost=500)]
+    assert instance.link._take_spent() == [QuotaUsage(team="t", cost=500)]
     assert instance.link._take_spent() == []
 
 
 def test_a_team_in_debt_is_refused_until_that_is_paid():
     instance = Instance(coordinates=True)
-    instance.link.receive([Overdrawn(team="t", wait_ms=700)])
+    instance.link.receive([QuotaExceeded(team="t", wait_ms=700)])
     with pytest.raises(RequestFailedError) as raised:
         instance.pay(200)
     error = raised.value
     assert (error.status, error.retry_after_ms) == (429, 700)
     instance.now[0] += 700
     instance.pay(200)
-    assert instance.told == [Spent(team="t", cost=200)]
+    assert instance.told == [QuotaUsage(team="t", cost=200)]
 
 
 def test_without_a_coordinator_an_instance_pays_by_its_own_part():
@@ -83,7 +91,7 @@
     payment = instance.pay(200)
     instance.link.close()
     instance.accounts.give_back(payment)
-    assert instance.told == [Spent(team="t", cost=200)]
+    assert instance.told == [QuotaUsage(team="t", cost=200)]
 
 
 @pytest.mark.parametrize(("team", "cost"), [(None, 0), (FREE, 0), (TEAM, 150)])
@@ -103,7 +111,7 @@
 
 def ask(quotas, cost, *, now, key="a"):
     return quotas.charge(
-        Ask(
+        GrantRequest(
             key=key,
             service="s",
             need=NEED,
@@ -127,9 +135,9 @@
     refused = ask(quotas, 400, now=now + 5_000)
     assert refused.is_over_quota
     assert refused.retry_after_ms == 401
-    overdrawn = quotas.take_spent(Spent(team="t", cost=600), now=now + 5_100)
-    assert overdrawn == Overdrawn(team="t", wait_ms=501)
-    assert quotas.take_spent(Spent(team="t", cost=-600), now=now + 5_100) is None
+    overdrawn = quotas.take_spent(QuotaUsage(team="t", cost=600), now=now + 5_100)
+    assert overdrawn == QuotaExceeded(team="t", wait_ms=501)
+    assert quotas.take_spent(QuotaUsage(team="t", cost=-600), now=now + 5_100) is None
 
 
 def test_a_free_request_is_not_charged():
@@ -229,8 +237,8 @@
 
 
 def test_messages_between_versions_are_understood_without_the_new_fields():
-    ask_before = Ask(
+    ask_before = GrantRequest(
         key="a", service="s", need=NEED, zone="z", priority=1, aim_ms=1, left_ms=1
     )
     body = msgspec.msgpack.encode(ask_before)
-    assert msgspec.msgpack.decode(body, type=Ask).cost == 0
+    assert msgspec.msgpack.decode(body, type=GrantRequest).cost == 0
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -12,7 +12,14 @@
 from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Ask, Digest, Ended, Granted, Refused, Spent
+from arbutuspulley.node.messages import (
+    AttemptEnded,
+    CoordinatorStatus,
+    Granted,
+    GrantRequest,
+    QuotaUsage,
+    Refused,
+)
 from arbutuspulley.node.progress import Progress, RequestFailedError
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import Holding, ServerEntry, TryEnd
@@ -86,7 +93,7 @@
     def _take(self, messages):
         for message in messages:
             self.told.append(message)
-            if isinstance(message, Ask):
+            if isinstance(message, GrantRequest):
                 answer = self._decide(self)
                 if answer is not None:
                     asyncio.get_running_loop().call_soon(self.link.receive, [answer])
@@ -96,7 +103,9 @@
 
     def list_costs(self):
         """Return what the team was charged and given back, in order."""
-        return [one.cost for one in self.told if isinstance(one, Ask | Spent)]
+        return [
+            one.cost for one in self.told if isinstance(one, GrantRequest | QuotaUsage)
+        ]
 
 
 def grant(_trial=None):
@@ -153,7 +162,7 @@
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert raised.value.status == 401
-    ended = [one for one in trial.told if isinstance(one, Ended)]
+    ended = [one for one in trial.told if isinstance(one, AttemptEnded)]
     assert [one.how for one in ended] == [TryEnd.UNUSED]
     trial.acquisition.give_back()
     assert trial.list_costs() == [COST, -COST]
@@ -176,7 +185,7 @@
 def test_a_request_without_a_coordinator_is_paid_for_here_and_given_back_here():
     trial = Trial(grant)
     trial.link.take_local = None
-    trial.link.digest = Digest(is_holder=True)
+    trial.link.digest = CoordinatorStatus(is_holder=True)
     trial.state.by_service["llm"] = [ENTRY]
     assert trial.get_server() is ENTRY
     assert trial.acquisition._paid.is_local
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -4,7 +4,7 @@
 
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Digest
+from arbutuspulley.node.messages import CoordinatorStatus
 from arbutuspulley.node.progress import Progress
 from arbutuspulley.node.server_choice import ServerChoice
 from arbutuspulley.ports.fleet import (
@@ -81,7 +81,7 @@
         waiting = asyncio.create_task(choice.wait_for_coordinator())
         await asyncio.sleep(0.06)
         assert not waiting.done()
-        link.receive([Digest(is_holder=True)])
+        link.receive([CoordinatorStatus(is_holder=True)])
         return await waiting
 
     assert asyncio.run(scenario())
@@ -107,7 +107,7 @@
     async def scenario():
         state = build_state()
         link = Link(state=state)
-        link.receive([Digest(is_holder=True)])
+        link.receive([CoordinatorStatus(is_holder=True)])
         await build_choice(state, link).choose_alone(NEED)
         return link.running
 
--- a/tests/test_echo.py
+++ b/tests/test_echo.py
@@ -7,7 +7,7 @@
 from arbutuspulley.node.echo import Echo
 from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Beat, Digest, Hello
+from arbutuspulley.node.messages import CoordinatorStatus, Heartbeat, Hello
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
 from scripts.platform_stage import build_configuration
@@ -41,10 +41,14 @@
     told = {}
     for name, number in (("a", 3), ("b", 8)):
         peers.add(Hello(info=build_info(name)))
-        peers.take_beat(name, Beat(is_ready=True, number=number, configuration=1))
+        peers.take_beat(name, Heartbeat(is_ready=True, number=number, configuration=1))
     peers.send_digest(is_holder=True)
     for name in ("a", "b"):
-        (digest,) = [one for one in peers.get(name).outgoing if isinstance(one, Digest)]
+        (digest,) = [
+            one
+            for one in peers.get(name).outgoing
+            if isinstance(one, CoordinatorStatus)
+        ]
         told[name] = digest.beat
     assert told == {"a": 3, "b": 8}
     assert peers.list_behind() == []
@@ -58,5 +62,5 @@
     link = Link(state=state)
     link._echo.note_sent(0)
     now[0] = 1_500
-    link.receive([Digest(is_holder=True, beat=1)])
+    link.receive([CoordinatorStatus(is_holder=True, beat=1)])
     assert state.metrics.registry.get_sample_value("arbutus_link_age_seconds") == 1.5
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -12,7 +12,7 @@
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Beat, Digest, Hello
+from arbutuspulley.node.messages import CoordinatorStatus, Heartbeat, Hello
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
 from scripts.platform_stage import build_configuration
@@ -36,7 +36,9 @@
     """Send a digest and return what instance ``a`` gets."""
     peers.get("a").outgoing.clear()
     peers.send_digest(is_holder=True)
-    return next(one for one in peers.get("a").outgoing if isinstance(one, Digest))
+    return next(
+        one for one in peers.get("a").outgoing if isinstance(one, CoordinatorStatus)
+    )
 
 
 def test_the_word_is_as_old_as_its_question():
@@ -86,7 +88,7 @@
     now = [1_000]
     state = build_instance(now)
     peers = build_peers(state)
-    peers.take_beat("a", Beat(is_ready=True, number=7))
+    peers.take_beat("a", Heartbeat(is_ready=True, number=7))
     assert take_digest(peers).fresh_beat == 0
     state.freshness.confirm(900, source="store")
     assert take_digest(peers).fresh_beat == 0
@@ -98,10 +100,10 @@
     link = Link(state=there)
     link.forget_coordinator()
     link.build_beat()
-    link.receive([Digest(is_holder=True, configuration=2, fresh_beat=1)])
+    link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
     put_in_force(there, msgspec.json.encode(build_configuration(2)), by="store")
-    link.receive([Digest(is_holder=True, configuration=2, fresh_beat=1)])
+    link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at == 1_000
 
 
@@ -113,7 +115,7 @@
     link.forget_coordinator()
     link.build_beat()
     link.forget_coordinator()
-    link.receive([Digest(is_holder=True, configuration=1, fresh_beat=1)])
+    link.receive([CoordinatorStatus(is_holder=True, configuration=1, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
 
 
@@ -146,7 +148,9 @@
     now = [1_000]
     state = build_instance(now, withdrawal_ms=5_000)
     link = Link(state=state)
-    link.receive([Digest(is_holder=True, is_store_followed=True, configuration=1)])
+    link.receive(
+        [CoordinatorStatus(is_holder=True, is_store_followed=True, configuration=1)]
+    )
     assert not link.is_relayed
     state.freshness.confirm(now[0], source="store")
     assert link.is_relayed
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,10 +12,10 @@
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
-    Digest,
+    CoordinatorStatus,
     Granted,
     Hello,
-    Permission,
+    PermissionRequest,
     Refused,
     ServerLimit,
     ServerLimits,
@@ -141,7 +141,7 @@
     instance = Instance()
 
     def reply(messages):
-        if isinstance(messages[0], Permission):
+        if isinstance(messages[0], PermissionRequest):
             loop = asyncio.get_running_loop()
             loop.call_soon(instance.link.receive, [answer])
 
@@ -159,7 +159,7 @@
 
 def test_a_link_that_has_ended_lets_an_instance_go_by_its_own_part():
     instance = Instance(is_linked=False)
-    instance.link.receive([Digest(is_holder=True, instances=1)])
+    instance.link.receive([CoordinatorStatus(is_holder=True, instances=1)])
     instance.note_answer(LIMITED)
     instance.link.cut()
     assert instance.ask() == 500
@@ -186,7 +186,7 @@
     coordinator._take_one("own", limit, now=0)
     coordinator._rates._ledger.get(A.incarnation).left = 1.0
     for key in ("r0", "r1"):
-        message = Permission(key=key, incarnation=A.incarnation)
+        message = PermissionRequest(key=key, incarnation=A.incarnation)
         coordinator._take_one("own", message, now=0)
     assert [type(one) for one in sent] == [Granted, Refused]
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -9,8 +9,8 @@
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
-    Beat,
-    Digest,
+    CoordinatorStatus,
+    Heartbeat,
     Hello,
     RosterChange,
     RunningRequest,
@@ -76,7 +76,7 @@
 def test_a_link_whose_connection_was_reset_is_opened_anew():
     """All connections of the instances are reset. Each looked for the coordinator in
     the store's lease, and its callers went without it for up to half a second."""
-    digest = Digest(is_holder=True, instances=2)
+    digest = CoordinatorStatus(is_holder=True, instances=2)
     trial = CoordinatorTrial(digest, digest)
     _state, is_over = asyncio.run(
         run_link(trial, until=lambda _link: trial.connections == 3)
@@ -87,13 +87,15 @@
 
 
 def test_a_link_begins_with_what_the_instance_knows_and_lacks():
-    trial = CoordinatorTrial(Digest(is_holder=True, instances=2, store_version=9))
+    trial = CoordinatorTrial(
+        CoordinatorStatus(is_holder=True, instances=2, store_version=9)
+    )
     state, _is_over = asyncio.run(
         run_link(trial, until=lambda _link: trial.connections == 2)
     )
     (hello, first), later = trial.frames[0], trial.frames[1]
     assert isinstance(hello, Hello) and hello.store_version == 0
-    assert isinstance(first, Beat) and first.roster == 0
+    assert isinstance(first, Heartbeat) and first.roster == 0
     assert later[-1].roster == 5
     assert state.nodes == (INFO,)
     assert (state.instances, state.store_version) == (2, 9)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,9 +7,9 @@
 from arbutuspulley.node.following import put_in_force, take_configuration
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
-    Beat,
-    ConfigurationUpdate,
-    Digest,
+    ConfigurationDelta,
+    CoordinatorStatus,
+    Heartbeat,
     Hello,
     decode_from_coordinator,
     decode_from_node,
@@ -153,8 +153,8 @@
     peer = peers.add(Hello(info=build_info("x"), configuration=5))
     assert peer.take_outgoing() == []
     late = peers.add(Hello(info=build_info("y"), configuration=4))
-    peers.take_beat("y", Beat(is_ready=True, configuration=5))
-    assert not any(isinstance(one, ConfigurationUpdate) for one in late.take_outgoing())
+    peers.take_beat("y", Heartbeat(is_ready=True, configuration=5))
+    assert not any(isinstance(one, ConfigurationDelta) for one in late.take_outgoing())
 
 
 def test_what_speaks_of_a_configuration_comes_after_it():
@@ -162,7 +162,7 @@
     peer = peers.add(Hello(info=build_info("x"), reads_updates=True))
     peers.send_digest(is_holder=True)
     kinds = [type(one) for one in peer.take_outgoing()]
-    assert kinds == [ConfigurationUpdate, Digest]
+    assert kinds == [ConfigurationDelta, CoordinatorStatus]
 
 
 def test_a_follower_that_misses_the_store_is_replaced():
@@ -170,10 +170,10 @@
     _state, peers = build_peers(5)
     for name in ("a", "b", "c"):
         peers.add(Hello(info=build_info(name), configuration=5))
-        peers.take_beat(name, Beat(is_ready=True, follows_store=True))
+        peers.take_beat(name, Heartbeat(is_ready=True, follows_store=True))
     peers.send_digest(is_holder=True)
     assert peers.get("c").take_outgoing()[-1].followers == ("a", "b")
-    peers.take_beat("a", Beat(is_ready=True, misses_store=True))
+    peers.take_beat("a", Heartbeat(is_ready=True, misses_store=True))
     peers.send_digest(is_holder=True)
     assert peers.get("c").take_outgoing()[-1].followers == ("b", "c")
 
@@ -181,10 +181,10 @@
 def test_whether_anyone_follows_the_store_is_known_as_a_beat_comes():
     _state, peers = build_peers(5)
     peers.add(Hello(info=build_info("a"), configuration=5))
-    assert not peers.take_beat("a", Beat(is_ready=True, follows_store=True))
+    assert not peers.take_beat("a", Heartbeat(is_ready=True, follows_store=True))
     assert not peers.is_store_followed()
     peers.send_digest(is_holder=True)
     assert peers.is_store_followed()
-    assert peers.take_beat("a", Beat(is_ready=True))
+    assert peers.take_beat("a", Heartbeat(is_ready=True))
     assert not peers.is_store_followed()
-    assert not peers.take_beat("a", Beat(is_ready=True))
+    assert not peers.take_beat("a", Heartbeat(is_ready=True))
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -3,7 +3,7 @@
 import pytest
 
 from arbutuspulley.clock import SECOND_MS, Clock
-from arbutuspulley.node.messages import Suspected
+from arbutuspulley.node.messages import SuspicionUpdate
 from arbutuspulley.node.poison import MOST_DEATHS, MOST_KEPT, PoisonGuard
 from arbutuspulley.platform.requests import decode_request
 
@@ -20,7 +20,7 @@
         self.guard = PoisonGuard(state=self, link=self)
 
     def tell(self, message):
-        assert isinstance(message, Suspected)
+        assert isinstance(message, SuspicionUpdate)
         if self.is_cut:
             return
         for other in self.group:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,11 +21,11 @@
 )
 from arbutuspulley.node.link import BEAT_MS, Link
 from arbutuspulley.node.messages import (
-    ConfigurationUpdate,
-    Digest,
+    ConfigurationDelta,
+    CoordinatorStatus,
     Hello,
     RelayedRow,
-    StoreNews,
+    StoreUpdate,
     decode_from_coordinator,
 )
 from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS, Relay
@@ -71,7 +71,7 @@
     for order in itertools.permutations(rows):
         state = build_state()
         for row in (*order, order[0]):
-            take_news(state, StoreNews(rows=(row,)), by="coordinator")
+            take_news(state, StoreUpdate(rows=(row,)), by="coordinator")
         assert get_view(state) == {"b": (False, ("m0",))}
 
 
@@ -80,7 +80,7 @@
     state = build_state()
     take_news(
         state,
-        StoreNews(rows=(build_row("new", 9), build_row("old", 3))),
+        StoreUpdate(rows=(build_row("new", 9), build_row("old", 3))),
         by="coordinator",
     )
     read = [StoredRow(key="c", version=4, value=build_value())]
@@ -90,9 +90,9 @@
 
 def test_only_what_was_new_is_handed_on():
     state = build_state()
-    first = StoreNews(rows=(build_row("a", 1), build_row("b", 2)))
+    first = StoreUpdate(rows=(build_row("a", 1), build_row("b", 2)))
     assert take_news(state, first, by="coordinator").rows == first.rows
-    again = StoreNews(rows=(*first.rows, build_row("a", 3, state="draining")))
+    again = StoreUpdate(rows=(*first.rows, build_row("a", 3, state="draining")))
     assert [one.version for one in take_news(state, again, by="coordinator").rows] == [
         3
     ]
@@ -102,7 +102,7 @@
     state = build_state()
     bodies = [msgspec.json.encode(build_configuration(one)) for one in (4, 3, 4)]
     told = [
-        take_news(state, StoreNews(configuration=one), by="coordinator")
+        take_news(state, StoreUpdate(configuration=one), by="coordinator")
         for one in bodies
     ]
     assert [bool(one.configuration) for one in told] == [True, False, False]
@@ -122,11 +122,11 @@
     matters to instances that ask the coordinator."""
     now = [0]
     state, relay = build_relay(now=now)
-    come = take_news(state, StoreNews(rows=(build_row("a", 1),)), by="coordinator")
+    come = take_news(state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator")
     assert relay.select(come).rows == come.rows
     state.store_version = 2
     held = take_news(
-        state, StoreNews(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
+        state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     assert relay.select(held) is None
     # Whoever goes on by itself must ask the store for what was held back.
@@ -134,7 +134,7 @@
     assert relay.flush(QUIET_MS - 1) is None
     assert relay.flush(QUIET_MS).rows == held.rows
     assert relay.store_version == 2
-    drains = StoreNews(rows=(build_row("a", 3, state="draining"),))
+    drains = StoreUpdate(rows=(build_row("a", 3, state="draining"),))
     assert relay.select(take_news(state, drains, by="coordinator")).rows == drains.rows
 
 
@@ -143,9 +143,9 @@
     link, where 4 are for control."""
     state, relay = build_relay(now=[0])
     rows = tuple(build_row(f"s{one:02}", one + 1) for one in range(80))
-    take_news(state, StoreNews(rows=rows), by="coordinator")
+    take_news(state, StoreUpdate(rows=rows), by="coordinator")
     held = tuple(build_row(f"s{one:02}", one + 81, models=("m0",)) for one in range(80))
-    relay.select(take_news(state, StoreNews(rows=held), by="coordinator"))
+    relay.select(take_news(state, StoreUpdate(rows=held), by="coordinator"))
     state.store_version = 160
     told = relay.flush(QUIET_MS).rows
     assert sum(len(row.value) for row in told) <= QUIET_BYTES
@@ -157,13 +157,13 @@
 
 def test_a_row_that_was_held_back_gives_way_to_a_newer_one():
     state, relay = build_relay(now=[0])
-    take_news(state, StoreNews(rows=(build_row("a", 1),)), by="coordinator")
+    take_news(state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator")
     quiet = take_news(
-        state, StoreNews(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
+        state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     relay.select(quiet)
     gone = take_news(
-        state, StoreNews(rows=(RelayedRow(key="a", version=3),)), by="coordinator"
+        state, StoreUpdate(rows=(RelayedRow(key="a", version=3),)), by="coordinator"
     )
     assert relay.select(gone).rows == gone.rows
     assert relay.flush(QUIET_MS) is None
@@ -173,7 +173,7 @@
     state, relay = build_relay(now=[0])
     put_in_force(state, msgspec.json.encode(build_configuration(5)), by="store")
     rows = (build_row("a", 1), build_row("b", 2), RelayedRow(key="c", version=7))
-    take_news(state, StoreNews(rows=rows), by="coordinator")
+    take_news(state, StoreUpdate(rows=rows), by="coordinator")
     info = build_info("x")
     news = relay.build_catch_up(Hello(info=info, store_version=1, configuration=4))
     assert {one.key for one in news.rows} == {"b", "c"}
@@ -181,7 +181,7 @@
         relay.build_catch_up(Hello(info=info, store_version=7, configuration=5)) is None
     )
     other = build_state()
-    take_news(other, StoreNews(rows=list_rows(state, after=0)), by="coordinator")
+    take_news(other, StoreUpdate(rows=list_rows(state, after=0)), by="coordinator")
     assert get_view(other) == get_view(state)
 
 
@@ -285,9 +285,14 @@
 @pytest.mark.parametrize(
     ("digest", "expected"),
     [
-        (Digest(is_holder=True, is_store_followed=True), True),
-        (Digest(is_holder=True), False),
-        (Digest(is_holder=True, is_store_followed=True, followers=("own",)), False),
+        (CoordinatorStatus(is_holder=True, is_store_followed=True), True),
+        (CoordinatorStatus(is_holder=True), False),
+        (
+            CoordinatorStatus(
+                is_holder=True, is_store_followed=True, followers=("own",)
+            ),
+            False,
+        ),
     ],
     ids=["told", "nobody is told", "a follower itself"],
 )
@@ -315,7 +320,7 @@
 
 
 def build_digest(**fields):
-    return Digest(is_holder=True, is_store_followed=True, **fields)
+    return CoordinatorStatus(is_holder=True, is_store_followed=True, **fields)
 
 
 def test_a_coordinator_that_has_a_newer_configuration_than_it_told_is_not_relied_on():
@@ -364,18 +369,18 @@
     """The coordinator is cut off from the store, and nobody has noticed yet."""
     state = build_state()
     link = Link(state=state)
-    news = StoreNews(rows=(build_row("a", 1),))
-    link.receive([Digest(is_holder=True, is_store_followed=True)])
+    news = StoreUpdate(rows=(build_row("a", 1),))
+    link.receive([CoordinatorStatus(is_holder=True, is_store_followed=True)])
     state.tell_news(news)
     assert link._outgoing == []
-    link.receive([Digest(is_holder=True, followers=("own",))])
+    link.receive([CoordinatorStatus(is_holder=True, followers=("own",))])
     state.tell_news(news)
     assert link._outgoing == [news]
 
 
 def take_update_of(link):
     """Return the versions that a link has told its coordinator since the last time."""
-    sent = [one for one in link._outgoing if isinstance(one, ConfigurationUpdate)]
+    sent = [one for one in link._outgoing if isinstance(one, ConfigurationDelta)]
     link._outgoing.clear()
     return [(one.base, one.version) for one in sent]
 
@@ -414,7 +419,7 @@
     _now, state, link = build_link(4)
     link.forget_coordinator()
     link.receive([build_digest(followers=followers)])
-    expected = [StoreNews(configuration=state.configuration_body)]
+    expected = [StoreUpdate(configuration=state.configuration_body)]
     assert link._outgoing == (expected if told else [])
 
 
@@ -448,7 +453,7 @@
     return msgspec.msgpack.encode(list(messages))
 
 
-DIGEST = Digest(is_holder=True, instances=3)
+DIGEST = CoordinatorStatus(is_holder=True, instances=3)
 
 
 @pytest.mark.parametrize(
@@ -477,7 +482,7 @@
 
 def test_random_bytes_raise_nothing_else():
     chance = random.Random(7)
-    good = encode(DIGEST, StoreNews(rows=(build_row("a", 1),)))
+    good = encode(DIGEST, StoreUpdate(rows=(build_row("a", 1),)))
     for _ in range(2_000):
         frame = bytearray(good)
         for _ in range(chance.randrange(1, 4)):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -6,7 +6,7 @@
 import pytest
 
 from arbutuspulley.node.messages import (
-    ConfigurationUpdate,
+    ConfigurationDelta,
     decode_from_coordinator,
     encode_frame,
 )
@@ -100,7 +100,7 @@
         except msgspec.MsgspecError:
             continue
         for one in messages:
-            if isinstance(one, ConfigurationUpdate):
+            if isinstance(one, ConfigurationDelta):
                 assert know(old).apply(one) in (None, new)
 
 
