--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -12,7 +12,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import Value
-from arbutuspulley.node.link import BEAT_MS
+from arbutuspulley.node.link import HEARTBEAT_MS
 from arbutuspulley.node.messages import (
     CoordinatorEstimates,
     CoordinatorStatus,
@@ -106,7 +106,7 @@
     joined = _build_info(linked * sites, sites)
     change = take_view(roster, select_view([*infos, joined], site="site-0"))
     changed = _count(change) if change is not None else 0
-    beats = SECOND_MS / BEAT_MS
+    beats = SECOND_MS / HEARTBEAT_MS
     digest = CoordinatorStatus(
         is_holder=True,
         instances=linked,
--- a/src/arbutuspulley/node/accounts.py
+++ b/src/arbutuspulley/node/accounts.py
@@ -54,7 +54,7 @@
             chance=state.chance,
         )
         self._debts: dict[str, int] = {}
-        link.take_overdrawn = self._take_overdrawn
+        link.on_quota_exceeded = self._take_overdrawn
 
     def get_cost(self, team: Team | None, request: InboundRequest) -> int:
         """Return what a request has to be charged for; 0: it has no quota."""
@@ -73,7 +73,7 @@
             wait_ms = self._debts.get(team.name, now) - now
             if wait_ms > 0:
                 raise self.refuse(team.name, attempt_id, wait_ms)
-            self._link.tell_spent(team.name, cost)
+            self._link.report_usage(team.name, cost)
             return Payment(team=team.name, cost=cost, is_local=False)
         part = get_lost_part(
             self._local.get_alone_ms(now), ends_ms=self._state.settings.withdrawal_ms
@@ -94,7 +94,7 @@
         if payment.is_local:
             self._local.give_back(payment.team, payment.cost)
         else:
-            self._link.tell_spent(payment.team, -payment.cost)
+            self._link.report_usage(payment.team, -payment.cost)
 
     def refuse(self, team: str, attempt_id: str, wait_ms: int) -> RequestFailedError:
         """Build the refusal of a request over its team's quota.
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -136,8 +136,8 @@
         """Tell the coordinator how a try at a server ended."""
         if self._request.need is None:
             return
-        self._link.forget_run(self._request.attempt_id)
-        self._link.tell(
+        self._link.remove_run(self._request.attempt_id)
+        self._link.send(
             AttemptEnded(
                 key=self._request.attempt_id,
                 incarnation=incarnation,
@@ -207,7 +207,7 @@
         if ask.cost:
             self._paid = Payment(team=ask.team, cost=ask.cost, is_local=False)
         try:
-            granted = await self._link.ask(ask)
+            granted = await self._link.request_grant(ask)
         except LinkLostError:
             # Whether it was charged there is not known, and it counts as spent.
             if ask.cost:
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -32,7 +32,7 @@
     take_running,
     take_withdrawal,
 )
-from arbutuspulley.node.link import BEAT_MS
+from arbutuspulley.node.link import HEARTBEAT_MS
 from arbutuspulley.node.messages import (
     CancelRequest,
     ConfigurationDelta,
@@ -368,7 +368,7 @@
         now = self._state.clock.now()
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        wakes = [now + BEAT_MS]
+        wakes = [now + HEARTBEAT_MS]
         for pool in self._pools.values():
             for decided in plan_grants(pool, now=now):
                 self._send_decision(pool, decided)
@@ -454,7 +454,7 @@
                 self._tell_pools()
                 self._tell_learnt()
                 self._peers.tell_behind()
-            await asyncio.sleep(BEAT_MS / SECOND_MS)
+            await asyncio.sleep(HEARTBEAT_MS / SECOND_MS)
 
     def _share(self, linked: list[NodeInfo]) -> None:
         """Work out what may be given out here, and tell of limits that have changed."""
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -121,7 +121,7 @@
 
     async def _tick(self) -> None:
         now = self._state.clock.now()
-        self._link.check()
+        self._link.check_timeout()
         if self._coordinator.acts and self._is_alone(now):
             self._stays_alone = True
             await self._hand_over("alone", now=now)
@@ -136,7 +136,7 @@
                 await self._hand_over("better placed", now=now)
             return
         if self._link.is_up and not self._coordinator.acts:
-            digest = self._link.digest
+            digest = self._link.status
             if digest is not None and digest.is_holder:
                 self._look_at = None
                 return
@@ -234,7 +234,7 @@
             self._step_down("replaced")
         if found.holder != self._lease.name:
             self._stays_alone = False
-            self._link.lead_to(found.link)
+            self._link.connect_to(found.link)
 
     async def _claim(self) -> None:
         inherited = get_inherited_loads(self._lease)
@@ -250,8 +250,8 @@
             return
         log_event(Event.LEASE_TAKEN, fence=claim.fence, version=self._lease.version)
         if not self._coordinator.acts:
-            self._link.cut()
-            self._link.take_local = self._take_local
+            self._link.disconnect()
+            self._link.deliver_local = self._take_local
             self._coordinator.begin(inherited)
             # No link tells what this instance itself runs.
             self._take_local([self._link.build_hello()])
@@ -319,5 +319,5 @@
     def _step_down(self, why: str) -> None:
         log_event(Event.COORDINATION_ENDED, why=why)
         self._coordinator.end()
-        self._link.take_local = None
-        self._link.drop_waiting()
+        self._link.deliver_local = None
+        self._link.fail_pending()
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -328,7 +328,7 @@
             pause_ms = now - progress.last_event_at
             progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
         if not progress.events:
-            self._link.tell(
+            self._link.send(
                 ResponseStarted(
                     key=self._request.attempt_id,
                     incarnation=entry.incarnation,
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -74,7 +74,7 @@
 async def follow_configuration(
     state: NodeState,
     *,
-    is_relayed: Callable[[], bool] = lambda: False,
+    is_store_relayed: Callable[[], bool] = lambda: False,
     is_starting: Callable[[], bool] = lambda: False,
 ) -> None:
     """Keep the newest configuration in force, for ever.
@@ -87,7 +87,7 @@
         table=names.OPERATOR_TABLE,
         take_rows=lambda state, rows, **_how: take_configuration(state, rows),
         get_version=lambda: None,
-        is_relayed=is_relayed,
+        is_store_relayed=is_store_relayed,
         is_starting=is_starting,
         gather_ms=0,
         wants_newest_only=True,
@@ -98,7 +98,7 @@
 async def follow_servers(
     state: NodeState,
     *,
-    is_relayed: Callable[[], bool] = lambda: False,
+    is_store_relayed: Callable[[], bool] = lambda: False,
     is_starting: Callable[[], bool] = lambda: False,
 ) -> None:
     """Keep the servers' entries up to date, for ever.
@@ -111,7 +111,7 @@
         table=names.SERVERS_TABLE,
         take_rows=take_servers,
         get_version=lambda: state.store_version or None,
-        is_relayed=is_relayed,
+        is_store_relayed=is_store_relayed,
         is_starting=is_starting,
         gather_ms=GATHER_MS,
         wants_newest_only=False,
@@ -192,7 +192,7 @@
         table: str,
         take_rows: TakeRows,
         get_version: Callable[[], int | None],
-        is_relayed: Callable[[], bool],
+        is_store_relayed: Callable[[], bool],
         is_starting: Callable[[], bool],
         gather_ms: int,
         wants_newest_only: bool,
@@ -203,7 +203,7 @@
         self._is_behind = False
         self._wants_newest_only = wants_newest_only
         self._get_version = get_version
-        self._is_relayed = is_relayed
+        self._is_relayed = is_store_relayed
         self._is_starting = is_starting
         self._gather_ms = gather_ms
         self._table = table
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -28,7 +28,7 @@
         self._link = link
         self._local = LocalRates()
         self._confirmed: dict[str, float] = {}
-        link.take_limits = self._take_told
+        link.on_rate_limits = self._take_told
         state.on_change.append(self._forget_gone)
 
     def note_answer(
@@ -52,7 +52,7 @@
             self._note_change(incarnation, before, by="answer")
         # Told until the coordinator confirms it: messages are lost with a link.
         if per_s == limits.get(incarnation) != self._confirmed.get(incarnation):
-            self._link.tell(ServerLimit(incarnation=incarnation, per_s=per_s))
+            self._link.send(ServerLimit(incarnation=incarnation, per_s=per_s))
 
     async def ask(self, entry: ServerEntry, request: InboundRequest) -> int:
         """Ask whether a request that no coordinator has granted may be sent now.
@@ -65,7 +65,7 @@
         attempt_id = request.attempt_id
         message = PermissionRequest(key=attempt_id, incarnation=entry.incarnation)
         try:
-            await self._link.ask_permission(message)
+            await self._link.request_permission(message)
         except RefusedError as error:
             return error.retry_after_ms
         except LinkLostError:
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -45,27 +45,27 @@
 LINK_PATH = "/link"
 """Path of the WebSocket at an instance's link address."""
 
-BEAT_MS = 250
+HEARTBEAT_MS = 250
 """Time between beats and between digests, in ms."""
 
-SILENCE_MS = 800
+COORDINATOR_TIMEOUT_MS = 800
 """A coordinator that was silent for this long, in ms, is not asked any more: three
 beats, and little against aims of 600 ms and more."""
 
-RELIED_ON_MS = 1_000
+MAX_RELAY_AGE_MS = 1_000
 """How old what the coordinator told may be, in ms, until an instance asks the store
 itself: beats and digests add up to half a second, and with the time until it asks, a
 change is in force within 2 s."""
 
-REOPEN_MS = 1_600
+RECONNECT_MS = 1_600
 """A link that was silent for this long, in ms, is opened anew: an open connection may
 fall silent for good while new ones work."""
 
-PERMISSION_S = 0.2
+PERMISSION_TIMEOUT_S = 0.2
 """How long an answer to :class:`PermissionRequest` is awaited, in s. It needs no
 decision, and plain requests are due within some 0.1 to 0.4 s."""
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 """How long opening a link may take, in s."""
 
 
@@ -94,11 +94,11 @@
         "_task",
         "_version_there",
         "_wake",
-        "digest",
-        "take_limits",
-        "take_local",
-        "take_overdrawn",
-        "take_suspicions",
+        "deliver_local",
+        "on_quota_exceeded",
+        "on_rate_limits",
+        "on_suspicions",
+        "status",
     )
 
     def __init__(self, *, state: NodeState) -> None:
@@ -106,7 +106,7 @@
         self._address = ""
         self._confirmation = Confirmation(state=state)
         self._echo = Echo(now=state.clock.now())
-        self._heard_at = -SILENCE_MS
+        self._heard_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
         # The coordinator's configuration; None until it has told on this connection.
         self._version_there: int | None = None
@@ -118,43 +118,43 @@
         self._running: dict[str, tuple[int, RunningRequest]] = {}
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
-        self.digest: CoordinatorStatus | None = None
-        self.take_suspicions: Callable[[tuple[Suspicion, ...]], None] = _ignore
-        self.take_overdrawn: Callable[[QuotaExceeded], None] = _ignore
-        self.take_limits: Callable[[ServerLimits], None] = _ignore
-        self.take_local: Callable[[list[ToCoordinator]], None] | None = None
+        self.status: CoordinatorStatus | None = None
+        self.on_suspicions: Callable[[tuple[Suspicion, ...]], None] = _ignore
+        self.on_quota_exceeded: Callable[[QuotaExceeded], None] = _ignore
+        self.on_rate_limits: Callable[[ServerLimits], None] = _ignore
+        self.deliver_local: Callable[[list[ToCoordinator]], None] | None = None
         state.on_news.append(self._hand_on)
         state.on_lost.append(self._tell_lost)
 
     @property
     def is_up(self) -> bool:
         """Whether a coordinator was heard of lately."""
-        if self.take_local is not None:
+        if self.deliver_local is not None:
             return True
-        return self._state.clock.now() - self._heard_at < SILENCE_MS
+        return self._state.clock.now() - self._heard_at < COORDINATOR_TIMEOUT_MS
 
     @property
-    def is_relayed(self) -> bool:
+    def is_store_relayed(self) -> bool:
         """Whether the coordinator tells this instance all that the store tells."""
-        if self.take_local is not None or self.digest is None or not self.is_up:
+        if self.deliver_local is not None or self.status is None or not self.is_up:
             return False
         state = self._state
         return (
             self._confirmation.is_fresh
-            and self.digest.is_store_followed
+            and self.status.is_store_followed
             and not self._follows
-            and self.digest.configuration <= state.configuration_version
-            and self._echo.get_age(state.clock.now()) < RELIED_ON_MS
+            and self.status.configuration <= state.configuration_version
+            and self._echo.get_age(state.clock.now()) < MAX_RELAY_AGE_MS
         )
 
     @property
     def _follows(self) -> bool:
         """Whether this instance follows the store beside the coordinator."""
-        digest = self.digest
-        return digest is not None and self._state.settings.name in digest.followers
+        status = self.status
+        return status is not None and self._state.settings.name in status.followers
 
     @property
-    def may_ask(self) -> bool:
+    def can_request(self) -> bool:
         """Whether an ask is answered, be it by a refusal."""
         return self._is_closed or self.is_up
 
@@ -172,7 +172,7 @@
             for begun_at, run in self._running.values()
         ]
 
-    async def ask(self, ask: GrantRequest) -> Granted:
+    async def request_grant(self, ask: GrantRequest) -> Granted:
         """Wait until a server is granted.
 
         :raises LinkLostError: if no coordinator answers.
@@ -183,11 +183,11 @@
         if not self.is_up:
             raise LinkLostError("no coordinator")
         try:
-            granted = await self._questions.ask(ask.key, lambda: self.tell(ask))
+            granted = await self._questions.ask(ask.key, lambda: self.send(ask))
         except asyncio.CancelledError:
-            self.tell(CancelRequest(key=ask.key, service=ask.service))
+            self.send(CancelRequest(key=ask.key, service=ask.service))
             raise
-        self.note_run(
+        self.add_run(
             RunningRequest(
                 key=ask.key,
                 incarnation=granted.incarnation,
@@ -197,7 +197,7 @@
         )
         return granted
 
-    async def ask_permission(self, message: PermissionRequest) -> None:
+    async def request_permission(self, message: PermissionRequest) -> None:
         """Wait until a request may be sent to a server that names a rate limit.
 
         :raises LinkLostError: if no coordinator answers.
@@ -206,33 +206,33 @@
         if self._is_closed or not self.is_up:
             raise LinkLostError("no coordinator")
         try:
-            async with asyncio.timeout(PERMISSION_S):
-                await self._questions.ask(message.key, lambda: self.tell(message))
+            async with asyncio.timeout(PERMISSION_TIMEOUT_S):
+                await self._questions.ask(message.key, lambda: self.send(message))
         except TimeoutError:
             raise LinkLostError("no answer in time") from None
 
-    def note_run(self, run: RunningRequest) -> None:
+    def add_run(self, run: RunningRequest) -> None:
         """A request starts; the next coordinator has to count it."""
         self._running[run.key] = self._state.clock.now(), run
 
-    def forget_run(self, key: str) -> None:
+    def remove_run(self, key: str) -> None:
         """A request ended."""
         self._running.pop(key, None)
 
-    def tell(self, message: ToCoordinator) -> None:
+    def send(self, message: ToCoordinator) -> None:
         """Send a message soon; it is lost if there is no coordinator."""
-        if self.take_local is not None:
-            self.take_local([message])
+        if self.deliver_local is not None:
+            self.deliver_local([message])
             return
         self._outgoing.append(message)
         self._wake.set()
 
-    def tell_spent(self, team: str, cost: int) -> None:
+    def report_usage(self, team: str, cost: int) -> None:
         """Tell what a team has spent, with the next frame that goes out."""
         if self._is_closed:
             return
-        if self.take_local is not None:
-            self.take_local([QuotaUsage(team=team, cost=cost)])
+        if self.deliver_local is not None:
+            self.deliver_local([QuotaUsage(team=team, cost=cost)])
             return
         self._spent[team] = self._spent.get(team, 0) + cost
 
@@ -246,13 +246,13 @@
                 self._state.learnt = message
                 continue
             if isinstance(message, SuspicionUpdate):
-                self.take_suspicions(message.suspicions)
+                self.on_suspicions(message.suspicions)
                 continue
             if isinstance(message, QuotaExceeded):
-                self.take_overdrawn(message)
+                self.on_quota_exceeded(message)
                 continue
             if isinstance(message, ServerLimits):
-                self.take_limits(message)
+                self.on_rate_limits(message)
                 continue
             if isinstance(message, RosterChange):
                 self._take_roster(message)
@@ -277,15 +277,15 @@
 
     def _tell_lost(self) -> None:
         """Tell the coordinator at once that the store is lost here."""
-        if self.take_local is None and self._follows:
-            self.tell(self.build_beat())
+        if self.deliver_local is None and self._follows:
+            self.send(self.build_heartbeat())
 
     def _hand_on(self, news: StoreUpdate) -> None:
         """Tell the coordinator what the store has told this instance."""
-        if self.take_local is not None:
+        if self.deliver_local is not None:
             return
         if self._follows and news.rows:
-            self.tell(msgspec.structs.replace(news, configuration=b""))
+            self.send(msgspec.structs.replace(news, configuration=b""))
         self._hand_up()
 
     def _hand_up(self) -> None:
@@ -295,39 +295,39 @@
         others would wait for it.
         """
         known, version = self._version_there, self._state.configuration_version
-        if self.take_local is not None or known is None or known >= version:
+        if self.deliver_local is not None or known is None or known >= version:
             return
         if known:
-            self.tell(self._state.versions.build(known))
+            self.send(self._state.versions.build(known))
         elif self._follows:
-            self.tell(StoreUpdate(configuration=self._state.configuration_body))
+            self.send(StoreUpdate(configuration=self._state.configuration_body))
         else:
             return
         self._version_there = version
 
-    def lead_to(self, address: str) -> None:
+    def connect_to(self, address: str) -> None:
         """Let the link lead to another coordinator; nothing if it already does."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
-        is_silent = now - max(self._heard_at, self._opened_at) > REOPEN_MS
+        is_silent = now - max(self._heard_at, self._opened_at) > RECONNECT_MS
         if address == self._address and is_alive and not is_silent:
             return
-        self.cut()
+        self.disconnect()
         self._address = address
         self._opened_at = now
         if address:
             self._task = asyncio.create_task(self._keep(address))
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """End the link; whoever waits is told."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
         self._address = ""
-        self._heard_at = -SILENCE_MS
-        self.drop_waiting()
+        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self.fail_pending()
 
-    def drop_waiting(self) -> None:
+    def fail_pending(self) -> None:
         """Tell all that wait for a grant that none will come."""
         self._questions.drop()
         self._outgoing.clear()
@@ -342,14 +342,14 @@
         self._is_closed = True
         self._questions.refuse()
 
-    def check(self) -> None:
+    def check_timeout(self) -> None:
         """Give up on a coordinator that has fallen silent; call at intervals."""
-        if self.take_local is None and self._questions and not self.is_up:
-            self.drop_waiting()
+        if self.deliver_local is None and self._questions and not self.is_up:
+            self.fail_pending()
 
     def _return_grant(self, granted: Granted) -> None:
         # Its caller left, or stopped waiting, as the grant was on its way.
-        self.tell(
+        self.send(
             AttemptEnded(
                 key=granted.key,
                 incarnation=granted.incarnation,
@@ -357,21 +357,21 @@
             )
         )
 
-    def _take_digest(self, digest: CoordinatorStatus) -> None:
-        self.digest = digest
+    def _take_digest(self, status: CoordinatorStatus) -> None:
+        self.status = status
         self._heard_at = self._state.clock.now()
-        self._echo.note_heard(digest.beat)
-        if self._version_there is None or digest.configuration > self._version_there:
-            self._version_there = digest.configuration
+        self._echo.note_heard(status.beat)
+        if self._version_there is None or status.configuration > self._version_there:
+            self._version_there = status.configuration
         state = self._state
-        if self.take_local is None:
-            self._confirmation.take_digest(digest, at=self._heard_at)
+        if self.deliver_local is None:
+            self._confirmation.take_digest(status, at=self._heard_at)
             age_ms = self._echo.get_age(self._heard_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
-        state.instances = digest.instances
-        state.takers = digest.takers
+        state.instances = status.instances
+        state.takers = status.takers
         state.nodes_at = self._heard_at
-        state.store_version = max(state.store_version, digest.store_version)
+        state.store_version = max(state.store_version, status.store_version)
         self._hand_up()
 
     async def _keep(self, address: str) -> None:
@@ -392,7 +392,7 @@
         opened_at = self._state.clock.now()
         try:
             timeout = aiohttp.ClientWSTimeout(ws_close=0.1)
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self._state.session.ws_connect(
                     f"http://{address}{LINK_PATH}", timeout=timeout, compress=0
                 )
@@ -414,8 +414,8 @@
         log_event(
             Event.COORDINATOR_UNREACHABLE, link=address, detail=detail, was_up=is_known
         )
-        self._heard_at = -SILENCE_MS
-        self.drop_waiting()
+        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self.fail_pending()
 
     async def _read(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         async for message in socket:
@@ -427,7 +427,7 @@
                 log_event(Event.PEER_DOWN, detail=f"unreadable frame: {error}")
                 return
 
-    def forget_coordinator(self) -> None:
+    def reset_coordinator_state(self) -> None:
         """Forget what was known of the coordinator before, as a connection begins."""
         # Each coordinator counts the changes of its list for itself, and the beats of
         # each connection.
@@ -437,11 +437,11 @@
         self._version_there = None
 
     async def _write(self, socket: aiohttp.ClientWebSocketResponse) -> None:
-        self.forget_coordinator()
-        first: list[ToCoordinator] = [self.build_hello(), self.build_beat()]
+        self.reset_coordinator_state()
+        first: list[ToCoordinator] = [self.build_hello(), self.build_heartbeat()]
         await socket.send_bytes(encode_frame(first))
         clock = self._state.clock
-        beat_at = clock.now() + BEAT_MS
+        beat_at = clock.now() + HEARTBEAT_MS
         while True:
             try:
                 async with asyncio.timeout((beat_at - clock.now()) / SECOND_MS):
@@ -452,8 +452,8 @@
             # Other messages are no beat: while callers kept it busy, an instance's
             # word that it missed the store never went out.
             if clock.now() >= beat_at:
-                self._outgoing.append(self.build_beat())
-                beat_at = clock.now() + BEAT_MS
+                self._outgoing.append(self.build_heartbeat())
+                beat_at = clock.now() + HEARTBEAT_MS
             frame, self._outgoing = self._outgoing, []
             if frame:
                 frame.extend(self._take_spent())
@@ -479,7 +479,7 @@
             ),
         )
 
-    def build_beat(self) -> Heartbeat:
+    def build_heartbeat(self) -> Heartbeat:
         """Return what this instance says of itself."""
         state = self._state
         now = state.clock.now()
--- a/src/arbutuspulley/node/neighbours.py
+++ b/src/arbutuspulley/node/neighbours.py
@@ -46,7 +46,7 @@
 
 def build_snapshot(state: NodeState, link: Link) -> bytes:
     """Encode what this instance knows."""
-    own = state.settings.link if link.take_local is not None else ""
+    own = state.settings.link if link.deliver_local is not None else ""
     snapshot = Snapshot(
         configuration=state.configuration_body,
         servers=state.entry_bodies,
@@ -75,7 +75,7 @@
     take_entries(state, snapshot.servers)
     log_event(Event.CONFIGURATION_FROM_PEER, link=address)
     if snapshot.coordinator and not link.is_up:
-        link.lead_to(snapshot.coordinator)
+        link.connect_to(snapshot.coordinator)
 
 
 async def _fetch(state: NodeState, address: str) -> Snapshot | None:
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -7,7 +7,7 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.callers import count_takers
 from arbutuspulley.node.following import is_followed
-from arbutuspulley.node.link import SILENCE_MS
+from arbutuspulley.node.link import COORDINATOR_TIMEOUT_MS
 from arbutuspulley.node.messages import (
     CoordinatorEstimates,
     CoordinatorStatus,
@@ -155,7 +155,9 @@
         """Return the instances that were heard lately."""
         now = self._state.clock.now()
         return [
-            peer for peer in self._by_name.values() if now - peer.heard_at < SILENCE_MS
+            peer
+            for peer in self._by_name.values()
+            if now - peer.heard_at < COORDINATOR_TIMEOUT_MS
         ]
 
     def list_linked(self) -> list[NodeInfo]:
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -50,7 +50,7 @@
         self._link = link
         self._forget_at = 0
         self._suspects = SuspectState(suspicions={}, seen_at={})
-        link.take_suspicions = self.take
+        link.on_suspicions = self.take
 
     def count_known(self, request: InboundRequest) -> int:
         """Return how many breaks with a request in flight are known."""
@@ -92,7 +92,7 @@
         if deaths >= MOST_DEATHS:
             event = Event.REQUEST_QUARANTINED
         log_event(event, id=request.attempt_id, server=incarnation, deaths=deaths)
-        self._link.tell(SuspicionUpdate(suspicions=(suspicion,)))
+        self._link.send(SuspicionUpdate(suspicions=(suspicion,)))
 
     def note_whole(self, request: InboundRequest) -> None:
         """A request ran whole; it is no cause of any break."""
@@ -102,7 +102,7 @@
         fingerprint = suspicion.fingerprint
         clear_suspicion(self._suspects, fingerprint, now=self._state.clock.now())
         cleared = self._suspects.suspicions[fingerprint]
-        self._link.tell(SuspicionUpdate(suspicions=(cleared,)))
+        self._link.send(SuspicionUpdate(suspicions=(cleared,)))
 
     def take(self, suspicions: tuple[Suspicion, ...]) -> None:
         """Take in what another instance found."""
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -164,7 +164,7 @@
             raise CoordinatorFoundError
         entry = await self._choose_within_limits(is_plain=False)
         if entry is not None:
-            self._link.note_run(
+            self._link.add_run(
                 RunningRequest(
                     key=self._request.attempt_id,
                     incarnation=entry.incarnation,
@@ -177,9 +177,9 @@
             self._progress.avoid_alone.add(entry.incarnation)
             return entry
         until = self._state.clock.now() + min(ALONE_WAIT_MS, self._patience_ms)
-        while not self._link.may_ask and self._state.clock.now() < until:
+        while not self._link.can_request and self._state.clock.now() < until:
             await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
-        if self._link.may_ask:
+        if self._link.can_request:
             raise CoordinatorFoundError
         return None
 
@@ -189,8 +189,8 @@
         :return: whether there is one now.
         """
         until = self._progress.started_at + self._route.aim_ms * FIRST_WAIT_PART
-        while self._link.digest is None and self._state.clock.now() < until:
+        while self._link.status is None and self._state.clock.now() < until:
             await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
-            if self._link.may_ask:
+            if self._link.can_request:
                 return True
         return False
--- a/src/arbutuspulley/node/stopping.py
+++ b/src/arbutuspulley/node/stopping.py
@@ -23,7 +23,7 @@
 ) -> None:
     """Return once nothing is in flight, at the latest shortly before SIGKILL."""
     begun_at = state.stopping_at or state.clock.now()
-    link.tell(link.build_beat())
+    link.send(link.build_heartbeat())
     serve_until = begun_at + int(state.settings.grace_ms * SERVE_ON_PART)
     last = begun_at + int(state.settings.grace_ms * LAST_PART)
     is_given_back = False
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -145,20 +145,20 @@
     reloader = Reloader(state=state, path=path, read=read_settings)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
 
-    def is_relayed() -> bool:
-        return link.is_relayed
+    def is_store_relayed() -> bool:
+        return link.is_store_relayed
 
     def is_starting() -> bool:
-        return link.digest is None
+        return link.status is None
 
     tasks = [
         loop.create_task(_keep(work))
         for work in (
             lambda: follow_configuration(
-                state, is_relayed=is_relayed, is_starting=is_starting
+                state, is_store_relayed=is_store_relayed, is_starting=is_starting
             ),
             lambda: follow_servers(
-                state, is_relayed=is_relayed, is_starting=is_starting
+                state, is_store_relayed=is_store_relayed, is_starting=is_starting
             ),
             lambda: learn_from_neighbours(state, link),
             election.run,
@@ -171,7 +171,7 @@
     await stop_gracefully(state, link=link, election=election, servers=servers)
     for task in tasks:
         task.cancel()
-    link.cut()
+    link.disconnect()
     await session.close()
     await order_session.close()
     log_event(Event.STOPPED, in_flight=state.in_flight)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -38,7 +38,7 @@
         self.link = Link(state=self.state)
         self.told = []
         if coordinates:
-            self.link.take_local = self.told.extend
+            self.link.deliver_local = self.told.extend
         self.accounts = Accounts(state=self.state, link=self.link)
 
     def pay(self, cost):
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -61,7 +61,7 @@
         self.state.by_incarnation["e1"] = ENTRY
         self.told = []
         self.link = Link(state=self.state)
-        self.link.take_local = self._take
+        self.link.deliver_local = self._take
         self._decide = decide
         request = decode_request(
             method="POST",
@@ -184,8 +184,8 @@
 
 def test_a_request_without_a_coordinator_is_paid_for_here_and_given_back_here():
     trial = Trial(grant)
-    trial.link.take_local = None
-    trial.link.digest = CoordinatorStatus(is_holder=True)
+    trial.link.deliver_local = None
+    trial.link.status = CoordinatorStatus(is_holder=True)
     trial.state.by_service["llm"] = [ENTRY]
     assert trial.get_server() is ENTRY
     assert trial.acquisition._paid.is_local
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -87,32 +87,32 @@
         self._members = members
         self._now = now
         self.believes_until = 0
-        self.take_local = None
+        self.deliver_local = None
         self.leads_to = ""
-        self.digest = SimpleNamespace(is_holder=True)
+        self.status = SimpleNamespace(is_holder=True)
 
     @property
     def is_up(self):
-        if self.take_local is not None:
+        if self.deliver_local is not None:
             return True
         if self._now[0] < self.believes_until:
             return True
         leader = self._members.get(self.leads_to)
         return leader is not None and leader.coordinator.acts
 
-    def check(self):
+    def check_timeout(self):
         pass
 
     def build_hello(self):
         return "what runs here"
 
-    def cut(self):
+    def disconnect(self):
         self.leads_to = ""
 
-    def drop_waiting(self):
+    def fail_pending(self):
         pass
 
-    def lead_to(self, address):
+    def connect_to(self, address):
         self.leads_to = address
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -69,13 +69,13 @@
     peers = build_peers(state)
     there = build_instance(now)
     link = Link(state=there)
-    link.forget_coordinator()
-    first = link.build_beat()
+    link.reset_coordinator_state()
+    first = link.build_heartbeat()
     peers.take_beat("a", first)
     now[0] = 1_200
     state.freshness.confirm(now[0], source="store")
     now[0] = 1_250
-    peers.take_beat("a", link.build_beat())
+    peers.take_beat("a", link.build_heartbeat())
     digest = take_digest(peers)
     assert (digest.beat, digest.fresh_beat) == (2, 1)
     now[0] = 9_000
@@ -98,8 +98,8 @@
     now = [1_000]
     there = build_instance(now, version=1)
     link = Link(state=there)
-    link.forget_coordinator()
-    link.build_beat()
+    link.reset_coordinator_state()
+    link.build_heartbeat()
     link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
     put_in_force(there, msgspec.json.encode(build_configuration(2)), by="store")
@@ -112,9 +112,9 @@
     now = [1_000]
     there = build_instance(now)
     link = Link(state=there)
-    link.forget_coordinator()
-    link.build_beat()
-    link.forget_coordinator()
+    link.reset_coordinator_state()
+    link.build_heartbeat()
+    link.reset_coordinator_state()
     link.receive([CoordinatorStatus(is_holder=True, configuration=1, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
 
@@ -131,13 +131,13 @@
     peers = build_peers(state)
     follower = build_instance(now)
     link = Link(state=follower)
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([take_digest(peers)])
     now[0] = 1_300
     follower.freshness.confirm(now[0], source="store")
     now[0] = 1_500
     link.receive([take_digest(peers)])
-    beat = msgspec.structs.replace(link.build_beat(), configuration=version)
+    beat = msgspec.structs.replace(link.build_heartbeat(), configuration=version)
     assert beat.vouches == 1
     now[0] = 6_000
     peers.take_beat("a", beat)
@@ -151,8 +151,8 @@
     link.receive(
         [CoordinatorStatus(is_holder=True, is_store_followed=True, configuration=1)]
     )
-    assert not link.is_relayed
+    assert not link.is_store_relayed
     state.freshness.confirm(now[0], source="store")
-    assert link.is_relayed
+    assert link.is_store_relayed
     state.freshness.confirmed_at = now[0] - 3_600
-    assert not link.is_relayed
+    assert not link.is_store_relayed
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -43,7 +43,7 @@
         self.link = Link(state=self.state)
         self.told = []
         if is_linked:
-            self.link.take_local = self.told.extend
+            self.link.deliver_local = self.told.extend
         self.guard = LimitGuard(state=self.state, link=self.link)
 
     def note_answer(self, headers, *, sent_ago=0):
@@ -146,7 +146,7 @@
             loop.call_soon(instance.link.receive, [answer])
 
     instance.note_answer(LIMITED)
-    instance.link.take_local = reply
+    instance.link.deliver_local = reply
     assert instance.ask() == wait_ms
 
 
@@ -161,7 +161,7 @@
     instance = Instance(is_linked=False)
     instance.link.receive([CoordinatorStatus(is_holder=True, instances=1)])
     instance.note_answer(LIMITED)
-    instance.link.cut()
+    instance.link.disconnect()
     assert instance.ask() == 500
     instance.now[0] += 500
     assert instance.ask() == 0
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -61,14 +61,14 @@
     link = Link(state=state)
     async with aiohttp.ClientSession() as session:
         state.session = session
-        link.lead_to(f"127.0.0.1:{port}")
+        link.connect_to(f"127.0.0.1:{port}")
         async with asyncio.timeout(5):
             while not until(link):
                 await asyncio.sleep(0.01)
         task = link._task
         await asyncio.sleep(0.1)
         is_over = task.done()
-        link.cut()
+        link.disconnect()
     await runner.cleanup()
     return state, is_over
 
@@ -112,8 +112,8 @@
     link = Link(state=build_state(clock=Clock(read=lambda: now[0])))
     need = ModelNeed(model="m", adapter="", prompt_tokens=1, output_tokens=1)
     for key in ("a", "b"):
-        link.note_run(RunningRequest(key=key, incarnation="s", need=need))
+        link.add_run(RunningRequest(key=key, incarnation="s", need=need))
         now[0] += 300
-    link.forget_run("b")
+    link.remove_run("b")
     (run,) = link.build_hello().running
     assert (run.key, run.ran_ms) == ("a", 600)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -19,7 +19,7 @@
         group.append(self)
         self.guard = PoisonGuard(state=self, link=self)
 
-    def tell(self, message):
+    def send(self, message):
         assert isinstance(message, SuspicionUpdate)
         if self.is_cut:
             return
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
     put_in_force,
     take_news,
 )
-from arbutuspulley.node.link import BEAT_MS, Link
+from arbutuspulley.node.link import HEARTBEAT_MS, Link
 from arbutuspulley.node.messages import (
     ConfigurationDelta,
     CoordinatorStatus,
@@ -232,7 +232,9 @@
         state = build_state()
         state.store = StoreTrial()
         relayed = [True]
-        task = asyncio.create_task(follow_servers(state, is_relayed=lambda: relayed[0]))
+        task = asyncio.create_task(
+            follow_servers(state, is_store_relayed=lambda: relayed[0])
+        )
         await asyncio.sleep(0.03)
         assert state.store.calls == []
         state.store_version = 11
@@ -265,7 +267,9 @@
         heard = []
         task = asyncio.create_task(
             follow_servers(
-                state, is_relayed=lambda: bool(heard), is_starting=lambda: not heard
+                state,
+                is_store_relayed=lambda: bool(heard),
+                is_starting=lambda: not heard,
             )
         )
         await asyncio.sleep(0.01)
@@ -300,9 +304,9 @@
     now = [0]
     link = Link(state=build_state(clock=Clock(read=lambda: now[0])))
     link.receive([digest])
-    assert link.is_relayed is expected
+    assert link.is_store_relayed is expected
     now[0] += 5_000
-    assert not link.is_relayed
+    assert not link.is_store_relayed
 
 
 def build_link(version=0, **settings):
@@ -327,9 +331,9 @@
     """Guards against an update that did not fit and is never asked for again."""
     _now, state, link = build_link(4)
     link.receive([build_digest(configuration=5)])
-    assert not link.is_relayed
+    assert not link.is_store_relayed
     put_in_force(state, encode_version(5), by="store")
-    assert link.is_relayed
+    assert link.is_store_relayed
 
 
 def test_a_coordinator_whose_word_comes_late_is_not_relied_on():
@@ -337,32 +341,32 @@
     now, _state, link = build_link()
     beats = []
     for _ in range(20):
-        beats.append(link.build_beat().number)
+        beats.append(link.build_heartbeat().number)
         link.receive([build_digest(beat=beats[-1])])
-        now[0] += BEAT_MS
-        assert link.is_relayed
+        now[0] += HEARTBEAT_MS
+        assert link.is_store_relayed
     late = beats[-1]
     lost_after = 0
     for _ in range(20):
-        link.build_beat()
+        link.build_heartbeat()
         link.receive([build_digest(beat=late)])
-        now[0] += BEAT_MS
-        lost_after += BEAT_MS
-        if not link.is_relayed:
+        now[0] += HEARTBEAT_MS
+        lost_after += HEARTBEAT_MS
+        if not link.is_store_relayed:
             break
     assert link.is_up
-    assert not link.is_relayed
+    assert not link.is_store_relayed
     wait = lost_after + LOOK_EVERY_MS + MOST_FALLBACK_MS
     assert wait < IN_FORCE_WITHIN_MS
 
 
 def test_a_new_link_is_not_late_before_it_has_been_heard():
     now, _state, link = build_link()
-    link.receive([build_digest(beat=link.build_beat().number)])
+    link.receive([build_digest(beat=link.build_heartbeat().number)])
     now[0] += 60_000
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest()])
-    assert link.is_relayed
+    assert link.is_store_relayed
 
 
 def test_a_follower_hands_on_what_it_is_told_by_the_store():
@@ -390,12 +394,12 @@
     others back, though one of them was told by the store before the link was there."""
     _now, state, link = build_link(4)
     put_in_force(state, encode_version(5), by="store")
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == [(4, 5)]
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == []
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == [(4, 5)]
     link.receive([build_digest(configuration=5)])
@@ -404,7 +408,7 @@
 
 def test_a_change_is_told_at_once_by_whom_the_store_tells():
     _now, state, link = build_link(4)
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(configuration=4, followers=("own",))])
     assert take_update_of(link) == []
     row = StoredRow(key=names.CONFIGURATION_KEY, version=9, value=encode_version(6))
@@ -417,7 +421,7 @@
     """One that has just started, or does not understand updates, gets the whole; not
     from all instances at once."""
     _now, state, link = build_link(4)
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(followers=followers)])
     expected = [StoreUpdate(configuration=state.configuration_body)]
     assert link._outgoing == (expected if told else [])
