--- a/src/arbutuspulley/node/accounts.py
+++ b/src/arbutuspulley/node/accounts.py
@@ -78,7 +78,7 @@
         part = get_lost_part(
             self._local.get_alone_ms(now), ends_ms=self._state.settings.withdrawal_ms
         )
-        part /= max(1.0, self._state.sharers)
+        part /= max(1.0, self._state.share_divisor)
         self._local.tolerance = build_tolerance(self._state.settings)
         wait_ms = self._local.charge(team, cost, part=part, now=now)
         if wait_ms:
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -24,7 +24,7 @@
     may_order,
     may_order_on,
 )
-from arbutuspulley.node.following import take_news, take_update
+from arbutuspulley.node.following import apply_configuration_delta, apply_store_update
 from arbutuspulley.node.intake import (
     build_waiting,
     drop_instance,
@@ -140,8 +140,8 @@
         self.acts = False
         self.alone_since: int | None = None
         state.on_change.append(self.take_change)
-        state.on_news.append(self._relay_news)
-        state.on_lost.append(self._tell_lost)
+        state.on_store_update.append(self._relay_news)
+        state.on_store_lost.append(self._tell_lost)
 
     def list_loads(self) -> dict[str, list[int]] | None:
         """Return when loads were ordered, by service; ``None`` if not coordinating."""
@@ -215,7 +215,7 @@
     def _build_pool(self, service: str, spec: EngineSpec) -> PoolState:
         """Build a pool that begins with what is known from holders before."""
         pool = PoolState(service=service, spec=spec)
-        inherited, learnt = self._inherited, self._state.learnt
+        inherited, learnt = self._inherited, self._state.estimates
         assume_loads(
             pool,
             inherited.loads.get(service, []),
@@ -312,9 +312,9 @@
             if self._peers.take_beat(origin, message):
                 self._tell_lost()
         elif isinstance(message, StoreUpdate):
-            self._relay_news(take_news(self._state, message, by="follower"))
+            self._relay_news(apply_store_update(self._state, message, by="follower"))
         elif isinstance(message, ConfigurationDelta):
-            if take_update(self._state, message, by="follower"):
+            if apply_configuration_delta(self._state, message, by="follower"):
                 self._peers.tell_configuration()
         elif isinstance(message, Hello):
             take_running(self._pools, origin, message, now=now)
--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -63,7 +63,7 @@
     def _list_ready(self) -> list[NodeInfo]:
         state = self._state
         nodes: list[NodeInfo] = []
-        if state.clock.now() - state.nodes_at < FRESH_MS or not state.may_admit:
+        if state.clock.now() - state.nodes_updated_at < FRESH_MS or not state.may_admit:
             nodes = [
                 node
                 for node in state.nodes
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -411,7 +411,7 @@
     def _take_repeat(self) -> bool:
         return take_repeat(
             self._state.get_budget(self.progress.service),
-            instances=self._state.sharers,
+            instances=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -14,7 +14,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import ConfigurationDelta, StoreUpdate
-from arbutuspulley.node.server_rows import RETURN_MS, take_servers
+from arbutuspulley.node.server_rows import RETURN_MS, apply_server_rows
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform import names
 from arbutuspulley.platform.messages import (
@@ -33,11 +33,11 @@
 RETRY_MS = 250
 """First pause after a failed call to the store, in ms; doubled up to the longest."""
 
-LONGEST_RETRY_MS = 1_000
+MAX_RETRY_MS = 1_000
 """Longest pause between tries, in ms: a configuration must be in force 2 s after it
 was accepted, also right after the store came back."""
 
-GATHER_MS = 400
+CHANGE_BATCH_MS = 400
 """Pause after changes of the servers' entries before the next call, in ms: entries
 change one after another as servers are told to load, and each answer would tell of
 one. A server that leaves may get requests for 2 s more, and a new one takes 1.2 s to
@@ -47,25 +47,25 @@
 """A store that was away longer than this, in ms, may have let entries lapse of
 servers that live: they could not write to it either."""
 
-FOLLOWED_MS = FEED_WAIT_MS + int(FEED_SLACK_S * SECOND_MS) + GATHER_MS
+FOLLOW_TIMEOUT_MS = FEED_WAIT_MS + int(FEED_SLACK_S * SECOND_MS) + CHANGE_BATCH_MS
 """A table whose changes the store has not told for so long, in ms, is not followed: a
 call for changes is answered or given up within this time."""
 
-LOOK_EVERY_MS = 150
+RELAY_POLL_MS = 150
 """Time between looks whether the store's news still come by relay, in ms."""
 
-LEAST_FALLBACK_MS = 150
-MOST_FALLBACK_MS = 600
+MIN_FALLBACK_DELAY_MS = 150
+MAX_FALLBACK_DELAY_MS = 600
 """How long after its relay was lost an instance asks the store itself, in ms. A
 coordinator that stops is mostly followed by another meanwhile; drawn between the two,
 what all instances ask spreads out."""
 
-FALLBACK_STEP_MS = 10
+FALLBACK_DELAY_PER_INSTANCE_MS = 10
 """How much the longest of these waits grows with each instance, in ms: a
 hundred calls a second are few for the store, and few instances need not wait long."""
 
 
-FIRST_RELAY_MS = 1_000
+FIRST_COORDINATOR_WAIT_MS = 1_000
 """How long a process that has just started waits to hear of a coordinator before it
 asks the store for changes, in ms: most find one within half a second, and it tells them
 what has changed since they read."""
@@ -85,7 +85,7 @@
     await _Follower(
         state=state,
         table=names.OPERATOR_TABLE,
-        take_rows=lambda state, rows, **_how: take_configuration(state, rows),
+        take_rows=lambda state, rows, **_how: apply_configuration_rows(state, rows),
         get_version=lambda: None,
         is_store_relayed=is_store_relayed,
         is_starting=is_starting,
@@ -109,31 +109,32 @@
     await _Follower(
         state=state,
         table=names.SERVERS_TABLE,
-        take_rows=take_servers,
+        take_rows=apply_server_rows,
         get_version=lambda: state.store_version or None,
         is_store_relayed=is_store_relayed,
         is_starting=is_starting,
-        gather_ms=GATHER_MS,
+        gather_ms=CHANGE_BATCH_MS,
         wants_newest_only=False,
     ).follow()
 
 
-def is_followed(state: NodeState) -> bool:
+def is_following_store(state: NodeState) -> bool:
     """Tell whether the store tells this process all changes."""
     now = state.clock.now()
     tables = (names.OPERATOR_TABLE, names.SERVERS_TABLE)
     return all(
-        now - state.followed.get(table, -FOLLOWED_MS) < FOLLOWED_MS for table in tables
+        now - state.followed_at.get(table, -FOLLOW_TIMEOUT_MS) < FOLLOW_TIMEOUT_MS
+        for table in tables
     )
 
 
-def get_longest_fallback(instances: int) -> int:
+def get_max_fallback_delay_ms(instances: int) -> int:
     """Return how long an instance waits at most until it asks the store itself, in ms.
 
     :param instances: how many there are.
     """
-    spread = FALLBACK_STEP_MS * max(1, instances)
-    return min(MOST_FALLBACK_MS, LEAST_FALLBACK_MS + spread)
+    spread = FALLBACK_DELAY_PER_INSTANCE_MS * max(1, instances)
+    return min(MAX_FALLBACK_DELAY_MS, MIN_FALLBACK_DELAY_MS + spread)
 
 
 class TakeRows(Protocol):
@@ -248,26 +249,26 @@
         """
         jitter = self._state.chance.uniform(0.5, 1.0)
         await asyncio.sleep(pause * jitter / SECOND_MS)
-        return min(LONGEST_RETRY_MS, pause * 2)
+        return min(MAX_RETRY_MS, pause * 2)
 
     async def _wait_for_coordinator(self, *, since: int) -> None:
         """Wait a moment for the first that is heard of.
 
         :param since: when this process started to follow.
         """
-        until = since + FIRST_RELAY_MS
+        until = since + FIRST_COORDINATOR_WAIT_MS
         while self._is_starting() and self._state.clock.now() < until:
-            await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
+            await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
 
     async def _rest(self) -> None:
         """Return once the relay has been lost for a moment."""
-        self._state.followed.pop(self._table, None)
+        self._state.followed_at.pop(self._table, None)
         self._failed_at = None
         while self._is_relayed():
             while self._is_relayed():
-                await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
-            longest = get_longest_fallback(self._state.instances)
-            wait = self._state.chance.uniform(LEAST_FALLBACK_MS, longest)
+                await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
+            longest = get_max_fallback_delay_ms(self._state.instances)
+            wait = self._state.chance.uniform(MIN_FALLBACK_DELAY_MS, longest)
             await asyncio.sleep(wait / SECOND_MS)
 
     async def _read_on(self, version: int | None) -> int | None:
@@ -284,7 +285,7 @@
             answer = await store.wait_for_changes(self._table, after=version)
         self._note_answer()
         now = self._state.clock.now()
-        self._state.followed[self._table] = now
+        self._state.followed_at[self._table] = now
         news = self._take_rows(
             self._state,
             answer.rows,
@@ -294,7 +295,7 @@
         )
         self._note_confirmed(asked_at)
         if news.configuration or news.rows:
-            self._state.tell_news(news)
+            self._state.notify_store_update(news)
         if self._wants_newest_only and self._note_behind(answer, news, version):
             return None
         return answer.version
@@ -313,8 +314,8 @@
         return self._is_behind
 
     def _note_failure(self, detail: str) -> None:
-        if self._state.followed.pop(self._table, None) is not None:
-            self._state.tell_lost()
+        if self._state.followed_at.pop(self._table, None) is not None:
+            self._state.notify_store_lost()
         if self._failed_at is None:
             self._failed_at = self._state.clock.now()
             log_event(Event.PLATFORM_DOWN, table=self._table, detail=detail)
@@ -330,18 +331,18 @@
         log_event(Event.PLATFORM_UP, table=self._table, away_ms=away_ms)
 
 
-def take_configuration(state: NodeState, rows: list[StoredRow]) -> StoreUpdate:
+def apply_configuration_rows(state: NodeState, rows: list[StoredRow]) -> StoreUpdate:
     """Put a newer configuration in force; an older one never."""
     body = b""
     for row in rows:
         if row.key != names.CONFIGURATION_KEY or row.value is None:
             continue
-        if put_in_force(state, row.value, by="store"):
+        if activate_configuration(state, row.value, by="store"):
             body = row.value
     return StoreUpdate(configuration=body)
 
 
-def put_in_force(state: NodeState, body: bytes, *, by: str) -> bool:
+def activate_configuration(state: NodeState, body: bytes, *, by: str) -> bool:
     """Put a configuration in force if it is newer than the present one.
 
     :param by: who told it: ``store``, ``coordinator``, ``follower`` or ``neighbour``.
@@ -381,14 +382,16 @@
         by=by,
     )
     state.metrics.configurations.labels(by).inc()
-    state.tell_change()
+    state.notify_change()
     return True
 
 
-def take_update(state: NodeState, update: ConfigurationDelta, *, by: str) -> bool:
+def apply_configuration_delta(
+    state: NodeState, update: ConfigurationDelta, *, by: str
+) -> bool:
     """Take in a newer configuration that another instance tells.
 
-    :param by: which, as for :func:`put_in_force`.
+    :param by: which, as for :func:`activate_configuration`.
     :return: whether it was put in force.
     """
     if update.version <= state.configuration_version:
@@ -403,20 +406,20 @@
             by=by,
         )
         return False
-    return put_in_force(state, body, by=by)
+    return activate_configuration(state, body, by=by)
 
 
-def take_news(state: NodeState, news: StoreUpdate, *, by: str) -> StoreUpdate:
+def apply_store_update(state: NodeState, news: StoreUpdate, *, by: str) -> StoreUpdate:
     """Take in what the store has told another instance.
 
     :param by: which: the ``coordinator`` or a ``follower``.
     :return: what of it was new here.
     """
     body = news.configuration
-    is_newer = bool(body) and put_in_force(state, body, by=by)
+    is_newer = bool(body) and activate_configuration(state, body, by=by)
     rows = [
         StoredRow(key=one.key, version=one.version, value=one.value or None)
         for one in news.rows
     ]
-    taken = take_servers(state, rows, is_whole=False, was_away=news.was_away)
+    taken = apply_server_rows(state, rows, is_whole=False, was_away=news.was_away)
     return msgspec.structs.replace(taken, configuration=body if is_newer else b"")
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -75,7 +75,7 @@
     def _charge_local(self, incarnation: str, per_s: float, *, attempt_id: str) -> int:
         state = self._state
         # How many others there are is not known before a coordinator was heard of.
-        part = 1 / max(1.0, state.sharers) if state.instances else 0.0
+        part = 1 / max(1.0, state.share_divisor) if state.instances else 0.0
         now = state.clock.now()
         wait_ms = self._local.charge(incarnation, per_s, part=part, now=now)
         if wait_ms:
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -10,7 +10,11 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.confirmation import Confirmation
 from arbutuspulley.node.echo import Echo
-from arbutuspulley.node.following import is_followed, take_news, take_update
+from arbutuspulley.node.following import (
+    apply_configuration_delta,
+    apply_store_update,
+    is_following_store,
+)
 from arbutuspulley.node.messages import (
     AttemptEnded,
     CancelRequest,
@@ -123,8 +127,8 @@
         self.on_quota_exceeded: Callable[[QuotaExceeded], None] = _ignore
         self.on_rate_limits: Callable[[ServerLimits], None] = _ignore
         self.deliver_local: Callable[[list[ToCoordinator]], None] | None = None
-        state.on_news.append(self._hand_on)
-        state.on_lost.append(self._tell_lost)
+        state.on_store_update.append(self._hand_on)
+        state.on_store_lost.append(self._tell_lost)
 
     @property
     def is_up(self) -> bool:
@@ -243,7 +247,7 @@
                 self._take_digest(message)
                 continue
             if isinstance(message, CoordinatorEstimates):
-                self._state.learnt = message
+                self._state.estimates = message
                 continue
             if isinstance(message, SuspicionUpdate):
                 self.on_suspicions(message.suspicions)
@@ -258,10 +262,10 @@
                 self._take_roster(message)
                 continue
             if isinstance(message, StoreUpdate):
-                take_news(self._state, message, by="coordinator")
+                apply_store_update(self._state, message, by="coordinator")
                 continue
             if isinstance(message, ConfigurationDelta):
-                take_update(self._state, message, by="coordinator")
+                apply_configuration_delta(self._state, message, by="coordinator")
                 continue
             self._take_decision(message)
 
@@ -298,7 +302,7 @@
         if self.deliver_local is not None or known is None or known >= version:
             return
         if known:
-            self.send(self._state.versions.build(known))
+            self.send(self._state.versions.build_delta(known))
         elif self._follows:
             self.send(StoreUpdate(configuration=self._state.configuration_body))
         else:
@@ -369,8 +373,8 @@
             age_ms = self._echo.get_age(self._heard_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = status.instances
-        state.takers = status.takers
-        state.nodes_at = self._heard_at
+        state.advertised = status.takers
+        state.nodes_updated_at = self._heard_at
         state.store_version = max(state.store_version, status.store_version)
         self._hand_up()
 
@@ -488,7 +492,7 @@
         return Heartbeat(
             is_ready=state.is_ready,
             misses_store=state.store.is_failing if state.store.is_recent else None,
-            follows_store=is_followed(state),
+            follows_store=is_following_store(state),
             roster=self._roster.version,
             configuration=state.configuration_version,
             number=number,
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -25,11 +25,12 @@
     __slots__ = (
         "_teams",
         "attempts",
-        "behind",
         "configurations",
         "coordinates",
         "first_part",
+        "grant_wait",
         "in_flight",
+        "instances_behind",
         "limited_attempts",
         "limited_servers",
         "link_age",
@@ -41,7 +42,6 @@
         "requests",
         "store_calls",
         "version",
-        "waited",
     )
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
         self.log_lines = Counter(
             "arbutus_log_lines", "Log lines", ["fate"], registry=registry
         )
-        self.waited = Histogram(
+        self.grant_wait = Histogram(
             "arbutus_grant_seconds",
             "Wait for a model server",
             registry=registry,
@@ -114,7 +114,7 @@
             ["by"],
             registry=registry,
         )
-        self.behind = Gauge(
+        self.instances_behind = Gauge(
             "arbutus_instances_behind",
             "Instances with an older configuration, as the coordinator hears",
             registry=registry,
--- a/src/arbutuspulley/node/neighbours.py
+++ b/src/arbutuspulley/node/neighbours.py
@@ -12,9 +12,9 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import Message
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.server_rows import take_entries
+from arbutuspulley.node.server_rows import load_entries
 from arbutuspulley.node.state import NodeState
 
 SNAPSHOT_PATH = "/snapshot"
@@ -55,7 +55,7 @@
     return msgspec.msgpack.encode(snapshot)
 
 
-async def learn_from_neighbours(state: NodeState, link: Link) -> None:
+async def bootstrap_from_neighbours(state: NodeState, link: Link) -> None:
     """Ask the instances named in the settings until a configuration is known."""
     await asyncio.sleep(FIRST_ASK_MS / SECOND_MS)
     while state.configuration is None:
@@ -71,8 +71,8 @@
 def _take(state: NodeState, link: Link, snapshot: Snapshot, address: str) -> None:
     if not snapshot.configuration:
         return
-    put_in_force(state, snapshot.configuration, by="neighbour")
-    take_entries(state, snapshot.servers)
+    activate_configuration(state, snapshot.configuration, by="neighbour")
+    load_entries(state, snapshot.servers)
     log_event(Event.CONFIGURATION_FROM_PEER, link=address)
     if snapshot.coordinator and not link.is_up:
         link.connect_to(snapshot.coordinator)
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.callers import count_takers
-from arbutuspulley.node.following import is_followed
+from arbutuspulley.node.following import is_following_store
 from arbutuspulley.node.link import COORDINATOR_TIMEOUT_MS
 from arbutuspulley.node.messages import (
     CoordinatorEstimates,
@@ -75,7 +75,7 @@
         self._by_name.clear()
         self._rosters.clear()
         self._told = ()
-        self._state.metrics.behind.set(0)
+        self._state.metrics.instances_behind.set(0)
         self.most_heard = self._state.instances
 
     def get(self, name: str) -> Peer | None:
@@ -91,7 +91,7 @@
             heard_at=self._state.clock.now(),
             configuration=hello.configuration,
             build_configuration=(
-                self._state.versions.build
+                self._state.versions.build_delta
                 if hello.reads_updates
                 else self._relay.build_whole
             ),
@@ -147,7 +147,7 @@
     def is_store_followed(self) -> bool:
         """Tell whether any of those that follow the store hears all changes."""
         followers = self._relay.followers
-        return is_followed(self._state) or any(
+        return is_following_store(self._state) or any(
             one.follows_store for one in self.list_heard() if one.info.name in followers
         )
 
@@ -256,7 +256,7 @@
     def tell_behind(self) -> None:
         """Log which instances have an older configuration in force, if any."""
         behind = self.list_behind()
-        self._state.metrics.behind.set(len(behind))
+        self._state.metrics.instances_behind.set(len(behind))
         if behind:
             log_event(
                 Event.CONFIGURATION_BEHIND,
--- a/src/arbutuspulley/node/relay.py
+++ b/src/arbutuspulley/node/relay.py
@@ -58,7 +58,7 @@
         """Return what of some news is to be told at once; the rest is held back."""
         urgent: list[RelayedRow] = []
         for row in news.rows:
-            if row.key in self._state.quiet_rows and row.value:
+            if row.key in self._state.deferrable_rows and row.value:
                 self._quiet[row.key] = row
             else:
                 self._quiet.pop(row.key, None)
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -109,9 +109,9 @@
             need=None if is_plain else self._request.need,
             avoid=frozenset(avoid),
             most_in_flight=get_most_in_flight(
-                connections, instances=self._state.sharers
+                connections, instances=self._state.share_divisor
             ),
-            sharers=self._state.sharers,
+            sharers=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -27,7 +27,7 @@
 some hundred servers are replaced a day."""
 
 
-def take_servers(
+def apply_server_rows(
     state: NodeState,
     rows: list[StoredRow],
     *,
@@ -107,7 +107,7 @@
         del state.row_versions[key]
 
 
-def take_entries(state: NodeState, bodies: dict[str, bytes]) -> None:
+def load_entries(state: NodeState, bodies: dict[str, bytes]) -> None:
     """Take entries that another instance knows, if this one knows none."""
     if state.entries:
         return
@@ -135,9 +135,9 @@
     state.entries[server_id] = entry
     state.entry_bodies[server_id] = value
     if before is not None and _differs_in_holdings_only(before, entry):
-        state.quiet_rows.add(server_id)
+        state.deferrable_rows.add(server_id)
     else:
-        state.quiet_rows.discard(server_id)
+        state.deferrable_rows.discard(server_id)
     if before is None or before.incarnation != entry.incarnation:
         _note_start(state, entry, before)
     if entry.is_leaving and (before is None or not before.is_leaving):
@@ -190,7 +190,7 @@
         RelayedRow(key=key, version=state.row_versions.get(key, 0)) for key in dropped
     )
     if rows:
-        state.tell_news(StoreUpdate(rows=rows))
+        state.notify_store_update(StoreUpdate(rows=rows))
 
 
 def _drop_entries(
@@ -204,7 +204,7 @@
         if entry is not None and then.get(server_id) is entry:
             del state.entries[server_id]
             state.entry_bodies.pop(server_id, None)
-            state.quiet_rows.discard(server_id)
+            state.deferrable_rows.discard(server_id)
             is_changed = True
             log_event(Event.SERVER_GONE, server=server_id, service=entry.service)
     if is_changed:
@@ -218,4 +218,4 @@
     state.by_service = by_service
     state.by_incarnation = {one.incarnation: one for one in state.entries.values()}
     forget_others(state.records, state.entries.values())
-    state.tell_change()
+    state.notify_change()
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -43,7 +43,7 @@
         last answered, in ms.
     :param nodes: instances near this one and some others, as the coordinator last told.
     :param instances: how many the coordinator hears of.
-    :param takers: to how many of them callers are sent.
+    :param advertised: to how many of them callers are sent.
     :param coordinates: whether this instance is the coordinator.
     :param learnt: what the coordinator last told that it has learnt; used if this
         instance succeeds it.
@@ -54,8 +54,9 @@
     """
 
     __slots__ = (
-        "_sharers",
-        "_sharers_basis",
+        "_share_divisor",
+        "_share_divisor_basis",
+        "advertised",
         "budgets",
         "by_incarnation",
         "by_service",
@@ -64,23 +65,23 @@
         "configuration",
         "configuration_body",
         "coordinates",
+        "deferrable_rows",
         "entries",
         "entry_bodies",
-        "followed",
+        "estimates",
+        "followed_at",
         "freshness",
         "in_flight",
         "instances",
         "keys",
-        "learnt",
         "limits",
         "metrics",
         "nodes",
-        "nodes_at",
+        "nodes_updated_at",
         "on_change",
-        "on_lost",
-        "on_news",
+        "on_store_lost",
+        "on_store_update",
         "order_session",
-        "quiet_rows",
         "records",
         "refused_entries",
         "row_versions",
@@ -90,7 +91,6 @@
         "store",
         "store_version",
         "table",
-        "takers",
         "versions",
     )
 
@@ -127,22 +127,22 @@
         self.records = LocalRecords()
         self.budgets: dict[str, RepeatBudget] = {}
         self.row_versions: dict[str, int] = {}
-        self.quiet_rows: set[str] = set()
+        self.deferrable_rows: set[str] = set()
         self.store_version = 0
-        self.followed: dict[str, int] = {}
+        self.followed_at: dict[str, int] = {}
         self.nodes: tuple[NodeInfo, ...] = ()
-        self.nodes_at = 0
+        self.nodes_updated_at = 0
         self.instances = 0
-        self.takers = 0
-        self._sharers = 0.0
-        self._sharers_basis: tuple[object, ...] = ()
+        self.advertised = 0
+        self._share_divisor = 0.0
+        self._share_divisor_basis: tuple[object, ...] = ()
         self.coordinates = False
-        self.learnt = CoordinatorEstimates(speeds={})
+        self.estimates = CoordinatorEstimates(speeds={})
         self.in_flight = 0
         self.stopping_at: int | None = None
         self.on_change: list[Callable[[], None]] = []
-        self.on_news: list[Callable[[StoreUpdate], None]] = []
-        self.on_lost: list[Callable[[], None]] = []
+        self.on_store_update: list[Callable[[StoreUpdate], None]] = []
+        self.on_store_lost: list[Callable[[], None]] = []
 
     @property
     def is_ready(self) -> bool:
@@ -177,20 +177,20 @@
         )
 
     @property
-    def sharers(self) -> float:
+    def share_divisor(self) -> float:
         """By how many this instance divides what all instances share."""
         own = self.build_info()
-        basis = (own, self.nodes, self.takers, self.instances)
-        if basis != self._sharers_basis:
+        basis = (own, self.nodes, self.advertised, self.instances)
+        if basis != self._share_divisor_basis:
             near = [one for one in self.nodes if one.is_ready and one.site == own.site]
             near = [own, *(one for one in near if one.name != own.name)]
-            self._sharers = count_sharers(
+            self._share_divisor = count_sharers(
                 is_taker=own in select_takers(near),
-                takers=self.takers,
+                takers=self.advertised,
                 instances=self.instances,
             )
-            self._sharers_basis = basis
-        return self._sharers
+            self._share_divisor_basis = basis
+        return self._share_divisor
 
     @property
     def capacity(self) -> float:
@@ -208,17 +208,17 @@
             )
         return budget
 
-    def tell_change(self) -> None:
+    def notify_change(self) -> None:
         """Call everyone who follows the configuration and the servers."""
         for call in self.on_change:
             call()
 
-    def tell_news(self, news: StoreUpdate) -> None:
+    def notify_store_update(self, news: StoreUpdate) -> None:
         """Hand on what the store has told this process."""
-        for call in self.on_news:
+        for call in self.on_store_update:
             call(news)
 
-    def tell_lost(self) -> None:
+    def notify_store_lost(self) -> None:
         """Say that the store tells this process no changes any more."""
-        for call in self.on_lost:
+        for call in self.on_store_lost:
             call()
--- a/src/arbutuspulley/node/versions.py
+++ b/src/arbutuspulley/node/versions.py
@@ -52,7 +52,7 @@
         older = [len(body) for one, body in self._bodies.items() if one != newest]
         return len(older) >= MOST_KEPT or sum(older) > MOST_KEPT_BYTES
 
-    def build(self, base: int) -> ConfigurationDelta:
+    def build_delta(self, base: int) -> ConfigurationDelta:
         """Return what leads from a version to the newest one.
 
         :param base: the version that the receiver has; if it is not known here, the
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -23,8 +23,8 @@
 from arbutuspulley.node.metrics import NodeMetrics
 from arbutuspulley.node.neighbours import (
     SNAPSHOT_PATH,
+    bootstrap_from_neighbours,
     build_snapshot,
-    learn_from_neighbours,
 )
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.reloading import Reloader
@@ -160,7 +160,7 @@
             lambda: follow_servers(
                 state, is_store_relayed=is_store_relayed, is_starting=is_starting
             ),
-            lambda: learn_from_neighbours(state, link),
+            lambda: bootstrap_from_neighbours(state, link),
             election.run,
             reloader.watch,
         )
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.progress import RequestFailedError
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.routing.table import find_route
@@ -37,7 +37,7 @@
 def put_keys(state, version, *keys):
     configuration = build_configuration(version, routes=(OPEN,))
     configuration["Tenants"] = build_teams(*keys)
-    put_in_force(state, msgspec.json.encode(configuration), by="store")
+    activate_configuration(state, msgspec.json.encode(configuration), by="store")
 
 
 def build_access(state, *keys, path="/book/1"):
@@ -87,7 +87,9 @@
 
 def test_without_teams_nobody_needs_a_key():
     state = build_state()
-    put_in_force(state, msgspec.json.encode(build_configuration(1)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(1)), by="store"
+    )
     assert check(state) is None
 
 
@@ -141,7 +143,7 @@
     state = build_instance("k1")
     configuration = build_configuration(2)
     configuration["Tenants"] = [{"Name": "other", "ApiKeys": ["k1"]}]
-    put_in_force(state, msgspec.json.encode(configuration), by="store")
+    activate_configuration(state, msgspec.json.encode(configuration), by="store")
     assert check(state, "k1") == "other"
 
 
@@ -161,7 +163,7 @@
     wrong = {"Name": "wrong", "ApiKeys": ["k9"], **changes}
     configuration["Tenants"] = [*build_teams("k1"), wrong]
     with caplog.at_level("INFO"):
-        put_in_force(state, msgspec.json.encode(configuration), by="store")
+        activate_configuration(state, msgspec.json.encode(configuration), by="store")
     assert state.configuration_version == 1
     assert check(state, "k1") == "team-k1"
     (told,) = [
@@ -187,6 +189,8 @@
     state = build_instance("k1")
     access, _ = build_access(state, "k1")
     access.check()
-    put_in_force(state, msgspec.json.encode(build_configuration(2)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(2)), by="store"
+    )
     state.freshness.confirmed_at = 0
     access.check()
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -9,7 +9,7 @@
 from arbutuspulley.node.access import Access
 from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.acquisition import Acquisition, NoServerError
-from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
@@ -46,7 +46,7 @@
     configuration["Tenants"] = [
         {"Name": "team", "ApiKeys": list(keys), "Unit": "tokens", "RatePerS": 9_000}
     ]
-    put_in_force(state, msgspec.json.encode(configuration), by="store")
+    activate_configuration(state, msgspec.json.encode(configuration), by="store")
 
 
 class Trial:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -91,21 +91,21 @@
     state = build_state()
     state.settings = msgspec.structs.replace(state.settings, cores=2.15, link_mbps=100)
     state.nodes = tuple(build_area(LARGE, *[SMALL] * 20))
-    state.instances, state.takers = 72, 6
-    assert get_most_in_flight(490, instances=state.sharers) >= 50
+    state.instances, state.advertised = 72, 6
+    assert get_most_in_flight(490, instances=state.share_divisor) >= 50
     budget = RepeatBudget(ratio=0.2, extra=184, window_ms=10_000)
     note_request(budget, now=0)
     repeats = sum(
-        take_repeat(budget, instances=state.sharers, now=1) for _ in range(100)
+        take_repeat(budget, instances=state.share_divisor, now=1) for _ in range(100)
     )
     assert repeats >= 20
     state.settings = msgspec.structs.replace(state.settings, cores=0.5, link_mbps=5)
     state.nodes = tuple(build_area(LARGE, LARGE, *[SMALL] * 20))
-    assert get_most_in_flight(490, instances=state.sharers) == 1
+    assert get_most_in_flight(490, instances=state.share_divisor) == 1
 
 
 def test_no_more_addresses_are_named_than_callers_read():
     state = build_ready(now=[10])
-    state.nodes, state.nodes_at = tuple(build_area(*[1.0] * 100)), 10
+    state.nodes, state.nodes_updated_at = tuple(build_area(*[1.0] * 100)), 10
     named = Directory(state=state).list_addresses(site="a1", region="a")
     assert len(named) == MOST_NAMED
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,7 +6,7 @@
 from arbutuspulley.admission.keys import build_keys
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.directory import FRESH_MS, Directory
-from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.following import activate_configuration
 from scripts.platform_stage import build_configuration
 from tests.node_states import build_info, build_state
 
@@ -14,7 +14,9 @@
 def build_ready(*, now, **changes):
     """Build the state of a node that knows a configuration."""
     state = build_state(clock=Clock(read=lambda: now[0]), **changes)
-    put_in_force(state, msgspec.json.encode(build_configuration(1)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(1)), by="store"
+    )
     return state
 
 
@@ -40,7 +42,7 @@
 )
 def test_the_nearest_ready_instances_are_named(site, region, expected):
     state = build_ready(now=[10])
-    state.nodes, state.nodes_at = NODES, 10
+    state.nodes, state.nodes_updated_at = NODES, 10
     named = Directory(state=state).list_addresses(site=site, region=region)
     assert {address.partition(":")[0] for address in named} == expected
 
@@ -48,7 +50,7 @@
 def test_an_old_list_is_not_believed():
     now = [10]
     state = build_ready(now=now)
-    state.nodes, state.nodes_at = NODES, 10
+    state.nodes, state.nodes_updated_at = NODES, 10
     now[0] += FRESH_MS
     directory = Directory(state=state)
     assert directory.list_addresses(site="b1", region="b") == ["own:1"]
@@ -56,7 +58,7 @@
 
 def test_an_instance_that_stops_names_others_only():
     state = build_ready(now=[10])
-    state.nodes, state.nodes_at = NODES, 10
+    state.nodes, state.nodes_updated_at = NODES, 10
     state.stopping_at = 9
     named = Directory(state=state).list_addresses(site="a1", region="a")
     assert "own:1" not in named and "n1:1" in named
@@ -74,7 +76,7 @@
     now = [10]
     state = build_ready(now=now, withdrawal_ms=5_000)
     state.keys = build_keys(())
-    state.nodes, state.nodes_at = NODES, 10
+    state.nodes, state.nodes_updated_at = NODES, 10
     state.freshness.confirm(10, source="store")
     directory = Directory(state=state)
     assert "own:1" in directory.list_addresses(site="a1", region="a")
--- a/tests/test_echo.py
+++ b/tests/test_echo.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.echo import Echo
-from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import CoordinatorStatus, Heartbeat, Hello
 from arbutuspulley.node.peers import Peers
@@ -52,7 +52,9 @@
         told[name] = digest.beat
     assert told == {"a": 3, "b": 8}
     assert peers.list_behind() == []
-    put_in_force(state, msgspec.json.encode(build_configuration(2)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(2)), by="store"
+    )
     assert peers.list_behind() == ["a", "b"]
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -9,11 +9,11 @@
 from arbutuspulley.events import Event
 from arbutuspulley.node import following, server_rows
 from arbutuspulley.node.following import (
+    activate_configuration,
     follow_configuration,
     follow_servers,
-    put_in_force,
 )
-from arbutuspulley.node.server_rows import take_servers
+from arbutuspulley.node.server_rows import apply_server_rows
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import HistoryLostError, RowsAnswer, StoredRow
 from arbutuspulley.results import PlatformUnavailableError
@@ -28,7 +28,7 @@
 
 
 def take(state, *rows, is_whole=False, was_away=False):
-    take_servers(state, list(rows), is_whole=is_whole, was_away=was_away)
+    apply_server_rows(state, list(rows), is_whole=is_whole, was_away=was_away)
 
 
 def gone(name):
@@ -41,7 +41,7 @@
 def test_configurations_go_upward_only(versions, expected):
     state = build_state()
     for version in versions:
-        put_in_force(
+        activate_configuration(
             state, msgspec.json.encode(build_configuration(version)), by="store"
         )
     assert state.configuration.version == expected
@@ -49,8 +49,10 @@
 
 def test_an_unreadable_configuration_leaves_the_last_one():
     state = build_state()
-    put_in_force(state, msgspec.json.encode(build_configuration(2)), by="store")
-    put_in_force(state, b'{"Version": 3, "Routes": 1}', by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(2)), by="store"
+    )
+    activate_configuration(state, b'{"Version": 3, "Routes": 1}', by="store")
     assert state.configuration.version == 2
 
 
@@ -175,7 +177,7 @@
     """As servers are told to load, their entries change one after another. Each change
     ended a call of each instance, and calls to the store are rationed. A
     configuration is never kept waiting."""
-    monkeypatch.setattr(following, "GATHER_MS", 100)
+    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 100)
 
     async def scenario():
         state = build_state()
@@ -268,7 +270,7 @@
 def test_servers_are_followed_on_after_a_break(monkeypatch):
     """Each row of a server matters, and what was removed shows in the changes only."""
     monkeypatch.setattr(following, "RETRY_MS", 1)
-    monkeypatch.setattr(following, "GATHER_MS", 0)
+    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 0)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, _in_force = follow_script(follow_servers, (1,), swallowed, (5, 6))
     assert calls == ["read", 1, 1, 6]
@@ -297,7 +299,7 @@
 ):
     """Guards against instances that read all rows again and again without a pause,
     until the store turns them all away."""
-    monkeypatch.setattr(following, "GATHER_MS", 0)
+    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
         state = build_state()
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -10,7 +10,7 @@
 
 from arbutuspulley.admission.freshness import MOST_MARKS, Freshness, Marks
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import CoordinatorStatus, Heartbeat, Hello
 from arbutuspulley.node.peers import Peers
@@ -22,7 +22,9 @@
 def build_instance(now, *, version=1, **settings):
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
     state.store = SimpleNamespace(is_failing=False, is_recent=False)
-    put_in_force(state, msgspec.json.encode(build_configuration(version)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(version)), by="store"
+    )
     return state
 
 
@@ -102,7 +104,9 @@
     link.build_heartbeat()
     link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
-    put_in_force(there, msgspec.json.encode(build_configuration(2)), by="store")
+    activate_configuration(
+        there, msgspec.json.encode(build_configuration(2)), by="store"
+    )
     link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at == 1_000
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,7 +4,10 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.following import put_in_force, take_configuration
+from arbutuspulley.node.following import (
+    activate_configuration,
+    apply_configuration_rows,
+)
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
     ConfigurationDelta,
@@ -81,16 +84,16 @@
     now = [0]
     clock = Clock(read=lambda: now[0])
     state = build_state(clock=clock)
-    put_in_force(state, encode_configuration(1, routes=routes), by="store")
+    activate_configuration(state, encode_configuration(1, routes=routes), by="store")
     relay = Relay(state=state)
     peers = Peers(state=state, relay=relay, receive_local=lambda _messages: None)
     relay.begin()
-    state.on_news.append(peers.tell_news)
+    state.on_store_update.append(peers.tell_news)
     links = {}
     for number in range(59):
         other = build_state(clock=clock, name=f"n{number}")
         links[other.settings.name] = link = Link(state=other)
-        put_in_force(other, state.configuration_body, by="store")
+        activate_configuration(other, state.configuration_body, by="store")
         # As a link begins: what goes over the wire and back is all that is known.
         (hello,) = decode_from_node(encode_frame([link.build_hello()]))
         peers.add(hello)
@@ -102,7 +105,7 @@
             version=version,
             value=encode_configuration(version, routes=routes),
         )
-        state.tell_news(take_configuration(state, [row]))
+        state.notify_store_update(apply_configuration_rows(state, [row]))
         told_at[version] = now[0]
         for _ in range(10):
             now[0] += 25
@@ -127,7 +130,7 @@
 def build_peers(version):
     """Build a coordinator's peers; a configuration of this version is in force."""
     state = build_state()
-    put_in_force(state, encode_configuration(version, routes=9), by="store")
+    activate_configuration(state, encode_configuration(version, routes=9), by="store")
     relay = Relay(state=state)
     return state, Peers(state=state, relay=relay, receive_local=lambda _: None)
 
@@ -139,7 +142,7 @@
     state, peers = build_peers(5)
     other = build_state(name="x")
     if known:
-        put_in_force(other, encode_configuration(known, routes=9), by="store")
+        activate_configuration(other, encode_configuration(known, routes=9), by="store")
     hello = Hello(
         info=build_info("x"), configuration=known, reads_updates=reads_updates
     )
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,13 +11,13 @@
 from arbutuspulley.clock import Clock
 from arbutuspulley.node import following
 from arbutuspulley.node.following import (
-    FOLLOWED_MS,
-    LOOK_EVERY_MS,
-    MOST_FALLBACK_MS,
+    FOLLOW_TIMEOUT_MS,
+    MAX_FALLBACK_DELAY_MS,
+    RELAY_POLL_MS,
+    activate_configuration,
+    apply_store_update,
     follow_servers,
-    is_followed,
-    put_in_force,
-    take_news,
+    is_following_store,
 )
 from arbutuspulley.node.link import HEARTBEAT_MS, Link
 from arbutuspulley.node.messages import (
@@ -29,7 +29,7 @@
     decode_from_coordinator,
 )
 from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS, Relay
-from arbutuspulley.node.server_rows import list_rows, take_servers
+from arbutuspulley.node.server_rows import apply_server_rows, list_rows
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import RowsAnswer, StoredRow
 from scripts.platform_stage import build_configuration
@@ -71,38 +71,38 @@
     for order in itertools.permutations(rows):
         state = build_state()
         for row in (*order, order[0]):
-            take_news(state, StoreUpdate(rows=(row,)), by="coordinator")
+            apply_store_update(state, StoreUpdate(rows=(row,)), by="coordinator")
         assert get_view(state) == {"b": (False, ("m0",))}
 
 
 def test_a_whole_reading_drops_nothing_that_is_newer():
     """All rows are read while the relay tells of a server that has just come."""
     state = build_state()
-    take_news(
+    apply_store_update(
         state,
         StoreUpdate(rows=(build_row("new", 9), build_row("old", 3))),
         by="coordinator",
     )
     read = [StoredRow(key="c", version=4, value=build_value())]
-    take_servers(state, read, is_whole=True, was_away=False, version=8)
+    apply_server_rows(state, read, is_whole=True, was_away=False, version=8)
     assert set(state.entries) == {"new", "c"}
 
 
 def test_only_what_was_new_is_handed_on():
     state = build_state()
     first = StoreUpdate(rows=(build_row("a", 1), build_row("b", 2)))
-    assert take_news(state, first, by="coordinator").rows == first.rows
+    assert apply_store_update(state, first, by="coordinator").rows == first.rows
     again = StoreUpdate(rows=(*first.rows, build_row("a", 3, state="draining")))
-    assert [one.version for one in take_news(state, again, by="coordinator").rows] == [
-        3
-    ]
+    assert [
+        one.version for one in apply_store_update(state, again, by="coordinator").rows
+    ] == [3]
 
 
 def test_configurations_go_upward_only_by_relay_too():
     state = build_state()
     bodies = [msgspec.json.encode(build_configuration(one)) for one in (4, 3, 4)]
     told = [
-        take_news(state, StoreUpdate(configuration=one), by="coordinator")
+        apply_store_update(state, StoreUpdate(configuration=one), by="coordinator")
         for one in bodies
     ]
     assert [bool(one.configuration) for one in told] == [True, False, False]
@@ -122,10 +122,12 @@
     matters to instances that ask the coordinator."""
     now = [0]
     state, relay = build_relay(now=now)
-    come = take_news(state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator")
+    come = apply_store_update(
+        state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator"
+    )
     assert relay.select(come).rows == come.rows
     state.store_version = 2
-    held = take_news(
+    held = apply_store_update(
         state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     assert relay.select(held) is None
@@ -135,7 +137,10 @@
     assert relay.flush(QUIET_MS).rows == held.rows
     assert relay.store_version == 2
     drains = StoreUpdate(rows=(build_row("a", 3, state="draining"),))
-    assert relay.select(take_news(state, drains, by="coordinator")).rows == drains.rows
+    assert (
+        relay.select(apply_store_update(state, drains, by="coordinator")).rows
+        == drains.rows
+    )
 
 
 def test_what_is_told_of_servers_is_bounded_and_the_oldest_goes_first():
@@ -143,9 +148,9 @@
     link, where 4 are for control."""
     state, relay = build_relay(now=[0])
     rows = tuple(build_row(f"s{one:02}", one + 1) for one in range(80))
-    take_news(state, StoreUpdate(rows=rows), by="coordinator")
+    apply_store_update(state, StoreUpdate(rows=rows), by="coordinator")
     held = tuple(build_row(f"s{one:02}", one + 81, models=("m0",)) for one in range(80))
-    relay.select(take_news(state, StoreUpdate(rows=held), by="coordinator"))
+    relay.select(apply_store_update(state, StoreUpdate(rows=held), by="coordinator"))
     state.store_version = 160
     told = relay.flush(QUIET_MS).rows
     assert sum(len(row.value) for row in told) <= QUIET_BYTES
@@ -157,12 +162,12 @@
 
 def test_a_row_that_was_held_back_gives_way_to_a_newer_one():
     state, relay = build_relay(now=[0])
-    take_news(state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator")
-    quiet = take_news(
+    apply_store_update(state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator")
+    quiet = apply_store_update(
         state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     relay.select(quiet)
-    gone = take_news(
+    gone = apply_store_update(
         state, StoreUpdate(rows=(RelayedRow(key="a", version=3),)), by="coordinator"
     )
     assert relay.select(gone).rows == gone.rows
@@ -171,9 +176,11 @@
 
 def test_an_instance_that_links_up_is_told_what_it_misses():
     state, relay = build_relay(now=[0])
-    put_in_force(state, msgspec.json.encode(build_configuration(5)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(5)), by="store"
+    )
     rows = (build_row("a", 1), build_row("b", 2), RelayedRow(key="c", version=7))
-    take_news(state, StoreUpdate(rows=rows), by="coordinator")
+    apply_store_update(state, StoreUpdate(rows=rows), by="coordinator")
     info = build_info("x")
     news = relay.build_catch_up(Hello(info=info, store_version=1, configuration=4))
     assert {one.key for one in news.rows} == {"b", "c"}
@@ -181,7 +188,9 @@
         relay.build_catch_up(Hello(info=info, store_version=7, configuration=5)) is None
     )
     other = build_state()
-    take_news(other, StoreUpdate(rows=list_rows(state, after=0)), by="coordinator")
+    apply_store_update(
+        other, StoreUpdate(rows=list_rows(state, after=0)), by="coordinator"
+    )
     assert get_view(other) == get_view(state)
 
 
@@ -224,9 +233,9 @@
 def test_an_instance_asks_the_store_only_while_it_is_not_told(monkeypatch):
     """Each of 72 instances kept two calls open at the store, 10,000 calls in a calm
     minute. They ask when the relay is lost, from where it left off."""
-    monkeypatch.setattr(following, "LOOK_EVERY_MS", 1)
-    monkeypatch.setattr(following, "LEAST_FALLBACK_MS", 2)
-    monkeypatch.setattr(following, "MOST_FALLBACK_MS", 4)
+    monkeypatch.setattr(following, "RELAY_POLL_MS", 1)
+    monkeypatch.setattr(following, "MIN_FALLBACK_DELAY_MS", 2)
+    monkeypatch.setattr(following, "MAX_FALLBACK_DELAY_MS", 4)
 
     async def scenario():
         state = build_state()
@@ -257,9 +266,11 @@
     """All instances start, and each asked the store for changes before it had heard of
     the coordinator that tells it: a third of all calls of a calm day. If it hears of
     none it asks the store after a moment."""
-    monkeypatch.setattr(following, "LOOK_EVERY_MS", 1)
-    monkeypatch.setattr(following, "FIRST_RELAY_MS", 30_000 if found else 500)
-    monkeypatch.setattr(following, "GATHER_MS", 0)
+    monkeypatch.setattr(following, "RELAY_POLL_MS", 1)
+    monkeypatch.setattr(
+        following, "FIRST_COORDINATOR_WAIT_MS", 30_000 if found else 500
+    )
+    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
         state = build_state()
@@ -315,7 +326,7 @@
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
     state.store = SimpleNamespace(is_failing=False, is_recent=False)
     if version:
-        put_in_force(state, encode_version(version), by="store")
+        activate_configuration(state, encode_version(version), by="store")
     return now, state, Link(state=state)
 
 
@@ -332,7 +343,7 @@
     _now, state, link = build_link(4)
     link.receive([build_digest(configuration=5)])
     assert not link.is_store_relayed
-    put_in_force(state, encode_version(5), by="store")
+    activate_configuration(state, encode_version(5), by="store")
     assert link.is_store_relayed
 
 
@@ -356,7 +367,7 @@
             break
     assert link.is_up
     assert not link.is_store_relayed
-    wait = lost_after + LOOK_EVERY_MS + MOST_FALLBACK_MS
+    wait = lost_after + RELAY_POLL_MS + MAX_FALLBACK_DELAY_MS
     assert wait < IN_FORCE_WITHIN_MS
 
 
@@ -375,10 +386,10 @@
     link = Link(state=state)
     news = StoreUpdate(rows=(build_row("a", 1),))
     link.receive([CoordinatorStatus(is_holder=True, is_store_followed=True)])
-    state.tell_news(news)
+    state.notify_store_update(news)
     assert link._outgoing == []
     link.receive([CoordinatorStatus(is_holder=True, followers=("own",))])
-    state.tell_news(news)
+    state.notify_store_update(news)
     assert link._outgoing == [news]
 
 
@@ -393,7 +404,7 @@
     """Guards against a new coordinator that is cut off from the store and holds all
     others back, though one of them was told by the store before the link was there."""
     _now, state, link = build_link(4)
-    put_in_force(state, encode_version(5), by="store")
+    activate_configuration(state, encode_version(5), by="store")
     link.reset_coordinator_state()
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == [(4, 5)]
@@ -412,7 +423,7 @@
     link.receive([build_digest(configuration=4, followers=("own",))])
     assert take_update_of(link) == []
     row = StoredRow(key=names.CONFIGURATION_KEY, version=9, value=encode_version(6))
-    state.tell_news(following.take_configuration(state, [row]))
+    state.notify_store_update(following.apply_configuration_rows(state, [row]))
     assert take_update_of(link) == [(4, 6)]
 
 
@@ -432,25 +443,25 @@
     _now, state, link = build_link()
     link.receive([build_digest(followers=("own",))])
     link._outgoing.clear()
-    state.tell_lost()
+    state.notify_store_lost()
     (beat,) = link._outgoing
     assert not beat.follows_store
 
 
 @pytest.mark.parametrize(("instances", "longest"), [(0, 160), (6, 210), (400, 600)])
 def test_few_instances_ask_the_store_soon_and_many_spread_out(instances, longest):
-    assert following.get_longest_fallback(instances) == longest
+    assert following.get_max_fallback_delay_ms(instances) == longest
 
 
 def test_a_table_that_has_long_told_nothing_is_not_followed():
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]))
-    assert not is_followed(state)
-    state.followed = {names.OPERATOR_TABLE: 0, names.SERVERS_TABLE: 0}
-    now[0] = FOLLOWED_MS - 1
-    assert is_followed(state)
-    now[0] = FOLLOWED_MS
-    assert not is_followed(state)
+    assert not is_following_store(state)
+    state.followed_at = {names.OPERATOR_TABLE: 0, names.SERVERS_TABLE: 0}
+    now[0] = FOLLOW_TIMEOUT_MS - 1
+    assert is_following_store(state)
+    now[0] = FOLLOW_TIMEOUT_MS
+    assert not is_following_store(state)
 
 
 def encode(*messages):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("numbers", CHANGES.values(), ids=CHANGES)
 def test_an_update_leads_to_the_newer_version(numbers):
     old, new = encode(1, ALL), encode(2, numbers)
-    update = know(old, new).build(1)
+    update = know(old, new).build_delta(1)
     (sent,) = decode_from_coordinator(encode_frame([update]))
     assert know(old).apply(sent) == new
 
@@ -56,7 +56,7 @@
 )
 def test_an_update_is_as_large_as_what_changed(change):
     """Guards against changes of one route that take a link as all routes do."""
-    update = know(encode(1, ALL), encode(2, CHANGES[change])).build(1)
+    update = know(encode(1, ALL), encode(2, CHANGES[change])).build_delta(1)
     assert len(encode_frame([update])) < 500
 
 
@@ -64,7 +64,7 @@
     new = encode(9, ALL)
     versions = Versions()
     versions.add(9, new)
-    update = versions.build(4)
+    update = versions.build_delta(4)
     assert update.base == 0
     assert len(encode_frame([update])) < len(new) / 5
     assert Versions().apply(update) == new
@@ -72,7 +72,7 @@
 
 def test_an_update_for_another_content_is_refused():
     """Guards against a configuration that nobody has written."""
-    update = know(encode(1, ALL), encode(2, [*ALL, 400])).build(1)
+    update = know(encode(1, ALL), encode(2, [*ALL, 400])).build_delta(1)
     assert know(encode(1, ALL[1:])).apply(update) is None
     assert Versions().apply(update) is None
 
@@ -84,14 +84,14 @@
         old, new = (
             b"".join(chance.choices(alphabet, k=chance.randrange(30))) for _ in range(2)
         )
-        update = know(old, new).build(1)
+        update = know(old, new).build_delta(1)
         assert know(old).apply(update) == new
 
 
 def test_damaged_updates_are_refused_or_lead_to_the_right_version():
     chance = random.Random(6)
     old, new = encode(1, ALL[:20]), encode(2, ALL[:21])
-    frame = encode_frame([know(old, new).build(1)])
+    frame = encode_frame([know(old, new).build_delta(1)])
     for _ in range(2_000):
         damaged = bytearray(frame)
         damaged[chance.randrange(len(damaged))] = chance.randrange(256)
@@ -107,7 +107,7 @@
 def test_a_text_that_repeats_itself_takes_no_longer():
     """Guards against comparisons that take the square of the parts' number."""
     old = b'{"Weight":1},' * 60_000
-    update = know(old, old + b"{}").build(1)
+    update = know(old, old + b"{}").build_delta(1)
     assert know(old).apply(update) == old + b"{}"
 
 
