--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -1,10 +1,10 @@
 """Gets a server for a request, from the coordinator or without, and pays for it."""
 
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts, Payment
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import AttemptEnded, Granted, GrantRequest
+from arbutuspulley.node.pending_requests import LinkLostError, RefusedError
 from arbutuspulley.node.progress import (
     MOST_REFUSED,
     Progress,
@@ -12,7 +12,7 @@
     get_patience,
     get_priority,
 )
-from arbutuspulley.node.questions import LinkLostError, RefusedError
+from arbutuspulley.node.quota_charging import Accounts, Payment
 from arbutuspulley.node.server_choice import CoordinatorFoundError, ServerChoice
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import (
--- a/src/arbutuspulley/node/neighbours.py
+++ b/src/arbutuspulley/node/bootstrap.py
@@ -12,10 +12,10 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import Message
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.server_rows import load_entries
 from arbutuspulley.node.state import NodeState
+from arbutuspulley.node.store_watch import activate_configuration
 
 SNAPSHOT_PATH = "/snapshot"
 """Path at an instance's link address."""
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -24,7 +24,6 @@
     may_order,
     may_order_on,
 )
-from arbutuspulley.node.following import apply_configuration_delta, apply_store_update
 from arbutuspulley.node.intake import (
     build_waiting,
     drop_instance,
@@ -62,6 +61,7 @@
 from arbutuspulley.node.relay import Relay
 from arbutuspulley.node.reports import Reports
 from arbutuspulley.node.state import NodeState
+from arbutuspulley.node.store_watch import apply_configuration_delta, apply_store_update
 from arbutuspulley.platform.engines import ORDER_TIMEOUT_MS
 from arbutuspulley.pool.answers import (
     PlannedOrder,
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -10,7 +10,6 @@
 from arbutuspulley.delivery.stream import EventCutter, count_events, cut_events
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.acquisition import Acquisition, NoServerError, RetryError
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
@@ -25,6 +24,7 @@
     Progress,
     RequestFailedError,
 )
+from arbutuspulley.node.quota_charging import Accounts
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import (
     build_headers,
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -8,12 +8,12 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.exchange import Exchange
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.progress import CutError, RequestFailedError
+from arbutuspulley.node.quota_charging import Accounts
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import build_refusal_headers, decode_request
 from arbutuspulley.ports.fleet import InboundRequest
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -6,7 +6,7 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import PermissionRequest, ServerLimit, ServerLimits
-from arbutuspulley.node.questions import LinkLostError, RefusedError
+from arbutuspulley.node.pending_requests import LinkLostError, RefusedError
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import read_server_limit
 from arbutuspulley.ports.fleet import InboundRequest, ServerEntry
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -10,11 +10,6 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.confirmation import Confirmation
 from arbutuspulley.node.echo import Echo
-from arbutuspulley.node.following import (
-    apply_configuration_delta,
-    apply_store_update,
-    is_following_store,
-)
 from arbutuspulley.node.messages import (
     AttemptEnded,
     CancelRequest,
@@ -40,9 +35,14 @@
     decode_from_coordinator,
     encode_frame,
 )
-from arbutuspulley.node.questions import LinkLostError, Questions, RefusedError
+from arbutuspulley.node.pending_requests import LinkLostError, Questions, RefusedError
 from arbutuspulley.node.roster import RosterCopy, apply_change
 from arbutuspulley.node.state import NodeState
+from arbutuspulley.node.store_watch import (
+    apply_configuration_delta,
+    apply_store_update,
+    is_following_store,
+)
 from arbutuspulley.ports.fleet import TryEnd
 from arbutuspulley.rpc.messages import Suspicion
 
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -6,7 +6,6 @@
 
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.callers import count_takers
-from arbutuspulley.node.following import is_following_store
 from arbutuspulley.node.link import COORDINATOR_TIMEOUT_MS
 from arbutuspulley.node.messages import (
     CoordinatorEstimates,
@@ -22,6 +21,7 @@
 from arbutuspulley.node.relay import Relay
 from arbutuspulley.node.roster import RosterState, build_whole, select_view, take_view
 from arbutuspulley.node.state import NodeState
+from arbutuspulley.node.store_watch import is_following_store
 
 SUCCESSORS = 4
 """Instances that are told what the coordinator has learnt, the best placed: one of them
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -4,7 +4,6 @@
 
 from arbutuspulley.admission.quota import QuotaLedger, build_limits, get_lost_part
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.node.accounts import build_tolerance
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
 from arbutuspulley.node.messages import (
     GrantRequest,
@@ -13,6 +12,7 @@
     QuotaUsage,
     Refused,
 )
+from arbutuspulley.node.quota_charging import build_tolerance
 from arbutuspulley.node.state import NodeState
 
 LOST_MS = 20 * SECOND_MS
@@ -28,8 +28,8 @@
     """The ledger, and which part of each quota it may give out.
 
     An instance that is not linked serves on by its own part of each quota, see
-    :class:`~arbutuspulley.node.accounts.Accounts`. That part is not given out here, as
-    long as it may last.
+    :class:`~arbutuspulley.node.quota_charging.Accounts`. That part is not given out
+    here, as long as it may last.
     """
 
     __slots__ = ("_began_at", "_known", "_ledger", "_linked", "_lost", "_state")
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -14,22 +14,22 @@
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.events import Event, log_event, set_up_stdout_logging
 from arbutuspulley.membership.coordinator import CoordinatorState
+from arbutuspulley.node.bootstrap import (
+    SNAPSHOT_PATH,
+    bootstrap_from_neighbours,
+    build_snapshot,
+)
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.directory import Directory
 from arbutuspulley.node.election import Election
-from arbutuspulley.node.following import follow_configuration, follow_servers
 from arbutuspulley.node.frontend import Frontend
 from arbutuspulley.node.link import LINK_PATH, Link
 from arbutuspulley.node.metrics import NodeMetrics
-from arbutuspulley.node.neighbours import (
-    SNAPSHOT_PATH,
-    bootstrap_from_neighbours,
-    build_snapshot,
-)
 from arbutuspulley.node.poison import PoisonGuard
-from arbutuspulley.node.reloading import Reloader
+from arbutuspulley.node.settings_reload import Reloader
+from arbutuspulley.node.shutdown import stop_gracefully
 from arbutuspulley.node.state import NodeState
-from arbutuspulley.node.stopping import stop_gracefully
+from arbutuspulley.node.store_watch import follow_configuration, follow_servers
 from arbutuspulley.platform.settings import find_settings, read_settings
 from arbutuspulley.platform.store import StoreClient
 from arbutuspulley.platform.transport import open_order_session, open_session
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -5,8 +5,8 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.progress import RequestFailedError
+from arbutuspulley.node.store_watch import activate_configuration
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.routing.table import find_route
 from scripts.platform_stage import HOST, build_configuration, build_route
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -7,9 +7,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.acquisition import Acquisition, NoServerError
-from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
@@ -21,6 +19,8 @@
     Refused,
 )
 from arbutuspulley.node.progress import Progress, RequestFailedError
+from arbutuspulley.node.quota_charging import Accounts
+from arbutuspulley.node.store_watch import activate_configuration
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import Holding, ServerEntry, TryEnd
 from arbutuspulley.routing.table import find_route
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,7 +6,7 @@
 from arbutuspulley.admission.keys import build_keys
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.directory import FRESH_MS, Directory
-from arbutuspulley.node.following import activate_configuration
+from arbutuspulley.node.store_watch import activate_configuration
 from scripts.platform_stage import build_configuration
 from tests.node_states import build_info, build_state
 
--- a/tests/test_echo.py
+++ b/tests/test_echo.py
@@ -5,11 +5,11 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.echo import Echo
-from arbutuspulley.node.following import activate_configuration
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import CoordinatorStatus, Heartbeat, Hello
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
+from arbutuspulley.node.store_watch import activate_configuration
 from scripts.platform_stage import build_configuration
 from tests.node_states import build_info, build_state
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,10 +4,6 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.following import (
-    activate_configuration,
-    apply_configuration_rows,
-)
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
     ConfigurationDelta,
@@ -20,6 +16,10 @@
 )
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
+from arbutuspulley.node.store_watch import (
+    activate_configuration,
+    apply_configuration_rows,
+)
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import StoredRow
 from scripts.platform_stage import build_configuration, build_route
--- a/tests/test_accounts.py
+++ b/tests/test_quota_charging.py
@@ -4,7 +4,6 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
     CoordinatorStatus,
@@ -13,6 +12,7 @@
     QuotaUsage,
 )
 from arbutuspulley.node.progress import RequestFailedError
+from arbutuspulley.node.quota_charging import Accounts
 from arbutuspulley.node.quotas import Quotas, get_part
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import FleetConfiguration, ModelNeed, Team
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,16 +9,7 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node import following
-from arbutuspulley.node.following import (
-    FOLLOW_TIMEOUT_MS,
-    MAX_FALLBACK_DELAY_MS,
-    RELAY_POLL_MS,
-    activate_configuration,
-    apply_store_update,
-    follow_servers,
-    is_following_store,
-)
+from arbutuspulley.node import store_watch
 from arbutuspulley.node.link import HEARTBEAT_MS, Link
 from arbutuspulley.node.messages import (
     ConfigurationDelta,
@@ -30,6 +21,15 @@
 )
 from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS, Relay
 from arbutuspulley.node.server_rows import apply_server_rows, list_rows
+from arbutuspulley.node.store_watch import (
+    FOLLOW_TIMEOUT_MS,
+    MAX_FALLBACK_DELAY_MS,
+    RELAY_POLL_MS,
+    activate_configuration,
+    apply_store_update,
+    follow_servers,
+    is_following_store,
+)
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import RowsAnswer, StoredRow
 from scripts.platform_stage import build_configuration
@@ -233,9 +233,9 @@
 def test_an_instance_asks_the_store_only_while_it_is_not_told(monkeypatch):
     """Each of 72 instances kept two calls open at the store, 10,000 calls in a calm
     minute. They ask when the relay is lost, from where it left off."""
-    monkeypatch.setattr(following, "RELAY_POLL_MS", 1)
-    monkeypatch.setattr(following, "MIN_FALLBACK_DELAY_MS", 2)
-    monkeypatch.setattr(following, "MAX_FALLBACK_DELAY_MS", 4)
+    monkeypatch.setattr(store_watch, "RELAY_POLL_MS", 1)
+    monkeypatch.setattr(store_watch, "MIN_FALLBACK_DELAY_MS", 2)
+    monkeypatch.setattr(store_watch, "MAX_FALLBACK_DELAY_MS", 4)
 
     async def scenario():
         state = build_state()
@@ -266,11 +266,11 @@
     """All instances start, and each asked the store for changes before it had heard of
     the coordinator that tells it: a third of all calls of a calm day. If it hears of
     none it asks the store after a moment."""
-    monkeypatch.setattr(following, "RELAY_POLL_MS", 1)
+    monkeypatch.setattr(store_watch, "RELAY_POLL_MS", 1)
     monkeypatch.setattr(
-        following, "FIRST_COORDINATOR_WAIT_MS", 30_000 if found else 500
+        store_watch, "FIRST_COORDINATOR_WAIT_MS", 30_000 if found else 500
     )
-    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 0)
+    monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
         state = build_state()
@@ -423,7 +423,7 @@
     link.receive([build_digest(configuration=4, followers=("own",))])
     assert take_update_of(link) == []
     row = StoredRow(key=names.CONFIGURATION_KEY, version=9, value=encode_version(6))
-    state.notify_store_update(following.apply_configuration_rows(state, [row]))
+    state.notify_store_update(store_watch.apply_configuration_rows(state, [row]))
     assert take_update_of(link) == [(4, 6)]
 
 
@@ -450,7 +450,7 @@
 
 @pytest.mark.parametrize(("instances", "longest"), [(0, 160), (6, 210), (400, 600)])
 def test_few_instances_ask_the_store_soon_and_many_spread_out(instances, longest):
-    assert following.get_max_fallback_delay_ms(instances) == longest
+    assert store_watch.get_max_fallback_delay_ms(instances) == longest
 
 
 def test_a_table_that_has_long_told_nothing_is_not_followed():
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -11,8 +11,8 @@
 from arbutuspulley.node.server_choice import ServerChoice
 from arbutuspulley.routing.local import get_record
 from tests.node_states import build_state
-from tests.test_alone import ROUTE
 from tests.test_local_choice import A, B
+from tests.test_without_coordinator import ROUTE
 
 
 def build_choice(state, *, avoid=()):
--- a/tests/test_following.py
+++ b/tests/test_store_watch.py
@@ -7,13 +7,13 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.events import Event
-from arbutuspulley.node import following, server_rows
-from arbutuspulley.node.following import (
+from arbutuspulley.node import server_rows, store_watch
+from arbutuspulley.node.server_rows import apply_server_rows
+from arbutuspulley.node.store_watch import (
     activate_configuration,
     follow_configuration,
     follow_servers,
 )
-from arbutuspulley.node.server_rows import apply_server_rows
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import HistoryLostError, RowsAnswer, StoredRow
 from arbutuspulley.results import PlatformUnavailableError
@@ -177,7 +177,7 @@
     """As servers are told to load, their entries change one after another. Each change
     ended a call of each instance, and calls to the store are rationed. A
     configuration is never kept waiting."""
-    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 100)
+    monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 100)
 
     async def scenario():
         state = build_state()
@@ -248,7 +248,7 @@
 def test_after_a_break_the_newest_configuration_is_asked_for(monkeypatch):
     """Guards against a link that is filled by all versions that came in the break, so
     that the newest is in force seconds late, again and again."""
-    monkeypatch.setattr(following, "RETRY_MS", 1)
+    monkeypatch.setattr(store_watch, "RETRY_MS", 1)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, in_force = follow_script(
         follow_configuration, (1,), (2,), swallowed, swallowed, (30,)
@@ -269,8 +269,8 @@
 
 def test_servers_are_followed_on_after_a_break(monkeypatch):
     """Each row of a server matters, and what was removed shows in the changes only."""
-    monkeypatch.setattr(following, "RETRY_MS", 1)
-    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 0)
+    monkeypatch.setattr(store_watch, "RETRY_MS", 1)
+    monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, _in_force = follow_script(follow_servers, (1,), swallowed, (5, 6))
     assert calls == ["read", 1, 1, 6]
@@ -299,7 +299,7 @@
 ):
     """Guards against instances that read all rows again and again without a pause,
     until the store turns them all away."""
-    monkeypatch.setattr(following, "CHANGE_BATCH_MS", 0)
+    monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
         state = build_state()
