--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -12,7 +12,7 @@
     get_patience,
     get_priority,
 )
-from arbutuspulley.node.quota_charging import Accounts, Payment
+from arbutuspulley.node.quota_charging import Payment, QuotaCharger
 from arbutuspulley.node.server_choice import CoordinatorFoundError, ServerChoice
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import (
@@ -70,7 +70,7 @@
         state: NodeState,
         link: Link,
         access: Access,
-        accounts: Accounts,
+        accounts: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -12,10 +12,10 @@
 """How long callers keep an answer, in s. Some keep it three times as long: after 3 s an
 instance that stops is out of use, and from then on it takes no more streams."""
 
-MOST_NAMED = 64
+MAX_ADDRESSES = 64
 """Most addresses in an answer; callers read no more."""
 
-FRESH_MS = 5_000
+ROSTER_TIMEOUT_MS = 5_000
 """How long a list of instances is believed in, in ms, when no newer one comes."""
 
 
@@ -63,7 +63,10 @@
     def _list_ready(self) -> list[NodeInfo]:
         state = self._state
         nodes: list[NodeInfo] = []
-        if state.clock.now() - state.nodes_updated_at < FRESH_MS or not state.may_admit:
+        if (
+            state.clock.now() - state.nodes_updated_at < ROSTER_TIMEOUT_MS
+            or not state.may_admit
+        ):
             nodes = [
                 node
                 for node in state.nodes
@@ -76,4 +79,4 @@
 
 
 def _name(nodes: list[NodeInfo]) -> list[str]:
-    return [one.frontend for one in nodes[:MOST_NAMED]]
+    return [one.frontend for one in nodes[:MAX_ADDRESSES]]
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -24,7 +24,7 @@
     Progress,
     RequestFailedError,
 )
-from arbutuspulley.node.quota_charging import Accounts
+from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import (
     build_headers,
@@ -85,7 +85,7 @@
         link: Link,
         poison: PoisonGuard,
         access: Access,
-        accounts: Accounts,
+        accounts: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -13,7 +13,7 @@
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.progress import CutError, RequestFailedError
-from arbutuspulley.node.quota_charging import Accounts
+from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import build_refusal_headers, decode_request
 from arbutuspulley.ports.fleet import InboundRequest
@@ -37,7 +37,7 @@
     __slots__ = ("_accounts", "_limits", "_link", "_poison", "_state")
 
     def __init__(self, *, state: NodeState, link: Link, poison: PoisonGuard) -> None:
-        self._accounts = Accounts(state=state, link=link)
+        self._accounts = QuotaCharger(state=state, link=link)
         self._limits = LimitGuard(state=state, link=link)
         self._state = state
         self._link = link
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -35,7 +35,7 @@
     )
 
 
-class Accounts:
+class QuotaCharger:
     """Pays for requests.
 
     The coordinator charges a request as it is asked for a server. Requests that need no
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -28,7 +28,7 @@
     """The ledger, and which part of each quota it may give out.
 
     An instance that is not linked serves on by its own part of each quota, see
-    :class:`~arbutuspulley.node.quota_charging.Accounts`. That part is not given out
+    :class:`~arbutuspulley.node.quota_charging.QuotaCharger`. That part is not given out
     here, as long as it may last.
     """
 
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -19,7 +19,7 @@
     Refused,
 )
 from arbutuspulley.node.progress import Progress, RequestFailedError
-from arbutuspulley.node.quota_charging import Accounts
+from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.store_watch import activate_configuration
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import Holding, ServerEntry, TryEnd
@@ -82,7 +82,7 @@
             state=self.state,
             link=self.link,
             access=access,
-            accounts=Accounts(state=self.state, link=self.link),
+            accounts=QuotaCharger(state=self.state, link=self.link),
             limits=LimitGuard(state=self.state, link=self.link),
             route=route,
             request=request,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.admission.repeats import RepeatBudget, note_request, take_repeat
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
-from arbutuspulley.node.directory import MOST_NAMED, Directory
+from arbutuspulley.node.directory import MAX_ADDRESSES, Directory
 from arbutuspulley.routing.local import get_most_in_flight
 from tests.node_states import build_info, build_state
 from tests.test_directory import build_ready
@@ -108,4 +108,4 @@
     state = build_ready(now=[10])
     state.nodes, state.nodes_updated_at = tuple(build_area(*[1.0] * 100)), 10
     named = Directory(state=state).list_addresses(site="a1", region="a")
-    assert len(named) == MOST_NAMED
+    assert len(named) == MAX_ADDRESSES
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.admission.keys import build_keys
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.directory import FRESH_MS, Directory
+from arbutuspulley.node.directory import ROSTER_TIMEOUT_MS, Directory
 from arbutuspulley.node.store_watch import activate_configuration
 from scripts.platform_stage import build_configuration
 from tests.node_states import build_info, build_state
@@ -51,7 +51,7 @@
     now = [10]
     state = build_ready(now=now)
     state.nodes, state.nodes_updated_at = NODES, 10
-    now[0] += FRESH_MS
+    now[0] += ROSTER_TIMEOUT_MS
     directory = Directory(state=state)
     assert directory.list_addresses(site="b1", region="b") == ["own:1"]
 
@@ -80,7 +80,7 @@
     state.freshness.confirm(10, source="store")
     directory = Directory(state=state)
     assert "own:1" in directory.list_addresses(site="a1", region="a")
-    now[0] += FRESH_MS
+    now[0] += ROSTER_TIMEOUT_MS
     named = directory.list_addresses(site="a1", region="a")
     assert {address.partition(":")[0] for address in named} == {"n1", "n2"}
     state.nodes = ()
--- a/tests/test_quota_charging.py
+++ b/tests/test_quota_charging.py
@@ -12,7 +12,7 @@
     QuotaUsage,
 )
 from arbutuspulley.node.progress import RequestFailedError
-from arbutuspulley.node.quota_charging import Accounts
+from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.quotas import Quotas, get_part
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import FleetConfiguration, ModelNeed, Team
@@ -39,7 +39,7 @@
         self.told = []
         if coordinates:
             self.link.deliver_local = self.told.extend
-        self.accounts = Accounts(state=self.state, link=self.link)
+        self.accounts = QuotaCharger(state=self.state, link=self.link)
 
     def pay(self, cost):
         return self.accounts.pay(TEAM, cost, attempt_id="a")
