--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -1,10 +1,10 @@
 """Gets a server for a request, from the coordinator or without, and pays for it."""
 
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts, Payment
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Ask, Ended, Granted
+from arbutuspulley.node.messages import AttemptEnded, Granted, GrantRequest
+from arbutuspulley.node.pending_requests import LinkLostError, RefusedError
 from arbutuspulley.node.progress import (
     MOST_REFUSED,
     Progress,
@@ -12,7 +12,7 @@
     get_patience,
     get_priority,
 )
-from arbutuspulley.node.questions import LinkLostError, RefusedError
+from arbutuspulley.node.quota_charging import Payment, QuotaCharger
 from arbutuspulley.node.server_choice import CoordinatorFoundError, ServerChoice
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import (
@@ -70,7 +70,7 @@
         state: NodeState,
         link: Link,
         access: Access,
-        accounts: Accounts,
+        accounts: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
@@ -136,9 +136,9 @@
         """Tell the coordinator how a try at a server ended."""
         if self._request.need is None:
             return
-        self._link.forget_run(self._request.attempt_id)
-        self._link.tell(
-            Ended(
+        self._link.remove_run(self._request.attempt_id)
+        self._link.send(
+            AttemptEnded(
                 key=self._request.attempt_id,
                 incarnation=incarnation,
                 how=how,
@@ -181,13 +181,13 @@
             raise RetryError
         return entry
 
-    def _build_ask(self, need: ModelNeed, now: int) -> Ask:
+    def _build_ask(self, need: ModelNeed, now: int) -> GrantRequest:
         progress, route, team = self._progress, self._route, self._access.team
         # A caller that has events waits for the next one, not for the first.
         is_begun = progress.first_ms is not None
         since = progress.last_event_at if is_begun else progress.started_at
         aim_ms = route.gap_target_ms if is_begun else route.latency_target_ms
-        return Ask(
+        return GrantRequest(
             key=self._request.attempt_id,
             service=progress.service,
             need=need,
@@ -202,12 +202,12 @@
             cost=0 if self._paid is not None else self._cost,
         )
 
-    async def _ask(self, ask: Ask) -> Granted:
+    async def _ask(self, ask: GrantRequest) -> Granted:
         """Ask the coordinator, which charges the request."""
         if ask.cost:
             self._paid = Payment(team=ask.team, cost=ask.cost, is_local=False)
         try:
-            granted = await self._link.ask(ask)
+            granted = await self._link.request_grant(ask)
         except LinkLostError:
             # Whether it was charged there is not known, and it counts as spent.
             if ask.cost:
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -24,7 +24,6 @@
     may_order,
     may_order_during_outage,
 )
-from arbutuspulley.node.following import take_news, take_update
 from arbutuspulley.node.intake import (
     build_waiting,
     drop_instance,
@@ -32,24 +31,24 @@
     take_running,
     take_withdrawal,
 )
-from arbutuspulley.node.link import BEAT_MS
+from arbutuspulley.node.link import HEARTBEAT_MS
 from arbutuspulley.node.messages import (
-    Ask,
-    Beat,
-    ConfigurationUpdate,
+    CancelRequest,
+    ConfigurationDelta,
+    CoordinatorEstimates,
     Granted,
+    GrantRequest,
+    Heartbeat,
     Hello,
-    Learnt,
     NodeInfo,
-    Permission,
+    PermissionRequest,
+    QuotaUsage,
     Refused,
     ServerLimit,
-    Spent,
-    StoreNews,
-    Suspected,
+    StoreUpdate,
+    SuspicionUpdate,
     ToCoordinator,
     ToNode,
-    Withdraw,
     decode_from_node,
 )
 from arbutuspulley.node.orders import Orders
@@ -62,6 +61,7 @@
 from arbutuspulley.node.relay import Relay
 from arbutuspulley.node.reports import Reports
 from arbutuspulley.node.state import NodeState
+from arbutuspulley.node.store_watch import apply_configuration_delta, apply_store_update
 from arbutuspulley.platform.engines import ORDER_TIMEOUT_MS
 from arbutuspulley.pool.answers import (
     PlannedOrder,
@@ -140,8 +140,8 @@
         self.acts = False
         self.alone_since: int | None = None
         state.on_change.append(self.take_change)
-        state.on_news.append(self._relay_news)
-        state.on_lost.append(self._tell_lost)
+        state.on_store_update.append(self._relay_news)
+        state.on_store_lost.append(self._tell_lost)
 
     def list_loads(self) -> dict[str, list[int]] | None:
         """Return when loads were ordered, by service; ``None`` if not coordinating."""
@@ -215,7 +215,7 @@
     def _build_pool(self, service: str, spec: EngineSpec) -> PoolState:
         """Build a pool that begins with what is known from holders before."""
         pool = PoolState(service=service, spec=spec)
-        inherited, learnt = self._inherited, self._state.learnt
+        inherited, learnt = self._inherited, self._state.estimates
         assume_loads(
             pool,
             inherited.loads.get(service, []),
@@ -232,7 +232,7 @@
         for message in messages:
             self._take_one(origin, message, now=now)
         # What was spent changes no decision on who goes to which server.
-        if any(not isinstance(message, Spent) for message in messages):
+        if any(not isinstance(message, QuotaUsage) for message in messages):
             self.kick()
 
     async def serve_link(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -298,29 +298,29 @@
             self.kick()
 
     def _take_one(self, origin: str, message: ToCoordinator, *, now: int) -> None:
-        if isinstance(message, Ask):
+        if isinstance(message, GrantRequest):
             self._take_ask(origin, message, now=now)
-        elif isinstance(message, Spent):
+        elif isinstance(message, QuotaUsage):
             overdrawn = self._quotas.take_spent(message, now=now)
             if overdrawn is not None:
                 self._peers.send(origin, overdrawn)
-        elif isinstance(message, Permission):
+        elif isinstance(message, PermissionRequest):
             self._peers.send(origin, self._rates.answer(message, now=now))
         elif isinstance(message, ServerLimit):
             self._take_limits((message,))
-        elif isinstance(message, Beat):
+        elif isinstance(message, Heartbeat):
             if self._peers.take_beat(origin, message):
                 self._tell_lost()
-        elif isinstance(message, StoreNews):
-            self._relay_news(take_news(self._state, message, by="follower"))
-        elif isinstance(message, ConfigurationUpdate):
-            if take_update(self._state, message, by="follower"):
+        elif isinstance(message, StoreUpdate):
+            self._relay_news(apply_store_update(self._state, message, by="follower"))
+        elif isinstance(message, ConfigurationDelta):
+            if apply_configuration_delta(self._state, message, by="follower"):
                 self._peers.tell_configuration()
         elif isinstance(message, Hello):
             take_running(self._pools, origin, message, now=now)
-        elif isinstance(message, Suspected):
+        elif isinstance(message, SuspicionUpdate):
             self._peers.send_all(message)
-        elif isinstance(message, Withdraw):
+        elif isinstance(message, CancelRequest):
             take_withdrawal(self._pools, message)
         else:
             take_outcome(self._pools, message, now=now)
@@ -341,11 +341,11 @@
         if self.acts and not self._peers.is_store_followed():
             self._send_digest()
 
-    def _relay_news(self, news: StoreNews) -> None:
+    def _relay_news(self, news: StoreUpdate) -> None:
         if self.acts and (news.configuration or news.rows):
             self._peers.tell_news(news)
 
-    def _take_ask(self, origin: str, ask: Ask, *, now: int) -> None:
+    def _take_ask(self, origin: str, ask: GrantRequest, *, now: int) -> None:
         # Charged before anything else: whoever is refused for another reason gives the
         # cost back.
         over_quota = self._quotas.charge(ask, now=now)
@@ -368,7 +368,7 @@
         now = self._state.clock.now()
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        wakes = [now + BEAT_MS]
+        wakes = [now + HEARTBEAT_MS]
         for pool in self._pools.values():
             for decided in plan_grants(pool, now=now):
                 self._send_decision(pool, decided)
@@ -454,7 +454,7 @@
                 self._tell_pools()
                 self._tell_learnt()
                 self._peers.tell_behind()
-            await asyncio.sleep(BEAT_MS / SECOND_MS)
+            await asyncio.sleep(HEARTBEAT_MS / SECOND_MS)
 
     def _share(self, linked: list[NodeInfo]) -> None:
         """Work out what may be given out here, and tell of limits that have changed."""
@@ -474,7 +474,7 @@
     def _tell_learnt(self) -> None:
         speeds = {name: list_speeds(pool) for name, pool in self._pools.items()}
         demand = {name: list_demand(pool) for name, pool in self._pools.items()}
-        self._peers.send_successors(Learnt(speeds=speeds, demand=demand))
+        self._peers.send_successors(CoordinatorEstimates(speeds=speeds, demand=demand))
 
     def _send_digest(self) -> None:
         now = self._state.clock.now()
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -10,11 +10,10 @@
 from arbutuspulley.delivery.stream import EventCutter, count_events, cut_events
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.acquisition import Acquisition, NoServerError, RetryError
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Started
+from arbutuspulley.node.messages import ResponseStarted
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.progress import (
     ANSWER_TIME_MS,
@@ -25,6 +24,7 @@
     Progress,
     RequestFailedError,
 )
+from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import (
     build_headers,
@@ -85,7 +85,7 @@
         link: Link,
         poison: PoisonGuard,
         access: Access,
-        accounts: Accounts,
+        accounts: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
@@ -331,8 +331,8 @@
             pause_ms = now - progress.last_event_at
             progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
         if not progress.events:
-            self._link.tell(
-                Started(
+            self._link.send(
+                ResponseStarted(
                     key=self._request.attempt_id,
                     incarnation=entry.incarnation,
                     took_ms=now - progress.sent_at,
@@ -414,7 +414,7 @@
     def _take_repeat(self) -> bool:
         return take_repeat(
             self._state.get_budget(self.progress.service),
-            instances=self._state.sharers,
+            instances=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -5,8 +5,8 @@
 from arbutuspulley.admission.rates import LocalRates
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Permission, ServerLimit, ServerLimits
-from arbutuspulley.node.questions import LinkLostError, RefusedError
+from arbutuspulley.node.messages import PermissionRequest, ServerLimit, ServerLimits
+from arbutuspulley.node.pending_requests import LinkLostError, RefusedError
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import read_server_limit
 from arbutuspulley.ports.fleet import InboundRequest, ServerEntry
@@ -28,7 +28,7 @@
         self._link = link
         self._local = LocalRates()
         self._confirmed: dict[str, float] = {}
-        link.take_limits = self._take_told
+        link.on_rate_limits = self._take_told
         state.on_change.append(self._forget_gone)
 
     def note_answer(
@@ -52,7 +52,7 @@
             self._note_change(incarnation, before, by="answer")
         # Told until the coordinator confirms it: messages are lost with a link.
         if per_s == limits.get(incarnation) != self._confirmed.get(incarnation):
-            self._link.tell(ServerLimit(incarnation=incarnation, per_s=per_s))
+            self._link.send(ServerLimit(incarnation=incarnation, per_s=per_s))
 
     async def ask(self, entry: ServerEntry, request: InboundRequest) -> int:
         """Ask whether a request that no coordinator has granted may be sent now.
@@ -63,9 +63,9 @@
         if per_s is None:
             return 0
         attempt_id = request.attempt_id
-        message = Permission(key=attempt_id, incarnation=entry.incarnation)
+        message = PermissionRequest(key=attempt_id, incarnation=entry.incarnation)
         try:
-            await self._link.ask_permission(message)
+            await self._link.request_permission(message)
         except RefusedError as error:
             return error.retry_after_ms
         except LinkLostError:
@@ -75,7 +75,7 @@
     def _charge_local(self, incarnation: str, per_s: float, *, attempt_id: str) -> int:
         state = self._state
         # How many others there are is not known before a coordinator was heard of.
-        part = 1 / max(1.0, state.sharers) if state.instances else 0.0
+        part = 1 / max(1.0, state.share_divisor) if state.instances else 0.0
         now = state.clock.now()
         wait_ms = self._local.charge(incarnation, per_s, part=part, now=now)
         if wait_ms:
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -6,22 +6,22 @@
 
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.callers import count_takers
-from arbutuspulley.node.following import is_followed
-from arbutuspulley.node.link import SILENCE_MS
+from arbutuspulley.node.link import COORDINATOR_TIMEOUT_MS
 from arbutuspulley.node.messages import (
-    Beat,
-    Digest,
+    CoordinatorEstimates,
+    CoordinatorStatus,
+    Heartbeat,
     Hello,
-    Learnt,
     NodeInfo,
     RosterChange,
-    StoreNews,
+    StoreUpdate,
     ToNode,
 )
 from arbutuspulley.node.peer import Peer
 from arbutuspulley.node.relay import Relay
 from arbutuspulley.node.roster import RosterState, build_whole, select_view, take_view
 from arbutuspulley.node.state import NodeState
+from arbutuspulley.node.store_watch import is_following_store
 
 SUCCESSORS = 4
 """Instances that are told what the coordinator has learnt, the best placed: one of them
@@ -75,7 +75,7 @@
         self._by_name.clear()
         self._rosters.clear()
         self._told = ()
-        self._state.metrics.behind.set(0)
+        self._state.metrics.instances_behind.set(0)
         self.most_heard = self._state.instances
 
     def get(self, name: str) -> Peer | None:
@@ -91,7 +91,7 @@
             heard_at=self._state.clock.now(),
             configuration=hello.configuration,
             build_configuration=(
-                self._state.versions.build
+                self._state.versions.build_delta
                 if hello.reads_updates
                 else self._relay.build_whole
             ),
@@ -111,7 +111,7 @@
         log_event(Event.PEER_DOWN, instance=peer.info.name)
         return True
 
-    def take_beat(self, origin: str, beat: Beat) -> bool:
+    def take_beat(self, origin: str, beat: Heartbeat) -> bool:
         """Take in what an instance says of itself.
 
         :return: whether it has just lost the store.
@@ -136,7 +136,7 @@
             peer.send(build_whole(self._get_roster(peer.info.site)))
         return has_lost_store
 
-    def _take_word(self, peer: Peer, beat: Beat) -> None:
+    def _take_word(self, peer: Peer, beat: Heartbeat) -> None:
         """Take in what a beat says of how new the configuration in force is."""
         state = self._state
         peer.beats.note(beat.number, at=state.clock.now())
@@ -147,7 +147,7 @@
     def is_store_followed(self) -> bool:
         """Tell whether any of those that follow the store hears all changes."""
         followers = self._relay.followers
-        return is_followed(self._state) or any(
+        return is_following_store(self._state) or any(
             one.follows_store for one in self.list_heard() if one.info.name in followers
         )
 
@@ -155,7 +155,9 @@
         """Return the instances that were heard lately."""
         now = self._state.clock.now()
         return [
-            peer for peer in self._by_name.values() if now - peer.heard_at < SILENCE_MS
+            peer
+            for peer in self._by_name.values()
+            if now - peer.heard_at < COORDINATOR_TIMEOUT_MS
         ]
 
     def list_linked(self) -> list[NodeInfo]:
@@ -191,14 +193,14 @@
         for peer in self._by_name.values():
             peer.send(message)
 
-    def send_successors(self, learnt: Learnt) -> None:
+    def send_successors(self, learnt: CoordinatorEstimates) -> None:
         """Send what was learnt to those that will claim the lease first."""
         ready = [one for one in self._by_name.values() if one.info.is_ready]
         ready.sort(key=lambda one: (-one.info.capacity, one.info.name))
         for peer in ready[:SUCCESSORS]:
             peer.send(learnt)
 
-    def tell_news(self, news: StoreNews) -> None:
+    def tell_news(self, news: StoreUpdate) -> None:
         """Relay what the store has told, as far as it can't wait."""
         if news.configuration:
             self.tell_configuration()
@@ -225,7 +227,7 @@
         news = self._relay.flush(self._state.clock.now())
         if news is not None:
             self.send_others(news)
-        digest = Digest(
+        digest = CoordinatorStatus(
             is_holder=is_holder,
             instances=count,
             takers=self._takers,
@@ -239,7 +241,7 @@
             self._send_digest_to(peer, digest)
         return count
 
-    def _send_digest_to(self, peer: Peer, digest: Digest) -> None:
+    def _send_digest_to(self, peer: Peer, digest: CoordinatorStatus) -> None:
         state = self._state
         peer.digest += 1
         peer.digests.note(peer.digest, at=state.clock.now())
@@ -254,7 +256,7 @@
     def tell_behind(self) -> None:
         """Log which instances have an older configuration in force, if any."""
         behind = self.list_behind()
-        self._state.metrics.behind.set(len(behind))
+        self._state.metrics.instances_behind.set(len(behind))
         if behind:
             log_event(
                 Event.CONFIGURATION_BEHIND,
--- a/src/arbutuspulley/node/accounts.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -9,7 +9,7 @@
 from arbutuspulley.data import Value
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Overdrawn
+from arbutuspulley.node.messages import QuotaExceeded
 from arbutuspulley.node.progress import RequestFailedError
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import InboundRequest, NodeSettings, Team
@@ -35,7 +35,7 @@
     )
 
 
-class Accounts:
+class QuotaCharger:
     """Pays for requests.
 
     The coordinator charges a request as it is asked for a server. Requests that need no
@@ -54,7 +54,7 @@
             chance=state.chance,
         )
         self._debts: dict[str, int] = {}
-        link.take_overdrawn = self._take_overdrawn
+        link.on_quota_exceeded = self._take_overdrawn
 
     def get_cost(self, team: Team | None, request: InboundRequest) -> int:
         """Return what a request has to be charged for; 0: it has no quota."""
@@ -73,12 +73,12 @@
             wait_ms = self._debts.get(team.name, now) - now
             if wait_ms > 0:
                 raise self.refuse(team.name, attempt_id, wait_ms)
-            self._link.tell_spent(team.name, cost)
+            self._link.report_usage(team.name, cost)
             return Payment(team=team.name, cost=cost, is_local=False)
         part = get_lost_part(
             self._local.get_alone_ms(now), ends_ms=self._state.settings.revocation_ms
         )
-        part /= max(1.0, self._state.sharers)
+        part /= max(1.0, self._state.share_divisor)
         self._local.tolerance = build_tolerance(self._state.settings)
         wait_ms = self._local.charge(team, cost, part=part, now=now)
         if wait_ms:
@@ -94,7 +94,7 @@
         if payment.is_local:
             self._local.give_back(payment.team, payment.cost)
         else:
-            self._link.tell_spent(payment.team, -payment.cost)
+            self._link.report_usage(payment.team, -payment.cost)
 
     def refuse(self, team: str, attempt_id: str, wait_ms: int) -> RequestFailedError:
         """Build the refusal of a request over its team's quota.
@@ -114,5 +114,5 @@
             status=429, reason="the team's quota is used up", retry_after_ms=wait_ms
         )
 
-    def _take_overdrawn(self, message: Overdrawn) -> None:
+    def _take_overdrawn(self, message: QuotaExceeded) -> None:
         self._debts[message.team] = self._state.clock.now() + message.wait_ms
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -109,9 +109,9 @@
             need=None if is_plain else self._request.need,
             avoid=frozenset(avoid),
             most_in_flight=get_most_in_flight(
-                connections, instances=self._state.sharers
+                connections, instances=self._state.share_divisor
             ),
-            sharers=self._state.sharers,
+            sharers=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
@@ -166,7 +166,7 @@
             raise CoordinatorFoundError
         entry = await self._choose_within_limits(is_plain=False)
         if entry is not None:
-            self._link.note_run(
+            self._link.add_run(
                 RunningRequest(
                     key=self._request.attempt_id,
                     incarnation=entry.incarnation,
@@ -179,9 +179,9 @@
             self._progress.avoid_alone.add(entry.incarnation)
             return entry
         until = self._state.clock.now() + min(ALONE_WAIT_MS, self._patience_ms)
-        while not self._link.may_ask and self._state.clock.now() < until:
+        while not self._link.can_request and self._state.clock.now() < until:
             await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
-        if self._link.may_ask:
+        if self._link.can_request:
             raise CoordinatorFoundError
         return None
 
@@ -193,8 +193,8 @@
         until = (
             self._progress.started_at + self._route.latency_target_ms * FIRST_WAIT_PART
         )
-        while self._link.digest is None and self._state.clock.now() < until:
+        while self._link.status is None and self._state.clock.now() < until:
             await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
-            if self._link.may_ask:
+            if self._link.can_request:
                 return True
         return False
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -14,22 +14,22 @@
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.events import Event, log_event, set_up_stdout_logging
 from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState
+from arbutuspulley.node.bootstrap import (
+    SNAPSHOT_PATH,
+    bootstrap_from_neighbours,
+    build_snapshot,
+)
 from arbutuspulley.node.coordinator import Coordinator
 from arbutuspulley.node.directory import Directory
 from arbutuspulley.node.election import Election
-from arbutuspulley.node.following import follow_configuration, follow_servers
 from arbutuspulley.node.frontend import Frontend
 from arbutuspulley.node.link import LINK_PATH, Link
 from arbutuspulley.node.metrics import NodeMetrics
-from arbutuspulley.node.neighbours import (
-    SNAPSHOT_PATH,
-    build_snapshot,
-    learn_from_neighbours,
-)
 from arbutuspulley.node.poison import PoisonGuard
-from arbutuspulley.node.reloading import Reloader
+from arbutuspulley.node.settings_reload import Reloader
+from arbutuspulley.node.shutdown import stop_gracefully
 from arbutuspulley.node.state import NodeState
-from arbutuspulley.node.stopping import stop_gracefully
+from arbutuspulley.node.store_watch import follow_configuration, follow_servers
 from arbutuspulley.platform.settings import find_settings, read_settings
 from arbutuspulley.platform.store import StoreClient
 from arbutuspulley.platform.transport import open_order_session, open_session
@@ -145,22 +145,22 @@
     reloader = Reloader(state=state, path=path, read=read_settings)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
 
-    def is_relayed() -> bool:
-        return link.is_relayed
+    def is_store_relayed() -> bool:
+        return link.is_store_relayed
 
     def is_starting() -> bool:
-        return link.digest is None
+        return link.status is None
 
     tasks = [
         loop.create_task(_keep(work))
         for work in (
             lambda: follow_configuration(
-                state, is_relayed=is_relayed, is_starting=is_starting
+                state, is_store_relayed=is_store_relayed, is_starting=is_starting
             ),
             lambda: follow_servers(
-                state, is_relayed=is_relayed, is_starting=is_starting
+                state, is_store_relayed=is_store_relayed, is_starting=is_starting
             ),
-            lambda: learn_from_neighbours(state, link),
+            lambda: bootstrap_from_neighbours(state, link),
             election.run,
             reloader.watch,
         )
@@ -171,7 +171,7 @@
     await stop_gracefully(state, link=link, election=election, servers=servers)
     for task in tasks:
         task.cancel()
-    link.cut()
+    link.disconnect()
     await session.close()
     await order_session.close()
     log_event(Event.STOPPED, in_flight=state.in_flight)
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -7,13 +7,20 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.access import Access
-from arbutuspulley.node.accounts import Accounts
 from arbutuspulley.node.acquisition import Acquisition, NoServerError
-from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Ask, Digest, Ended, Granted, Refused, Spent
+from arbutuspulley.node.messages import (
+    AttemptEnded,
+    CoordinatorStatus,
+    Granted,
+    GrantRequest,
+    QuotaUsage,
+    Refused,
+)
 from arbutuspulley.node.progress import Progress, RequestFailedError
+from arbutuspulley.node.quota_charging import QuotaCharger
+from arbutuspulley.node.store_watch import activate_configuration
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import AttemptOutcome, LoadedModel, ServerEntry
 from arbutuspulley.routing.table import find_route
@@ -39,7 +46,7 @@
     configuration["Tenants"] = [
         {"Name": "team", "ApiKeys": list(keys), "Unit": "tokens", "RatePerS": 9_000}
     ]
-    put_in_force(state, msgspec.json.encode(configuration), by="store")
+    activate_configuration(state, msgspec.json.encode(configuration), by="store")
 
 
 class Trial:
@@ -54,7 +61,7 @@
         self.state.by_incarnation["e1"] = ENTRY
         self.told = []
         self.link = Link(state=self.state)
-        self.link.take_local = self._take
+        self.link.deliver_local = self._take
         self._decide = decide
         request = decode_request(
             method="POST",
@@ -75,7 +82,7 @@
             state=self.state,
             link=self.link,
             access=access,
-            accounts=Accounts(state=self.state, link=self.link),
+            accounts=QuotaCharger(state=self.state, link=self.link),
             limits=LimitGuard(state=self.state, link=self.link),
             route=route,
             request=request,
@@ -86,7 +93,7 @@
     def _take(self, messages):
         for message in messages:
             self.told.append(message)
-            if isinstance(message, Ask):
+            if isinstance(message, GrantRequest):
                 answer = self._decide(self)
                 if answer is not None:
                     asyncio.get_running_loop().call_soon(self.link.receive, [answer])
@@ -96,7 +103,9 @@
 
     def list_costs(self):
         """Return what the team was charged and given back, in order."""
-        return [one.cost for one in self.told if isinstance(one, Ask | Spent)]
+        return [
+            one.cost for one in self.told if isinstance(one, GrantRequest | QuotaUsage)
+        ]
 
 
 def grant(_trial=None):
@@ -153,7 +162,7 @@
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert raised.value.status == 401
-    ended = [one for one in trial.told if isinstance(one, Ended)]
+    ended = [one for one in trial.told if isinstance(one, AttemptEnded)]
     assert [one.how for one in ended] == [AttemptOutcome.UNUSED]
     trial.acquisition.give_back()
     assert trial.list_costs() == [COST, -COST]
@@ -175,8 +184,8 @@
 
 def test_a_request_without_a_coordinator_is_paid_for_here_and_given_back_here():
     trial = Trial(grant)
-    trial.link.take_local = None
-    trial.link.digest = Digest(is_holder=True)
+    trial.link.deliver_local = None
+    trial.link.status = CoordinatorStatus(is_holder=True)
     trial.state.by_service["llm"] = [ENTRY]
     assert trial.get_server() is ENTRY
     assert trial.acquisition._paid.is_local
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -10,11 +10,11 @@
 
 from arbutuspulley.admission.freshness import MOST_MARKS, Freshness, Marks
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.link import Link
-from arbutuspulley.node.messages import Beat, Digest, Hello
+from arbutuspulley.node.messages import CoordinatorStatus, Heartbeat, Hello
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
+from arbutuspulley.node.store_watch import activate_configuration
 from scripts.platform_stage import build_configuration
 from tests.node_states import build_info, build_state
 
@@ -22,7 +22,9 @@
 def build_instance(now, *, version=1, **settings):
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
     state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
-    put_in_force(state, msgspec.json.encode(build_configuration(version)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(version)), by="store"
+    )
     return state
 
 
@@ -36,7 +38,9 @@
     """Send a digest and return what instance ``a`` gets."""
     peers.get("a").outgoing.clear()
     peers.send_digest(is_holder=True)
-    return next(one for one in peers.get("a").outgoing if isinstance(one, Digest))
+    return next(
+        one for one in peers.get("a").outgoing if isinstance(one, CoordinatorStatus)
+    )
 
 
 def test_the_word_is_as_old_as_its_question():
@@ -67,13 +71,13 @@
     peers = build_peers(state)
     there = build_instance(now)
     link = Link(state=there)
-    link.forget_coordinator()
-    first = link.build_beat()
+    link.reset_coordinator_state()
+    first = link.build_heartbeat()
     peers.take_beat("a", first)
     now[0] = 1_200
     state.freshness.confirm(now[0], source="store")
     now[0] = 1_250
-    peers.take_beat("a", link.build_beat())
+    peers.take_beat("a", link.build_heartbeat())
     digest = take_digest(peers)
     assert (digest.beat, digest.fresh_beat) == (2, 1)
     now[0] = 9_000
@@ -86,7 +90,7 @@
     now = [1_000]
     state = build_instance(now)
     peers = build_peers(state)
-    peers.take_beat("a", Beat(is_ready=True, number=7))
+    peers.take_beat("a", Heartbeat(is_ready=True, number=7))
     assert take_digest(peers).fresh_beat == 0
     state.freshness.confirm(900, source="store")
     assert take_digest(peers).fresh_beat == 0
@@ -96,12 +100,14 @@
     now = [1_000]
     there = build_instance(now, version=1)
     link = Link(state=there)
-    link.forget_coordinator()
-    link.build_beat()
-    link.receive([Digest(is_holder=True, configuration=2, fresh_beat=1)])
+    link.reset_coordinator_state()
+    link.build_heartbeat()
+    link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
-    put_in_force(there, msgspec.json.encode(build_configuration(2)), by="store")
-    link.receive([Digest(is_holder=True, configuration=2, fresh_beat=1)])
+    activate_configuration(
+        there, msgspec.json.encode(build_configuration(2)), by="store"
+    )
+    link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
     assert there.freshness.confirmed_at == 1_000
 
 
@@ -110,10 +116,10 @@
     now = [1_000]
     there = build_instance(now)
     link = Link(state=there)
-    link.forget_coordinator()
-    link.build_beat()
-    link.forget_coordinator()
-    link.receive([Digest(is_holder=True, configuration=1, fresh_beat=1)])
+    link.reset_coordinator_state()
+    link.build_heartbeat()
+    link.reset_coordinator_state()
+    link.receive([CoordinatorStatus(is_holder=True, configuration=1, fresh_beat=1)])
     assert there.freshness.confirmed_at is None
 
 
@@ -129,13 +135,13 @@
     peers = build_peers(state)
     follower = build_instance(now)
     link = Link(state=follower)
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([take_digest(peers)])
     now[0] = 1_300
     follower.freshness.confirm(now[0], source="store")
     now[0] = 1_500
     link.receive([take_digest(peers)])
-    beat = msgspec.structs.replace(link.build_beat(), configuration=version)
+    beat = msgspec.structs.replace(link.build_heartbeat(), configuration=version)
     assert beat.vouches == 1
     now[0] = 6_000
     peers.take_beat("a", beat)
@@ -146,9 +152,11 @@
     now = [1_000]
     state = build_instance(now, revocation_ms=5_000)
     link = Link(state=state)
-    link.receive([Digest(is_holder=True, is_store_followed=True, configuration=1)])
-    assert not link.is_relayed
+    link.receive(
+        [CoordinatorStatus(is_holder=True, is_store_followed=True, configuration=1)]
+    )
+    assert not link.is_store_relayed
     state.freshness.confirm(now[0], source="store")
-    assert link.is_relayed
+    assert link.is_store_relayed
     state.freshness.confirmed_at = now[0] - 3_600
-    assert not link.is_relayed
+    assert not link.is_store_relayed
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,12 +4,11 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.following import put_in_force, take_configuration
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import (
-    Beat,
-    ConfigurationUpdate,
-    Digest,
+    ConfigurationDelta,
+    CoordinatorStatus,
+    Heartbeat,
     Hello,
     decode_from_coordinator,
     decode_from_node,
@@ -17,6 +16,10 @@
 )
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
+from arbutuspulley.node.store_watch import (
+    activate_configuration,
+    apply_configuration_rows,
+)
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import StoredRow
 from scripts.platform_stage import build_configuration, build_route
@@ -81,16 +84,16 @@
     now = [0]
     clock = Clock(read=lambda: now[0])
     state = build_state(clock=clock)
-    put_in_force(state, encode_configuration(1, routes=routes), by="store")
+    activate_configuration(state, encode_configuration(1, routes=routes), by="store")
     relay = Relay(state=state)
     peers = Peers(state=state, relay=relay, receive_local=lambda _messages: None)
     relay.begin()
-    state.on_news.append(peers.tell_news)
+    state.on_store_update.append(peers.tell_news)
     links = {}
     for number in range(59):
         other = build_state(clock=clock, name=f"n{number}")
         links[other.settings.name] = link = Link(state=other)
-        put_in_force(other, state.configuration_body, by="store")
+        activate_configuration(other, state.configuration_body, by="store")
         # As a link begins: what goes over the wire and back is all that is known.
         (hello,) = decode_from_node(encode_frame([link.build_hello()]))
         peers.add(hello)
@@ -102,7 +105,7 @@
             version=version,
             value=encode_configuration(version, routes=routes),
         )
-        state.tell_news(take_configuration(state, [row]))
+        state.notify_store_update(apply_configuration_rows(state, [row]))
         told_at[version] = now[0]
         for _ in range(10):
             now[0] += 25
@@ -127,7 +130,7 @@
 def build_peers(version):
     """Build a coordinator's peers; a configuration of this version is in force."""
     state = build_state()
-    put_in_force(state, encode_configuration(version, routes=9), by="store")
+    activate_configuration(state, encode_configuration(version, routes=9), by="store")
     relay = Relay(state=state)
     return state, Peers(state=state, relay=relay, receive_local=lambda _: None)
 
@@ -139,7 +142,7 @@
     state, peers = build_peers(5)
     other = build_state(name="x")
     if known:
-        put_in_force(other, encode_configuration(known, routes=9), by="store")
+        activate_configuration(other, encode_configuration(known, routes=9), by="store")
     hello = Hello(
         info=build_info("x"), configuration=known, reads_updates=reads_updates
     )
@@ -153,8 +156,8 @@
     peer = peers.add(Hello(info=build_info("x"), configuration=5))
     assert peer.take_outgoing() == []
     late = peers.add(Hello(info=build_info("y"), configuration=4))
-    peers.take_beat("y", Beat(is_ready=True, configuration=5))
-    assert not any(isinstance(one, ConfigurationUpdate) for one in late.take_outgoing())
+    peers.take_beat("y", Heartbeat(is_ready=True, configuration=5))
+    assert not any(isinstance(one, ConfigurationDelta) for one in late.take_outgoing())
 
 
 def test_what_speaks_of_a_configuration_comes_after_it():
@@ -162,7 +165,7 @@
     peer = peers.add(Hello(info=build_info("x"), reads_updates=True))
     peers.send_digest(is_holder=True)
     kinds = [type(one) for one in peer.take_outgoing()]
-    assert kinds == [ConfigurationUpdate, Digest]
+    assert kinds == [ConfigurationDelta, CoordinatorStatus]
 
 
 def test_a_follower_that_misses_the_store_is_replaced():
@@ -170,10 +173,10 @@
     _state, peers = build_peers(5)
     for name in ("a", "b", "c"):
         peers.add(Hello(info=build_info(name), configuration=5))
-        peers.take_beat(name, Beat(is_ready=True, follows_store=True))
+        peers.take_beat(name, Heartbeat(is_ready=True, follows_store=True))
     peers.send_digest(is_holder=True)
     assert peers.get("c").take_outgoing()[-1].followers == ("a", "b")
-    peers.take_beat("a", Beat(is_ready=True, misses_store=True))
+    peers.take_beat("a", Heartbeat(is_ready=True, misses_store=True))
     peers.send_digest(is_holder=True)
     assert peers.get("c").take_outgoing()[-1].followers == ("b", "c")
 
@@ -181,10 +184,10 @@
 def test_whether_anyone_follows_the_store_is_known_as_a_beat_comes():
     _state, peers = build_peers(5)
     peers.add(Hello(info=build_info("a"), configuration=5))
-    assert not peers.take_beat("a", Beat(is_ready=True, follows_store=True))
+    assert not peers.take_beat("a", Heartbeat(is_ready=True, follows_store=True))
     assert not peers.is_store_followed()
     peers.send_digest(is_holder=True)
     assert peers.is_store_followed()
-    assert peers.take_beat("a", Beat(is_ready=True))
+    assert peers.take_beat("a", Heartbeat(is_ready=True))
     assert not peers.is_store_followed()
-    assert not peers.take_beat("a", Beat(is_ready=True))
+    assert not peers.take_beat("a", Heartbeat(is_ready=True))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,27 +9,27 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node import following
-from arbutuspulley.node.following import (
-    FOLLOWED_MS,
-    LOOK_EVERY_MS,
-    MOST_FALLBACK_MS,
-    follow_servers,
-    is_followed,
-    put_in_force,
-    take_news,
-)
-from arbutuspulley.node.link import BEAT_MS, Link
+from arbutuspulley.node import store_watch
+from arbutuspulley.node.link import HEARTBEAT_MS, Link
 from arbutuspulley.node.messages import (
-    ConfigurationUpdate,
-    Digest,
+    ConfigurationDelta,
+    CoordinatorStatus,
     Hello,
     RelayedRow,
-    StoreNews,
+    StoreUpdate,
     decode_from_coordinator,
 )
 from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS, Relay
-from arbutuspulley.node.server_rows import list_rows, take_servers
+from arbutuspulley.node.server_rows import apply_server_rows, list_rows
+from arbutuspulley.node.store_watch import (
+    FOLLOW_TIMEOUT_MS,
+    MAX_FALLBACK_DELAY_MS,
+    RELAY_POLL_MS,
+    activate_configuration,
+    apply_store_update,
+    follow_servers,
+    is_following_store,
+)
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import RowsAnswer, StoredRow
 from scripts.platform_stage import build_configuration
@@ -71,38 +71,38 @@
     for order in itertools.permutations(rows):
         state = build_state()
         for row in (*order, order[0]):
-            take_news(state, StoreNews(rows=(row,)), by="coordinator")
+            apply_store_update(state, StoreUpdate(rows=(row,)), by="coordinator")
         assert get_view(state) == {"b": (False, ("m0",))}
 
 
 def test_a_whole_reading_drops_nothing_that_is_newer():
     """All rows are read while the relay tells of a server that has just come."""
     state = build_state()
-    take_news(
+    apply_store_update(
         state,
-        StoreNews(rows=(build_row("new", 9), build_row("old", 3))),
+        StoreUpdate(rows=(build_row("new", 9), build_row("old", 3))),
         by="coordinator",
     )
     read = [StoredRow(key="c", version=4, value=build_value())]
-    take_servers(state, read, is_whole=True, was_away=False, version=8)
+    apply_server_rows(state, read, is_whole=True, was_away=False, version=8)
     assert set(state.entries) == {"new", "c"}
 
 
 def test_only_what_was_new_is_handed_on():
     state = build_state()
-    first = StoreNews(rows=(build_row("a", 1), build_row("b", 2)))
-    assert take_news(state, first, by="coordinator").rows == first.rows
-    again = StoreNews(rows=(*first.rows, build_row("a", 3, state="draining")))
-    assert [one.version for one in take_news(state, again, by="coordinator").rows] == [
-        3
-    ]
+    first = StoreUpdate(rows=(build_row("a", 1), build_row("b", 2)))
+    assert apply_store_update(state, first, by="coordinator").rows == first.rows
+    again = StoreUpdate(rows=(*first.rows, build_row("a", 3, state="draining")))
+    assert [
+        one.version for one in apply_store_update(state, again, by="coordinator").rows
+    ] == [3]
 
 
 def test_configurations_go_upward_only_by_relay_too():
     state = build_state()
     bodies = [msgspec.json.encode(build_configuration(one)) for one in (4, 3, 4)]
     told = [
-        take_news(state, StoreNews(configuration=one), by="coordinator")
+        apply_store_update(state, StoreUpdate(configuration=one), by="coordinator")
         for one in bodies
     ]
     assert [bool(one.configuration) for one in told] == [True, False, False]
@@ -122,11 +122,13 @@
     matters to instances that ask the coordinator."""
     now = [0]
     state, relay = build_relay(now=now)
-    come = take_news(state, StoreNews(rows=(build_row("a", 1),)), by="coordinator")
+    come = apply_store_update(
+        state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator"
+    )
     assert relay.select(come).rows == come.rows
     state.store_version = 2
-    held = take_news(
-        state, StoreNews(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
+    held = apply_store_update(
+        state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     assert relay.select(held) is None
     # Whoever goes on by itself must ask the store for what was held back.
@@ -134,8 +136,11 @@
     assert relay.flush(QUIET_MS - 1) is None
     assert relay.flush(QUIET_MS).rows == held.rows
     assert relay.store_version == 2
-    drains = StoreNews(rows=(build_row("a", 3, state="draining"),))
-    assert relay.select(take_news(state, drains, by="coordinator")).rows == drains.rows
+    drains = StoreUpdate(rows=(build_row("a", 3, state="draining"),))
+    assert (
+        relay.select(apply_store_update(state, drains, by="coordinator")).rows
+        == drains.rows
+    )
 
 
 def test_what_is_told_of_servers_is_bounded_and_the_oldest_goes_first():
@@ -143,9 +148,9 @@
     link, where 4 are for control."""
     state, relay = build_relay(now=[0])
     rows = tuple(build_row(f"s{one:02}", one + 1) for one in range(80))
-    take_news(state, StoreNews(rows=rows), by="coordinator")
+    apply_store_update(state, StoreUpdate(rows=rows), by="coordinator")
     held = tuple(build_row(f"s{one:02}", one + 81, models=("m0",)) for one in range(80))
-    relay.select(take_news(state, StoreNews(rows=held), by="coordinator"))
+    relay.select(apply_store_update(state, StoreUpdate(rows=held), by="coordinator"))
     state.store_version = 160
     told = relay.flush(QUIET_MS).rows
     assert sum(len(row.value) for row in told) <= QUIET_BYTES
@@ -157,13 +162,13 @@
 
 def test_a_row_that_was_held_back_gives_way_to_a_newer_one():
     state, relay = build_relay(now=[0])
-    take_news(state, StoreNews(rows=(build_row("a", 1),)), by="coordinator")
-    quiet = take_news(
-        state, StoreNews(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
+    apply_store_update(state, StoreUpdate(rows=(build_row("a", 1),)), by="coordinator")
+    quiet = apply_store_update(
+        state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     relay.select(quiet)
-    gone = take_news(
-        state, StoreNews(rows=(RelayedRow(key="a", version=3),)), by="coordinator"
+    gone = apply_store_update(
+        state, StoreUpdate(rows=(RelayedRow(key="a", version=3),)), by="coordinator"
     )
     assert relay.select(gone).rows == gone.rows
     assert relay.flush(QUIET_MS) is None
@@ -171,9 +176,11 @@
 
 def test_an_instance_that_links_up_is_told_what_it_misses():
     state, relay = build_relay(now=[0])
-    put_in_force(state, msgspec.json.encode(build_configuration(5)), by="store")
+    activate_configuration(
+        state, msgspec.json.encode(build_configuration(5)), by="store"
+    )
     rows = (build_row("a", 1), build_row("b", 2), RelayedRow(key="c", version=7))
-    take_news(state, StoreNews(rows=rows), by="coordinator")
+    apply_store_update(state, StoreUpdate(rows=rows), by="coordinator")
     info = build_info("x")
     news = relay.build_catch_up(Hello(info=info, store_version=1, configuration=4))
     assert {one.key for one in news.rows} == {"b", "c"}
@@ -181,7 +188,9 @@
         relay.build_catch_up(Hello(info=info, store_version=7, configuration=5)) is None
     )
     other = build_state()
-    take_news(other, StoreNews(rows=list_rows(state, after=0)), by="coordinator")
+    apply_store_update(
+        other, StoreUpdate(rows=list_rows(state, after=0)), by="coordinator"
+    )
     assert get_view(other) == get_view(state)
 
 
@@ -224,15 +233,17 @@
 def test_an_instance_asks_the_store_only_while_it_is_not_told(monkeypatch):
     """Each of 72 instances kept two calls open at the store, 10,000 calls in a calm
     minute. They ask when the relay is lost, from where it left off."""
-    monkeypatch.setattr(following, "LOOK_EVERY_MS", 1)
-    monkeypatch.setattr(following, "LEAST_FALLBACK_MS", 2)
-    monkeypatch.setattr(following, "MOST_FALLBACK_MS", 4)
+    monkeypatch.setattr(store_watch, "RELAY_POLL_MS", 1)
+    monkeypatch.setattr(store_watch, "MIN_FALLBACK_DELAY_MS", 2)
+    monkeypatch.setattr(store_watch, "MAX_FALLBACK_DELAY_MS", 4)
 
     async def scenario():
         state = build_state()
         state.store = StoreTrial()
         relayed = [True]
-        task = asyncio.create_task(follow_servers(state, is_relayed=lambda: relayed[0]))
+        task = asyncio.create_task(
+            follow_servers(state, is_store_relayed=lambda: relayed[0])
+        )
         await asyncio.sleep(0.03)
         assert state.store.calls == []
         state.store_version = 11
@@ -255,9 +266,11 @@
     """All instances start, and each asked the store for changes before it had heard of
     the coordinator that tells it: a third of all calls of a calm day. If it hears of
     none it asks the store after a moment."""
-    monkeypatch.setattr(following, "LOOK_EVERY_MS", 1)
-    monkeypatch.setattr(following, "FIRST_RELAY_MS", 30_000 if found else 500)
-    monkeypatch.setattr(following, "GATHER_MS", 0)
+    monkeypatch.setattr(store_watch, "RELAY_POLL_MS", 1)
+    monkeypatch.setattr(
+        store_watch, "FIRST_COORDINATOR_WAIT_MS", 30_000 if found else 500
+    )
+    monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
         state = build_state()
@@ -265,7 +278,9 @@
         heard = []
         task = asyncio.create_task(
             follow_servers(
-                state, is_relayed=lambda: bool(heard), is_starting=lambda: not heard
+                state,
+                is_store_relayed=lambda: bool(heard),
+                is_starting=lambda: not heard,
             )
         )
         await asyncio.sleep(0.01)
@@ -285,9 +300,14 @@
 @pytest.mark.parametrize(
     ("digest", "expected"),
     [
-        (Digest(is_holder=True, is_store_followed=True), True),
-        (Digest(is_holder=True), False),
-        (Digest(is_holder=True, is_store_followed=True, followers=("own",)), False),
+        (CoordinatorStatus(is_holder=True, is_store_followed=True), True),
+        (CoordinatorStatus(is_holder=True), False),
+        (
+            CoordinatorStatus(
+                is_holder=True, is_store_followed=True, followers=("own",)
+            ),
+            False,
+        ),
     ],
     ids=["told", "nobody is told", "a follower itself"],
 )
@@ -295,9 +315,9 @@
     now = [0]
     link = Link(state=build_state(clock=Clock(read=lambda: now[0])))
     link.receive([digest])
-    assert link.is_relayed is expected
+    assert link.is_store_relayed is expected
     now[0] += 5_000
-    assert not link.is_relayed
+    assert not link.is_store_relayed
 
 
 def build_link(version=0, **settings):
@@ -306,7 +326,7 @@
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
     state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
     if version:
-        put_in_force(state, encode_version(version), by="store")
+        activate_configuration(state, encode_version(version), by="store")
     return now, state, Link(state=state)
 
 
@@ -315,16 +335,16 @@
 
 
 def build_digest(**fields):
-    return Digest(is_holder=True, is_store_followed=True, **fields)
+    return CoordinatorStatus(is_holder=True, is_store_followed=True, **fields)
 
 
 def test_a_coordinator_that_has_a_newer_configuration_than_it_told_is_not_relied_on():
     """Guards against an update that did not fit and is never asked for again."""
     _now, state, link = build_link(4)
     link.receive([build_digest(configuration=5)])
-    assert not link.is_relayed
-    put_in_force(state, encode_version(5), by="store")
-    assert link.is_relayed
+    assert not link.is_store_relayed
+    activate_configuration(state, encode_version(5), by="store")
+    assert link.is_store_relayed
 
 
 def test_a_coordinator_whose_word_comes_late_is_not_relied_on():
@@ -332,50 +352,50 @@
     now, _state, link = build_link()
     beats = []
     for _ in range(20):
-        beats.append(link.build_beat().number)
+        beats.append(link.build_heartbeat().number)
         link.receive([build_digest(beat=beats[-1])])
-        now[0] += BEAT_MS
-        assert link.is_relayed
+        now[0] += HEARTBEAT_MS
+        assert link.is_store_relayed
     late = beats[-1]
     lost_after = 0
     for _ in range(20):
-        link.build_beat()
+        link.build_heartbeat()
         link.receive([build_digest(beat=late)])
-        now[0] += BEAT_MS
-        lost_after += BEAT_MS
-        if not link.is_relayed:
+        now[0] += HEARTBEAT_MS
+        lost_after += HEARTBEAT_MS
+        if not link.is_store_relayed:
             break
     assert link.is_up
-    assert not link.is_relayed
-    wait = lost_after + LOOK_EVERY_MS + MOST_FALLBACK_MS
+    assert not link.is_store_relayed
+    wait = lost_after + RELAY_POLL_MS + MAX_FALLBACK_DELAY_MS
     assert wait < IN_FORCE_WITHIN_MS
 
 
 def test_a_new_link_is_not_late_before_it_has_been_heard():
     now, _state, link = build_link()
-    link.receive([build_digest(beat=link.build_beat().number)])
+    link.receive([build_digest(beat=link.build_heartbeat().number)])
     now[0] += 60_000
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest()])
-    assert link.is_relayed
+    assert link.is_store_relayed
 
 
 def test_a_follower_hands_on_what_it_is_told_by_the_store():
     """The coordinator is cut off from the store, and nobody has noticed yet."""
     state = build_state()
     link = Link(state=state)
-    news = StoreNews(rows=(build_row("a", 1),))
-    link.receive([Digest(is_holder=True, is_store_followed=True)])
-    state.tell_news(news)
+    news = StoreUpdate(rows=(build_row("a", 1),))
+    link.receive([CoordinatorStatus(is_holder=True, is_store_followed=True)])
+    state.notify_store_update(news)
     assert link._outgoing == []
-    link.receive([Digest(is_holder=True, followers=("own",))])
-    state.tell_news(news)
+    link.receive([CoordinatorStatus(is_holder=True, followers=("own",))])
+    state.notify_store_update(news)
     assert link._outgoing == [news]
 
 
 def take_update_of(link):
     """Return the versions that a link has told its coordinator since the last time."""
-    sent = [one for one in link._outgoing if isinstance(one, ConfigurationUpdate)]
+    sent = [one for one in link._outgoing if isinstance(one, ConfigurationDelta)]
     link._outgoing.clear()
     return [(one.base, one.version) for one in sent]
 
@@ -384,13 +404,13 @@
     """Guards against a new coordinator that is cut off from the store and holds all
     others back, though one of them was told by the store before the link was there."""
     _now, state, link = build_link(4)
-    put_in_force(state, encode_version(5), by="store")
-    link.forget_coordinator()
+    activate_configuration(state, encode_version(5), by="store")
+    link.reset_coordinator_state()
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == [(4, 5)]
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == []
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(configuration=4)])
     assert take_update_of(link) == [(4, 5)]
     link.receive([build_digest(configuration=5)])
@@ -399,11 +419,11 @@
 
 def test_a_change_is_told_at_once_by_whom_the_store_tells():
     _now, state, link = build_link(4)
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(configuration=4, followers=("own",))])
     assert take_update_of(link) == []
     row = StoredRow(key=names.CONFIGURATION_KEY, version=9, value=encode_version(6))
-    state.tell_news(following.take_configuration(state, [row]))
+    state.notify_store_update(store_watch.apply_configuration_rows(state, [row]))
     assert take_update_of(link) == [(4, 6)]
 
 
@@ -412,9 +432,9 @@
     """One that has just started, or does not understand updates, gets the whole; not
     from all instances at once."""
     _now, state, link = build_link(4)
-    link.forget_coordinator()
+    link.reset_coordinator_state()
     link.receive([build_digest(followers=followers)])
-    expected = [StoreNews(configuration=state.configuration_body)]
+    expected = [StoreUpdate(configuration=state.configuration_body)]
     assert link._outgoing == (expected if told else [])
 
 
@@ -423,32 +443,32 @@
     _now, state, link = build_link()
     link.receive([build_digest(followers=("own",))])
     link._outgoing.clear()
-    state.tell_lost()
+    state.notify_store_lost()
     (beat,) = link._outgoing
     assert not beat.follows_store
 
 
 @pytest.mark.parametrize(("instances", "longest"), [(0, 160), (6, 210), (400, 600)])
 def test_few_instances_ask_the_store_soon_and_many_spread_out(instances, longest):
-    assert following.get_longest_fallback(instances) == longest
+    assert store_watch.get_max_fallback_delay_ms(instances) == longest
 
 
 def test_a_table_that_has_long_told_nothing_is_not_followed():
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]))
-    assert not is_followed(state)
-    state.followed = {names.OPERATOR_TABLE: 0, names.SERVERS_TABLE: 0}
-    now[0] = FOLLOWED_MS - 1
-    assert is_followed(state)
-    now[0] = FOLLOWED_MS
-    assert not is_followed(state)
+    assert not is_following_store(state)
+    state.followed_at = {names.OPERATOR_TABLE: 0, names.SERVERS_TABLE: 0}
+    now[0] = FOLLOW_TIMEOUT_MS - 1
+    assert is_following_store(state)
+    now[0] = FOLLOW_TIMEOUT_MS
+    assert not is_following_store(state)
 
 
 def encode(*messages):
     return msgspec.msgpack.encode(list(messages))
 
 
-DIGEST = Digest(is_holder=True, instances=3)
+DIGEST = CoordinatorStatus(is_holder=True, instances=3)
 
 
 @pytest.mark.parametrize(
@@ -477,7 +497,7 @@
 
 def test_random_bytes_raise_nothing_else():
     chance = random.Random(7)
-    good = encode(DIGEST, StoreNews(rows=(build_row("a", 1),)))
+    good = encode(DIGEST, StoreUpdate(rows=(build_row("a", 1),)))
     for _ in range(2_000):
         frame = bytearray(good)
         for _ in range(chance.randrange(1, 4)):
