--- a/src/arbutuspulley/admission/decision.py
+++ b/src/arbutuspulley/admission/decision.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping, Sequence
 
 from arbutuspulley.admission import drain_rate, shares
-from arbutuspulley.admission.limits import TOKENS_PER_SLOT
-from arbutuspulley.admission.order import order_waiting
+from arbutuspulley.admission.queue_order import order_waiting
+from arbutuspulley.admission.slot_limits import TOKENS_PER_SLOT
 from arbutuspulley.admission.state import (
     AdmissionState,
     Running,
--- a/src/arbutuspulley/admission/queue.py
+++ b/src/arbutuspulley/admission/queue.py
@@ -9,10 +9,10 @@
 
 from arbutuspulley.admission import drain_rate, shares
 from arbutuspulley.admission.decision import decide, has_slot, refuse_surplus
-from arbutuspulley.admission.limits import ServerLimit, compute_limit, list_active
-from arbutuspulley.admission.standing import judge_standings, waits_elsewhere
+from arbutuspulley.admission.slot_limits import ServerLimit, compute_limit, list_active
 from arbutuspulley.admission.state import AdmissionState, Running, move_load
 from arbutuspulley.admission.tickets import Admit, Effect, Refuse, Ticket
+from arbutuspulley.admission.usage_class import judge_standings, waits_elsewhere
 from arbutuspulley.results import Code
 from arbutuspulley.routing.choice import is_usable
 from arbutuspulley.routing.load import ServerLoad, observe_report
--- a/src/arbutuspulley/admission/limits.py
+++ b/src/arbutuspulley/admission/slot_limits.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from arbutuspulley.admission.standing import Standing
+from arbutuspulley.admission.usage_class import Standing
 from arbutuspulley.data import Value
 from arbutuspulley.routing.load import ServerLoad
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
--- a/src/arbutuspulley/admission/state.py
+++ b/src/arbutuspulley/admission/state.py
@@ -3,10 +3,10 @@
 import msgspec
 
 from arbutuspulley.admission.drain_rate import DrainState
-from arbutuspulley.admission.limits import ServerLimit
 from arbutuspulley.admission.shares import SharesState
-from arbutuspulley.admission.standing import Standing
+from arbutuspulley.admission.slot_limits import ServerLimit
 from arbutuspulley.admission.tickets import Ticket
+from arbutuspulley.admission.usage_class import Standing
 from arbutuspulley.data import State
 from arbutuspulley.routing.choice import RoutingState, is_usable
 from arbutuspulley.routing.load import ServerLoad, add_change
--- a/src/arbutuspulley/delivery/request.py
+++ b/src/arbutuspulley/delivery/request.py
@@ -163,7 +163,7 @@
 """What is to be done."""
 
 TakeRetry = Callable[[], bool]
-"""Takes one retry from the budget, or returns false; see ``admission.budget``."""
+"""Takes one retry from the budget, or returns false; see ``admission.retry_budget``."""
 
 
 def advance(
--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounts.py
@@ -1,6 +1,6 @@
 """What an entry counts and learns while requests come, run and end."""
 
-from arbutuspulley.admission import budget, cost, queue
+from arbutuspulley.admission import cost, queue, retry_budget
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery import request as life
 from arbutuspulley.entry import turns
@@ -112,7 +112,7 @@
 def learn(runtime: Runtime, ongoing: Ongoing) -> None:
     """Learn from a whole answer."""
     request = ongoing.request
-    budget.note_success(runtime.state.budget, retried=request.attempts > 1)
+    retry_budget.note_success(runtime.state.budget, retried=request.attempts > 1)
     if not ongoing.call.offset:
         cost.note_output(
             runtime.state.costs, item=ongoing.item.key, tokens=request.offset
--- a/src/arbutuspulley/entry/dispatch.py
+++ b/src/arbutuspulley/entry/dispatch.py
@@ -5,7 +5,7 @@
 :func:`advance_request` how that ended, and so on until there is no next attempt.
 """
 
-from arbutuspulley.admission import budget, cost
+from arbutuspulley.admission import cost, retry_budget
 from arbutuspulley.delivery import request as life
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.delivery.suspects import Judgement, build_fingerprint, judge
@@ -125,7 +125,7 @@
         ongoing.request,
         event,
         now=runtime.clock.now(),
-        take_retry=lambda: budget.take_retry(
+        take_retry=lambda: retry_budget.take_retry(
             runtime.state.budget, now=runtime.clock.now()
         ),
     )
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from arbutuspulley.admission.budget import BudgetState
 from arbutuspulley.admission.cost import CostState
 from arbutuspulley.admission.queue import AdmissionState
+from arbutuspulley.admission.retry_budget import BudgetState
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.configuration.lookup import Item
 from arbutuspulley.data import State, Value
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -5,7 +5,7 @@
 import aiohttp
 from aiohttp import web
 
-from arbutuspulley.admission.repeats import note_request, take_repeat
+from arbutuspulley.admission.service_retry_budget import note_request, take_repeat
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery.stream import EventCutter, count_events, cut_events
 from arbutuspulley.events import Event, log_event
@@ -41,14 +41,14 @@
     ServerEntry,
     TryEnd,
 )
-from arbutuspulley.routing.local import (
+from arbutuspulley.routing.local_choice import (
     note_done,
     note_pace,
     note_refused,
     note_sent,
     note_unreachable,
 )
-from arbutuspulley.routing.table import choose_service
+from arbutuspulley.routing.route_table import choose_service
 
 LATE_PRIORITY = 8
 """Rank at a server of a request that is past its aim: it gives way to all others."""
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -28,7 +28,7 @@
     StoredRow,
 )
 from arbutuspulley.results import ConfigurationError, PlatformUnavailableError
-from arbutuspulley.routing.table import build_table
+from arbutuspulley.routing.route_table import build_table
 
 RETRY_MS = 250
 """First pause after a failed call to the store, in ms; doubled up to the longest."""
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -17,7 +17,7 @@
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import build_refusal_headers, decode_request
 from arbutuspulley.ports.fleet import InboundRequest
-from arbutuspulley.routing.table import find_route
+from arbutuspulley.routing.route_table import find_route
 
 BODY_TIMEOUT_S = 10.0
 """How long a body may take to arrive, in s: a caller's whole deadline is 8 to 15."""
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from arbutuspulley.admission.rates import LocalRates
+from arbutuspulley.admission.rate_limits import LocalRates
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import Permission, ServerLimit, ServerLimits
@@ -10,7 +10,7 @@
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import read_server_limit
 from arbutuspulley.ports.fleet import InboundRequest, ServerEntry
-from arbutuspulley.routing.local import note_unlimited
+from arbutuspulley.routing.local_choice import note_unlimited
 
 
 class LimitGuard:
--- a/src/arbutuspulley/node/rates.py
+++ b/src/arbutuspulley/node/rates.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from arbutuspulley.admission.rates import RateLedger
+from arbutuspulley.admission.rate_limits import RateLedger
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import (
     Granted,
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -15,7 +15,7 @@
     ServerEntry,
     ServiceSpec,
 )
-from arbutuspulley.routing.local import (
+from arbutuspulley.routing.local_choice import (
     choose_server,
     get_most_in_flight,
     get_record,
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -12,7 +12,7 @@
 from arbutuspulley.platform.store import StoredRow
 from arbutuspulley.platform.transport import forget_connections
 from arbutuspulley.ports.fleet import ServerEntry
-from arbutuspulley.routing.local import forget_others
+from arbutuspulley.routing.local_choice import forget_others
 
 RETURN_MS = 1_800
 """How long a lapsed entry is believed in after the store's return, in ms. Entries of
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -7,8 +7,8 @@
 
 from arbutuspulley.admission.freshness import MARGIN_MS, Freshness
 from arbutuspulley.admission.keys import KeyTable
-from arbutuspulley.admission.rates import LimitTable
-from arbutuspulley.admission.repeats import RepeatBudget
+from arbutuspulley.admission.rate_limits import LimitTable
+from arbutuspulley.admission.service_retry_budget import RepeatBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
 from arbutuspulley.node.callers import count_sharers, select_takers
@@ -17,8 +17,8 @@
 from arbutuspulley.node.versions import Versions
 from arbutuspulley.platform.store import StoreClient
 from arbutuspulley.ports.fleet import FleetConfiguration, NodeSettings, ServerEntry
-from arbutuspulley.routing.local import LocalRecords
-from arbutuspulley.routing.table import RouteTable
+from arbutuspulley.routing.local_choice import LocalRecords
+from arbutuspulley.routing.route_table import RouteTable
 
 
 class NodeState:
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from arbutuspulley.admission.rates import spend
+from arbutuspulley.admission.rate_limits import spend
 from arbutuspulley.data import Value
 from arbutuspulley.pool.copies import CopyIndex, get_copies, index_copies
 from arbutuspulley.pool.demand import get_rate
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from arbutuspulley.admission.rates import RateLimit, get_wait
+from arbutuspulley.admission.rate_limits import RateLimit, get_wait
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State, Value
 from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
--- a/src/arbutuspulley/pool/waits.py
+++ b/src/arbutuspulley/pool/waits.py
@@ -1,6 +1,6 @@
 """How long a model's prompts will wait for its servers, those to come included."""
 
-from arbutuspulley.admission.rates import get_wait
+from arbutuspulley.admission.rate_limits import get_wait
 from arbutuspulley.pool.answers import NEVER, get_load_ms
 from arbutuspulley.pool.copies import CopyIndex, get_copies
 from arbutuspulley.pool.demand import get_rate
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -8,7 +8,7 @@
 from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.progress import RequestFailedError
 from arbutuspulley.platform.requests import decode_request
-from arbutuspulley.routing.table import find_route
+from arbutuspulley.routing.route_table import find_route
 from scripts.platform_stage import HOST, build_configuration, build_route
 from tests.node_states import build_state
 
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -16,7 +16,7 @@
 from arbutuspulley.node.progress import Progress, RequestFailedError
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import Holding, ServerEntry, TryEnd
-from arbutuspulley.routing.table import find_route
+from arbutuspulley.routing.route_table import find_route
 from scripts.platform_stage import HOST, build_configuration
 from tests.node_states import build_state
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from arbutuspulley.admission import budget
-from arbutuspulley.admission.budget import BudgetState, note_success, take_retry
+from arbutuspulley.admission import retry_budget
+from arbutuspulley.admission.retry_budget import BudgetState, note_success, take_retry
 
 
 def test_a_quiet_system_may_retry_its_first_failure_only():
     state = BudgetState()
     assert take_retry(state, now=5)
     assert not take_retry(state, now=6)
-    assert take_retry(state, now=budget.FLOOR_REFILL_MS)
+    assert take_retry(state, now=retry_budget.FLOOR_REFILL_MS)
 
 
 def test_successes_earn_retries_up_to_a_bound():
@@ -25,7 +25,7 @@
         note_success(state)
     assert (
         sum(take_retry(state, now=0) for _ in range(1_000))
-        == budget.MOST // budget.RETRY
+        == retry_budget.MOST // retry_budget.RETRY
     )
 
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -3,10 +3,14 @@
 import msgspec
 import pytest
 
-from arbutuspulley.admission.repeats import RepeatBudget, note_request, take_repeat
+from arbutuspulley.admission.service_retry_budget import (
+    RepeatBudget,
+    note_request,
+    take_repeat,
+)
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
 from arbutuspulley.node.directory import MOST_NAMED, Directory
-from arbutuspulley.routing.local import get_most_in_flight
+from arbutuspulley.routing.local_choice import get_most_in_flight
 from tests.node_states import build_info, build_state
 from tests.test_directory import build_ready
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from arbutuspulley.admission.rates import LOOK_AGAIN_MS
+from arbutuspulley.admission.rate_limits import LOOK_AGAIN_MS
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.coordinator import CoordinatorState
 from arbutuspulley.node.coordinator import Coordinator
--- a/tests/test_local_choice.py
+++ b/tests/test_local_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from arbutuspulley.ports.fleet import Holding, ModelNeed, ServerEntry
-from arbutuspulley.routing.local import (
+from arbutuspulley.routing.local_choice import (
     CUT_EVERY_MS,
     NO_BOUND,
     LocalRecords,
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -1,6 +1,6 @@
 """Model servers that name a rate limit: who is granted them, and what is loaded."""
 
-from arbutuspulley.admission.rates import RateLedger
+from arbutuspulley.admission.rate_limits import RateLedger
 from arbutuspulley.pool.copies import get_copies
 from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
 from arbutuspulley.pool.orders import plan_orders
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from arbutuspulley.admission.rates import (
+from arbutuspulley.admission.rate_limits import (
     LOOK_AGAIN_MS,
     MOST_UNLISTED,
     WINDOW_MS,
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,6 +1,10 @@
 """The budget of repeats that all instances share without a word."""
 
-from arbutuspulley.admission.repeats import RepeatBudget, note_request, take_repeat
+from arbutuspulley.admission.service_retry_budget import (
+    RepeatBudget,
+    note_request,
+    take_repeat,
+)
 
 
 def test_all_instances_together_stay_within_the_budget():
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -5,7 +5,7 @@
 import pytest
 
 from arbutuspulley.ports.fleet import FleetConfiguration, Repeat, Route, Share
-from arbutuspulley.routing.table import build_table, choose_service, find_route
+from arbutuspulley.routing.route_table import build_table, choose_service, find_route
 
 
 def build_route(prefix, *, host="a.example", shares=(("s", 1),)):
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -9,7 +9,7 @@
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.progress import Progress
 from arbutuspulley.node.server_choice import ServerChoice
-from arbutuspulley.routing.local import get_record
+from arbutuspulley.routing.local_choice import get_record
 from tests.node_states import build_state
 from tests.test_alone import ROUTE
 from tests.test_local_choice import A, B
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -3,16 +3,16 @@
 import pytest
 
 from arbutuspulley.admission import shares
-from arbutuspulley.admission.limits import compute_limit, list_active
-from arbutuspulley.admission.order import AGEING_MS, order_waiting
+from arbutuspulley.admission.queue_order import AGEING_MS, order_waiting
 from arbutuspulley.admission.shares import SharesState
-from arbutuspulley.admission.standing import (
+from arbutuspulley.admission.slot_limits import compute_limit, list_active
+from arbutuspulley.admission.tickets import Ticket
+from arbutuspulley.admission.usage_class import (
     PRESSING_MS,
     Standing,
     judge_standings,
     waits_elsewhere,
 )
-from arbutuspulley.admission.tickets import Ticket
 from arbutuspulley.bench.model import Model, Offer, measure_met
 from arbutuspulley.routing.load import ServerLoad, add_change, observe_report
 from arbutuspulley.rpc.messages import CallerUsage, EntryAddress, ServerSummary
