--- a/src/arbutuspulley/admission/retry_budget.py
+++ b/src/arbutuspulley/admission/retry_budget.py
@@ -23,7 +23,7 @@
 """How long it takes to refill up to the floor."""
 
 
-class BudgetState(State):
+class RetryBudget(State):
     """What may be spent on retries now.
 
     :param credit: hundredths of a retry.
@@ -34,7 +34,7 @@
     filled_at: int = 0
 
 
-def note_success(state: BudgetState, *, retried: bool = False) -> None:
+def record_success(state: RetryBudget, *, retried: bool = False) -> None:
     """Count a success.
 
     :param retried: whether it took a retry; such a success earns nothing, else
@@ -44,7 +44,7 @@
         state.credit = min(MOST, state.credit + EARNED)
 
 
-def take_retry(state: BudgetState, *, now: int, retried: bool = False) -> bool:
+def try_spend_retry(state: RetryBudget, *, now: int, retried: bool = False) -> bool:
     """Return whether a request may be tried once more, and spend one if so.
 
     :param retried: whether this request has been retried already.
--- a/src/arbutuspulley/admission/service_retry_budget.py
+++ b/src/arbutuspulley/admission/service_retry_budget.py
@@ -18,7 +18,7 @@
 was counted here."""
 
 
-class RepeatBudget(State):
+class ServiceRetryBudget(State):
     """Requests and repeats of one service within the window.
 
     :param ratio: repeats allowed for each request.
@@ -32,13 +32,13 @@
     repeats: deque[int] = msgspec.field(default_factory=deque)
 
 
-def note_request(budget: RepeatBudget, *, now: int) -> None:
+def record_request(budget: ServiceRetryBudget, *, now: int) -> None:
     """Count a caller's request."""
     budget.requests.append(now)
     _forget(budget, now=now)
 
 
-def take_repeat(budget: RepeatBudget, *, instances: float, now: int) -> bool:
+def try_spend_retry(budget: ServiceRetryBudget, *, instances: float, now: int) -> bool:
     """Return whether a request may be sent once more, and count it if so."""
     _forget(budget, now=now)
     extra = get_part(budget.extra, instances=instances)
@@ -49,7 +49,7 @@
     return True
 
 
-def _forget(budget: RepeatBudget, *, now: int) -> None:
+def _forget(budget: ServiceRetryBudget, *, now: int) -> None:
     for times in (budget.requests, budget.repeats):
         while times and times[0] <= now - budget.window_ms:
             times.popleft()
--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounts.py
@@ -112,7 +112,7 @@
 def learn(runtime: Runtime, ongoing: Ongoing) -> None:
     """Learn from a whole answer."""
     request = ongoing.request
-    retry_budget.note_success(runtime.state.budget, retried=request.attempts > 1)
+    retry_budget.record_success(runtime.state.budget, retried=request.attempts > 1)
     if not ongoing.call.offset:
         cost.note_output(
             runtime.state.costs, item=ongoing.item.key, tokens=request.offset
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -159,7 +159,7 @@
         run.request,
         event,
         now=now,
-        take_retry=lambda: retry_budget.take_retry(state.budget, now=now),
+        take_retry=lambda: retry_budget.try_spend_retry(state.budget, now=now),
     )
     for effect in effects:
         if isinstance(effect, life.Fail):
@@ -181,7 +181,7 @@
 
 
 def _note_success(runtime: Runtime, run: _Run) -> None:
-    retry_budget.note_success(runtime.state.budget, retried=run.request.attempts > 1)
+    retry_budget.record_success(runtime.state.budget, retried=run.request.attempts > 1)
 
 
 def _find_type(reply: ServiceReply) -> str:
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -11,7 +11,7 @@
 
 from arbutuspulley.admission.cost import CostState
 from arbutuspulley.admission.queue import AdmissionState
-from arbutuspulley.admission.retry_budget import BudgetState
+from arbutuspulley.admission.retry_budget import RetryBudget
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.configuration.lookup import Item
 from arbutuspulley.data import State, Value
@@ -136,7 +136,7 @@
     index: SiteIndex = EMPTY_INDEX
     admission: AdmissionState = msgspec.field(default_factory=AdmissionState)
     routing: RoutingState = msgspec.field(default_factory=RoutingState)
-    budget: BudgetState = msgspec.field(default_factory=BudgetState)
+    budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
     costs: CostState = msgspec.field(default_factory=CostState)
     suspects: SuspectState = msgspec.field(default_factory=SuspectState)
     ongoing: dict[str, Ongoing] = {}
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -5,7 +5,7 @@
 import aiohttp
 from aiohttp import web
 
-from arbutuspulley.admission.service_retry_budget import note_request, take_repeat
+from arbutuspulley.admission.service_retry_budget import record_request, try_spend_retry
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery.stream import EventCutter, count_events, cut_events
 from arbutuspulley.events import Event, log_event
@@ -137,7 +137,7 @@
         progress = self.progress
         progress.service = choose_service(self.route, chance=self._state.chance)
         now = self._state.clock.now()
-        note_request(self._state.get_budget(progress.service), now=now)
+        record_request(self._state.get_budget(progress.service), now=now)
         try:
             self._acquisition.pay_plain()
             async with asyncio.timeout((progress.ends_at - now) / SECOND_MS):
@@ -409,7 +409,7 @@
         return self._take_repeat()
 
     def _take_repeat(self) -> bool:
-        return take_repeat(
+        return try_spend_retry(
             self._state.get_budget(self.progress.service),
             instances=self._state.sharers,
             now=self._state.clock.now(),
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -8,7 +8,7 @@
 from arbutuspulley.admission.freshness import MARGIN_MS, Freshness
 from arbutuspulley.admission.keys import KeyTable
 from arbutuspulley.admission.rate_limits import LimitTable
-from arbutuspulley.admission.service_retry_budget import RepeatBudget
+from arbutuspulley.admission.service_retry_budget import ServiceRetryBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
 from arbutuspulley.node.callers import count_sharers, select_takers
@@ -125,7 +125,7 @@
         self.by_incarnation: dict[str, ServerEntry] = {}
         self.by_service: dict[str, list[ServerEntry]] = {}
         self.records = LocalRecords()
-        self.budgets: dict[str, RepeatBudget] = {}
+        self.budgets: dict[str, ServiceRetryBudget] = {}
         self.row_versions: dict[str, int] = {}
         self.quiet_rows: set[str] = set()
         self.store_version = 0
@@ -197,11 +197,11 @@
         """How much work this instance can take, in cores."""
         return get_capacity(self.settings.cores, self.settings.link_mbps)
 
-    def get_budget(self, service: str) -> RepeatBudget:
+    def get_budget(self, service: str) -> ServiceRetryBudget:
         """Return the budget of repeats of a service."""
         budget = self.budgets.get(service)
         if budget is None:
-            budget = self.budgets[service] = RepeatBudget(
+            budget = self.budgets[service] = ServiceRetryBudget(
                 ratio=self.settings.retry_ratio,
                 extra=self.settings.retry_extra,
                 window_ms=self.settings.retry_window_ms,
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -5,34 +5,38 @@
 import pytest
 
 from arbutuspulley.admission import retry_budget
-from arbutuspulley.admission.retry_budget import BudgetState, note_success, take_retry
+from arbutuspulley.admission.retry_budget import (
+    RetryBudget,
+    record_success,
+    try_spend_retry,
+)
 
 
 def test_a_quiet_system_may_retry_its_first_failure_only():
-    state = BudgetState()
-    assert take_retry(state, now=5)
-    assert not take_retry(state, now=6)
-    assert take_retry(state, now=retry_budget.FLOOR_REFILL_MS)
+    state = RetryBudget()
+    assert try_spend_retry(state, now=5)
+    assert not try_spend_retry(state, now=6)
+    assert try_spend_retry(state, now=retry_budget.FLOOR_REFILL_MS)
 
 
 def test_successes_earn_retries_up_to_a_bound():
-    state = BudgetState(credit=0)
+    state = RetryBudget(credit=0)
     for _ in range(10):
-        note_success(state)
-    assert take_retry(state, now=5)
-    assert not take_retry(state, now=6)
+        record_success(state)
+    assert try_spend_retry(state, now=5)
+    assert not try_spend_retry(state, now=6)
     for _ in range(100_000):
-        note_success(state)
+        record_success(state)
     assert (
-        sum(take_retry(state, now=0) for _ in range(1_000))
+        sum(try_spend_retry(state, now=0) for _ in range(1_000))
         == retry_budget.MOST // retry_budget.RETRY
     )
 
 
 def test_a_retry_is_not_retried_and_earns_nothing():
-    state = BudgetState(credit=500)
-    assert not take_retry(state, now=0, retried=True)
-    note_success(state, retried=True)
+    state = RetryBudget(credit=500)
+    assert not try_spend_retry(state, now=0, retried=True)
+    record_success(state, retried=True)
     assert state.credit == 500
 
 
@@ -44,16 +48,16 @@
     the requests, at the very moment when there is the least room.
     """
     chance = random.Random(1)
-    state = BudgetState()
+    state = RetryBudget()
     attempts = requests = 0
     for now in range(0, 100_000, 50):
         requests += 1
         attempts += 1
         if chance.random() >= failing:
-            note_success(state)
+            record_success(state)
             continue
-        if take_retry(state, now=now):
+        if try_spend_retry(state, now=now):
             attempts += 1
             if chance.random() >= failing:
-                note_success(state, retried=True)
+                record_success(state, retried=True)
     assert attempts / requests <= most
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -4,9 +4,9 @@
 import pytest
 
 from arbutuspulley.admission.service_retry_budget import (
-    RepeatBudget,
-    note_request,
-    take_repeat,
+    ServiceRetryBudget,
+    record_request,
+    try_spend_retry,
 )
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
 from arbutuspulley.node.directory import MOST_NAMED, Directory
@@ -97,10 +97,10 @@
     state.nodes = tuple(build_area(LARGE, *[SMALL] * 20))
     state.instances, state.takers = 72, 6
     assert get_most_in_flight(490, instances=state.sharers) >= 50
-    budget = RepeatBudget(ratio=0.2, extra=184, window_ms=10_000)
-    note_request(budget, now=0)
+    budget = ServiceRetryBudget(ratio=0.2, extra=184, window_ms=10_000)
+    record_request(budget, now=0)
     repeats = sum(
-        take_repeat(budget, instances=state.sharers, now=1) for _ in range(100)
+        try_spend_retry(budget, instances=state.sharers, now=1) for _ in range(100)
     )
     assert repeats >= 20
     state.settings = msgspec.structs.replace(state.settings, cores=0.5, link_mbps=5)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,33 +1,35 @@
 """The budget of repeats that all instances share without a word."""
 
 from arbutuspulley.admission.service_retry_budget import (
-    RepeatBudget,
-    note_request,
-    take_repeat,
+    ServiceRetryBudget,
+    record_request,
+    try_spend_retry,
 )
 
 
 def test_all_instances_together_stay_within_the_budget():
     """Every request of six instances fails for 10 s. Whatever is sent again, servers
     may see a fifth of the requests and 52 more as repeats."""
-    budgets = [RepeatBudget(ratio=0.2, extra=52, window_ms=10_000) for _ in range(6)]
+    budgets = [
+        ServiceRetryBudget(ratio=0.2, extra=52, window_ms=10_000) for _ in range(6)
+    ]
     repeats = requests = 0
     for now in range(0, 10_000, 20):
         for budget in budgets:
-            note_request(budget, now=now)
+            record_request(budget, now=now)
             requests += 1
-            repeats += take_repeat(budget, instances=6, now=now)
+            repeats += try_spend_retry(budget, instances=6, now=now)
     assert 0.1 * requests < repeats <= 0.2 * requests + 52
 
 
 def test_an_instance_that_hears_of_nobody_spends_its_part_only():
-    budget = RepeatBudget(ratio=0.2, extra=60, window_ms=10_000)
-    taken = [take_repeat(budget, instances=1, now=0) for _ in range(60)]
+    budget = ServiceRetryBudget(ratio=0.2, extra=60, window_ms=10_000)
+    taken = [try_spend_retry(budget, instances=1, now=0) for _ in range(60)]
     assert sum(taken) == 8
 
 
 def test_the_window_moves_on():
-    budget = RepeatBudget(ratio=0.0, extra=12, window_ms=10_000)
-    assert take_repeat(budget, instances=6, now=0)
-    assert not take_repeat(budget, instances=6, now=9_999)
-    assert take_repeat(budget, instances=6, now=10_000)
+    budget = ServiceRetryBudget(ratio=0.0, extra=12, window_ms=10_000)
+    assert try_spend_retry(budget, instances=6, now=0)
+    assert not try_spend_retry(budget, instances=6, now=9_999)
+    assert try_spend_retry(budget, instances=6, now=10_000)
