--- a/scripts/bench_access.py
+++ b/scripts/bench_access.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from arbutuspulley.admission.freshness import Freshness
-from arbutuspulley.admission.keys import build_keys, find_team
+from arbutuspulley.admission.keys import build_key_table, find_team
 from arbutuspulley.admission.quota import QuotaLedger, QuotaTolerance, build_limits
 from arbutuspulley.ports.fleet import Team
 
@@ -43,7 +43,7 @@
         for team in range(teams)
     ]
     tracemalloc.start()
-    table = build_keys(found)
+    table = build_key_table(found)
     ledger = QuotaLedger()
     ledger.set_limits(build_limits(found, TOLERANCE), now=0)
     memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
@@ -63,7 +63,7 @@
             ledger.charge(f"team-{len(key) + at % teams}", 1_500, now=at)
 
     def update() -> None:
-        build_keys(changed, before=table)
+        build_key_table(changed, previous=table)
         ledger.set_limits(build_limits(found, TOLERANCE), now=REQUESTS)
 
     print(f"key       {measure(check) / REQUESTS * 1e6:7.2f} us a request")
--- a/src/arbutuspulley/admission/cost.py
+++ b/src/arbutuspulley/admission/cost.py
@@ -74,12 +74,14 @@
     return _sum(prompt_bytes=prompt_bytes, output=output * choices, adapter=adapter)
 
 
-def count_cost(*, prompt_bytes: int, output_tokens: int, adapter: bool = False) -> int:
+def compute_cost(
+    *, prompt_bytes: int, output_tokens: int, adapter: bool = False
+) -> int:
     """Return the cost of a request whose answer is complete."""
     return _sum(prompt_bytes=prompt_bytes, output=output_tokens, adapter=adapter)
 
 
-def note_output(state: CostState, *, item: str, tokens: int) -> None:
+def record_output_length(state: CostState, *, item: str, tokens: int) -> None:
     """Learn from the length of an answer."""
     known = state.output_tokens.get(item, DEFAULT_OUTPUT_TOKENS)
     state.output_tokens[item] = known + LEARNING * (tokens - known)
--- a/src/arbutuspulley/admission/drain_rate.py
+++ b/src/arbutuspulley/admission/drain_rate.py
@@ -65,7 +65,7 @@
     pace.duration_ms += learning * (max(1, duration_ms) - pace.duration_ms)
 
 
-def note_first_token(state: DrainState, *, elapsed_ms: int) -> None:
+def record_first_token(state: DrainState, *, elapsed_ms: int) -> None:
     """Learn from the time between an admission and its first token."""
     error = elapsed_ms - state.first_token_ms
     state.first_token_ms += LEARNING * error
--- a/src/arbutuspulley/admission/freshness.py
+++ b/src/arbutuspulley/admission/freshness.py
@@ -11,10 +11,10 @@
 
 from collections import deque
 
-MOST_MARKS = 40
+MAX_MESSAGE_TIMES = 40
 """Messages whose times are kept, per link: those of 10 s, longer than any bound."""
 
-MARGIN_MS = 100
+CLOCK_DRIFT_MARGIN_MS = 100
 """Kept back from the bound of a withdrawal, in ms: clocks of two machines drift apart
 by less within some seconds."""
 
@@ -50,15 +50,15 @@
         return age is not None and age < limit_ms
 
 
-class Marks:
+class MessageTimes:
     """When the last messages of one link went or came, by their numbers."""
 
     __slots__ = ("_marks",)
 
     def __init__(self) -> None:
-        self._marks: deque[tuple[int, int]] = deque(maxlen=MOST_MARKS)
+        self._marks: deque[tuple[int, int]] = deque(maxlen=MAX_MESSAGE_TIMES)
 
-    def note(self, number: int, *, at: int) -> None:
+    def record(self, number: int, *, at: int) -> None:
         """Note a message; numbers and times grow."""
         self._marks.append((number, at))
 
--- a/src/arbutuspulley/admission/keys.py
+++ b/src/arbutuspulley/admission/keys.py
@@ -32,13 +32,15 @@
     digests: dict[tuple[str, ...], list[bytes]]
 
 
-def build_keys(teams: Iterable[Team], *, before: KeyTable | None = None) -> KeyTable:
+def build_key_table(
+    teams: Iterable[Team], *, previous: KeyTable | None = None
+) -> KeyTable:
     """Index the keys of teams.
 
     :param before: of the version before; most teams keep their keys.
     :raises ConfigurationError: if two teams hold the same key.
     """
-    known = before.digests if before is not None else {}
+    known = previous.digests if previous is not None else {}
     found: dict[bytes, Team] = {}
     digests: dict[tuple[str, ...], list[bytes]] = {}
     for team in teams:
@@ -50,7 +52,7 @@
                 raise ConfigurationError(
                     code=Code.BAD_TEAM,
                     detail=f"teams {other.name!r} and {team.name!r} hold the same key"
-                    f" {show_key(key)}",
+                    f" {redact_key(key)}",
                 )
     return KeyTable(teams=found, digests=digests)
 
@@ -60,7 +62,7 @@
     return table.teams.get(_digest(key))
 
 
-def show_key(key: str) -> str:
+def redact_key(key: str) -> str:
     """Return what logs say of a key; the same from every process."""
     return hashlib.sha256(_encode(key)).hexdigest()[:SHOWN_DIGITS]
 
--- a/src/arbutuspulley/admission/queue.py
+++ b/src/arbutuspulley/admission/queue.py
@@ -1,9 +1,9 @@
 """Admission: which request may go to a server now, which waits, which is refused.
 
 All functions take the state of one entry and return effects; the shell calls
-:func:`note_capacity` with each view, :func:`submit` for each request,
-:func:`assign` once the server is chosen, :func:`note_first_token`,
-:func:`finish` or :func:`withdraw` as the request goes on, and :func:`tick` every
+:func:`apply_view` with each view, :func:`submit` for each request,
+:func:`assign` once the server is chosen, :func:`record_first_token`,
+:func:`finish` or :func:`cancel` as the request goes on, and :func:`tick` every
 :data:`TICK_MS`.
 """
 
@@ -24,15 +24,15 @@
     "Effect",
     "Refuse",
     "Ticket",
+    "apply_view",
     "assign",
+    "cancel",
     "finish",
-    "list_full",
+    "list_full_servers",
     "list_usage",
-    "note_capacity",
-    "note_first_token",
+    "record_first_token",
     "submit",
     "tick",
-    "withdraw",
 ]
 
 TICK_MS = 50
@@ -42,7 +42,7 @@
 """Told to a caller whose model is not loaded anywhere right now."""
 
 
-def note_capacity(state: AdmissionState, *, view: View, now: int) -> tuple[Effect, ...]:
+def apply_view(state: AdmissionState, *, view: View, now: int) -> tuple[Effect, ...]:
     """Take up a new view: servers, entries and what callers use elsewhere."""
     shares.note_usage(state.accounts, usage=view.usage, now=now)
     state.standings = judge_standings(state.accounts, now=now)
@@ -101,7 +101,7 @@
     running.server = server
 
 
-def list_full(
+def list_full_servers(
     state: AdmissionState, request_id: str, *, now: int | None = None
 ) -> frozenset[str]:
     """Return servers that this entry should not use more of for a request now.
@@ -119,11 +119,11 @@
     )
 
 
-def note_first_token(state: AdmissionState, request_id: str, *, now: int) -> None:
+def record_first_token(state: AdmissionState, request_id: str, *, now: int) -> None:
     """Learn how long after its admission a request's first token came."""
     running = state.running.get(request_id)
     if running is not None:
-        drain_rate.note_first_token(state.drain, elapsed_ms=now - running.admitted_at)
+        drain_rate.record_first_token(state.drain, elapsed_ms=now - running.admitted_at)
 
 
 def finish(
@@ -150,7 +150,7 @@
     return decide(state, now=now)
 
 
-def withdraw(state: AdmissionState, request_id: str, *, now: int) -> tuple[Effect, ...]:
+def cancel(state: AdmissionState, request_id: str, *, now: int) -> tuple[Effect, ...]:
     """Forget a request whose caller has left or that was not run."""
     if state.waiting.pop(request_id, None) is not None:
         return ()
--- a/src/arbutuspulley/bench/model.py
+++ b/src/arbutuspulley/bench/model.py
@@ -157,7 +157,7 @@
         self.running[server] += 1
         one.admitted_at = now
         one.crowded = self.running[server] > self.slots * 9 // 8
-        queue.note_first_token(entry, name, now=now + FIRST_TOKEN_MS)
+        queue.record_first_token(entry, name, now=now + FIRST_TOKEN_MS)
         ends = now + self.chance.expovariate(1 / DURATION_MS)
         self._plan(ends, partial(self._finish, number, name, server))
 
@@ -186,7 +186,7 @@
                 ),
                 usage=sum_usage(usages[:number] + usages[number + 1 :]),
             )
-            effects = queue.note_capacity(entry, view=view, now=now)
+            effects = queue.apply_view(entry, view=view, now=now)
             self._apply(number, effects, now)
         self.known = dict(self.running)
 
--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounts.py
@@ -53,7 +53,7 @@
     if ongoing is None or ongoing.attempt is None:
         return
     now = runtime.clock.now()
-    queue.note_first_token(runtime.state.admission, request_id, now=now)
+    queue.record_first_token(runtime.state.admission, request_id, now=now)
     choice.note_success(runtime.state.routing, ongoing.attempt.server)
     if ongoing.request.attempts == 1:
         elapsed_ms = now - ongoing.call.arrived_at
@@ -99,7 +99,7 @@
     if not request.exposed and not produced:
         turns.leave_queue(runtime, ongoing)
         return
-    used = cost.count_cost(
+    used = cost.compute_cost(
         prompt_bytes=len(ongoing.call.body),
         output_tokens=produced,
         adapter=bool(ongoing.item.base_key),
@@ -114,6 +114,6 @@
     request = ongoing.request
     retry_budget.record_success(runtime.state.budget, retried=request.attempts > 1)
     if not ongoing.call.offset:
-        cost.note_output(
+        cost.record_output_length(
             runtime.state.costs, item=ongoing.item.key, tokens=request.offset
         )
--- a/src/arbutuspulley/entry/choosing.py
+++ b/src/arbutuspulley/entry/choosing.py
@@ -29,7 +29,7 @@
 
     :param avoid: servers to leave out, unless they are alive and the only ones.
     """
-    full = queue.list_full(
+    full = queue.list_full_servers(
         runtime.state.admission, ongoing.call.request_id, now=runtime.clock.now()
     )
     holders = _list_holders(runtime, ongoing)
--- a/src/arbutuspulley/entry/turns.py
+++ b/src/arbutuspulley/entry/turns.py
@@ -35,7 +35,7 @@
 
 def leave_queue(runtime: Runtime, ongoing: Ongoing) -> None:
     """Forget a request that was not run, waiting or admitted."""
-    effects = queue.withdraw(
+    effects = queue.cancel(
         runtime.state.admission, ongoing.call.request_id, now=runtime.clock.now()
     )
     apply_effects(runtime, effects)
--- a/src/arbutuspulley/entry/views.py
+++ b/src/arbutuspulley/entry/views.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from arbutuspulley.admission.queue import list_usage, note_capacity
+from arbutuspulley.admission.queue import apply_view, list_usage
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.delivery import suspects
@@ -150,7 +150,7 @@
     state.summaries = {summary.server: summary for summary in view.servers}
     note_reports(state.routing, servers=view.servers, now=now)
     _take_suspicions(state, view, now)
-    apply_effects(runtime, note_capacity(state.admission, view=view, now=now))
+    apply_effects(runtime, apply_view(state.admission, view=view, now=now))
 
 
 def is_ready(state: EntryState) -> bool:
--- a/src/arbutuspulley/node/access.py
+++ b/src/arbutuspulley/node/access.py
@@ -1,6 +1,6 @@
 """Decides whether a caller's key admits it here and now."""
 
-from arbutuspulley.admission.keys import find_team, show_key
+from arbutuspulley.admission.keys import find_team, redact_key
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.progress import RETRY_AFTER_MS, RequestFailedError
 from arbutuspulley.node.state import NodeState
@@ -64,7 +64,7 @@
         log_event(
             event,
             id=self._attempt_id,
-            key=show_key(self._key) if self._key else "",
+            key=redact_key(self._key) if self._key else "",
             version=state.configuration_version,
             age_ms=state.freshness.get_age(now),
             source=state.freshness.source,
--- a/src/arbutuspulley/node/confirmation.py
+++ b/src/arbutuspulley/node/confirmation.py
@@ -3,7 +3,7 @@
 See :mod:`arbutuspulley.admission.freshness`.
 """
 
-from arbutuspulley.admission.freshness import Marks
+from arbutuspulley.admission.freshness import MessageTimes
 from arbutuspulley.node.messages import Digest
 from arbutuspulley.node.state import NodeState
 
@@ -19,8 +19,8 @@
 
     def __init__(self, *, state: NodeState) -> None:
         self._state = state
-        self._beats = Marks()
-        self._digests = Marks()
+        self._beats = MessageTimes()
+        self._digests = MessageTimes()
 
     @property
     def vouched_digest(self) -> int:
@@ -39,12 +39,12 @@
 
     def note_beat(self, number: int, *, at: int) -> None:
         """Note that a beat is sent."""
-        self._beats.note(number, at=at)
+        self._beats.record(number, at=at)
 
     def take_digest(self, digest: Digest, *, at: int) -> None:
         """Take in what a digest says of how new the configuration in force is."""
         state = self._state
-        self._digests.note(digest.number, at=at)
+        self._digests.record(digest.number, at=at)
         sent_at = self._beats.find_time(digest.fresh_beat)
         if sent_at is not None and digest.configuration <= state.configuration_version:
             state.freshness.confirm(sent_at, source="coordinator")
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from arbutuspulley.admission.keys import build_keys
+from arbutuspulley.admission.keys import build_key_table
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import ConfigurationUpdate, StoreNews
@@ -350,7 +350,7 @@
     try:
         configuration = decode_configuration(body)
         teams = configuration.teams
-        keys = None if teams is None else build_keys(teams, before=state.keys)
+        keys = None if teams is None else build_key_table(teams, previous=state.keys)
     except msgspec.MsgspecError as error:
         log_event(Event.CONFIGURATION_REFUSED, detail=str(error))
         return False
--- a/src/arbutuspulley/node/peer.py
+++ b/src/arbutuspulley/node/peer.py
@@ -6,7 +6,7 @@
 import aiohttp
 from aiohttp import web
 
-from arbutuspulley.admission.freshness import Marks
+from arbutuspulley.admission.freshness import MessageTimes
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import (
     Digest,
@@ -70,9 +70,9 @@
         self.info = info
         self.heard_at = heard_at
         self.beat = 0
-        self.beats = Marks()
+        self.beats = MessageTimes()
         self.digest = 0
-        self.digests = Marks()
+        self.digests = MessageTimes()
         self.configuration = self.told = configuration
         self.build_configuration = build_configuration
         self._due = 0
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -139,7 +139,7 @@
     def _take_word(self, peer: Peer, beat: Beat) -> None:
         """Take in what a beat says of how new the configuration in force is."""
         state = self._state
-        peer.beats.note(beat.number, at=state.clock.now())
+        peer.beats.record(beat.number, at=state.clock.now())
         sent_at = peer.digests.find_time(beat.vouches)
         if sent_at is not None and beat.configuration <= state.configuration_version:
             state.freshness.confirm(sent_at, source="follower")
@@ -242,7 +242,7 @@
     def _send_digest_to(self, peer: Peer, digest: Digest) -> None:
         state = self._state
         peer.digest += 1
-        peer.digests.note(peer.digest, at=state.clock.now())
+        peer.digests.record(peer.digest, at=state.clock.now())
         own = msgspec.structs.replace(
             digest,
             beat=peer.beat,
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from arbutuspulley.admission.freshness import MARGIN_MS, Freshness
+from arbutuspulley.admission.freshness import CLOCK_DRIFT_MARGIN_MS, Freshness
 from arbutuspulley.admission.keys import KeyTable
 from arbutuspulley.admission.rate_limits import LimitTable
 from arbutuspulley.admission.service_retry_budget import ServiceRetryBudget
@@ -155,7 +155,7 @@
         withdrawal_ms = self.settings.withdrawal_ms
         if self.keys is None or withdrawal_ms is None:
             return True
-        limit_ms = withdrawal_ms - MARGIN_MS
+        limit_ms = withdrawal_ms - CLOCK_DRIFT_MARGIN_MS
         return self.freshness.is_within(limit_ms, now=self.clock.now())
 
     @property
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -5,7 +5,7 @@
 import pytest
 
 from arbutuspulley.admission import cost
-from arbutuspulley.admission.cost import CostState, count_cost, estimate_cost
+from arbutuspulley.admission.cost import CostState, compute_cost, estimate_cost
 
 DEFAULT = int(cost.DEFAULT_OUTPUT_TOKENS)
 
@@ -46,8 +46,8 @@
     """
     state = CostState()
     for _ in range(60):
-        cost.note_output(state, item="short@1", tokens=20)
-        cost.note_output(state, item="long@1", tokens=1_000)
+        cost.record_output_length(state, item="short@1", tokens=20)
+        cost.record_output_length(state, item="long@1", tokens=1_000)
     body = build_body(prompt="", max_tokens=4_096)
     assert estimate_cost(body, state=state, item="short@1") == pytest.approx(20, abs=2)
     long = estimate_cost(body, state=state, item="long@1")
@@ -56,5 +56,5 @@
 
 
 def test_the_known_cost_counts_what_was_produced():
-    assert count_cost(prompt_bytes=400, output_tokens=30) == 40
-    assert count_cost(prompt_bytes=0, output_tokens=0) == 1
+    assert compute_cost(prompt_bytes=400, output_tokens=30) == 40
+    assert compute_cost(prompt_bytes=0, output_tokens=0) == 1
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from arbutuspulley.admission.keys import build_keys
+from arbutuspulley.admission.keys import build_key_table
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.directory import FRESH_MS, Directory
 from arbutuspulley.node.following import put_in_force
@@ -73,7 +73,7 @@
     callers that asked it were refused there."""
     now = [10]
     state = build_ready(now=now, withdrawal_ms=5_000)
-    state.keys = build_keys(())
+    state.keys = build_key_table(())
     state.nodes, state.nodes_at = NODES, 10
     state.freshness.confirm(10, source="store")
     directory = Directory(state=state)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from arbutuspulley.admission.freshness import MOST_MARKS, Freshness, Marks
+from arbutuspulley.admission.freshness import MAX_MESSAGE_TIMES, Freshness, MessageTimes
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.following import put_in_force
 from arbutuspulley.node.link import Link
@@ -51,9 +51,9 @@
 
 
 def test_marks_know_the_last_messages():
-    marks = Marks()
-    for number in range(1, MOST_MARKS + 2):
-        marks.note(number, at=10 * number)
+    marks = MessageTimes()
+    for number in range(1, MAX_MESSAGE_TIMES + 2):
+        marks.record(number, at=10 * number)
     assert marks.find_time(1) is None
     assert marks.find_time(2) == 20
     assert marks.find_number(39) == 3
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from arbutuspulley.admission.keys import build_keys, find_team, show_key
+from arbutuspulley.admission.keys import build_key_table, find_team, redact_key
 from arbutuspulley.ports.fleet import Team
 from arbutuspulley.results import Code, ConfigurationError
 
@@ -14,33 +14,33 @@
     [("k1", "a"), ("k2", "a"), ("k3", "b"), ("k4", None), ("", None), ("K1", None)],
 )
 def test_a_key_is_found_as_it_is_written(key, team):
-    found = find_team(build_keys(TEAMS), key)
+    found = find_team(build_key_table(TEAMS), key)
     assert (found.name if found else None) == team
 
 
 def test_a_key_of_two_teams_is_refused_without_being_shown():
     teams = (*TEAMS, Team(name="c", keys=("k3",)))
     with pytest.raises(ConfigurationError) as raised:
-        build_keys(teams)
+        build_key_table(teams)
     assert raised.value.code is Code.BAD_TEAM
-    for part in ("'b'", "'c'", show_key("k3")):
+    for part in ("'b'", "'c'", redact_key("k3")):
         assert part in raised.value.detail
-    assert "k3" not in raised.value.detail.replace(show_key("k3"), "")
+    assert "k3" not in raised.value.detail.replace(redact_key("k3"), "")
 
 
 def test_a_key_that_a_team_lists_twice_is_one_key():
-    table = build_keys((Team(name="a", keys=("k1", "k1")),))
+    table = build_key_table((Team(name="a", keys=("k1", "k1")),))
     assert find_team(table, "k1").name == "a"
 
 
 def test_a_newer_version_is_indexed_as_if_there_were_none_before():
-    before = build_keys(TEAMS)
+    before = build_key_table(TEAMS)
     teams = (Team(name="x", keys=("k1", "k2")), Team(name="b", keys=("k4",)))
-    table = build_keys(teams, before=before)
+    table = build_key_table(teams, previous=before)
     found = {key: find_team(table, key) for key in ("k1", "k2", "k3", "k4")}
     names = {key: team.name for key, team in found.items() if team}
     assert names == {"k1": "x", "k2": "x", "k4": "b"}
 
 
 def test_bytes_that_are_no_text_are_no_key():
-    assert find_team(build_keys(TEAMS), "k\udcff") is None
+    assert find_team(build_key_table(TEAMS), "k\udcff") is None
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -40,7 +40,7 @@
 def build_state(*servers, filled=0, duration_ms=1_000, **ticket):
     """Return an entry that knows how long requests take and has some running."""
     state = AdmissionState(own="e")
-    queue.note_capacity(state, view=build_view(*servers), now=0)
+    queue.apply_view(state, view=build_view(*servers), now=0)
     for server in state.limits:
         pace = drain_rate.Pace(duration_ms=duration_ms, finished=100)
         state.drain.paces[server] = pace
@@ -78,7 +78,7 @@
 )
 def test_a_request_is_admitted_waits_or_is_refused(server, filled, fields, outcome):
     state = build_state(build_server(), filled=filled)
-    queue.note_capacity(state, view=build_view(build_server(**server)), now=0)
+    queue.apply_view(state, view=build_view(build_server(**server)), now=0)
     effects = submit(state, "x", **fields)
     expected = [] if outcome == "wait" else [("x", outcome)]
     assert name_outcomes(effects) == expected
@@ -123,7 +123,7 @@
     for number in range(100):
         submit(state, f"t{number}", now=0)
         elapsed = 100 if number % 2 else 500
-        queue.note_first_token(state, f"t{number}", now=elapsed)
+        queue.record_first_token(state, f"t{number}", now=elapsed)
         queue.finish(state, f"t{number}", tokens=100, now=elapsed)
     assert 500 < drain_rate.predict_first_token(state.drain) < 900
 
@@ -134,8 +134,8 @@
         submit(state, name)
     effects = queue.finish(state, "r0", tokens=100, now=10)
     assert name_outcomes(effects) == [("w1", "admit")]
-    assert queue.withdraw(state, "w2", now=11) == ()
-    assert queue.withdraw(state, "r1", now=12) == ()
+    assert queue.cancel(state, "w2", now=11) == ()
+    assert queue.cancel(state, "r1", now=12) == ()
     assert name_outcomes(submit(state, "w3", now=13)) == [("w3", "admit")]
     assert queue.finish(state, "gone", tokens=1, now=14) == ()
 
@@ -147,8 +147,8 @@
         queue.assign(state, f"a{number}", server="s1", now=0)
     submit(state, "b")
     assert state.running["b"].server == "s2"
-    assert queue.list_full(state, "b") == {"s1"}
-    assert queue.list_full(state, "unknown") == frozenset()
+    assert queue.list_full_servers(state, "b") == {"s1"}
+    assert queue.list_full_servers(state, "unknown") == frozenset()
 
 
 def test_free_slots_of_a_failing_server_do_not_count():
@@ -163,7 +163,7 @@
         submit(state, f"r{number}")
     assert {one.server for one in state.running.values()} == {"s1"}
     assert submit(state, "w") == ()
-    assert queue.list_full(state, "r0", now=0) == {"s2"}
+    assert queue.list_full_servers(state, "r0", now=0) == {"s2"}
     choice.note_failure(state.routing, "s1", 0)
     assert name_outcomes(queue.tick(state, now=1)) == [("w", "admit")]
     assert state.running["w"].server == "s2"
@@ -218,7 +218,7 @@
     """A caller floods five other entries; here, it takes turns with a modest one."""
     state = build_state(filled=SLOTS, caller="flood")
     usage = (CallerUsage(caller="flood", tokens_per_s=1_000.0),)
-    queue.note_capacity(state, view=build_view(usage=usage), now=0)
+    queue.apply_view(state, view=build_view(usage=usage), now=0)
     for number in range(2):
         submit(state, f"f{number}", caller="flood")
         submit(state, f"m{number}", caller="modest")
@@ -230,10 +230,10 @@
 
 def test_servers_that_are_gone_are_forgotten_once_they_run_nothing():
     state = build_state(filled=1)
-    queue.note_capacity(state, view=build_view(build_server("s2")), now=1)
+    queue.apply_view(state, view=build_view(build_server("s2")), now=1)
     assert "s1" in state.loads
     queue.finish(state, "r0", tokens=1, now=2)
-    queue.note_capacity(state, view=build_view(build_server("s2")), now=3)
+    queue.apply_view(state, view=build_view(build_server("s2")), now=3)
     assert set(state.loads) == {"s2"}
     assert "s1" not in state.drain.paces
 
