--- a/scripts/compare_quotas.py
+++ b/scripts/compare_quotas.py
@@ -22,15 +22,15 @@
 from collections.abc import Callable
 
 from arbutuspulley.admission.quota import (
-    Bucket,
-    Limit,
     LocalQuota,
     QuotaLedger,
+    QuotaLimit,
     QuotaTolerance,
+    TokenBucket,
     build_limit,
     build_limits,
     refill,
-    take,
+    try_consume,
 )
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import Value
@@ -111,14 +111,15 @@
 def build_reference(teams: list[Team]) -> Decide:
     """Return what the quotas allow, if everything is known everywhere at once."""
     limits = [
-        Limit(per_ms=t.rate_per_s / 1e3, most=t.burst, tolerance=0) for t in teams
+        QuotaLimit(rate_per_ms=t.rate_per_s / 1e3, capacity=t.burst, tolerance=0)
+        for t in teams
     ]
-    buckets = [Bucket(left=limit.most, at=0) for limit in limits]
+    buckets = [TokenBucket(balance=limit.capacity, updated_at=0) for limit in limits]
 
     def decide(asked: Asked) -> bool:
         bucket, limit = buckets[asked.team], limits[asked.team]
         refill(bucket, limit, now=asked.at)
-        return take(bucket, limit, asked.cost) == 0
+        return try_consume(bucket, limit, asked.cost) == 0
 
     return decide
 
@@ -136,13 +137,13 @@
             lost[0] = True
             part = 1 / INSTANCES
             own, team = local[asked.instance], teams[asked.team]
-            return own.charge(team, asked.cost, part=part, now=asked.at) == 0
+            return own.charge(team, asked.cost, fraction=part, now=asked.at) == 0
         if lost[0]:
             lost[0] = False
-            ledger.begin()
+            ledger.reset()
             ledger.set_limits(limits, now=LOST.stop)
         for own in local:
-            own.note_coordinated(asked.at)
+            own.record_coordinated(asked.at)
         sent[0] += ASK_BYTES
         return ledger.charge(str(asked.team), asked.cost, now=asked.at) == 0
 
@@ -156,7 +157,10 @@
     parts = [[1 / INSTANCES] * INSTANCES for _ in teams]
     demand = [[0.0] * INSTANCES for _ in teams]
     buckets = [
-        [Bucket(left=limit.most / INSTANCES, at=0) for _ in range(INSTANCES)]
+        [
+            TokenBucket(balance=limit.capacity / INSTANCES, updated_at=0)
+            for _ in range(INSTANCES)
+        ]
         for limit in whole
     ]
     told_at = [0]
@@ -177,10 +181,14 @@
         demand[asked.team][asked.instance] += asked.cost
         part = parts[asked.team][asked.instance]
         limit = whole[asked.team]
-        own = Limit(per_ms=limit.per_ms * part, most=limit.most * part, tolerance=0)
+        own = QuotaLimit(
+            rate_per_ms=limit.rate_per_ms * part,
+            capacity=limit.capacity * part,
+            tolerance=0,
+        )
         bucket = buckets[asked.team][asked.instance]
         refill(bucket, own, now=asked.at)
-        return take(bucket, own, asked.cost) == 0
+        return try_consume(bucket, own, asked.cost) == 0
 
     return decide
 
--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -21,12 +21,12 @@
 they were sent, a coordinator that does not know what its predecessor granted, instances
 without a coordinator, and what is spent before it is told."""
 
-MOST_PROMISED_MS = 5 * SECOND_MS
+MAX_RETRY_AFTER_MS = 5 * SECOND_MS
 """For how long ahead tokens are promised to refused callers, in ms: callers who are to
 wait longer mostly give up."""
 
 
-def get_lost_part(lost_ms: int, *, ends_ms: int | None) -> float:
+def get_disconnected_fraction(disconnected_ms: int, *, decay_ms: int | None) -> float:
     """Return which part of its own part an instance may use after its link was lost.
 
     Its callers go over to others meanwhile, and it is not needed to keep it for longer
@@ -34,9 +34,9 @@
 
     :param ends_ms: after which nothing of it is left; ``None``: it stays whole.
     """
-    if ends_ms is None:
+    if decay_ms is None:
         return 1.0
-    return min(1.0, max(0.0, 1 - lost_ms / ends_ms))
+    return min(1.0, max(0.0, 1 - disconnected_ms / decay_ms))
 
 
 class QuotaTolerance(Value, frozen=True):
@@ -51,7 +51,7 @@
     extra: float
 
 
-class Limit(Value, frozen=True):
+class QuotaLimit(Value, frozen=True):
     """A bucket's shape.
 
     :param per_ms: units that come back in a ms.
@@ -59,12 +59,12 @@
     :param tolerance: units of one part of the tolerated excess.
     """
 
-    per_ms: float
-    most: float
+    rate_per_ms: float
+    capacity: float
     tolerance: float
 
 
-class Bucket(State):
+class TokenBucket(State):
     """What a team has left.
 
     :param left: may be negative: a larger request is taken from a full bucket.
@@ -72,9 +72,9 @@
     :param at: as of when, in ms.
     """
 
-    left: float
-    at: int
-    promised: float = 0.0
+    balance: float
+    updated_at: int
+    reserved: float = 0.0
 
 
 def get_cost(team: Team, usage_tokens: int | None) -> int:
@@ -87,34 +87,42 @@
     return team.plain_tokens if usage_tokens is None else max(0, usage_tokens)
 
 
-def build_limit(team: Team, tolerance: QuotaTolerance) -> Limit | None:
+def build_limit(team: Team, tolerance: QuotaTolerance) -> QuotaLimit | None:
     """Return the shape of a team's bucket; ``None`` if it has no quota."""
     if not team.rate_per_s:
         return None
-    per_ms = team.rate_per_s / SECOND_MS
-    allowed = per_ms * tolerance.window_ms + team.burst
-    part = (tolerance.overage * allowed + tolerance.extra) / TOLERANCE_PARTS
-    return Limit(per_ms=per_ms, most=max(team.burst, 1) + part, tolerance=part)
+    rate_per_ms = team.rate_per_s / SECOND_MS
+    allowed = rate_per_ms * tolerance.window_ms + team.burst
+    excess = (tolerance.overage * allowed + tolerance.extra) / TOLERANCE_PARTS
+    return QuotaLimit(
+        rate_per_ms=rate_per_ms, capacity=max(team.burst, 1) + excess, tolerance=excess
+    )
 
 
-def build_limits(teams: Iterable[Team], tolerance: QuotaTolerance) -> dict[str, Limit]:
+def build_limits(
+    teams: Iterable[Team], tolerance: QuotaTolerance
+) -> dict[str, QuotaLimit]:
     """Return the shapes of all buckets by team."""
     found = ((team.name, build_limit(team, tolerance)) for team in teams)
     return {name: limit for name, limit in found if limit is not None}
 
 
-def refill(bucket: Bucket, limit: Limit, *, now: int, part: float = 1.0) -> None:
+def refill(
+    bucket: TokenBucket, limit: QuotaLimit, *, now: int, fraction: float = 1.0
+) -> None:
     """Put in what has come back since the bucket was last looked at.
 
     :param part: of the rate that this bucket gets.
     """
-    units = limit.per_ms * part * max(0, now - bucket.at)
-    bucket.left = min(limit.most, bucket.left + units)
-    bucket.promised = max(0.0, bucket.promised - units)
-    bucket.at = max(bucket.at, now)
+    units = limit.rate_per_ms * fraction * max(0, now - bucket.updated_at)
+    bucket.balance = min(limit.capacity, bucket.balance + units)
+    bucket.reserved = max(0.0, bucket.reserved - units)
+    bucket.updated_at = max(bucket.updated_at, now)
 
 
-def take(bucket: Bucket, limit: Limit, cost: float, *, part: float = 1.0) -> int:
+def try_consume(
+    bucket: TokenBucket, limit: QuotaLimit, cost: float, *, fraction: float = 1.0
+) -> int:
     """Take a request's cost out of a bucket that was just refilled.
 
     A request that costs more than the bucket holds is taken from a full one.
@@ -122,15 +130,15 @@
     :return: 0 if it was taken; otherwise in how many ms it may be, those included who
         were told to come back before.
     """
-    need = min(cost, limit.most)
-    if bucket.left >= need:
-        bucket.left -= cost
+    need = min(cost, limit.capacity)
+    if bucket.balance >= need:
+        bucket.balance -= cost
         return 0
-    refill_per_ms = max(limit.per_ms * part, 1e-9)
-    missing = need - bucket.left + bucket.promised
-    if bucket.promised < MOST_PROMISED_MS * refill_per_ms:
-        bucket.promised += cost
-    return int(min(missing / refill_per_ms, MOST_PROMISED_MS)) + 1
+    refill_per_ms = max(limit.rate_per_ms * fraction, 1e-9)
+    missing = need - bucket.balance + bucket.reserved
+    if bucket.reserved < MAX_RETRY_AFTER_MS * refill_per_ms:
+        bucket.reserved += cost
+    return int(min(missing / refill_per_ms, MAX_RETRY_AFTER_MS)) + 1
 
 
 class QuotaLedger:
@@ -140,42 +148,44 @@
     :param part: of each rate that is refilled here.
     """
 
-    __slots__ = ("_buckets", "_has_begun", "limits", "part")
+    __slots__ = ("_buckets", "_has_begun", "fraction", "limits")
 
     def __init__(self) -> None:
-        self.limits: dict[str, Limit] = {}
-        self.part = 1.0
-        self._buckets: dict[str, Bucket] = {}
+        self.limits: dict[str, QuotaLimit] = {}
+        self.fraction = 1.0
+        self._buckets: dict[str, TokenBucket] = {}
         self._has_begun = False
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Begin without knowing what was spent before."""
         self._buckets.clear()
         self._has_begun = False
 
-    def set_limits(self, limits: dict[str, Limit], *, now: int) -> None:
+    def set_limits(self, limits: dict[str, QuotaLimit], *, now: int) -> None:
         """Take over the limits of a configuration.
 
         What was left under those that hold as this begins is not known here. It counts
         as spent, but for the part of the tolerance that is kept for this.
         """
-        buckets: dict[str, Bucket] = {}
+        buckets: dict[str, TokenBucket] = {}
         for team, limit in limits.items():
-            left = limit.most
+            balance = limit.capacity
             if not self._has_begun:
-                left = min(left, limit.tolerance)
-            buckets[team] = self._buckets.get(team) or Bucket(left=left, at=now)
+                balance = min(balance, limit.tolerance)
+            buckets[team] = self._buckets.get(team) or TokenBucket(
+                balance=balance, updated_at=now
+            )
         self._has_begun = True
         self._buckets = buckets
         self.limits = limits
 
-    def set_part(self, part: float, *, now: int) -> None:
+    def set_refill_fraction(self, fraction: float, *, now: int) -> None:
         """Change the part of each rate that is refilled from now on."""
-        if part == self.part:
+        if fraction == self.fraction:
             return
         for team, bucket in self._buckets.items():
-            refill(bucket, self.limits[team], now=now, part=self.part)
-        self.part = part
+            refill(bucket, self.limits[team], now=now, fraction=self.fraction)
+        self.fraction = fraction
 
     def charge(self, team: str, cost: float, *, now: int) -> int:
         """Take a request's cost from its team.
@@ -185,9 +195,11 @@
         limit = self.limits.get(team)
         if limit is None:
             return 0
-        return take(self._find(team, limit, now), limit, cost, part=self.part)
+        return try_consume(
+            self._find(team, limit, now), limit, cost, fraction=self.fraction
+        )
 
-    def note_spent(self, team: str, cost: float, *, now: int) -> int:
+    def record_usage(self, team: str, cost: float, *, now: int) -> int:
         """Take in what an instance has spent or, if negative, gives back.
 
         :return: 0, or in how many ms the team's debt is paid.
@@ -196,19 +208,19 @@
         if limit is None:
             return 0
         bucket = self._find(team, limit, now)
-        bucket.left = min(limit.most, bucket.left - cost)
-        if bucket.left >= 0:
+        bucket.balance = min(limit.capacity, bucket.balance - cost)
+        if bucket.balance >= 0:
             return 0
-        return int(-bucket.left / max(limit.per_ms * self.part, 1e-9)) + 1
+        return int(-bucket.balance / max(limit.rate_per_ms * self.fraction, 1e-9)) + 1
 
-    def get_left(self, team: str, *, now: int) -> float | None:
+    def get_balance(self, team: str, *, now: int) -> float | None:
         """Return what a team has left; ``None`` if it has no limit."""
         limit = self.limits.get(team)
-        return None if limit is None else self._find(team, limit, now).left
+        return None if limit is None else self._find(team, limit, now).balance
 
-    def _find(self, team: str, limit: Limit, now: int) -> Bucket:
+    def _find(self, team: str, limit: QuotaLimit, now: int) -> TokenBucket:
         bucket = self._buckets[team]
-        refill(bucket, limit, now=now, part=self.part)
+        refill(bucket, limit, now=now, fraction=self.fraction)
         return bucket
 
 
@@ -233,59 +245,65 @@
     ) -> None:
         self.tolerance = tolerance
         self._chance = chance or random.Random()
-        self._buckets: dict[str, Bucket] = {}
+        self._buckets: dict[str, TokenBucket] = {}
         self._coordinated_at = now
 
-    def note_coordinated(self, now: int) -> None:
+    def record_coordinated(self, now: int) -> None:
         """Note that a coordinator counts at present; its bucket is refilled instead."""
         self._coordinated_at = now
 
-    def get_alone_ms(self, now: int) -> int:
+    def get_uncoordinated_ms(self, now: int) -> int:
         """Return for how long no coordinator has counted, in ms."""
         return max(0, now - self._coordinated_at)
 
-    def charge(self, team: Team, cost: float, *, part: float, now: int) -> int:
+    def charge(self, team: Team, cost: float, *, fraction: float, now: int) -> int:
         """Take a request's cost from its team.
 
         :param part: of the quota that this instance may use by itself.
         :return: 0, or in how many ms the team has enough here.
         """
-        limit = self._build_limit(team, part)
+        limit = self._build_limit(team, fraction)
         if limit is None:
             return 0
         bucket = self._buckets.get(team.name)
         if bucket is None:
-            bucket = Bucket(left=self._draw_left(limit, cost, part), at=now)
+            bucket = TokenBucket(
+                balance=self._draw_left(limit, cost, fraction), updated_at=now
+            )
             self._buckets[team.name] = bucket
-        coordinated_ms = max(0, self._coordinated_at - bucket.at)
+        coordinated_ms = max(0, self._coordinated_at - bucket.updated_at)
         if coordinated_ms:
             # Only the tolerance comes back meanwhile, once in each window.
-            back = limit.most * coordinated_ms / self.tolerance.window_ms
-            left = min(limit.most, bucket.left + back)
-            bucket.left = min(left, self._draw_left(limit, cost, part))
-            bucket.at = self._coordinated_at
+            back = limit.capacity * coordinated_ms / self.tolerance.window_ms
+            balance = min(limit.capacity, bucket.balance + back)
+            bucket.balance = min(balance, self._draw_left(limit, cost, fraction))
+            bucket.updated_at = self._coordinated_at
         refill(bucket, limit, now=now)
-        return take(bucket, limit, cost)
+        return try_consume(bucket, limit, cost)
 
-    def give_back(self, team: str, cost: float) -> None:
+    def refund(self, team: str, cost: float) -> None:
         """Return the cost of a request that did not run."""
         bucket = self._buckets.get(team)
         if bucket is not None:
-            bucket.left += cost
+            bucket.balance += cost
 
-    def _draw_left(self, limit: Limit, cost: float, part: float) -> float:
+    def _draw_left(self, limit: QuotaLimit, cost: float, fraction: float) -> float:
         """Return what is left as the instance begins to serve without a coordinator.
 
         An instance alone begins without a debt, as one bucket admits one such request.
         """
-        if cost <= limit.most:
-            return limit.most
-        debt = cost * (self._chance.random() - part) - limit.most
-        return limit.most - max(0.0, debt)
+        if cost <= limit.capacity:
+            return limit.capacity
+        debt = cost * (self._chance.random() - fraction) - limit.capacity
+        return limit.capacity - max(0.0, debt)
 
-    def _build_limit(self, team: Team, part: float) -> Limit | None:
+    def _build_limit(self, team: Team, fraction: float) -> QuotaLimit | None:
         limit = build_limit(team, self.tolerance)
         if limit is None:
             return None
-        tolerance = limit.tolerance * part
-        return Limit(per_ms=limit.per_ms * part, most=tolerance, tolerance=tolerance)
+        tolerance = limit.tolerance * fraction
+        return QuotaLimit(
+            rate_per_ms=limit.rate_per_ms * fraction,
+            capacity=tolerance,
+            tolerance=tolerance,
+        )
--- a/src/arbutuspulley/node/accounts.py
+++ b/src/arbutuspulley/node/accounts.py
@@ -4,7 +4,7 @@
     LocalQuota,
     QuotaTolerance,
     get_cost,
-    get_lost_part,
+    get_disconnected_fraction,
 )
 from arbutuspulley.data import Value
 from arbutuspulley.events import Event, log_event
@@ -69,30 +69,31 @@
         """
         now = self._state.clock.now()
         if self._link.is_up:
-            self._local.note_coordinated(now)
+            self._local.record_coordinated(now)
             wait_ms = self._debts.get(team.name, now) - now
             if wait_ms > 0:
                 raise self.refuse(team.name, attempt_id, wait_ms)
             self._link.tell_spent(team.name, cost)
             return Payment(team=team.name, cost=cost, is_local=False)
-        part = get_lost_part(
-            self._local.get_alone_ms(now), ends_ms=self._state.settings.withdrawal_ms
+        part = get_disconnected_fraction(
+            self._local.get_uncoordinated_ms(now),
+            decay_ms=self._state.settings.withdrawal_ms,
         )
         part /= max(1.0, self._state.sharers)
         self._local.tolerance = build_tolerance(self._state.settings)
-        wait_ms = self._local.charge(team, cost, part=part, now=now)
+        wait_ms = self._local.charge(team, cost, fraction=part, now=now)
         if wait_ms:
             raise self.refuse(team.name, attempt_id, wait_ms)
         return Payment(team=team.name, cost=cost, is_local=True)
 
     def note_coordinated(self) -> None:
         """Note that a coordinator counts at present."""
-        self._local.note_coordinated(self._state.clock.now())
+        self._local.record_coordinated(self._state.clock.now())
 
     def give_back(self, payment: Payment) -> None:
         """Return what was paid for a request that did not run."""
         if payment.is_local:
-            self._local.give_back(payment.team, payment.cost)
+            self._local.refund(payment.team, payment.cost)
         else:
             self._link.tell_spent(payment.team, -payment.cost)
 
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -2,7 +2,11 @@
 
 from collections.abc import Sequence
 
-from arbutuspulley.admission.quota import QuotaLedger, build_limits, get_lost_part
+from arbutuspulley.admission.quota import (
+    QuotaLedger,
+    build_limits,
+    get_disconnected_fraction,
+)
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.node.accounts import build_tolerance
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
@@ -38,7 +42,7 @@
 
     def begin(self) -> None:
         """Begin as a coordinator that no instance is linked to yet."""
-        self._ledger.begin()
+        self._ledger.reset()
         self._lost.clear()
         self._linked = ()
         self._known = self._state.instances
@@ -68,7 +72,7 @@
 
         :return: what it is to be told, if the team is in debt.
         """
-        wait_ms = self._ledger.note_spent(spent.team, spent.cost, now=now)
+        wait_ms = self._ledger.record_usage(spent.team, spent.cost, now=now)
         if not wait_ms or spent.cost <= 0:
             return None
         return Overdrawn(team=spent.team, wait_ms=wait_ms)
@@ -88,7 +92,7 @@
         :param linked: the linked instances, the own one included.
         """
         part = self.find_part(linked, ends_ms=self._state.settings.withdrawal_ms)
-        self._ledger.set_part(part, now=self._state.clock.now())
+        self._ledger.set_refill_fraction(part, now=self._state.clock.now())
 
     def find_part(self, linked: Sequence[NodeInfo], *, ends_ms: int | None) -> float:
         """Return which part of what all share is not kept for instances without links.
@@ -110,7 +114,7 @@
             ends_ms = None
         part = 1.0
         for info, at in self._lost.values():
-            left = get_lost_part(now - at, ends_ms=ends_ms)
+            left = get_disconnected_fraction(now - at, decay_ms=ends_ms)
             part -= left * get_part(info, among=among)
         heard_of = len(linked) + len(lost)
         if now - self._began_at < UNKNOWN_MS and self._known > heard_of:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 
 from arbutuspulley.admission.quota import (
-    MOST_PROMISED_MS,
+    MAX_RETRY_AFTER_MS,
     LocalQuota,
     QuotaLedger,
     QuotaTolerance,
     build_limit,
     build_limits,
     get_cost,
-    get_lost_part,
+    get_disconnected_fraction,
 )
 from arbutuspulley.ports.fleet import Team
 
@@ -99,7 +99,7 @@
     ledger.charge("t", 2_000, now=0)
     waits = [ledger.charge("t", 500, now=0) for _ in range(20)]
     assert waits[:3] == [501, 1_001, 1_501]
-    assert max(waits) <= MOST_PROMISED_MS + 1
+    assert max(waits) <= MAX_RETRY_AFTER_MS + 1
     assert ledger.charge("t", 500, now=501) == 0
 
 
@@ -123,16 +123,16 @@
 def test_what_did_not_run_is_given_back_and_never_beyond_the_burst():
     ledger = build_full(build_team())
     ledger.charge("t", 2_000, now=0)
-    assert ledger.note_spent("t", -2_000, now=0) == 0
-    assert ledger.get_left("t", now=0) == 2_000
-    ledger.note_spent("t", -2_000, now=0)
-    assert ledger.get_left("t", now=0) == 2_001 - 1
+    assert ledger.record_usage("t", -2_000, now=0) == 0
+    assert ledger.get_balance("t", now=0) == 2_000
+    ledger.record_usage("t", -2_000, now=0)
+    assert ledger.get_balance("t", now=0) == 2_001 - 1
 
 
 def test_what_was_spent_unasked_is_paid_back_before_more_is_granted():
     ledger = build_full(build_team())
-    assert ledger.note_spent("t", 2_000, now=0) == 0
-    assert ledger.note_spent("t", 3_000, now=0) == 3_001
+    assert ledger.record_usage("t", 2_000, now=0) == 0
+    assert ledger.record_usage("t", 3_000, now=0) == 3_001
     assert ledger.charge("t", 500, now=3_000) > 0
     assert ledger.charge("t", 500, now=3_501) == 0
 
@@ -157,7 +157,7 @@
     )
     ledger.set_limits(other, now=1_000)
     assert ledger.charge("u", 90, now=1_000) == 0
-    assert ledger.get_left("t", now=1_000) == 1_000
+    assert ledger.get_balance("t", now=1_000) == 1_000
 
 
 def test_a_new_coordinator_serves_a_usual_load_at_once():
@@ -186,13 +186,13 @@
     chance = random.Random(1)
     alone = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in parts]
     ledger = build_full(team, TOLERANCE)
-    ledger.set_part(sum(parts[cut:]), now=0)
+    ledger.set_refill_fraction(sum(parts[cut:]), now=0)
     spent, now = [], 0
     for which, pause, cost in asks:
         now += pause
         index = which % len(parts)
         if index < cut:
-            wait = alone[index].charge(team, cost, part=parts[index], now=now)
+            wait = alone[index].charge(team, cost, fraction=parts[index], now=now)
         else:
             wait = ledger.charge("t", cost, now=now)
         if not wait:
@@ -219,14 +219,15 @@
         if is_allowed and runs:
             left -= cost
         elif is_allowed:
-            ledger.note_spent("t", -cost, now=now)
-    assert ledger.get_left("t", now=now) == pytest.approx(left)
+            ledger.record_usage("t", -cost, now=now)
+    assert ledger.get_balance("t", now=now) == pytest.approx(left)
 
 
 def test_an_instance_alone_serves_by_its_own_part():
     local, team = LocalQuota(tolerance=EXACT), build_team(rate=8_000, burst=8_000)
     served = sum(
-        local.charge(team, 100, part=0.25, now=now) == 0 for now in range(0, 10_000, 10)
+        local.charge(team, 100, fraction=0.25, now=now) == 0
+        for now in range(0, 10_000, 10)
     )
     assert served == pytest.approx(200, abs=2)
 
@@ -237,8 +238,8 @@
     spent = 0
     for now in range(0, 8_000, 10):
         if now % 1_000 < 500:
-            local.note_coordinated(now)
-        elif local.charge(team, 100, part=0.5, now=now) == 0:
+            local.record_coordinated(now)
+        elif local.charge(team, 100, fraction=0.5, now=now) == 0:
             spent += 100
     tolerance = build_limit(team, TOLERANCE).tolerance * 0.5
     assert spent <= 4_000 * 8 * 0.5 + 2 * tolerance + 100
@@ -247,11 +248,11 @@
 def test_what_an_instance_alone_did_not_run_is_given_back():
     chance = random.Random(NO_DEBT_SEED)
     local, team = LocalQuota(tolerance=EXACT, chance=chance), build_team()
-    local.give_back("t", 50)
-    assert local.charge(team, 400, part=0.1, now=0) == 0
-    assert local.charge(team, 400, part=0.1, now=0) > 0
-    local.give_back("t", 400)
-    assert local.charge(team, 400, part=0.1, now=0) == 0
+    local.refund("t", 50)
+    assert local.charge(team, 400, fraction=0.1, now=0) == 0
+    assert local.charge(team, 400, fraction=0.1, now=0) > 0
+    local.refund("t", 400)
+    assert local.charge(team, 400, fraction=0.1, now=0) == 0
 
 
 @pytest.mark.parametrize(
@@ -259,7 +260,7 @@
     [(0, 5_000, 1), (2_500, 5_000, 0.5), (9_000, 5_000, 0), (9_000, None, 1)],
 )
 def test_the_part_of_an_instance_that_is_cut_off_runs_out(lost_ms, ends_ms, part):
-    assert get_lost_part(lost_ms, ends_ms=ends_ms) == part
+    assert get_disconnected_fraction(lost_ms, decay_ms=ends_ms) == part
 
 
 def test_many_small_instances_cut_off_at_once_stay_within_the_tolerance():
@@ -269,7 +270,7 @@
     spent = sum(
         1_500
         for local in alone
-        if local.charge(team, 1_500, part=0.15 / 80, now=0) == 0
+        if local.charge(team, 1_500, fraction=0.15 / 80, now=0) == 0
     )
     assert spent <= build_limit(team, TOLERANCE).tolerance
 
@@ -283,7 +284,7 @@
         (now, 1_500)
         for now in range(0, 8_000, 100)
         for local in alone
-        if local.charge(team, 1_500, part=1 / 80, now=now) == 0
+        if local.charge(team, 1_500, fraction=1 / 80, now=now) == 0
     ]
     usual = team.rate_per_s * 8
     assert 0.9 * usual <= find_most_spent(spent) <= get_allowed(team)
@@ -299,8 +300,8 @@
     for now in range(0, 24_000, 100):
         for local in alone:
             if now % 6_000 < 5_000:
-                local.note_coordinated(now)
-            elif local.charge(team, 1_500, part=1 / 80, now=now) == 0:
+                local.record_coordinated(now)
+            elif local.charge(team, 1_500, fraction=1 / 80, now=now) == 0:
                 spent.append((now, 1_500))
     tolerance = build_limit(team, TOLERANCE).tolerance
     for begin in range(5_000, 24_000, 6_000):
