--- a/src/arbutuspulley/admission/rate_limits.py
+++ b/src/arbutuspulley/admission/rate_limits.py
@@ -31,18 +31,18 @@
 a coordinator that others have left, and requests that come closer together than they
 were sent."""
 
-LEAST_PER_S = 0.25
+MIN_PER_S = 0.25
 """Requests a second to a server that takes fewer: only an answer tells when its limit
 is over."""
 
-LONGEST_WAIT_MS = WINDOW_MS
+MAX_WAIT_MS = WINDOW_MS
 """Longest wait that is told for a request to a limited server, in ms."""
 
-LOOK_AGAIN_MS = 500
+MAX_RECHECK_MS = 500
 """Longest wait until an instance without a coordinator asks again, in ms: there may be
 one by then."""
 
-MOST_UNLISTED = 50
+MAX_UNLISTED = 50
 """Servers without an entry whose limits are kept: an entry may lapse while its server
 lives."""
 
@@ -58,9 +58,9 @@
 
     per_s: float
     rate_per_ms: float
-    depth: float
-    at: int
-    left: float = 0.0
+    capacity: float
+    updated_at: int
+    balance: float = 0.0
 
 
 def get_tolerance(per_s: float) -> float:
@@ -71,13 +71,13 @@
 
 def refill(limit: RateLimit, *, now: int) -> None:
     """Put in what has come back since the bucket was last looked at."""
-    units = limit.rate_per_ms * max(0, now - limit.at)
-    limit.left = min(limit.depth, limit.left + units)
-    limit.at = max(limit.at, now)
+    units = limit.rate_per_ms * max(0, now - limit.updated_at)
+    limit.balance = min(limit.capacity, limit.balance + units)
+    limit.updated_at = max(limit.updated_at, now)
 
 
 def reshape(
-    limit: RateLimit, per_s: float, *, part: float, depth: float, now: int
+    limit: RateLimit, per_s: float, *, fraction: float, capacity: float, now: int
 ) -> None:
     """Let a bucket follow another limit from now on.
 
@@ -85,48 +85,48 @@
     """
     refill(limit, now=now)
     limit.per_s = per_s
-    limit.rate_per_ms = max(LEAST_PER_S, per_s) * part / SECOND_MS
-    limit.depth = depth
-    limit.left = min(limit.left, depth)
+    limit.rate_per_ms = max(MIN_PER_S, per_s) * fraction / SECOND_MS
+    limit.capacity = capacity
+    limit.balance = min(limit.balance, capacity)
 
 
 def get_wait(limit: RateLimit, *, now: int) -> int:
     """Return in how many ms a request may be sent; 0: now."""
     refill(limit, now=now)
-    missing = 1 - limit.left
+    missing = 1 - limit.balance
     if missing <= 0:
         return 0
-    if limit.depth < 1 or not limit.rate_per_ms:
-        return LONGEST_WAIT_MS
-    return min(LONGEST_WAIT_MS, math.ceil(missing / limit.rate_per_ms))
+    if limit.capacity < 1 or not limit.rate_per_ms:
+        return MAX_WAIT_MS
+    return min(MAX_WAIT_MS, math.ceil(missing / limit.rate_per_ms))
 
 
-def spend(limit: RateLimit) -> None:
+def consume(limit: RateLimit) -> None:
     """Take a request out of a bucket that was just found to have one."""
-    limit.left -= 1
+    limit.balance -= 1
 
 
-class RateLedger:
+class RateLimitLedger:
     """The coordinator's buckets, by server."""
 
-    __slots__ = ("_limits", "_part")
+    __slots__ = ("_fraction", "_limits")
 
     def __init__(self) -> None:
         self._limits: dict[str, RateLimit] = {}
-        self._part = 1.0
+        self._fraction = 1.0
 
-    def begin(self, known: Mapping[str, float], *, now: int) -> None:
+    def reset(self, known: Mapping[str, float], *, now: int) -> None:
         """Begin with the limits that this instance knows."""
         self._limits.clear()
-        self._part = 1.0
+        self._fraction = 1.0
         for incarnation, per_s in known.items():
-            self.name(incarnation, per_s, now=now)
+            self.set_limit(incarnation, per_s, now=now)
 
     def get(self, incarnation: str) -> RateLimit | None:
         """Return a server's bucket; ``None`` if it names no limit."""
         return self._limits.get(incarnation)
 
-    def name(self, incarnation: str, per_s: float | None, *, now: int) -> bool:
+    def set_limit(self, incarnation: str, per_s: float | None, *, now: int) -> bool:
         """Take over what a server names.
 
         :param per_s: ``None``: it names no limit any more.
@@ -136,11 +136,19 @@
         if per_s is None:
             return self._limits.pop(incarnation, None) is not None
         if limit is None:
-            limit = RateLimit(per_s=per_s, rate_per_ms=0.0, depth=0.0, at=now)
+            limit = RateLimit(
+                per_s=per_s, rate_per_ms=0.0, capacity=0.0, updated_at=now
+            )
             self._limits[incarnation] = limit
         elif limit.per_s == per_s:
             return False
-        reshape(limit, per_s, part=self._part, depth=get_tolerance(per_s), now=now)
+        reshape(
+            limit,
+            per_s,
+            fraction=self._fraction,
+            capacity=get_tolerance(per_s),
+            now=now,
+        )
         return True
 
     def charge(self, incarnation: str, *, now: int) -> int:
@@ -153,27 +161,29 @@
             return 0
         wait_ms = get_wait(limit, now=now)
         if not wait_ms:
-            spend(limit)
+            consume(limit)
         return wait_ms
 
-    def set_part(self, part: float, *, now: int) -> None:
+    def set_refill_fraction(self, fraction: float, *, now: int) -> None:
         """Change the part of each limit that comes back here from now on."""
-        if part == self._part:
+        if fraction == self._fraction:
             return
-        self._part = part
+        self._fraction = fraction
         for limit in self._limits.values():
-            reshape(limit, limit.per_s, part=part, depth=limit.depth, now=now)
+            reshape(
+                limit, limit.per_s, fraction=fraction, capacity=limit.capacity, now=now
+            )
 
     def list_limits(self) -> dict[str, float]:
         """Return what each limited server names."""
-        return {name: limit.per_s for name, limit in self._limits.items()}
+        return {server: limit.per_s for server, limit in self._limits.items()}
 
-    def keep(self, incarnations: Container[str]) -> None:
+    def evict_unlisted(self, incarnations: Container[str]) -> None:
         """Forget the oldest of all servers but these."""
-        _keep(self._limits, incarnations)
+        _evict_unlisted(self._limits, incarnations)
 
 
-class LocalRates:
+class LocalRateLimits:
     """The buckets by which an instance sends without a coordinator.
 
     A part of a bucket that holds no whole request lets none through. Rounded up, the
@@ -185,7 +195,9 @@
     def __init__(self) -> None:
         self._limits: dict[str, RateLimit] = {}
 
-    def charge(self, incarnation: str, per_s: float, *, part: float, now: int) -> int:
+    def charge(
+        self, incarnation: str, per_s: float, *, fraction: float, now: int
+    ) -> int:
         """Take a request out of a server's bucket.
 
         :param part: of the limit that this instance may use.
@@ -193,20 +205,28 @@
         """
         limit = self._limits.get(incarnation)
         if limit is None:
-            limit = RateLimit(per_s=per_s, rate_per_ms=0.0, depth=0.0, at=now)
+            limit = RateLimit(
+                per_s=per_s, rate_per_ms=0.0, capacity=0.0, updated_at=now
+            )
             self._limits[incarnation] = limit
-        reshape(limit, per_s, part=part, depth=get_tolerance(per_s) * part, now=now)
+        reshape(
+            limit,
+            per_s,
+            fraction=fraction,
+            capacity=get_tolerance(per_s) * fraction,
+            now=now,
+        )
         wait_ms = get_wait(limit, now=now)
         if not wait_ms:
-            spend(limit)
-        return min(LOOK_AGAIN_MS, wait_ms)
+            consume(limit)
+        return min(MAX_RECHECK_MS, wait_ms)
 
-    def keep(self, incarnations: Container[str]) -> None:
+    def evict_unlisted(self, incarnations: Container[str]) -> None:
         """Forget the oldest of all servers but these."""
-        _keep(self._limits, incarnations)
+        _evict_unlisted(self._limits, incarnations)
 
 
-class KnownLimit(State):
+class KnownRateLimit(State):
     """A limit as one instance knows it.
 
     :param per_s: requests a second that the server takes.
@@ -214,23 +234,23 @@
     """
 
     per_s: float
-    learnt_at: int
+    received_at: int
 
 
-class LimitTable:
+class KnownRateLimits:
     """The limits that one instance knows, by server."""
 
     __slots__ = ("_known",)
 
     def __init__(self) -> None:
-        self._known: dict[str, KnownLimit] = {}
+        self._known: dict[str, KnownRateLimit] = {}
 
     def get(self, incarnation: str) -> float | None:
         """Return a server's limit in requests a second; ``None`` if it names none."""
         known = self._known.get(incarnation)
         return None if known is None else known.per_s
 
-    def note_answer(
+    def update_from_answer(
         self, incarnation: str, per_s: float | None, *, sent_at: int, now: int
     ) -> bool:
         """Take in what an answer names.
@@ -247,12 +267,14 @@
         if per_s == before:
             return False
         is_looser = before is not None and (per_s is None or per_s > before)
-        if known is not None and is_looser and sent_at <= known.learnt_at:
+        if known is not None and is_looser and sent_at <= known.received_at:
             return False
         self._set(incarnation, per_s, now=now)
         return True
 
-    def note_told(self, incarnation: str, per_s: float | None, *, now: int) -> bool:
+    def update_from_coordinator(
+        self, incarnation: str, per_s: float | None, *, now: int
+    ) -> bool:
         """Take in what the coordinator tells.
 
         :return: whether the limit has changed.
@@ -264,20 +286,20 @@
 
     def list_limits(self) -> dict[str, float]:
         """Return the limits by server."""
-        return {name: known.per_s for name, known in self._known.items()}
+        return {server: known.per_s for server, known in self._known.items()}
 
-    def keep(self, incarnations: Container[str]) -> None:
+    def evict_unlisted(self, incarnations: Container[str]) -> None:
         """Forget the oldest of all servers but these."""
-        _keep(self._known, incarnations)
+        _evict_unlisted(self._known, incarnations)
 
     def _set(self, incarnation: str, per_s: float | None, *, now: int) -> None:
         if per_s is None:
             del self._known[incarnation]
         else:
-            self._known[incarnation] = KnownLimit(per_s=per_s, learnt_at=now)
+            self._known[incarnation] = KnownRateLimit(per_s=per_s, received_at=now)
 
 
-def _keep(by_server: dict[str, T], incarnations: Container[str]) -> None:
+def _evict_unlisted(by_server: dict[str, T], incarnations: Container[str]) -> None:
     unlisted = [one for one in by_server if one not in incarnations]
-    for incarnation in unlisted[:-MOST_UNLISTED]:
+    for incarnation in unlisted[:-MAX_UNLISTED]:
         del by_server[incarnation]
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from arbutuspulley.admission.rate_limits import LocalRates
+from arbutuspulley.admission.rate_limits import LocalRateLimits
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import Permission, ServerLimit, ServerLimits
@@ -26,7 +26,7 @@
     def __init__(self, *, state: NodeState, link: Link) -> None:
         self._state = state
         self._link = link
-        self._local = LocalRates()
+        self._local = LocalRateLimits()
         self._confirmed: dict[str, float] = {}
         link.take_limits = self._take_told
         state.on_change.append(self._forget_gone)
@@ -48,7 +48,7 @@
             return
         incarnation = entry.incarnation
         before = limits.get(incarnation)
-        if limits.note_answer(incarnation, per_s, sent_at=sent_at, now=now):
+        if limits.update_from_answer(incarnation, per_s, sent_at=sent_at, now=now):
             self._note_change(incarnation, before, by="answer")
         # Told until the coordinator confirms it: messages are lost with a link.
         if per_s == limits.get(incarnation) != self._confirmed.get(incarnation):
@@ -77,7 +77,7 @@
         # How many others there are is not known before a coordinator was heard of.
         part = 1 / max(1.0, state.sharers) if state.instances else 0.0
         now = state.clock.now()
-        wait_ms = self._local.charge(incarnation, per_s, part=part, now=now)
+        wait_ms = self._local.charge(incarnation, per_s, fraction=part, now=now)
         if wait_ms:
             log_event(
                 Event.SERVER_LIMIT_REACHED,
@@ -102,13 +102,13 @@
             else:
                 self._confirmed[incarnation] = per_s
             before = limits.get(incarnation)
-            if limits.note_told(incarnation, per_s, now=now):
+            if limits.update_from_coordinator(incarnation, per_s, now=now):
                 self._note_change(incarnation, before, by="coordinator")
 
     def _forget_gone(self) -> None:
         state = self._state
-        state.limits.keep(state.by_incarnation)
-        self._local.keep(state.by_incarnation)
+        state.limits.evict_unlisted(state.by_incarnation)
+        self._local.evict_unlisted(state.by_incarnation)
         self._count()
 
     def _note_change(self, incarnation: str, before: float | None, *, by: str) -> None:
--- a/src/arbutuspulley/node/rates.py
+++ b/src/arbutuspulley/node/rates.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from arbutuspulley.admission.rate_limits import RateLedger
+from arbutuspulley.admission.rate_limits import RateLimitLedger
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import (
     Granted,
@@ -22,13 +22,13 @@
 
     def __init__(self, *, state: NodeState) -> None:
         self._state = state
-        self._ledger = RateLedger()
+        self._ledger = RateLimitLedger()
         self._changed: set[str] = set()
 
     def begin(self) -> None:
         """Begin as a coordinator that no instance is linked to yet."""
         known = self._state.limits.list_limits()
-        self._ledger.begin(known, now=self._state.clock.now())
+        self._ledger.reset(known, now=self._state.clock.now())
         self._changed.clear()
 
     def take(self, limits: Iterable[ServerLimit], *, now: int) -> bool:
@@ -38,7 +38,7 @@
         """
         is_new = False
         for one in limits:
-            if self._ledger.name(one.incarnation, one.per_s, now=now):
+            if self._ledger.set_limit(one.incarnation, one.per_s, now=now):
                 self._changed.add(one.incarnation)
                 is_new = True
         return is_new
@@ -53,7 +53,7 @@
 
     def apply(self, pools: Iterable[PoolState]) -> None:
         """Let pools keep to the limits of their servers."""
-        self._ledger.keep(self._state.by_incarnation)
+        self._ledger.evict_unlisted(self._state.by_incarnation)
         for pool in pools:
             for server in pool.servers.values():
                 server.limit = self._ledger.get(server.incarnation)
@@ -79,7 +79,7 @@
 
     def set_part(self, part: float) -> None:
         """Change the part of each limit that is given out here."""
-        self._ledger.set_part(part, now=self._state.clock.now())
+        self._ledger.set_refill_fraction(part, now=self._state.clock.now())
 
     def list_changes(self) -> ServerLimits | None:
         """Return what all instances are to be told now; ``None``: nothing is new."""
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -7,7 +7,7 @@
 
 from arbutuspulley.admission.freshness import CLOCK_DRIFT_MARGIN_MS, Freshness
 from arbutuspulley.admission.keys import KeyTable
-from arbutuspulley.admission.rate_limits import LimitTable
+from arbutuspulley.admission.rate_limits import KnownRateLimits
 from arbutuspulley.admission.service_retry_budget import ServiceRetryBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
@@ -117,7 +117,7 @@
         self.versions = Versions()
         self.freshness = Freshness()
         self.keys: KeyTable | None = None
-        self.limits = LimitTable()
+        self.limits = KnownRateLimits()
         self.entry_bodies: dict[str, bytes] = {}
         self.table: RouteTable | None = None
         self.entries: dict[str, ServerEntry] = {}
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from arbutuspulley.admission.rate_limits import spend
+from arbutuspulley.admission.rate_limits import consume
 from arbutuspulley.data import Value
 from arbutuspulley.pool.copies import CopyIndex, get_copies, index_copies
 from arbutuspulley.pool.demand import get_rate
@@ -324,7 +324,7 @@
     need = waiting.need
     runs = len(server.runs)
     if server.limit is not None:
-        spend(server.limit)
+        consume(server.limit)
     server.runs[waiting.key] = Run(
         origin=waiting.origin,
         need=need,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from arbutuspulley.admission.rate_limits import LOOK_AGAIN_MS
+from arbutuspulley.admission.rate_limits import MAX_RECHECK_MS
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.coordinator import CoordinatorState
 from arbutuspulley.node.coordinator import Coordinator
@@ -58,7 +58,7 @@
     state = build_state()
     state.by_incarnation = {A.incarnation: A}
     for one in limits:
-        state.limits.note_told(one.incarnation, one.per_s, now=0)
+        state.limits.update_from_coordinator(one.incarnation, one.per_s, now=0)
     sent = []
     coordinator = Coordinator(
         state=state,
@@ -113,7 +113,7 @@
     """Guards against instances that each use a whole limit without a coordinator."""
     instance = Instance(is_linked=False)
     instance.note_answer(LIMITED)
-    assert instance.ask() == LOOK_AGAIN_MS
+    assert instance.ask() == MAX_RECHECK_MS
     instance.state.instances = 2
     assert instance.ask() > 0
     waits = []
@@ -154,7 +154,7 @@
     """Guards against plain requests that wait for a coordinator of another version."""
     instance = Instance()
     instance.note_answer(LIMITED)
-    assert instance.ask() == LOOK_AGAIN_MS
+    assert instance.ask() == MAX_RECHECK_MS
 
 
 def test_a_link_that_has_ended_lets_an_instance_go_by_its_own_part():
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -1,6 +1,6 @@
 """Model servers that name a rate limit: who is granted them, and what is loaded."""
 
-from arbutuspulley.admission.rate_limits import RateLedger
+from arbutuspulley.admission.rate_limits import RateLimitLedger
 from arbutuspulley.pool.copies import get_copies
 from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
 from arbutuspulley.pool.orders import plan_orders
@@ -12,8 +12,8 @@
 
 def limit_server(server, per_s, *, now=0):
     """Let a server name a limit; its bucket begins empty."""
-    ledger = RateLedger()
-    ledger.name(server.incarnation, per_s, now=now)
+    ledger = RateLimitLedger()
+    ledger.set_limit(server.incarnation, per_s, now=now)
     server.limit = ledger.get(server.incarnation)
 
 
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from arbutuspulley.admission.rate_limits import (
-    LOOK_AGAIN_MS,
-    MOST_UNLISTED,
+    MAX_RECHECK_MS,
+    MAX_UNLISTED,
     WINDOW_MS,
-    LimitTable,
-    LocalRates,
-    RateLedger,
+    KnownRateLimits,
+    LocalRateLimits,
+    RateLimitLedger,
     get_tolerance,
 )
 from arbutuspulley.platform import names
@@ -30,46 +30,46 @@
 
 
 def test_a_limit_holds_until_a_later_request_is_answered_without_it():
-    table = LimitTable()
-    assert table.note_answer("s0", 2.0, sent_at=0, now=100)
-    assert not table.note_answer("s0", 2.0, sent_at=50, now=150)
-    assert table.note_answer("s0", None, sent_at=120, now=200)
+    table = KnownRateLimits()
+    assert table.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    assert not table.update_from_answer("s0", 2.0, sent_at=50, now=150)
+    assert table.update_from_answer("s0", None, sent_at=120, now=200)
     assert table.get("s0") is None
 
 
 def test_an_answer_from_before_a_limit_does_not_lift_it():
     """An answer that was made before the server was in need comes after one that names
     its limit, by another connection."""
-    table = LimitTable()
-    table.note_answer("s0", 2.0, sent_at=0, now=100)
-    assert not table.note_answer("s0", None, sent_at=90, now=110)
-    assert not table.note_answer("s0", 5.0, sent_at=90, now=110)
+    table = KnownRateLimits()
+    table.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    assert not table.update_from_answer("s0", None, sent_at=90, now=110)
+    assert not table.update_from_answer("s0", 5.0, sent_at=90, now=110)
     assert table.get("s0") == 2.0
 
 
 def test_a_lower_limit_counts_at_once():
-    table = LimitTable()
-    table.note_answer("s0", 2.0, sent_at=0, now=100)
-    assert table.note_answer("s0", 1.0, sent_at=90, now=110)
+    table = KnownRateLimits()
+    table.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    assert table.update_from_answer("s0", 1.0, sent_at=90, now=110)
     assert table.get("s0") == 1.0
 
 
 def test_a_limit_outlasts_an_entry_that_lapses():
     """Guards against a server in need that is sent all again as its entry is back."""
-    table = LimitTable()
-    table.note_answer("s0", 2.0, sent_at=0, now=100)
-    table.keep({})
+    table = KnownRateLimits()
+    table.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    table.evict_unlisted({})
     assert table.get("s0") == 2.0
 
 
 def test_the_limits_of_servers_long_gone_are_forgotten():
-    table = LimitTable()
-    for number in range(MOST_UNLISTED + 2):
-        table.note_answer(f"s{number}", 2.0, sent_at=0, now=100)
-    table.keep({"s1"})
+    table = KnownRateLimits()
+    for number in range(MAX_UNLISTED + 2):
+        table.update_from_answer(f"s{number}", 2.0, sent_at=0, now=100)
+    table.evict_unlisted({"s1"})
     assert table.get("s0") is None
     assert table.get("s1") == 2.0
-    assert len(table.list_limits()) == MOST_UNLISTED + 1
+    assert len(table.list_limits()) == MAX_UNLISTED + 1
 
 
 def find_most_sent(sent):
@@ -85,8 +85,8 @@
 
 
 def test_a_ledger_gives_out_what_the_server_takes_and_little_at_once():
-    ledger = RateLedger()
-    ledger.name("s0", 2.0, now=0)
+    ledger = RateLimitLedger()
+    ledger.set_limit("s0", 2.0, now=0)
     assert ledger.charge("s0", now=0) == 500
     sent = [now for now in range(0, 10_000, 10) if not ledger.charge("s0", now=now)]
     assert 19 <= len(sent) <= 20
@@ -96,50 +96,50 @@
 
 def test_what_instances_without_a_coordinator_may_use_is_not_given_out():
     """Guards against a limit that is used twice while some instances are cut off."""
-    ledger = RateLedger()
-    ledger.name("s0", 4.0, now=0)
-    ledger.set_part(0.5, now=0)
-    ledger.set_part(0.5, now=0)
+    ledger = RateLimitLedger()
+    ledger.set_limit("s0", 4.0, now=0)
+    ledger.set_refill_fraction(0.5, now=0)
+    ledger.set_refill_fraction(0.5, now=0)
     sent = [now for now in range(0, 10_000, 10) if not ledger.charge("s0", now=now)]
     assert 19 <= len(sent) <= 20
 
 
 def test_a_server_that_names_no_limit_gets_all():
-    ledger = RateLedger()
-    ledger.name("s0", 1.0, now=0)
-    assert ledger.name("s0", None, now=10)
-    assert not ledger.name("s0", None, now=10)
+    ledger = RateLimitLedger()
+    ledger.set_limit("s0", 1.0, now=0)
+    assert ledger.set_limit("s0", None, now=10)
+    assert not ledger.set_limit("s0", None, now=10)
     assert [ledger.charge("s0", now=10) for _ in range(50)] == [0] * 50
 
 
 def test_a_server_that_takes_nothing_is_still_asked_now_and_then():
     """Guards against a limit that is never lifted, as only an answer can lift it."""
-    ledger = RateLedger()
-    ledger.name("s0", 0.0, now=0)
+    ledger = RateLimitLedger()
+    ledger.set_limit("s0", 0.0, now=0)
     sent = [now for now in range(0, 20_000, 10) if not ledger.charge("s0", now=now)]
     assert 4 <= len(sent) <= 5
     assert find_most_sent(sent) <= get_allowed(0)
 
 
 def test_a_lowered_limit_takes_away_what_had_been_saved():
-    ledger = RateLedger()
-    ledger.name("s0", 20.0, now=0)
-    ledger.name("s0", 1.0, now=10_000)
+    ledger = RateLimitLedger()
+    ledger.set_limit("s0", 20.0, now=0)
+    ledger.set_limit("s0", 1.0, now=10_000)
     sent = [now for now in range(10_000, 14_000) if not ledger.charge("s0", now=now)]
     assert len(sent) <= 4 + get_tolerance(1.0)
 
 
 def test_a_part_of_a_bucket_that_holds_no_request_lets_none_through():
     """Guards against many instances without a coordinator that each round up."""
-    rates = [LocalRates() for _ in range(60)]
+    rates = [LocalRateLimits() for _ in range(60)]
     sent = [
         now
         for now in range(0, 8_000, 50)
         for one in rates
-        if not one.charge("s0", 1.0, part=1 / 60, now=now)
+        if not one.charge("s0", 1.0, fraction=1 / 60, now=now)
     ]
     assert sent == []
-    assert rates[0].charge("s0", 1.0, part=1 / 60, now=8_000) == LOOK_AGAIN_MS
+    assert rates[0].charge("s0", 1.0, fraction=1 / 60, now=8_000) == MAX_RECHECK_MS
 
 
 @settings(deadline=None, max_examples=60)
@@ -164,9 +164,9 @@
     through its ledger, without one through their own buckets. ``some``: every second
     instance is cut off, and the coordinator gives out the rest.
     """
-    ledger = RateLedger()
-    ledger.name("s0", per_s, now=0)
-    local = [LocalRates() for _ in range(instances)]
+    ledger = RateLimitLedger()
+    ledger.set_limit("s0", per_s, now=0)
+    local = [LocalRateLimits() for _ in range(instances)]
     linked = set(range(instances))
     steps = sorted(changes)
     sent = []
@@ -174,17 +174,17 @@
         while steps and steps[0][0] <= now:
             _, change = steps.pop(0)
             if change in ("found", "next"):
-                ledger = RateLedger()
-                ledger.begin({"s0": per_s}, now=now)
+                ledger = RateLimitLedger()
+                ledger.reset({"s0": per_s}, now=now)
             kept = {"lost": 0, "some": 2}.get(change, 1)
             linked = set(range(0, instances, kept)) if kept else set()
-            ledger.set_part(len(linked) / instances, now=now)
+            ledger.set_refill_fraction(len(linked) / instances, now=now)
         for number in range(instances):
             if number in linked:
                 wait_ms = ledger.charge("s0", now=now)
             else:
                 part = 1 / instances
-                wait_ms = local[number].charge("s0", per_s, part=part, now=now)
+                wait_ms = local[number].charge("s0", per_s, fraction=part, now=now)
             if not wait_ms:
                 sent.append(now)
     assert find_most_sent(sent) <= get_allowed(per_s)
