--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounts.py
@@ -54,7 +54,7 @@
         return
     now = runtime.clock.now()
     queue.record_first_token(runtime.state.admission, request_id, now=now)
-    choice.note_success(runtime.state.routing, ongoing.attempt.server)
+    choice.record_success(runtime.state.routing, ongoing.attempt.server)
     if ongoing.request.attempts == 1:
         elapsed_ms = now - ongoing.call.arrived_at
         runtime.metrics.first_token.observe(elapsed_ms / SECOND_MS)
@@ -85,9 +85,9 @@
             died=died,
         )
     if isinstance(event, life.Refused) and event.leaving:
-        choice.note_leaving(state.routing, attempt.server, now)
+        choice.record_leaving(state.routing, attempt.server, now)
     elif isinstance(event, life.NotSent | life.Broken) or died:
-        choice.note_failure(state.routing, attempt.server, now)
+        choice.record_failure(state.routing, attempt.server, now)
     if isinstance(event, life.Broken) and not died:
         ongoing.alive |= {attempt.server}
 
--- a/src/arbutuspulley/entry/draining.py
+++ b/src/arbutuspulley/entry/draining.py
@@ -13,7 +13,7 @@
 from arbutuspulley.entry.views import is_ready, list_entries, send_report
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError
-from arbutuspulley.routing.addresses import order_entries
+from arbutuspulley.routing.addresses import rank_entries
 
 LOOK_EVERY_MS = 50
 """How often the end of the work in flight is looked for."""
@@ -46,7 +46,7 @@
 
 def build_refusal(runtime: Runtime, *, model: str = "") -> RequestError:
     """Return the refusal of a call that came too late, with where to go instead."""
-    others = order_entries(
+    others = rank_entries(
         [entry for entry in list_entries(runtime) if not entry.draining], model=model
     )
     error = build_failure(
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -24,7 +24,7 @@
 from arbutuspulley.entry.views import is_ready, list_entries
 from arbutuspulley.ports.engines import ServiceRequest
 from arbutuspulley.results import Code, RunState
-from arbutuspulley.routing.addresses import choose_width, order_entries
+from arbutuspulley.routing.addresses import choose_entry_count, rank_entries
 
 SERVICES_PATH = "/services/"
 
@@ -237,17 +237,17 @@
         raise build_failure(Code.UNKNOWN_MODEL, "there is no such model")
     entries = list_entries(runtime)
     item = state.index.items.get(model)
-    width = choose_width(
+    width = choose_entry_count(
         servers=state.view.servers if state.view else (),
         item=item.key if item else "",
         entries=len(entries),
     )
-    told = order_entries(
+    told = rank_entries(
         entries,
         model=model,
-        asked=runtime.settings.address,
-        spread=spread,
-        width=width,
+        answering_address=runtime.settings.address,
+        spread_key=spread,
+        entry_count=width,
     )
     return AddressAnswer(
         model=model,
--- a/src/arbutuspulley/entry/views.py
+++ b/src/arbutuspulley/entry/views.py
@@ -15,7 +15,7 @@
 from arbutuspulley.entry.state import EntryState, Runtime
 from arbutuspulley.entry.turns import apply_effects
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.routing.choice import note_reports
+from arbutuspulley.routing.choice import apply_reports
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import (
     EntryAddress,
@@ -148,7 +148,7 @@
     view = _keep_servers(state, view, now)
     state.view, state.viewed_at = view, now
     state.summaries = {summary.server: summary for summary in view.servers}
-    note_reports(state.routing, servers=view.servers, now=now)
+    apply_reports(state.routing, servers=view.servers, now=now)
     _take_suspicions(state, view, now)
     apply_effects(runtime, apply_view(state.admission, view=view, now=now))
 
--- a/src/arbutuspulley/routing/addresses.py
+++ b/src/arbutuspulley/routing/addresses.py
@@ -29,7 +29,9 @@
 """Weight of an entry at or above its limit."""
 
 
-def choose_width(*, servers: Sequence[ServerSummary], item: str, entries: int) -> int:
+def choose_entry_count(
+    *, servers: Sequence[ServerSummary], item: str, entries: int
+) -> int:
     """Return how many entries should share the callers of a model.
 
     :param item: key of the model's item.
@@ -44,14 +46,14 @@
     return max(1, min(entries, max(LEAST_WIDTH, wanted)))
 
 
-def order_entries(
+def rank_entries(
     entries: Sequence[EntryAddress],
     *,
     model: str,
-    asked: str = "",
-    spread: str = "",
-    width: int = LEAST_WIDTH,
-    count: int = ADDRESSES,
+    answering_address: str = "",
+    spread_key: str = "",
+    entry_count: int = LEAST_WIDTH,
+    max_addresses: int = ADDRESSES,
 ) -> tuple[EntryAddress, ...]:
     """Return the entries to tell a caller, best first.
 
@@ -67,26 +69,32 @@
     """
     usable = [entry for entry in entries if not entry.draining]
     if not usable:
-        return tuple(entry for entry in entries if entry.address == asked)[:1]
+        return tuple(entry for entry in entries if entry.address == answering_address)[
+            :1
+        ]
     ranked = sorted(usable, key=lambda entry: _rank(entry, model, weight=1.0))
-    shared = ranked[:width]
-    shared.sort(key=lambda entry: _rank(entry, f"{model}/{spread}", _weigh(entry)))
-    ordered = shared + ranked[width:]
-    return tuple(_cover(ordered, asked=asked, count=count))
+    shared = ranked[:entry_count]
+    shared.sort(key=lambda entry: _rank(entry, f"{model}/{spread_key}", _weigh(entry)))
+    ordered = shared + ranked[entry_count:]
+    return tuple(
+        _cover(
+            ordered, answering_address=answering_address, max_addresses=max_addresses
+        )
+    )
 
 
 def _cover(
-    ordered: list[EntryAddress], *, asked: str, count: int
+    ordered: list[EntryAddress], *, answering_address: str, max_addresses: int
 ) -> list[EntryAddress]:
     """Cut the list to length, keeping another entry and another site in it."""
-    told = ordered[:count]
+    told = ordered[:max_addresses]
     # The asked entry or a whole data centre may fail while the caller keeps the
     # answer; one address that fails with neither is always told, if there is one.
-    if len(told) == count > 1 and all(one.site == told[0].site for one in told):
+    if len(told) == max_addresses > 1 and all(one.site == told[0].site for one in told):
         elsewhere = [one for one in ordered if one.site != told[0].site]
         told[-1:] = elsewhere[:1] or told[-1:]
-    if all(one.address == asked for one in told):
-        told += [one for one in ordered if one.address != asked][:1]
+    if all(one.address == answering_address for one in told):
+        told += [one for one in ordered if one.address != answering_address][:1]
     return told
 
 
--- a/src/arbutuspulley/routing/choice.py
+++ b/src/arbutuspulley/routing/choice.py
@@ -72,7 +72,7 @@
     servers: dict[str, ServerHealth] = {}
 
 
-def note_reports(
+def apply_reports(
     state: RoutingState, *, servers: Sequence[ServerSummary], now: int
 ) -> None:
     """Take up the reports of a new view and forget servers that are gone.
@@ -158,10 +158,10 @@
     health = state.servers.setdefault(server, ServerHealth())
     add_change(health.load, requests=-1, tokens=-cost, now=now)
     if succeeded:
-        note_success(state, server, began_at=began_at)
+        record_success(state, server, began_at=began_at)
 
 
-def note_success(
+def record_success(
     state: RoutingState, server: str, *, began_at: int | None = None
 ) -> None:
     """Clear a server's failures, for example at an attempt's first token.
@@ -177,7 +177,7 @@
     health.probing = False
 
 
-def note_failure(state: RoutingState, server: str, now: int) -> None:
+def record_failure(state: RoutingState, server: str, now: int) -> None:
     """Leave a server out for a short while, longer with each failure in a row."""
     health = state.servers.setdefault(server, ServerHealth())
     if health.probing or now >= health.suspect_until:
@@ -188,7 +188,7 @@
     health.suspect_until = now + _compute_pause(health.failures)
 
 
-def note_leaving(state: RoutingState, server: str, now: int) -> None:
+def record_leaving(state: RoutingState, server: str, now: int) -> None:
     """Record that the server itself refused a request because it is leaving."""
     state.servers.setdefault(server, ServerHealth()).left_at = now
 
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from arbutuspulley.routing.addresses import choose_width, order_entries
+from arbutuspulley.routing.addresses import choose_entry_count, rank_entries
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
 
 
@@ -21,7 +21,7 @@
 
 def count_firsts(entries, *, models=MODELS, spreads=("",), **options):
     return collections.Counter(
-        order_entries(entries, model=model, spread=spread, **options)[0].address
+        rank_entries(entries, model=model, spread_key=spread, **options)[0].address
         for model in models
         for spread in spreads
     )
@@ -33,7 +33,7 @@
 )
 def test_a_draining_entry_is_told_only_if_none_is_left(draining, asked, told):
     entries = [build_entry(n, draining=n in draining) for n in (0, 1)]
-    answer = order_entries(entries, model="m", asked=f"10.0.0.{asked}:1")
+    answer = rank_entries(entries, model="m", answering_address=f"10.0.0.{asked}:1")
     expected = entries if told is None else [entries[number] for number in told]
     assert {one.address for one in answer} == {one.address for one in expected}
 
@@ -59,10 +59,12 @@
         for n, load in enumerate(loads)
     ]
     address = f"10.0.0.{asked}:1"
-    told = order_entries(entries, model=model, asked=address, count=count)
+    told = rank_entries(
+        entries, model=model, answering_address=address, max_addresses=count
+    )
     usable = [one for one in entries if not one.draining]
     assert len({one.address for one in told}) == len(told) <= count + 1
-    assert told[:1] == order_entries(entries, model=model, asked=address)[:1]
+    assert told[:1] == rank_entries(entries, model=model, answering_address=address)[:1]
     if usable:
         assert all(not one.draining for one in told)
     if any(one.address != address for one in usable):
@@ -72,18 +74,20 @@
 
 
 def test_models_spread_evenly_and_move_only_with_their_entry():
-    firsts = {model: order_entries(SIX, model=model, width=1)[0] for model in MODELS}
+    firsts = {
+        model: rank_entries(SIX, model=model, entry_count=1)[0] for model in MODELS
+    }
     counts = collections.Counter(one.address for one in firsts.values())
     assert min(counts.values()) > 0.7 * len(MODELS) / 6
     for model in MODELS:
-        left = order_entries(SIX[1:], model=model, width=1)[0]
+        left = rank_entries(SIX[1:], model=model, entry_count=1)[0]
         assert left == firsts[model] or firsts[model] == SIX[0]
 
 
 def test_callers_of_one_model_stay_within_its_width():
     spreads = [f"caller-{number}" for number in range(300)]
     for width in (1, 2, 4):
-        counts = count_firsts(SIX, models=["m"], spreads=spreads, width=width)
+        counts = count_firsts(SIX, models=["m"], spreads=spreads, entry_count=width)
         assert len(counts) == width
         assert min(counts.values()) > 0.7 * 300 / width
 
@@ -111,5 +115,5 @@
         server="s", site="a", address="x", items=("m@1",), running=in_flight
     )
     other = ServerSummary(server="o", site="a", address="x", running=9_000)
-    found = choose_width(servers=[holder, other], item="m@1", entries=entries)
+    found = choose_entry_count(servers=[holder, other], item="m@1", entries=entries)
     assert found == width
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -64,7 +64,7 @@
         choice.begin_attempt(state, "s1", 100, now=began_at)
     servers = [build_server("s1", running=2, age_ms=age_ms)]
     servers.append(build_server("s2", running=3))
-    choice.note_reports(state, servers=servers, now=1_000)
+    choice.apply_reports(state, servers=servers, now=1_000)
     assert choose(state, servers, now=1_000) == chosen
 
 
@@ -78,15 +78,15 @@
     servers = [build_server("s1"), build_server("s2", running=3)]
     choice.begin_attempt(state, "s1", 100, now=0)
     choice.begin_attempt(state, "s1", 100, now=0)
-    choice.note_failure(state, "s1", 0)
-    choice.note_failure(state, "s1", 0)
+    choice.record_failure(state, "s1", 0)
+    choice.record_failure(state, "s1", 0)
     for _ in range(2):
         choice.end_attempt(state, "s1", 100, now=0)
     assert choose(state, servers, now=choice.SUSPECT_MS - 1) == "s2"
     assert choose(state, servers, now=choice.SUSPECT_MS) == "s1"
     choice.begin_attempt(state, "s1", 100, now=choice.SUSPECT_MS)
     assert choose(state, servers, now=choice.SUSPECT_MS) == "s2"
-    choice.note_failure(state, "s1", choice.SUSPECT_MS)
+    choice.record_failure(state, "s1", choice.SUSPECT_MS)
     choice.end_attempt(state, "s1", 100, now=choice.SUSPECT_MS)
     assert choose(state, servers, now=3 * choice.SUSPECT_MS - 1) == "s2"
     assert choose(state, servers, now=3 * choice.SUSPECT_MS) == "s1"
@@ -96,10 +96,10 @@
     state = RoutingState(site="a")
     servers = [build_server("s1"), build_server("s2", running=3)]
     choice.begin_attempt(state, "s1", 100, now=0)
-    choice.note_failure(state, "s1", 500)
+    choice.record_failure(state, "s1", 500)
     choice.end_attempt(state, "s1", 100, now=600, succeeded=True, began_at=0)
     assert choose(state, servers, now=600) == "s2"
-    choice.note_success(state, "s1", began_at=550)
+    choice.record_success(state, "s1", began_at=550)
     assert choose(state, servers, now=600) == "s1"
 
 
@@ -111,8 +111,8 @@
     """
     state = RoutingState(site="a")
     servers = [build_server("s1"), build_server("s2")]
-    choice.note_failure(state, "s2", 0)
-    choice.note_failure(state, "s1", 10)
+    choice.record_failure(state, "s2", 0)
+    choice.record_failure(state, "s1", 10)
     assert choose(state, servers, now=20) == "s2"
 
 
@@ -124,7 +124,7 @@
     state = RoutingState(site="a")
     servers = [build_server("s1", boot_id="b1"), build_server("s2", running=3)]
     assert choose(state, servers) == "s1"
-    choice.note_leaving(state, "s1", 0)
+    choice.record_leaving(state, "s1", 0)
     assert choose(state, servers, now=1_000) == "s2"
     back = [build_server("s1", boot_id="b2"), servers[1]]
     assert choose(state, back, now=2_000) == "s1"
@@ -132,8 +132,8 @@
 
 def test_servers_that_are_gone_are_forgotten():
     state = RoutingState(site="a")
-    choice.note_reports(state, servers=[build_server("s1")], now=0)
-    choice.note_reports(state, servers=[build_server("s2")], now=1)
+    choice.apply_reports(state, servers=[build_server("s1")], now=0)
+    choice.apply_reports(state, servers=[build_server("s2")], now=1)
     assert list(state.servers) == ["s2"]
 
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -9,7 +9,7 @@
 from arbutuspulley.entry.dispatch import build_ongoing
 from arbutuspulley.entry.index import Identity
 from arbutuspulley.entry.views import take_view
-from arbutuspulley.routing.choice import begin_attempt, note_failure
+from arbutuspulley.routing.choice import begin_attempt, record_failure
 from arbutuspulley.rpc.messages import ServerSummary, View
 from tests.entries import FakeController, build_chat, build_configuration, build_runtime
 
@@ -102,7 +102,7 @@
     first, second = find_pair()
     runtime = build_entry()
     for name in (first, second):
-        note_failure(runtime.state.routing, name, runtime.clock.now())
+        record_failure(runtime.state.routing, name, runtime.clock.now())
     other = choose_server(runtime, build_request(runtime), avoid=NONE)
     assert other not in (first, second, None)
 
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -158,13 +158,13 @@
     fail and use up the retries of all.
     """
     state = build_state(build_server(), build_server("s2"))
-    choice.note_failure(state.routing, "s2", 0)
+    choice.record_failure(state.routing, "s2", 0)
     for number in range(SLOTS):
         submit(state, f"r{number}")
     assert {one.server for one in state.running.values()} == {"s1"}
     assert submit(state, "w") == ()
     assert queue.list_full_servers(state, "r0", now=0) == {"s2"}
-    choice.note_failure(state.routing, "s1", 0)
+    choice.record_failure(state.routing, "s1", 0)
     assert name_outcomes(queue.tick(state, now=1)) == [("w", "admit")]
     assert state.running["w"].server == "s2"
 
