--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -148,11 +148,11 @@
     :param part: of each rate that is refilled here.
     """
 
-    __slots__ = ("_buckets", "_has_begun", "fraction", "limits")
+    __slots__ = ("_buckets", "_has_begun", "limits", "refill_fraction")
 
     def __init__(self) -> None:
         self.limits: dict[str, QuotaLimit] = {}
-        self.fraction = 1.0
+        self.refill_fraction = 1.0
         self._buckets: dict[str, TokenBucket] = {}
         self._has_begun = False
 
@@ -181,11 +181,11 @@
 
     def set_refill_fraction(self, fraction: float, *, now: int) -> None:
         """Change the part of each rate that is refilled from now on."""
-        if fraction == self.fraction:
+        if fraction == self.refill_fraction:
             return
         for team, bucket in self._buckets.items():
-            refill(bucket, self.limits[team], now=now, fraction=self.fraction)
-        self.fraction = fraction
+            refill(bucket, self.limits[team], now=now, fraction=self.refill_fraction)
+        self.refill_fraction = fraction
 
     def charge(self, team: str, cost: float, *, now: int) -> int:
         """Take a request's cost from its team.
@@ -196,7 +196,7 @@
         if limit is None:
             return 0
         return try_consume(
-            self._find(team, limit, now), limit, cost, fraction=self.fraction
+            self._find(team, limit, now), limit, cost, fraction=self.refill_fraction
         )
 
     def record_usage(self, team: str, cost: float, *, now: int) -> int:
@@ -211,7 +211,10 @@
         bucket.balance = min(limit.capacity, bucket.balance - cost)
         if bucket.balance >= 0:
             return 0
-        return int(-bucket.balance / max(limit.rate_per_ms * self.fraction, 1e-9)) + 1
+        return (
+            int(-bucket.balance / max(limit.rate_per_ms * self.refill_fraction, 1e-9))
+            + 1
+        )
 
     def get_balance(self, team: str, *, now: int) -> float | None:
         """Return what a team has left; ``None`` if it has no limit."""
@@ -220,7 +223,7 @@
 
     def _find(self, team: str, limit: QuotaLimit, now: int) -> TokenBucket:
         bucket = self._buckets[team]
-        refill(bucket, limit, now=now, fraction=self.fraction)
+        refill(bucket, limit, now=now, fraction=self.refill_fraction)
         return bucket
 
 
--- a/src/arbutuspulley/admission/rate_limits.py
+++ b/src/arbutuspulley/admission/rate_limits.py
@@ -109,16 +109,16 @@
 class RateLimitLedger:
     """The coordinator's buckets, by server."""
 
-    __slots__ = ("_fraction", "_limits")
+    __slots__ = ("_limits", "_refill_fraction")
 
     def __init__(self) -> None:
         self._limits: dict[str, RateLimit] = {}
-        self._fraction = 1.0
+        self._refill_fraction = 1.0
 
     def reset(self, known: Mapping[str, float], *, now: int) -> None:
         """Begin with the limits that this instance knows."""
         self._limits.clear()
-        self._fraction = 1.0
+        self._refill_fraction = 1.0
         for incarnation, per_s in known.items():
             self.set_limit(incarnation, per_s, now=now)
 
@@ -145,7 +145,7 @@
         reshape(
             limit,
             per_s,
-            fraction=self._fraction,
+            fraction=self._refill_fraction,
             capacity=get_tolerance(per_s),
             now=now,
         )
@@ -166,9 +166,9 @@
 
     def set_refill_fraction(self, fraction: float, *, now: int) -> None:
         """Change the part of each limit that comes back here from now on."""
-        if fraction == self._fraction:
+        if fraction == self._refill_fraction:
             return
-        self._fraction = fraction
+        self._refill_fraction = fraction
         for limit in self._limits.values():
             reshape(
                 limit, limit.per_s, fraction=fraction, capacity=limit.capacity, now=now
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -42,11 +42,11 @@
     TryEnd,
 )
 from arbutuspulley.routing.local_choice import (
-    note_done,
-    note_pace,
-    note_refused,
-    note_sent,
-    note_unreachable,
+    adjust_concurrency_limit,
+    record_done,
+    record_refused,
+    record_sent,
+    record_unreachable,
 )
 from arbutuspulley.routing.route_table import choose_service
 
@@ -174,7 +174,7 @@
         progress.server = entry.incarnation
         now = state.clock.now()
         record = state.records
-        note_sent(record, entry)
+        record_sent(record, entry)
         # Counted before the first byte may leave: time may run out, or the caller go,
         # while nothing has come back yet.
         progress.may_have_run += 1
@@ -208,7 +208,7 @@
         except NotSentError:
             how = TryEnd.UNREACHED
             progress.may_have_run -= 1
-            note_unreachable(record, entry, now=state.clock.now())
+            record_unreachable(record, entry, now=state.clock.now())
             raise self._note_unreached(entry) from None
         except BrokenError as error:
             self._poison.note_break(
@@ -220,10 +220,13 @@
             how = TryEnd.LEFT
             raise
         finally:
-            note_done(record, entry, took_ms=took, failed=how is TryEnd.FAILED)
+            record_done(record, entry, took_ms=took, failed=how is TryEnd.FAILED)
             if took is not None and not self.route.is_stream:
-                note_pace(
-                    record, entry, aim_ms=self.route.aim_ms, now=state.clock.now()
+                adjust_concurrency_limit(
+                    record,
+                    entry,
+                    latency_target_ms=self.route.aim_ms,
+                    now=state.clock.now(),
                 )
             state.metrics.attempts.labels(how.value).inc()
             self._acquisition.tell_end(entry.incarnation, how)
@@ -355,7 +358,7 @@
         )
         if self._request.need is None:
             progress.avoid.add(entry.incarnation)
-            note_refused(self._state.records, entry, now=self._state.clock.now())
+            record_refused(self._state.records, entry, now=self._state.clock.now())
         if progress.refused <= MOST_REFUSED and self._take_repeat():
             return RetryError()
         return self._give_up("servers refused")
--- a/src/arbutuspulley/node/following.py
+++ b/src/arbutuspulley/node/following.py
@@ -28,7 +28,7 @@
     StoredRow,
 )
 from arbutuspulley.results import ConfigurationError, PlatformUnavailableError
-from arbutuspulley.routing.route_table import build_table
+from arbutuspulley.routing.route_table import build_route_table
 
 RETRY_MS = 250
 """First pause after a failed call to the store, in ms; doubled up to the longest."""
@@ -371,7 +371,7 @@
     state.keys = keys
     state.configuration_body = body
     state.versions.add(configuration.version, body)
-    state.table = build_table(configuration)
+    state.table = build_route_table(configuration)
     state.metrics.version.set(configuration.version)
     log_event(
         Event.CONFIGURATION_IN_FORCE,
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -10,7 +10,7 @@
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import read_server_limit
 from arbutuspulley.ports.fleet import InboundRequest, ServerEntry
-from arbutuspulley.routing.local_choice import note_unlimited
+from arbutuspulley.routing.local_choice import clear_rate_limited
 
 
 class LimitGuard:
@@ -113,7 +113,7 @@
 
     def _note_change(self, incarnation: str, before: float | None, *, by: str) -> None:
         limits = self._state.limits
-        note_unlimited(self._state.records, incarnation)
+        clear_rate_limited(self._state.records, incarnation)
         self._count()
         log_event(
             Event.SERVER_LIMIT_CHANGED,
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -17,9 +17,9 @@
 )
 from arbutuspulley.routing.local_choice import (
     choose_server,
-    get_most_in_flight,
-    get_record,
-    note_limited,
+    get_max_in_flight,
+    get_stats,
+    set_rate_limited,
 )
 
 ALONE_WAIT_MS = 1_500
@@ -108,10 +108,8 @@
             zone=self._state.settings.site,
             need=None if is_plain else self._request.need,
             avoid=frozenset(avoid),
-            most_in_flight=get_most_in_flight(
-                connections, instances=self._state.sharers
-            ),
-            sharers=self._state.sharers,
+            max_in_flight=get_max_in_flight(connections, instances=self._state.sharers),
+            sharing_instances=self._state.sharers,
             now=self._state.clock.now(),
         )
 
@@ -125,7 +123,7 @@
             if not wait_ms:
                 return entry
             now = self._state.clock.now()
-            note_limited(self._state.records, entry, until=now + wait_ms)
+            set_rate_limited(self._state.records, entry, until=now + wait_ms)
 
     def get_retry_after(self) -> int | None:
         """Return in how many ms a server may have room for the request again.
@@ -139,7 +137,7 @@
     def _list_limited(self) -> list[int]:
         """Return until when limits keep the service's servers from more requests."""
         return [
-            get_record(self._state.records, entry).limited_until
+            get_stats(self._state.records, entry).rate_limited_until
             for entry in self._state.by_service.get(self._progress.service, ())
             if not entry.is_leaving and entry.incarnation not in self._progress.avoid
         ]
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -12,7 +12,7 @@
 from arbutuspulley.platform.store import StoredRow
 from arbutuspulley.platform.transport import forget_connections
 from arbutuspulley.ports.fleet import ServerEntry
-from arbutuspulley.routing.local_choice import forget_others
+from arbutuspulley.routing.local_choice import evict_unlisted
 
 RETURN_MS = 1_800
 """How long a lapsed entry is believed in after the store's return, in ms. Entries of
@@ -217,5 +217,5 @@
         by_service.setdefault(entry.service, []).append(entry)
     state.by_service = by_service
     state.by_incarnation = {one.incarnation: one for one in state.entries.values()}
-    forget_others(state.records, state.entries.values())
+    evict_unlisted(state.records, state.entries.values())
     state.tell_change()
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -17,7 +17,7 @@
 from arbutuspulley.node.versions import Versions
 from arbutuspulley.platform.store import StoreClient
 from arbutuspulley.ports.fleet import FleetConfiguration, NodeSettings, ServerEntry
-from arbutuspulley.routing.local_choice import LocalRecords
+from arbutuspulley.routing.local_choice import LocalServerStats
 from arbutuspulley.routing.route_table import RouteTable
 
 
@@ -124,7 +124,7 @@
         self.refused_entries: dict[str, str] = {}
         self.by_incarnation: dict[str, ServerEntry] = {}
         self.by_service: dict[str, list[ServerEntry]] = {}
-        self.records = LocalRecords()
+        self.records = LocalServerStats()
         self.budgets: dict[str, ServiceRetryBudget] = {}
         self.row_versions: dict[str, int] = {}
         self.quiet_rows: set[str] = set()
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -49,7 +49,7 @@
 CUT = 0.8
 """By how much the requests that an instance has at such a server are cut at a time."""
 
-CUT_EVERY_MS = 100
+DECREASE_INTERVAL_MS = 100
 """Least time between two cuts, in ms: what was sent before the last one has to come
 back before it shows."""
 
@@ -57,7 +57,7 @@
 """A server gets so many times its slots all the same, from all instances together. It
 then works at its full pace, though instances do not know what others send there."""
 
-NO_BOUND = 1 << 30
+UNLIMITED = 1 << 30
 """More requests than an instance ever has."""
 
 CONNECTION_PART = 0.8
@@ -65,7 +65,7 @@
 server resets what comes beyond, and a request that it resets may have run."""
 
 
-class ServerRecord(State):
+class ServerStats(State):
     """What this instance has seen of one server.
 
     :param failures: connections that failed since it last answered.
@@ -82,88 +82,88 @@
     failure_share: float = 0
     failures: int = 0
     refusals: int = 0
-    suspect_until: int = 0
-    most: float = NO_BOUND
-    cut_at: int = -CUT_EVERY_MS
-    limited_until: int = 0
+    backoff_until: int = 0
+    concurrency_limit: float = UNLIMITED
+    decreased_at: int = -DECREASE_INTERVAL_MS
+    rate_limited_until: int = 0
 
 
-class LocalRecords(State):
+class LocalServerStats(State):
     """Records of all servers by incarnation."""
 
-    servers: dict[str, ServerRecord] = msgspec.field(default_factory=dict)
+    servers: dict[str, ServerStats] = msgspec.field(default_factory=dict)
 
 
 def choose_server(
-    records: LocalRecords,
+    records: LocalServerStats,
     entries: Iterable[ServerEntry],
     *,
     zone: str,
     need: ModelNeed | None,
     avoid: frozenset[str],
-    most_in_flight: int,
-    sharers: float = 1,
+    max_in_flight: int,
+    sharing_instances: float = 1,
     now: int,
 ) -> ServerEntry | None:
     """Return the best server, or ``None`` if none may be asked.
 
     :param need: the model that it must hold; ``None`` at plain services.
     :param avoid: incarnations that have refused or failed this request.
-    :param most_in_flight: requests that this instance may have at one server.
-    :param sharers: instances that use plain servers, as far as is known.
+    :param max_in_flight: requests that this instance may have at one server.
+    :param sharing_instances: instances that use plain servers, as far as is known.
     """
     usable = [
         entry
         for entry in entries
         if not entry.is_leaving
         and entry.incarnation not in avoid
-        and get_record(records, entry).limited_until <= now
+        and get_stats(records, entry).rate_limited_until <= now
         and (
-            _has_room(get_record(records, entry), entry, sharers)
+            _has_room(get_stats(records, entry), entry, sharing_instances)
             if need is None
             else any(one.model == need.model for one in entry.holdings)
         )
-        and get_record(records, entry).in_flight < most_in_flight
+        and get_stats(records, entry).in_flight < max_in_flight
     ]
-    sound = [one for one in usable if get_record(records, one).suspect_until <= now]
+    sound = [one for one in usable if get_stats(records, one).backoff_until <= now]
     return min(
         sound or usable,
-        key=lambda entry: _rank(get_record(records, entry), entry, zone),
+        key=lambda entry: _rank(get_stats(records, entry), entry, zone),
         default=None,
     )
 
 
-def get_record(records: LocalRecords, entry: ServerEntry) -> ServerRecord:
+def get_stats(records: LocalServerStats, entry: ServerEntry) -> ServerStats:
     """Return what is known of a server; a new record if nothing is."""
     record = records.servers.get(entry.incarnation)
     if record is None:
-        record = records.servers[entry.incarnation] = ServerRecord()
+        record = records.servers[entry.incarnation] = ServerStats()
     return record
 
 
-def get_most_in_flight(connections: int, *, instances: float) -> int:
+def get_max_in_flight(connections: int, *, instances: float) -> int:
     """Return how many requests one instance may have at one server.
 
     :param connections: that a server accepts from all instances; 0 if not known.
     """
     if not connections:
-        return NO_BOUND
+        return UNLIMITED
     return max(1, int(get_part(CONNECTION_PART * connections, instances=instances)))
 
 
-def note_sent(records: LocalRecords, entry: ServerEntry) -> None:
+def record_sent(records: LocalServerStats, entry: ServerEntry) -> None:
     """A request was sent."""
-    get_record(records, entry).in_flight += 1
+    get_stats(records, entry).in_flight += 1
 
 
-def note_done(
-    records: LocalRecords, entry: ServerEntry, *, took_ms: int | None, failed: bool
+def record_done(
+    records: LocalServerStats, entry: ServerEntry, *, took_ms: int | None, failed: bool
 ) -> None:
     """A request came back or was given up.
 
     :param took_ms: how long the answer took; ``None`` if that says nothing.
     """
-    record = get_record(records, entry)
+    record = get_stats(records, entry)
     record.in_flight = max(0, record.in_flight - 1)
     if took_ms is not None:
         record.duration_ms += MEMORY * (took_ms - record.duration_ms)
@@ -173,71 +173,79 @@
         record.failures = record.refusals = 0
 
 
-def note_pace(
-    records: LocalRecords, entry: ServerEntry, *, aim_ms: int, now: int
+def adjust_concurrency_limit(
+    records: LocalServerStats, entry: ServerEntry, *, latency_target_ms: int, now: int
 ) -> None:
     """Take in whether answers of a plain server come in time; after each answer.
 
-    :param aim_ms: within which the answer was to come.
+    :param latency_target_ms: within which the answer was to come.
     """
-    record = get_record(records, entry)
-    if record.duration_ms > IN_TIME_PART * aim_ms:
-        if now - record.cut_at >= CUT_EVERY_MS:
+    record = get_stats(records, entry)
+    if record.duration_ms > IN_TIME_PART * latency_target_ms:
+        if now - record.decreased_at >= DECREASE_INTERVAL_MS:
             # The answer that has just come counts as there.
-            record.most = max(1.0, min(record.most, record.in_flight + 1) * CUT)
-            record.cut_at = now
-    elif record.in_flight + 1 >= record.most:
-        record.most += 1 / record.most
+            record.concurrency_limit = max(
+                1.0, min(record.concurrency_limit, record.in_flight + 1) * CUT
+            )
+            record.decreased_at = now
+    elif record.in_flight + 1 >= record.concurrency_limit:
+        record.concurrency_limit += 1 / record.concurrency_limit
 
 
-def note_unreachable(records: LocalRecords, entry: ServerEntry, *, now: int) -> None:
+def record_unreachable(
+    records: LocalServerStats, entry: ServerEntry, *, now: int
+) -> None:
     """A server could not be connected to."""
-    record = get_record(records, entry)
+    record = get_stats(records, entry)
     record.failures += 1
-    record.suspect_until = now + double_pause(
+    record.backoff_until = now + double_pause(
         SUSPECT_MS, longest_ms=LONGEST_SUSPECT_MS, count=record.failures
     )
 
 
-def note_refused(records: LocalRecords, entry: ServerEntry, *, now: int) -> None:
+def record_refused(records: LocalServerStats, entry: ServerEntry, *, now: int) -> None:
     """A server refused a request as not run: it is full.
 
     What was on its way as it refused the first says nothing new.
     """
-    record = get_record(records, entry)
-    if now < record.suspect_until:
+    record = get_stats(records, entry)
+    if now < record.backoff_until:
         return
     record.refusals += 1
-    record.suspect_until = now + double_pause(
+    record.backoff_until = now + double_pause(
         FULL_MS, longest_ms=LONGEST_FULL_MS, count=record.refusals
     )
 
 
-def note_limited(records: LocalRecords, entry: ServerEntry, *, until: int) -> None:
+def set_rate_limited(
+    records: LocalServerStats, entry: ServerEntry, *, until: int
+) -> None:
     """A server may get no more for a while by the rate limit that it names."""
-    get_record(records, entry).limited_until = until
+    get_stats(records, entry).rate_limited_until = until
 
 
-def note_unlimited(records: LocalRecords, incarnation: str) -> None:
+def clear_rate_limited(records: LocalServerStats, incarnation: str) -> None:
     """What a server's rate limit was is not what it is now."""
     record = records.servers.get(incarnation)
     if record is not None:
-        record.limited_until = 0
+        record.rate_limited_until = 0
 
 
-def forget_others(records: LocalRecords, entries: Iterable[ServerEntry]) -> None:
+def evict_unlisted(records: LocalServerStats, entries: Iterable[ServerEntry]) -> None:
     """Drop the records of servers that are gone."""
     listed = {entry.incarnation for entry in entries}
     for incarnation in [one for one in records.servers if one not in listed]:
         del records.servers[incarnation]
 
 
-def _has_room(record: ServerRecord, entry: ServerEntry, sharers: float) -> bool:
-    at_least = get_part(QUEUED * entry.slots, instances=sharers)
-    return record.in_flight < max(1.0, at_least, record.most)
+def _has_room(
+    record: ServerStats, entry: ServerEntry, sharing_instances: float
+) -> bool:
+    at_least = get_part(QUEUED * entry.slots, instances=sharing_instances)
+    return record.in_flight < max(1.0, at_least, record.concurrency_limit)
 
 
-def _rank(record: ServerRecord, entry: ServerEntry, zone: str) -> float:
+def _rank(record: ServerStats, entry: ServerEntry, zone: str) -> float:
     queue = 1 + record.in_flight
     expected = queue * max(1.0, record.duration_ms)
     expected *= 1 + FAILURE_WEIGHT * record.failure_share
--- a/src/arbutuspulley/routing/route_table.py
+++ b/src/arbutuspulley/routing/route_table.py
@@ -16,7 +16,7 @@
     hosts: dict[str, dict[str, Route]]
 
 
-def build_table(configuration: FleetConfiguration) -> RouteTable:
+def build_route_table(configuration: FleetConfiguration) -> RouteTable:
     """Index the routes of a configuration."""
     hosts: dict[str, dict[str, Route]] = {}
     for route in configuration.routes:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -143,13 +143,13 @@
     infos = [build_info(name) for name in ("a", "b", "c")]
     quotas = build_quotas(instance, linked=3)
     quotas.set_linked(infos)
-    assert quotas._ledger.part == 1
+    assert quotas._ledger.refill_fraction == 1
     quotas.note_lost(infos[2])
     quotas.set_linked(infos[:2])
-    assert quotas._ledger.part == pytest.approx(2 / 3)
+    assert quotas._ledger.refill_fraction == pytest.approx(2 / 3)
     quotas.note_linked("c")
     quotas.set_linked(infos)
-    assert quotas._ledger.part == 1
+    assert quotas._ledger.refill_fraction == 1
 
 
 def test_the_part_of_an_instance_that_has_fallen_silent_is_not_given_out():
@@ -159,9 +159,9 @@
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas.set_linked(infos)
     quotas.set_linked(infos[:1])
-    assert quotas._ledger.part == 0.25
+    assert quotas._ledger.refill_fraction == 0.25
     quotas.set_linked(infos)
-    assert quotas._ledger.part == 1
+    assert quotas._ledger.refill_fraction == 1
 
 
 def test_a_coordinator_that_most_have_left_keeps_to_its_own_part():
@@ -173,7 +173,7 @@
     quotas.set_linked(infos)
     for _ in range(3):
         quotas.set_linked(infos[:1])
-        assert quotas._ledger.part == 0.25
+        assert quotas._ledger.refill_fraction == 0.25
         instance.now[0] += 2_500
 
 
@@ -183,13 +183,13 @@
     quotas = build_quotas(instance)
     quotas.note_lost(infos[1])
     quotas.set_linked(infos[:1])
-    assert quotas._ledger.part == 1
+    assert quotas._ledger.refill_fraction == 1
     quotas.note_lost(infos[2])
     quotas.set_linked(infos[:1])
-    assert quotas._ledger.part == 0.5
+    assert quotas._ledger.refill_fraction == 0.5
     instance.now[0] += 20_000
     quotas.set_linked(infos[:1])
-    assert quotas._ledger.part == 1
+    assert quotas._ledger.refill_fraction == 1
 
 
 def test_a_new_coordinator_leaves_room_for_instances_not_linked_yet():
@@ -197,10 +197,10 @@
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas = build_quotas(instance, linked=4)
     quotas.set_linked(infos[:1])
-    assert quotas._ledger.part == 0.25
+    assert quotas._ledger.refill_fraction == 0.25
     instance.now[0] += 2_000
     quotas.set_linked(infos[:1])
-    assert quotas._ledger.part == 1
+    assert quotas._ledger.refill_fraction == 1
 
 
 def test_strong_instances_have_the_larger_part():
@@ -220,7 +220,7 @@
     parts = []
     for _ in range(3):
         quotas.set_linked(infos[:1])
-        parts.append(quotas._ledger.part)
+        parts.append(quotas._ledger.refill_fraction)
         instance.now[0] += 2_500
     assert parts == [0.5, 0.75, 1]
     for cost in (5_000, 1):
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -10,7 +10,7 @@
 )
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
 from arbutuspulley.node.directory import MOST_NAMED, Directory
-from arbutuspulley.routing.local_choice import get_most_in_flight
+from arbutuspulley.routing.local_choice import get_max_in_flight
 from tests.node_states import build_info, build_state
 from tests.test_directory import build_ready
 
@@ -96,7 +96,7 @@
     state.settings = msgspec.structs.replace(state.settings, cores=2.15, link_mbps=100)
     state.nodes = tuple(build_area(LARGE, *[SMALL] * 20))
     state.instances, state.takers = 72, 6
-    assert get_most_in_flight(490, instances=state.sharers) >= 50
+    assert get_max_in_flight(490, instances=state.sharers) >= 50
     budget = ServiceRetryBudget(ratio=0.2, extra=184, window_ms=10_000)
     record_request(budget, now=0)
     repeats = sum(
@@ -105,7 +105,7 @@
     assert repeats >= 20
     state.settings = msgspec.structs.replace(state.settings, cores=0.5, link_mbps=5)
     state.nodes = tuple(build_area(LARGE, LARGE, *[SMALL] * 20))
-    assert get_most_in_flight(490, instances=state.sharers) == 1
+    assert get_max_in_flight(490, instances=state.sharers) == 1
 
 
 def test_no_more_addresses_are_named_than_callers_read():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -184,7 +184,7 @@
     coordinator._add_peer([Hello(info=build_info("x"))])
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator._take_one("own", limit, now=0)
-    coordinator._rates._ledger.get(A.incarnation).left = 1.0
+    coordinator._rates._ledger.get(A.incarnation).balance = 1.0
     for key in ("r0", "r1"):
         message = Permission(key=key, incarnation=A.incarnation)
         coordinator._take_one("own", message, now=0)
--- a/tests/test_local_choice.py
+++ b/tests/test_local_choice.py
@@ -4,18 +4,18 @@
 
 from arbutuspulley.ports.fleet import Holding, ModelNeed, ServerEntry
 from arbutuspulley.routing.local_choice import (
-    CUT_EVERY_MS,
-    NO_BOUND,
-    LocalRecords,
+    DECREASE_INTERVAL_MS,
+    UNLIMITED,
+    LocalServerStats,
+    adjust_concurrency_limit,
     choose_server,
-    forget_others,
-    get_most_in_flight,
-    get_record,
-    note_done,
-    note_pace,
-    note_refused,
-    note_sent,
-    note_unreachable,
+    evict_unlisted,
+    get_max_in_flight,
+    get_stats,
+    record_done,
+    record_refused,
+    record_sent,
+    record_unreachable,
 )
 
 
@@ -36,64 +36,64 @@
 A, B = build_entry("a"), build_entry("b")
 
 
-def choose(records, entries, *, need=None, avoid=(), most_in_flight=100, now=0):
+def choose(records, entries, *, need=None, avoid=(), max_in_flight=100, now=0):
     entry = choose_server(
         records,
         entries,
         zone="z1",
         need=need,
         avoid=frozenset(avoid),
-        most_in_flight=most_in_flight,
+        max_in_flight=max_in_flight,
         now=now,
     )
     return entry.incarnation if entry else None
 
 
 def test_fewest_in_flight_wins():
-    records = LocalRecords()
-    note_sent(records, A)
+    records = LocalServerStats()
+    record_sent(records, A)
     assert choose(records, [A, B]) == "b"
 
 
 def test_a_leaving_or_avoided_server_is_never_chosen():
-    assert choose(LocalRecords(), [build_entry("a", is_leaving=True)]) is None
-    assert choose(LocalRecords(), [A, B], avoid=("a",)) == "b"
+    assert choose(LocalServerStats(), [build_entry("a", is_leaving=True)]) is None
+    assert choose(LocalServerStats(), [A, B], avoid=("a",)) == "b"
 
 
 def test_only_holders_of_the_model_are_chosen():
     need = ModelNeed(model="m1", adapter="", prompt_tokens=1, output_tokens=1)
     entries = [A, build_entry("c", models=("m1",))]
-    assert choose(LocalRecords(), entries, need=need) == "c"
+    assert choose(LocalServerStats(), entries, need=need) == "c"
 
 
 def test_a_server_that_fails_requests_with_good_health_gets_fewer():
     """One of two servers answers a third of its requests with an error while its
     health check is good. Spread evenly, a sixth of all callers fail."""
-    records = LocalRecords()
+    records = LocalServerStats()
     for _ in range(20):
-        note_done(records, A, took_ms=10, failed=True)
-        note_done(records, B, took_ms=10, failed=False)
-    note_sent(records, B)
-    note_sent(records, B)
+        record_done(records, A, took_ms=10, failed=True)
+        record_done(records, B, took_ms=10, failed=False)
+    record_sent(records, B)
+    record_sent(records, B)
     assert choose(records, [A, B]) == "b"
 
 
 def test_a_slow_server_gets_fewer():
-    records = LocalRecords()
+    records = LocalServerStats()
     for _ in range(20):
-        note_done(records, A, took_ms=100, failed=False)
-        note_done(records, B, took_ms=20, failed=False)
-    note_sent(records, B)
+        record_done(records, A, took_ms=100, failed=False)
+        record_done(records, B, took_ms=20, failed=False)
+    record_sent(records, B)
     assert choose(records, [A, B]) == "b"
 
 
 def test_an_unreachable_server_rests_unless_there_is_no_other():
-    records = LocalRecords()
-    note_unreachable(records, A, now=0)
+    records = LocalServerStats()
+    record_unreachable(records, A, now=0)
     assert choose(records, [A, B], now=100) == "b"
     assert choose(records, [A], now=100) == "a"
-    note_unreachable(records, A, now=600)
-    assert get_record(records, A).suspect_until == 1_600
+    record_unreachable(records, A, now=600)
+    assert get_stats(records, A).backoff_until == 1_600
 
 
 def test_a_full_server_rests_though_it_seems_idle():
@@ -102,32 +102,32 @@
     Nothing of what it refused is in flight there, so it seems the least busy. Asked
     again each time, it refused one request in three of its service for seconds.
     """
-    records = LocalRecords()
-    note_sent(records, B)
-    note_refused(records, A, now=0)
+    records = LocalServerStats()
+    record_sent(records, B)
+    record_refused(records, A, now=0)
     assert choose(records, [A, B], now=99) == "b"
     assert choose(records, [A], now=99) == "a"
     assert choose(records, [A, B], now=100) == "a"
 
 
 def test_a_full_server_rests_longer_at_each_refusal_until_it_answers():
-    records = LocalRecords()
+    records = LocalServerStats()
     now = 0
     for expected in (100, 200, 400, 800, 800):
         for _ in range(3):
-            note_refused(records, A, now=now)
-        assert get_record(records, A).suspect_until == now + expected
+            record_refused(records, A, now=now)
+        assert get_stats(records, A).backoff_until == now + expected
         now += expected
-    note_done(records, A, took_ms=10, failed=False)
-    note_refused(records, A, now=now)
-    assert get_record(records, A).suspect_until == now + 100
+    record_done(records, A, took_ms=10, failed=False)
+    record_refused(records, A, now=now)
+    assert get_stats(records, A).backoff_until == now + 100
 
 
 def test_records_of_servers_that_are_gone_go_too():
-    records = LocalRecords()
-    note_sent(records, A)
-    note_sent(records, B)
-    forget_others(records, [B])
+    records = LocalServerStats()
+    record_sent(records, A)
+    record_sent(records, B)
+    evict_unlisted(records, [B])
     assert set(records.servers) == {"b"}
 
 
@@ -135,12 +135,12 @@
     """A server resets the connections beyond its bound. The requests on them may have
     run, so that those that may run only once were lost; refused before, they come
     again."""
-    records = LocalRecords()
-    note_sent(records, A)
-    assert choose(records, [A], most_in_flight=2) == "a"
-    note_sent(records, A)
-    assert choose(records, [A], most_in_flight=2) is None
-    assert choose(records, [A, B], most_in_flight=2) == "b"
+    records = LocalServerStats()
+    record_sent(records, A)
+    assert choose(records, [A], max_in_flight=2) == "a"
+    record_sent(records, A)
+    assert choose(records, [A], max_in_flight=2) is None
+    assert choose(records, [A, B], max_in_flight=2) == "b"
 
 
 @pytest.mark.parametrize(
@@ -148,37 +148,39 @@
     [(96, 6, 12), (96, 3, 12), (96, 24, 3), (4, 6, 1), (360, 360, 1)],
 )
 def test_the_connections_are_split_by_all_instances(connections, instances, expected):
-    assert get_most_in_flight(connections, instances=instances) == expected
+    assert get_max_in_flight(connections, instances=instances) == expected
 
 
 def test_connections_that_are_not_told_are_no_bound():
-    assert get_most_in_flight(0, instances=6) > 1_000_000
+    assert get_max_in_flight(0, instances=6) > 1_000_000
 
 
 def answer(records, *, took_ms, count, now, running=0):
     """Let a server answer some requests against an aim of 300 ms."""
     for _ in range(running):
-        note_sent(records, A)
+        record_sent(records, A)
     for number in range(count):
-        note_sent(records, A)
-        note_done(records, A, took_ms=took_ms, failed=False)
-        note_pace(records, A, aim_ms=300, now=now + number * CUT_EVERY_MS)
+        record_sent(records, A)
+        record_done(records, A, took_ms=took_ms, failed=False)
+        adjust_concurrency_limit(
+            records, A, latency_target_ms=300, now=now + number * DECREASE_INTERVAL_MS
+        )
 
 
 def test_a_server_with_late_answers_gets_fewer_at_once():
     """Callers press beyond what a service takes. Its queues were kept full, and what it
     worked off was late without exception, at the pace at which it would have served as
     many in time."""
-    records = LocalRecords()
+    records = LocalServerStats()
     answer(records, took_ms=90, count=20, now=0, running=11)
-    assert get_record(records, A).most == NO_BOUND
+    assert get_stats(records, A).concurrency_limit == UNLIMITED
     answer(records, took_ms=400, count=20, now=10_000)
     assert choose(records, [A]) is None
     assert choose(records, [A, B]) == "b"
 
 
 def test_it_gets_more_again_as_its_answers_come_in_time():
-    records = LocalRecords()
+    records = LocalServerStats()
     answer(records, took_ms=400, count=20, now=0, running=3)
     assert choose(records, [A]) is None
     answer(records, took_ms=90, count=40, now=10_000)
@@ -192,7 +194,7 @@
 def test_twice_its_slots_are_always_used(running, sharers, expected):
     """No instance knows what the others send; a server that works at half its pace
     because all of them hold back serves nobody better."""
-    records = LocalRecords()
+    records = LocalServerStats()
     answer(records, took_ms=900, count=20, now=0, running=running)
     entry = choose_server(
         records,
@@ -200,15 +202,15 @@
         zone="z1",
         need=None,
         avoid=frozenset(),
-        most_in_flight=100,
-        sharers=sharers,
+        max_in_flight=100,
+        sharing_instances=sharers,
         now=0,
     )
     assert (entry.incarnation if entry else None) == expected
 
 
 def test_what_a_model_server_gets_the_coordinator_decides():
-    records = LocalRecords()
+    records = LocalServerStats()
     answer(records, took_ms=900, count=20, now=0, running=9)
     need = ModelNeed(model="m1", adapter="", prompt_tokens=1, output_tokens=1)
     assert choose(records, [build_entry("a", models=("m1",))], need=need) == "a"
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -5,7 +5,11 @@
 import pytest
 
 from arbutuspulley.ports.fleet import FleetConfiguration, Repeat, Route, Share
-from arbutuspulley.routing.route_table import build_table, choose_service, find_route
+from arbutuspulley.routing.route_table import (
+    build_route_table,
+    choose_service,
+    find_route,
+)
 
 
 def build_route(prefix, *, host="a.example", shares=(("s", 1),)):
@@ -24,7 +28,7 @@
     )
 
 
-TABLE = build_table(
+TABLE = build_route_table(
     FleetConfiguration(
         version=1,
         routes=(
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -9,7 +9,7 @@
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.progress import Progress
 from arbutuspulley.node.server_choice import ServerChoice
-from arbutuspulley.routing.local_choice import get_record
+from arbutuspulley.routing.local_choice import get_stats
 from tests.node_states import build_state
 from tests.test_alone import ROUTE
 from tests.test_local_choice import A, B
@@ -38,8 +38,8 @@
     state = build_state()
     state.by_service = {"s": list(entries)}
     for entry in entries:
-        record = get_record(state.records, entry)
-        record.in_flight, record.most = 4, 1.0
+        record = get_stats(state.records, entry)
+        record.in_flight, record.concurrency_limit = 4, 1.0
     return state
 
 
@@ -50,7 +50,7 @@
     async def scenario():
         state = build_full(entries=(A, B))
         loop = asyncio.get_running_loop()
-        record = get_record(state.records, B)
+        record = get_stats(state.records, B)
         loop.call_later(free_after_s, lambda: setattr(record, "in_flight", 0))
         await asyncio.sleep(0 if free_after_s else 0.001)
         return await build_choice(state).choose_plain()
