--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounts.py
@@ -1,6 +1,6 @@
 """What an entry counts and learns while requests come, run and end."""
 
-from arbutuspulley.admission import budget, cost, queue
+from arbutuspulley.admission import cost, queue, retry_budget
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery import request as life
 from arbutuspulley.entry import turns
@@ -53,8 +53,8 @@
     if ongoing is None or ongoing.attempt is None:
         return
     now = runtime.clock.now()
-    queue.note_first_token(runtime.state.admission, request_id, now=now)
-    choice.note_success(runtime.state.routing, ongoing.attempt.server)
+    queue.record_first_token(runtime.state.admission, request_id, now=now)
+    choice.record_success(runtime.state.routing, ongoing.attempt.server)
     if ongoing.request.attempts == 1:
         elapsed_ms = now - ongoing.call.arrived_at
         runtime.metrics.first_token.observe(elapsed_ms / SECOND_MS)
@@ -85,9 +85,9 @@
             died=died,
         )
     if isinstance(event, life.Refused) and event.leaving:
-        choice.note_leaving(state.routing, attempt.server, now)
+        choice.record_leaving(state.routing, attempt.server, now)
     elif isinstance(event, life.NotSent | life.Broken) or died:
-        choice.note_failure(state.routing, attempt.server, now)
+        choice.record_failure(state.routing, attempt.server, now)
     if isinstance(event, life.Broken) and not died:
         ongoing.alive |= {attempt.server}
 
@@ -99,7 +99,7 @@
     if not request.exposed and not produced:
         turns.leave_queue(runtime, ongoing)
         return
-    used = cost.count_cost(
+    used = cost.compute_cost(
         prompt_bytes=len(ongoing.call.body),
         output_tokens=produced,
         adapter=bool(ongoing.item.base_key),
@@ -112,8 +112,8 @@
 def learn(runtime: Runtime, ongoing: Ongoing) -> None:
     """Learn from a whole answer."""
     request = ongoing.request
-    budget.note_success(runtime.state.budget, retried=request.attempts > 1)
+    retry_budget.record_success(runtime.state.budget, retried=request.attempts > 1)
     if not ongoing.call.offset:
-        cost.note_output(
+        cost.record_output_length(
             runtime.state.costs, item=ongoing.item.key, tokens=request.offset
         )
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -5,7 +5,7 @@
 import aiohttp
 from aiohttp import web
 
-from arbutuspulley.admission.repeats import note_request, take_repeat
+from arbutuspulley.admission.service_retry_budget import record_request, try_spend_retry
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery.stream import EventCutter, count_events, cut_events
 from arbutuspulley.events import Event, log_event
@@ -41,14 +41,14 @@
     Route,
     ServerEntry,
 )
-from arbutuspulley.routing.local import (
-    note_done,
-    note_pace,
-    note_refused,
-    note_sent,
-    note_unreachable,
+from arbutuspulley.routing.local_choice import (
+    adjust_concurrency_limit,
+    record_done,
+    record_refused,
+    record_sent,
+    record_unreachable,
 )
-from arbutuspulley.routing.table import choose_service
+from arbutuspulley.routing.route_table import choose_service
 
 LATE_PRIORITY = 8
 """Rank at a server of a request that is past its aim: it gives way to all others."""
@@ -137,7 +137,7 @@
         progress = self.progress
         progress.service = choose_service(self.route, chance=self._state.chance)
         now = self._state.clock.now()
-        note_request(self._state.get_budget(progress.service), now=now)
+        record_request(self._state.get_budget(progress.service), now=now)
         try:
             self._acquisition.pay_plain()
             async with asyncio.timeout((progress.ends_at - now) / SECOND_MS):
@@ -174,7 +174,7 @@
         progress.server = entry.incarnation
         now = state.clock.now()
         record = state.records
-        note_sent(record, entry)
+        record_sent(record, entry)
         # Counted before the first byte may leave: time may run out, or the caller go,
         # while nothing has come back yet.
         progress.may_have_run += 1
@@ -208,7 +208,7 @@
         except NotSentError:
             how = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
-            note_unreachable(record, entry, now=state.clock.now())
+            record_unreachable(record, entry, now=state.clock.now())
             raise self._note_unreached(entry) from None
         except BrokenError as error:
             self._poison.note_break(
@@ -220,12 +220,12 @@
             how = AttemptOutcome.LEFT
             raise
         finally:
-            note_done(record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED)
+            record_done(record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED)
             if took is not None and not self.route.is_stream:
-                note_pace(
+                adjust_concurrency_limit(
                     record,
                     entry,
-                    aim_ms=self.route.latency_target_ms,
+                    latency_target_ms=self.route.latency_target_ms,
                     now=state.clock.now(),
                 )
             state.metrics.attempts.labels(how.value).inc()
@@ -358,7 +358,7 @@
         )
         if self._request.need is None:
             progress.avoid.add(entry.incarnation)
-            note_refused(self._state.records, entry, now=self._state.clock.now())
+            record_refused(self._state.records, entry, now=self._state.clock.now())
         if progress.refused <= MOST_REFUSED and self._take_repeat():
             return RetryError()
         return self._give_up("servers refused")
@@ -412,7 +412,7 @@
         return self._take_repeat()
 
     def _take_repeat(self) -> bool:
-        return take_repeat(
+        return try_spend_retry(
             self._state.get_budget(self.progress.service),
             instances=self._state.share_divisor,
             now=self._state.clock.now(),
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -15,11 +15,11 @@
     ServerEntry,
     ServiceSpec,
 )
-from arbutuspulley.routing.local import (
+from arbutuspulley.routing.local_choice import (
     choose_server,
-    get_most_in_flight,
-    get_record,
-    note_limited,
+    get_max_in_flight,
+    get_stats,
+    set_rate_limited,
 )
 
 ALONE_WAIT_MS = 1_500
@@ -108,10 +108,10 @@
             zone=self._state.settings.site,
             need=None if is_plain else self._request.need,
             avoid=frozenset(avoid),
-            most_in_flight=get_most_in_flight(
+            max_in_flight=get_max_in_flight(
                 connections, instances=self._state.share_divisor
             ),
-            sharers=self._state.share_divisor,
+            sharing_instances=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
@@ -125,7 +125,7 @@
             if not wait_ms:
                 return entry
             now = self._state.clock.now()
-            note_limited(self._state.records, entry, until=now + wait_ms)
+            set_rate_limited(self._state.records, entry, until=now + wait_ms)
 
     def get_retry_after(self) -> int | None:
         """Return in how many ms a server may have room for the request again.
@@ -139,7 +139,7 @@
     def _list_limited(self) -> list[int]:
         """Return until when limits keep the service's servers from more requests."""
         return [
-            get_record(self._state.records, entry).limited_until
+            get_stats(self._state.records, entry).rate_limited_until
             for entry in self._state.by_service.get(self._progress.service, ())
             if not entry.is_leaving and entry.incarnation not in self._progress.avoid
         ]
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -5,10 +5,10 @@
 
 import aiohttp
 
-from arbutuspulley.admission.freshness import MARGIN_MS, Freshness
+from arbutuspulley.admission.freshness import CLOCK_DRIFT_MARGIN_MS, Freshness
 from arbutuspulley.admission.keys import KeyTable
-from arbutuspulley.admission.rates import LimitTable
-from arbutuspulley.admission.repeats import RepeatBudget
+from arbutuspulley.admission.rate_limits import KnownRateLimits
+from arbutuspulley.admission.service_retry_budget import ServiceRetryBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
 from arbutuspulley.node.callers import count_sharers, select_takers
@@ -17,8 +17,8 @@
 from arbutuspulley.node.versions import Versions
 from arbutuspulley.platform.store import StoreClient
 from arbutuspulley.ports.fleet import FleetConfiguration, NodeSettings, ServerEntry
-from arbutuspulley.routing.local import LocalRecords
-from arbutuspulley.routing.table import RouteTable
+from arbutuspulley.routing.local_choice import LocalServerStats
+from arbutuspulley.routing.route_table import RouteTable
 
 
 class NodeState:
@@ -117,15 +117,15 @@
         self.versions = Versions()
         self.freshness = Freshness()
         self.keys: KeyTable | None = None
-        self.limits = LimitTable()
+        self.limits = KnownRateLimits()
         self.entry_bodies: dict[str, bytes] = {}
         self.table: RouteTable | None = None
         self.entries: dict[str, ServerEntry] = {}
         self.refused_entries: dict[str, str] = {}
         self.by_incarnation: dict[str, ServerEntry] = {}
         self.by_service: dict[str, list[ServerEntry]] = {}
-        self.records = LocalRecords()
-        self.budgets: dict[str, RepeatBudget] = {}
+        self.records = LocalServerStats()
+        self.budgets: dict[str, ServiceRetryBudget] = {}
         self.row_versions: dict[str, int] = {}
         self.deferrable_rows: set[str] = set()
         self.store_version = 0
@@ -155,7 +155,7 @@
         revocation_ms = self.settings.revocation_ms
         if self.keys is None or revocation_ms is None:
             return True
-        limit_ms = revocation_ms - MARGIN_MS
+        limit_ms = revocation_ms - CLOCK_DRIFT_MARGIN_MS
         return self.freshness.is_within(limit_ms, now=self.clock.now())
 
     @property
@@ -197,11 +197,11 @@
         """How much work this instance can take, in cores."""
         return get_capacity(self.settings.cores, self.settings.link_mbps)
 
-    def get_budget(self, service: str) -> RepeatBudget:
+    def get_budget(self, service: str) -> ServiceRetryBudget:
         """Return the budget of repeats of a service."""
         budget = self.budgets.get(service)
         if budget is None:
-            budget = self.budgets[service] = RepeatBudget(
+            budget = self.budgets[service] = ServiceRetryBudget(
                 ratio=self.settings.retry_ratio,
                 extra=self.settings.retry_extra,
                 window_ms=self.settings.retry_window_ms,
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from arbutuspulley.admission.keys import build_keys
+from arbutuspulley.admission.keys import build_key_table
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import ConfigurationDelta, StoreUpdate
@@ -28,7 +28,7 @@
     StoredRow,
 )
 from arbutuspulley.results import ConfigurationError, PlatformUnavailableError
-from arbutuspulley.routing.table import build_table
+from arbutuspulley.routing.route_table import build_route_table
 
 RETRY_MS = 250
 """First pause after a failed call to the store, in ms; doubled up to the longest."""
@@ -351,7 +351,7 @@
     try:
         configuration = decode_configuration(body)
         teams = configuration.teams
-        keys = None if teams is None else build_keys(teams, before=state.keys)
+        keys = None if teams is None else build_key_table(teams, previous=state.keys)
     except msgspec.MsgspecError as error:
         log_event(Event.CONFIGURATION_REFUSED, detail=str(error))
         return False
@@ -372,7 +372,7 @@
     state.keys = keys
     state.configuration_body = body
     state.versions.add(configuration.version, body)
-    state.table = build_table(configuration)
+    state.table = build_route_table(configuration)
     state.metrics.version.set(configuration.version)
     log_event(
         Event.CONFIGURATION_IN_FORCE,
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -23,7 +23,7 @@
 from arbutuspulley.node.store_watch import activate_configuration
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import AttemptOutcome, LoadedModel, ServerEntry
-from arbutuspulley.routing.table import find_route
+from arbutuspulley.routing.route_table import find_route
 from scripts.platform_stage import HOST, build_configuration
 from tests.node_states import build_state
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -3,10 +3,14 @@
 import msgspec
 import pytest
 
-from arbutuspulley.admission.repeats import RepeatBudget, note_request, take_repeat
+from arbutuspulley.admission.service_retry_budget import (
+    ServiceRetryBudget,
+    record_request,
+    try_spend_retry,
+)
 from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
 from arbutuspulley.node.directory import MAX_ADDRESSES, Directory
-from arbutuspulley.routing.local import get_most_in_flight
+from arbutuspulley.routing.local_choice import get_max_in_flight
 from tests.node_states import build_info, build_state
 from tests.test_directory import build_ready
 
@@ -92,16 +96,16 @@
     state.settings = msgspec.structs.replace(state.settings, cores=2.15, link_mbps=100)
     state.nodes = tuple(build_area(LARGE, *[SMALL] * 20))
     state.instances, state.advertised = 72, 6
-    assert get_most_in_flight(490, instances=state.share_divisor) >= 50
-    budget = RepeatBudget(ratio=0.2, extra=184, window_ms=10_000)
-    note_request(budget, now=0)
+    assert get_max_in_flight(490, instances=state.share_divisor) >= 50
+    budget = ServiceRetryBudget(ratio=0.2, extra=184, window_ms=10_000)
+    record_request(budget, now=0)
     repeats = sum(
-        take_repeat(budget, instances=state.share_divisor, now=1) for _ in range(100)
+        try_spend_retry(budget, instances=state.share_divisor, now=1) for _ in range(100)
     )
     assert repeats >= 20
     state.settings = msgspec.structs.replace(state.settings, cores=0.5, link_mbps=5)
     state.nodes = tuple(build_area(LARGE, LARGE, *[SMALL] * 20))
-    assert get_most_in_flight(490, instances=state.share_divisor) == 1
+    assert get_max_in_flight(490, instances=state.share_divisor) == 1
 
 
 def test_no_more_addresses_are_named_than_callers_read():
