--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -75,7 +75,7 @@
     note_demand,
 )
 from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
-from arbutuspulley.pool.loads import assume_loads, list_recent_loads
+from arbutuspulley.pool.load_rate import assume_loads, list_recent_loads
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import (
     PoolState,
--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -1,7 +1,7 @@
 """What servers' answers to orders and their reports mean."""
 
 from arbutuspulley.data import Value
-from arbutuspulley.pool.loads import forget_load
+from arbutuspulley.pool.load_rate import forget_load
 from arbutuspulley.pool.state import LateLoad, PoolState, ServerState, forget_model
 from arbutuspulley.ports.fleet import ModelSpec, OrderAnswer, OrderKind, ServerReport
 
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -18,8 +18,7 @@
 )
 from arbutuspulley.pool.copies import get_copies
 from arbutuspulley.pool.demand import get_excess, get_rate
-from arbutuspulley.pool.loads import may_load, note_load
-from arbutuspulley.pool.room import (
+from arbutuspulley.pool.eviction import (
     RoomPass,
     begin_pass,
     choose_adapter_victim,
@@ -27,6 +26,7 @@
     note_change,
     plan_room,
 )
+from arbutuspulley.pool.load_rate import may_load, note_load
 from arbutuspulley.pool.state import (
     PoolState,
     ServerState,
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -7,7 +7,7 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
 from arbutuspulley.pool.pauses import PauseState, note_stream
-from arbutuspulley.pool.speed import (
+from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
     get_speed,
--- a/tests/test_pool_copies.py
+++ b/tests/test_pool_copies.py
@@ -5,8 +5,8 @@
 import pytest
 
 from arbutuspulley.pool.copies import get_copies, index_copies, refresh_copies
+from arbutuspulley.pool.eviction import begin_pass, note_change, plan_room
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.room import begin_pass, note_change, plan_room
 from arbutuspulley.pool.state import is_usable
 from scripts.bench_pool import build_pool
 
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -2,9 +2,9 @@
 
 from arbutuspulley.admission.rates import RateLedger
 from arbutuspulley.pool.copies import get_copies
+from arbutuspulley.pool.eviction import SOLE_COST, begin_pass, compute_loss
 from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.room import SOLE_COST, begin_pass, compute_loss
 from arbutuspulley.pool.state import Demand
 from arbutuspulley.ports.fleet import OrderKind
 from tests.pools import add_waiting, build_pool, build_server
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -4,10 +4,10 @@
 
 from arbutuspulley.pool.answers import list_unsure, note_answer, note_report
 from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
-from arbutuspulley.pool.loads import assume_loads, may_load, note_load
+from arbutuspulley.pool.load_rate import assume_loads, may_load, note_load
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.room import count_used_mb
 from arbutuspulley.pool.state import note_missing
 from arbutuspulley.ports.fleet import (
     Holding,
--- a/tests/test_pool_restart.py
+++ b/tests/test_pool_restart.py
@@ -3,9 +3,9 @@
 import pytest
 
 from arbutuspulley.pool.answers import LATE_ORDER_MS, note_answer
+from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.room import count_used_mb
 from arbutuspulley.pool.state import note_end, note_entries, settle_due
 from arbutuspulley.ports.fleet import (
     Holding,
--- a/tests/test_pool_speed.py
+++ b/tests/test_pool_speed.py
@@ -5,7 +5,7 @@
 import pytest
 
 from arbutuspulley.pool.grants import plan_grants
-from arbutuspulley.pool.speed import (
+from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
     get_speed,
