--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -17,7 +17,7 @@
 from arbutuspulley.pool.demand import note_demand
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.state import PoolState, Run, ServerState, Waiting
+from arbutuspulley.pool.state import PoolState, Run, ServerState, WaitingRequest
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
 
 MODELS_PER_SERVER = 2.8
@@ -84,7 +84,7 @@
         now += 2
         note_demand(pool, _pick(names, chance), 800, now=now)
     for number in range(servers * WAITING_PER_SERVER):
-        pool.waiting[f"w{number}"] = Waiting(
+        pool.waiting[f"w{number}"] = WaitingRequest(
             key=f"w{number}",
             origin="n1",
             need=_build_need(_pick(names, chance)),
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -65,7 +65,7 @@
 from arbutuspulley.platform.engines import ORDER_TIMEOUT_MS
 from arbutuspulley.pool.answers import (
     PlannedOrder,
-    note_answer,
+    apply_order_answer,
 )
 from arbutuspulley.pool.demand import (
     age_demand,
@@ -74,14 +74,14 @@
     list_demand,
     note_demand,
 )
-from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
+from arbutuspulley.pool.grants import Grant, Refusal, find_next_wakeup, plan_grants
 from arbutuspulley.pool.load_rate import assume_loads, list_recent_loads
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import (
     PoolState,
     assume_speeds,
     list_speeds,
-    note_entries,
+    update_servers,
 )
 from arbutuspulley.ports.fleet import EngineSpec, OrderAnswer
 
@@ -208,7 +208,7 @@
             if pool is None:
                 pool = self._pools[name] = self._build_pool(name, service.engine)
             pool.spec = service.engine
-            note_entries(pool, self._state.by_service.get(name, []))
+            update_servers(pool, self._state.by_service.get(name, []))
         self._rates.apply(self._pools.values())
         self.kick()
 
@@ -372,7 +372,7 @@
         for pool in self._pools.values():
             for decided in plan_grants(pool, now=now):
                 self._send_decision(pool, decided)
-            wake = find_wake(pool, now=now)
+            wake = find_next_wakeup(pool, now=now)
             if wake is not None:
                 wakes.append(wake)
         self._grant_pacer.note_pass(begun, loop.time())
@@ -436,7 +436,7 @@
     def _take_answer(
         self, pool: PoolState, planned: PlannedOrder, answer: OrderAnswer
     ) -> None:
-        note_answer(pool, planned, answer, now=self._state.clock.now())
+        apply_order_answer(pool, planned, answer, now=self._state.clock.now())
         self.kick()
 
     async def _work(self) -> None:
--- a/src/arbutuspulley/node/intake.py
+++ b/src/arbutuspulley/node/intake.py
@@ -4,11 +4,11 @@
 from arbutuspulley.pool.state import (
     PoolState,
     Run,
-    Waiting,
-    note_end,
-    note_first,
-    note_missing,
-    note_unreachable,
+    WaitingRequest,
+    record_first_event,
+    record_not_run,
+    record_run_end,
+    record_unreachable,
 )
 from arbutuspulley.ports.fleet import TryEnd
 
@@ -20,12 +20,12 @@
 """Part of the time that a caller waits after which its request is given up."""
 
 
-def build_waiting(origin: str, ask: Ask, *, now: int) -> Waiting:
+def build_waiting(origin: str, ask: Ask, *, now: int) -> WaitingRequest:
     """Build the entry of a request that needs a server.
 
     :param origin: the instance that asks.
     """
-    return Waiting(
+    return WaitingRequest(
         key=ask.key,
         origin=origin,
         need=ask.need,
@@ -71,13 +71,13 @@
             continue
         key, incarnation = message.key, message.incarnation
         if isinstance(message, Started):
-            note_first(pool, key, incarnation, took_ms=message.took_ms, now=now)
+            record_first_event(pool, key, incarnation, took_ms=message.took_ms, now=now)
         elif message.how is TryEnd.NOT_RUN:
-            note_missing(pool, key, incarnation, now=now)
+            record_not_run(pool, key, incarnation, now=now)
         elif message.how is TryEnd.UNREACHED:
-            note_unreachable(pool, key, incarnation, now=now)
+            record_unreachable(pool, key, incarnation, now=now)
         else:
-            note_end(
+            record_run_end(
                 pool,
                 key,
                 incarnation,
--- a/src/arbutuspulley/node/pool_log.py
+++ b/src/arbutuspulley/node/pool_log.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.pool.answers import PlannedOrder, list_unsure
+from arbutuspulley.pool.answers import PlannedOrder, list_servers_needing_report
 from arbutuspulley.pool.copies import get_copies, index_copies
 from arbutuspulley.pool.demand import get_demand
 from arbutuspulley.pool.grants import Grant, Refusal
@@ -70,7 +70,7 @@
         Event.POOL_TOLD,
         service=pool.service,
         may_order=may_order,
-        unsure=len(list_unsure(pool, now=now)),
+        unsure=len(list_servers_needing_report(pool, now=now)),
         tokens_per_ms={
             kind: round(speed, 1) for kind, speed in list_speeds(pool).items()
         },
--- a/src/arbutuspulley/node/reports.py
+++ b/src/arbutuspulley/node/reports.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.engines import fetch_report
-from arbutuspulley.pool.answers import list_unsure, note_report
+from arbutuspulley.pool.answers import apply_report, list_servers_needing_report
 from arbutuspulley.pool.state import PoolState, ServerState
 
 REPORT_EVERY_MS = 3_000
@@ -29,7 +29,7 @@
         """Return the calls that are due now, to be run."""
         now = self._state.clock.now()
         for pool in pools:
-            unsure = list_unsure(pool, now=now)
+            unsure = list_servers_needing_report(pool, now=now)
             for server in pool.servers.values():
                 asked_at = self._asked_at.get(server.incarnation, -REPORT_EVERY_MS)
                 is_due = now - asked_at >= REPORT_EVERY_MS
@@ -43,5 +43,5 @@
             self._state.session, address=server.address, incarnation=server.incarnation
         )
         if report is not None:
-            note_report(pool, server.incarnation, report, asked_at=asked_at)
+            apply_report(pool, server.incarnation, report, asked_at=asked_at)
             self._note_taken()
--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -52,7 +52,7 @@
     is_counted: bool = False
 
 
-def note_answer(
+def apply_order_answer(
     pool: PoolState, order: PlannedOrder, answer: OrderAnswer, *, now: int
 ) -> None:
     """Take in how a server took an order."""
@@ -104,7 +104,7 @@
     server.order_again_at = now + CONFLICT_PAUSE_MS
 
 
-def note_report(
+def apply_report(
     pool: PoolState, incarnation: str, report: ServerReport, *, asked_at: int
 ) -> None:
     """Take in a server's own account, unless what is known is newer.
@@ -143,7 +143,7 @@
         server.models.get(model, set()).discard(adapter)
 
 
-def list_unsure(pool: PoolState, *, now: int) -> list[ServerState]:
+def list_servers_needing_report(pool: PoolState, *, now: int) -> list[ServerState]:
     """Return the servers whose report is needed before they get another order."""
     return [
         server
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -17,7 +17,7 @@
     PoolState,
     Run,
     ServerState,
-    Waiting,
+    WaitingRequest,
     find_speed,
     get_limit_wait,
     holds,
@@ -157,7 +157,7 @@
     return decided
 
 
-def find_wake(pool: PoolState, *, now: int) -> int | None:
+def find_next_wakeup(pool: PoolState, *, now: int) -> int | None:
     """Return when :func:`plan_grants` should look again, in ms; ``None``: on events."""
     if not pool.waiting:
         return None
@@ -194,7 +194,7 @@
     return estimate_wait(pool, model, tokens, [0.0] * len(copy_times))
 
 
-def _rank(waiting: Waiting, now: int) -> tuple[bool, int, int, int]:
+def _rank(waiting: WaitingRequest, now: int) -> tuple[bool, int, int, int]:
     """Return the key by which requests start: the lowest first.
 
     Of those that can still be in time, whoever must start first; of late ones, whoever
@@ -207,7 +207,7 @@
 
 def _try_grant(
     pool: PoolState,
-    waiting: Waiting,
+    waiting: WaitingRequest,
     index: CopyIndex,
     claimed: dict[str, float],
     loads: dict[str, _Load],
@@ -256,7 +256,12 @@
 
 
 def _find_start(
-    pool: PoolState, server: ServerState, load: _Load, waiting: Waiting, *, now: int
+    pool: PoolState,
+    server: ServerState,
+    load: _Load,
+    waiting: WaitingRequest,
+    *,
+    now: int,
 ) -> float:
     """Return when a prompt may start at a server, by pace and by streams' pauses."""
     start = find_start(
@@ -280,7 +285,7 @@
     )
 
 
-def _may_start_at(server: ServerState, waiting: Waiting, *, now: int) -> bool:
+def _may_start_at(server: ServerState, waiting: WaitingRequest, *, now: int) -> bool:
     """Tell whether a server has what a request needs, and a slot."""
     if not is_usable(server, now=now) or server.incarnation in waiting.avoid:
         return False
@@ -294,14 +299,14 @@
 
 
 def _has_memory(
-    pool: PoolState, server: ServerState, load: _Load, waiting: Waiting
+    pool: PoolState, server: ServerState, load: _Load, waiting: WaitingRequest
 ) -> bool:
     asked = waiting.need.prompt_tokens + waiting.need.output_tokens
     most = pool.spec.cache_tokens * CACHE_PART
     return not server.runs or load.tokens + asked <= most
 
 
-def _compute_cost(server: ServerState, waiting: Waiting) -> float:
+def _compute_cost(server: ServerState, waiting: WaitingRequest) -> float:
     """Return what speaks against a server beside the wait for it, in ms of waiting."""
     cost = RUN_COST_MS * len(server.runs)
     cost += FAILURE_COST_MS * server.failure_share
@@ -315,7 +320,7 @@
 def _grant(
     pool: PoolState,
     server: ServerState,
-    waiting: Waiting,
+    waiting: WaitingRequest,
     load: _Load,
     *,
     now: int,
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -30,7 +30,7 @@
 from arbutuspulley.pool.state import (
     PoolState,
     ServerState,
-    Waiting,
+    WaitingRequest,
     estimate_unload,
     get_limit_wait,
     has_weights,
@@ -117,7 +117,7 @@
 
 
 def _plan_adapters(pool: PoolState, planned: list[PlannedOrder], *, now: int) -> None:
-    wanted: dict[tuple[str, str], Waiting] = {}
+    wanted: dict[tuple[str, str], WaitingRequest] = {}
     for waiting in pool.waiting.values():
         if waiting.need.adapter:
             pair = (waiting.need.model, waiting.need.adapter)
@@ -135,7 +135,7 @@
             planned.append(order)
 
 
-def _is_adapter_near(pool: PoolState, waiting: Waiting, *, now: int) -> bool:
+def _is_adapter_near(pool: PoolState, waiting: WaitingRequest, *, now: int) -> bool:
     pair = (waiting.need.model, waiting.need.adapter)
     for server in pool.servers.values():
         if not is_usable(server, now=now):
--- a/src/arbutuspulley/pool/prefill_speed.py
+++ b/src/arbutuspulley/pool/prefill_speed.py
@@ -56,7 +56,7 @@
     fresh: int = 0
 
 
-def note_first_event(state: SpeedState, *, tokens: int, took_ms: float) -> None:
+def add_sample(state: SpeedState, *, tokens: int, took_ms: float) -> None:
     """Count a request that started on a server that read nothing else.
 
     :param tokens: of its prompt.
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -10,15 +10,15 @@
 from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
+    add_sample,
     get_speed,
-    note_first_event,
 )
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ServerEntry, TryEnd
 
 DEFAULT_ADAPTER_MS = 25
 """First guess of how long an adapter takes to load, in ms: adapters of some ten MB
 take 5 to 15, and the order's way there. Corrected by refusals, see
-:func:`note_missing`."""
+:func:`record_not_run`."""
 
 SUSPECT_MS = 1_000
 """How long a server that could not be reached gets no work, in ms; doubled at each
@@ -36,7 +36,7 @@
 """Prompt tokens of a request before any was seen: a page or two of text."""
 
 
-class Waiting(State):
+class WaitingRequest(State):
     """A request that waits for a server.
 
     :param origin: the instance that asked.
@@ -196,7 +196,7 @@
     service: str
     spec: EngineSpec
     servers: dict[str, ServerState] = msgspec.field(default_factory=dict)
-    waiting: dict[str, Waiting] = msgspec.field(default_factory=dict)
+    waiting: dict[str, WaitingRequest] = msgspec.field(default_factory=dict)
     demand: dict[str, Demand] = msgspec.field(default_factory=dict)
     demand_at: int = 0
     demand_since: int | None = None
@@ -209,7 +209,7 @@
     durations: DurationState = msgspec.field(default_factory=DurationState)
 
 
-def note_entries(pool: PoolState, entries: list[ServerEntry]) -> None:
+def update_servers(pool: PoolState, entries: list[ServerEntry]) -> None:
     """Bring the servers up to date with the registered entries.
 
     Holdings are taken from the entry only for a server that is new here: later
@@ -278,7 +278,7 @@
     """Count loads as done whose time has come.
 
     A load that is late shows by a refusal of the first request that tries it; see
-    :func:`note_missing`. Only one request tries, until it was answered.
+    :func:`record_not_run`. Only one request tries, until it was answered.
     """
     if server.loading and now >= server.loading_until:
         server.models.setdefault(server.loading, set())
@@ -311,7 +311,7 @@
     }
 
 
-def note_first(
+def record_first_event(
     pool: PoolState, key: str, incarnation: str, *, took_ms: int, now: int
 ) -> None:
     """The first part of an answer came: the prompt is read, the load confirmed.
@@ -325,7 +325,7 @@
     run.first_at = now
     run.read_before_ms = server.pauses.read_ms
     if run.was_free:
-        note_first_event(
+        add_sample(
             _get_speed_state(pool, run.need.model),
             tokens=run.need.prompt_tokens,
             took_ms=took_ms,
@@ -376,7 +376,7 @@
     return state
 
 
-def note_end(
+def record_run_end(
     pool: PoolState,
     key: str,
     incarnation: str,
@@ -420,7 +420,9 @@
     )
 
 
-def note_unreachable(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
+def record_unreachable(
+    pool: PoolState, key: str, incarnation: str, *, now: int
+) -> None:
     """A server could not be connected to; it gets no work for a while."""
     server = pool.servers.get(incarnation)
     if server is None:
@@ -433,7 +435,7 @@
     server.orders = None
 
 
-def note_missing(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
+def record_not_run(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
     """A server refused a request as not run: it lacks something, or is full.
 
     What was thought to be there may still be on its way; it is tried again a
--- a/tests/pools.py
+++ b/tests/pools.py
@@ -1,6 +1,6 @@
 """Builders of pools for tests of the coordinator's decisions."""
 
-from arbutuspulley.pool.state import PoolState, Run, ServerState, Waiting
+from arbutuspulley.pool.state import PoolState, Run, ServerState, WaitingRequest
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
 
 
@@ -75,4 +75,4 @@
         "give_up_at": now + 3_400,
         **changes,
     }
-    pool.waiting[key] = Waiting(**values)
+    pool.waiting[key] = WaitingRequest(**values)
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from arbutuspulley.pool.answers import note_answer
+from arbutuspulley.pool.answers import apply_order_answer
 from arbutuspulley.pool.demand import note_demand
 from arbutuspulley.pool.duration import (
     DEFAULT_TOKEN_MS,
@@ -83,7 +83,7 @@
     assert order.incarnation == "s0"
     # A stream that was on its way to it runs for longer than all others.
     add_run(chosen, "late", order.model, expected=400, granted_at=10)
-    note_answer(pool, order, OrderAnswer.ACCEPTED, now=12)
+    apply_order_answer(pool, order, OrderAnswer.ACCEPTED, now=12)
     assert plan_orders(pool, now=100) == []
     other.runs.clear()
     assert [one.incarnation for one in plan_orders(pool, now=200)] == ["s1"]
--- a/tests/test_pool_grants.py
+++ b/tests/test_pool_grants.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
-from arbutuspulley.pool.state import note_end, note_missing, note_unreachable
+from arbutuspulley.pool.grants import Grant, Refusal, find_next_wakeup, plan_grants
+from arbutuspulley.pool.state import record_not_run, record_run_end, record_unreachable
 from arbutuspulley.ports.fleet import TryEnd
 from tests.pools import add_waiting, build_pool, build_server
 
@@ -22,7 +22,7 @@
     for number in range(3):
         add_waiting(pool, f"r{number}", "m0", arrived_at=number)
     assert get_granted(plan_grants(pool, now=10)) == {"r0": "s0"}
-    assert find_wake(pool, now=10) == 72
+    assert find_next_wakeup(pool, now=10) == 72
     assert get_granted(plan_grants(pool, now=50)) == {}
     assert get_granted(plan_grants(pool, now=73)) == {"r1": "s0"}
 
@@ -79,7 +79,7 @@
     add_waiting(pool, "r1", "m0", tokens=60_000, late_at=0, give_up_at=90_000)
     assert get_granted(plan_grants(pool, now=10)) == {"r0": "s0"}
     assert get_granted(plan_grants(pool, now=6_000)) == {}
-    note_end(pool, "r0", "s0", how=TryEnd.DONE, now=1)
+    record_run_end(pool, "r0", "s0", how=TryEnd.DONE, now=1)
     assert get_granted(plan_grants(pool, now=6_010)) == {"r1": "s0"}
 
 
@@ -91,7 +91,7 @@
     add_waiting(pool, "r1", "m0", arrived_at=1, late_at=0)
     assert get_granted(plan_grants(pool, now=99)) == {}
     assert get_granted(plan_grants(pool, now=100)) == {"r0": "s0"}
-    note_missing(pool, "r0", "s0", now=110)
+    record_not_run(pool, "r0", "s0", now=110)
     assert get_granted(plan_grants(pool, now=200)) == {}
     assert get_granted(plan_grants(pool, now=260)) == {"r1": "s0"}
 
@@ -104,7 +104,7 @@
     add_waiting(pool, "r0", "m0")
     plan_grants(pool, now=0)
     server.unloading = "m0"
-    note_missing(pool, "r0", "s0", now=10)
+    record_not_run(pool, "r0", "s0", now=10)
     assert server.loading == ""
 
 
@@ -131,9 +131,9 @@
 def test_an_unreachable_server_rests_longer_each_time():
     server = build_server("s0", "m0")
     pool = build_pool(server)
-    note_unreachable(pool, "r0", "s0", now=0)
+    record_unreachable(pool, "r0", "s0", now=0)
     assert server.suspect_until == 1_000
-    note_unreachable(pool, "r0", "s0", now=1_000)
+    record_unreachable(pool, "r0", "s0", now=1_000)
     assert server.suspect_until == 3_000
 
 
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -3,7 +3,7 @@
 from arbutuspulley.admission.rates import RateLedger
 from arbutuspulley.pool.copies import get_copies
 from arbutuspulley.pool.eviction import SOLE_COST, begin_pass, compute_loss
-from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
+from arbutuspulley.pool.grants import Grant, Refusal, find_next_wakeup, plan_grants
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import Demand
 from arbutuspulley.ports.fleet import OrderKind
@@ -67,7 +67,7 @@
     pool = build_pool(server)
     add_waiting(pool, "r0", "m0", late_at=4_000)
     assert plan_grants(pool, now=0) == []
-    assert find_wake(pool, now=0) == 500
+    assert find_next_wakeup(pool, now=0) == 500
     (granted,) = plan_grants(pool, now=500)
     assert granted.incarnation == "s0"
 
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -2,13 +2,17 @@
 
 import pytest
 
-from arbutuspulley.pool.answers import list_unsure, note_answer, note_report
+from arbutuspulley.pool.answers import (
+    apply_order_answer,
+    apply_report,
+    list_servers_needing_report,
+)
 from arbutuspulley.pool.demand import note_demand
 from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.load_rate import assume_loads, may_load, note_load
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.state import note_missing
+from arbutuspulley.pool.state import record_not_run
 from arbutuspulley.ports.fleet import (
     Holding,
     OrderAnswer,
@@ -28,7 +32,7 @@
 
 def answer(pool, orders, what, *, now):
     for order in orders:
-        note_answer(pool, order, what, now=now)
+        apply_order_answer(pool, order, what, now=now)
 
 
 def build_report(*models, orders=0, is_busy=False):
@@ -106,7 +110,7 @@
     add_waiting(pool, "r1", "m1")
     orders = plan_orders(pool, now=110)
     assert show(orders) == ["load m1 s0 0"]
-    note_missing(pool, "r0", "s0", now=120)
+    record_not_run(pool, "r0", "s0", now=120)
     answer(pool, orders, OrderAnswer.CONFLICT, now=130)
     assert count_used_mb(pool.spec, server) == 30
 
@@ -215,9 +219,9 @@
     add_waiting(pool, "r0", "m2")
     answer(pool, plan_orders(pool, now=10), OrderAnswer.REFUSED, now=20)
     assert plan_orders(pool, now=100) == []
-    assert list_unsure(pool, now=100) == []
-    assert list_unsure(pool, now=400) == [server]
-    note_report(pool, "s0", build_report("m0", "m2", orders=1), asked_at=400)
+    assert list_servers_needing_report(pool, now=100) == []
+    assert list_servers_needing_report(pool, now=400) == [server]
+    apply_report(pool, "s0", build_report("m0", "m2", orders=1), asked_at=400)
     assert set(server.models) == {"m0", "m2"}
     assert server.orders == 1
 
@@ -228,7 +232,7 @@
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
     answer(pool, plan_orders(pool, now=1_000), OrderAnswer.ACCEPTED, now=1_010)
-    note_report(pool, "s0", build_report("m0"), asked_at=1_100)
+    apply_report(pool, "s0", build_report("m0"), asked_at=1_100)
     assert server.loading == "m2"
     assert server.orders == 1
 
--- a/tests/test_pool_pauses.py
+++ b/tests/test_pool_pauses.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from arbutuspulley.pool.grants import Grant, find_wake, plan_grants
+from arbutuspulley.pool.grants import Grant, find_next_wakeup, plan_grants
 from arbutuspulley.pool.pauses import (
     EVENT_MEMORY,
     FIRST_EVENT_MS,
@@ -106,7 +106,7 @@
     while len(starts) < 5 and now < 2_000:
         granted = [one for one in plan_grants(pool, now=now) if isinstance(one, Grant)]
         starts += [now] * len(granted)
-        now = find_wake(pool, now=now)
+        now = find_next_wakeup(pool, now=now)
     gaps = [later - one for one, later in itertools.pairwise(starts)]
     assert min(gaps) >= 175
 
--- a/tests/test_pool_restart.py
+++ b/tests/test_pool_restart.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from arbutuspulley.pool.answers import LATE_ORDER_MS, note_answer
+from arbutuspulley.pool.answers import LATE_ORDER_MS, apply_order_answer
 from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.state import note_end, note_entries, settle_due
+from arbutuspulley.pool.state import record_run_end, settle_due, update_servers
 from arbutuspulley.ports.fleet import (
     Holding,
     OrderAnswer,
@@ -33,7 +33,7 @@
 
 def build(*models):
     pool = build_pool()
-    note_entries(pool, [build_entry(1, *models)])
+    update_servers(pool, [build_entry(1, *models)])
     return pool, pool.servers["s0@1"]
 
 
@@ -45,7 +45,7 @@
     old.orders, old.failures, old.suspect_until = 7, 3, 4_000
     old.runs.clear()
     add_run(old, "r0", "m0")
-    note_entries(pool, [build_entry(2)])
+    update_servers(pool, [build_entry(2)])
     new = pool.servers["s0@2"]
     assert (new.models, new.runs, new.orders) == ({}, {}, None)
     assert (new.failures, new.suspect_until) == (0, 0)
@@ -58,9 +58,9 @@
     old.orders = 0
     add_waiting(pool, "r0", "m1")
     (order,) = plan_orders(pool, now=10)
-    note_entries(pool, [build_entry(2)])
-    note_answer(pool, order, OrderAnswer.ACCEPTED, now=20)
-    note_end(pool, "r9", "s0@1", how=TryEnd.FAILED, now=20)
+    update_servers(pool, [build_entry(2)])
+    apply_order_answer(pool, order, OrderAnswer.ACCEPTED, now=20)
+    record_run_end(pool, "r9", "s0@1", how=TryEnd.FAILED, now=20)
     new = pool.servers["s0@2"]
     assert (new.loading, new.orders, new.failure_share) == ("", None, 0)
 
@@ -81,8 +81,8 @@
     add_waiting(pool, "r0", "m1")
     (order,) = plan_orders(pool, now=10)
     assert (order.kind, order.expected_orders) == (OrderKind.LOAD, 1)
-    note_answer(pool, order, OrderAnswer.UNKNOWN, now=100)
-    note_entries(pool, [build_entry(2)])
+    apply_order_answer(pool, order, OrderAnswer.UNKNOWN, now=100)
+    update_servers(pool, [build_entry(2)])
     new = pool.servers["s0@2"]
     new.orders = orders
     settle_due(new, now=now)
--- a/tests/test_pool_speed.py
+++ b/tests/test_pool_speed.py
@@ -8,15 +8,15 @@
 from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
+    add_sample,
     get_speed,
-    note_first_event,
 )
 from arbutuspulley.pool.state import (
     assume_speeds,
     find_speed,
     list_speeds,
-    note_end,
-    note_first,
+    record_first_event,
+    record_run_end,
 )
 from arbutuspulley.ports.fleet import ModelSpec, TryEnd
 from tests.pools import add_waiting, build_pool, build_server, build_spec
@@ -31,7 +31,7 @@
         took = 20 + chance.random() * 20 + tokens / true_speed
         if chance.random() < odd:
             took += chance.random() * 400
-        note_first_event(speed, tokens=tokens, took_ms=took)
+        add_sample(speed, tokens=tokens, took_ms=took)
     return get_speed(speed)
 
 
@@ -64,7 +64,7 @@
         took = 20 + chance.random() * 20 + tokens / 25.8
         if number % 4 == 0:
             took += chance.random() * 0.3 * tokens
-        note_first_event(speed, tokens=tokens, took_ms=took)
+        add_sample(speed, tokens=tokens, took_ms=took)
     assert get_speed(speed) == pytest.approx(25.8, rel=0.25)
 
 
@@ -95,8 +95,8 @@
         add_waiting(pool, key, model, tokens=tokens, now=now)
         plan_grants(pool, now=now)
         took = 15 + int(tokens / tokens_per_ms)
-        note_first(pool, key, "s1", took_ms=took, now=now + took)
-        note_end(pool, key, "s1", how=TryEnd.DONE, now=now + took)
+        record_first_event(pool, key, "s1", took_ms=took, now=now + took)
+        record_run_end(pool, key, "s1", how=TryEnd.DONE, now=now + took)
         now += 1_000
     return now
 
