--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -14,7 +14,7 @@
 
 import cyclopts
 
-from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.demand import record_demand
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import PoolState, Run, ServerState, WaitingRequest
@@ -82,7 +82,7 @@
     now = 0
     for _ in range(ASKED):
         now += 2
-        note_demand(pool, _pick(names, chance), 800, now=now)
+        record_demand(pool, _pick(names, chance), 800, now=now)
     for number in range(servers * WAITING_PER_SERVER):
         pool.waiting[f"w{number}"] = WaitingRequest(
             key=f"w{number}",
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -68,19 +68,19 @@
     apply_order_answer,
 )
 from arbutuspulley.pool.demand import (
-    age_demand,
-    assume_demand,
-    get_weight,
+    decay_demand,
+    estimate_token_cost,
+    inherit_demand,
     list_demand,
-    note_demand,
+    record_demand,
 )
 from arbutuspulley.pool.grants import Grant, Refusal, find_next_wakeup, plan_grants
-from arbutuspulley.pool.load_rate import assume_loads, list_recent_loads
+from arbutuspulley.pool.load_rate import inherit_loads, list_recent_loads
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import (
     PoolState,
-    assume_speeds,
-    list_speeds,
+    inherit_prefill_speeds,
+    list_prefill_speeds,
     update_servers,
 )
 from arbutuspulley.ports.fleet import EngineSpec, OrderAnswer
@@ -216,14 +216,14 @@
         """Build a pool that begins with what is known from holders before."""
         pool = PoolState(service=service, spec=spec)
         inherited, learnt = self._inherited, self._state.learnt
-        assume_loads(
+        inherit_loads(
             pool,
             inherited.loads.get(service, []),
             unknown_until=inherited.unknown_until,
         )
-        assume_speeds(pool, learnt.speeds.get(service, {}))
+        inherit_prefill_speeds(pool, learnt.speeds.get(service, {}))
         now = self._state.clock.now()
-        assume_demand(pool, learnt.demand.get(service, {}), now=now)
+        inherit_demand(pool, learnt.demand.get(service, {}), now=now)
         return pool
 
     def take(self, origin: str, messages: list[ToCoordinator]) -> None:
@@ -358,7 +358,9 @@
             self._peers.send(origin, refused)
             return
         if not ask.is_repeat:
-            note_demand(pool, ask.need.model, get_weight(pool, ask.need), now=now)
+            record_demand(
+                pool, ask.need.model, estimate_token_cost(pool, ask.need), now=now
+            )
         pool.waiting[ask.key] = build_waiting(origin, ask, now=now)
 
     def _decide(self) -> None:
@@ -468,11 +470,11 @@
         """Log what each model is asked for and where it is."""
         now = self._state.clock.now()
         for pool in self._pools.values():
-            age_demand(pool, now=now)
+            decay_demand(pool, now=now)
             log_pool(pool, may_order=self._may_order(now), now=now)
 
     def _tell_learnt(self) -> None:
-        speeds = {name: list_speeds(pool) for name, pool in self._pools.items()}
+        speeds = {name: list_prefill_speeds(pool) for name, pool in self._pools.items()}
         demand = {name: list_demand(pool) for name, pool in self._pools.items()}
         self._peers.send_successors(Learnt(speeds=speeds, demand=demand))
 
--- a/src/arbutuspulley/node/intake.py
+++ b/src/arbutuspulley/node/intake.py
@@ -58,7 +58,7 @@
                     granted_at=begun_at,
                     pause_ms=run.pause_ms,
                     first_at=begun_at,
-                    read_before_ms=server.pauses.read_ms,
+                    prefill_before_ms=server.pauses.prefill_ms,
                 )
 
 
--- a/src/arbutuspulley/node/pool_log.py
+++ b/src/arbutuspulley/node/pool_log.py
@@ -7,7 +7,7 @@
 from arbutuspulley.pool.copies import get_copies, index_copies
 from arbutuspulley.pool.demand import get_demand
 from arbutuspulley.pool.grants import Grant, Refusal
-from arbutuspulley.pool.state import PoolState, find_speed, list_speeds
+from arbutuspulley.pool.state import PoolState, get_prefill_speed, list_prefill_speeds
 from arbutuspulley.ports.fleet import OrderAnswer
 
 
@@ -33,7 +33,7 @@
         tokens_ahead=refusal.tokens_ahead,
         copies=refusal.copies,
         limited=refusal.limited,
-        tokens_per_ms=round(find_speed(pool, refusal.model), 1),
+        tokens_per_ms=round(get_prefill_speed(pool, refusal.model), 1),
         waited_ms=refusal.waited_ms,
         retry_after_ms=refusal.retry_after_ms,
     )
@@ -72,7 +72,7 @@
         may_order=may_order,
         unsure=len(list_servers_needing_report(pool, now=now)),
         tokens_per_ms={
-            kind: round(speed, 1) for kind, speed in list_speeds(pool).items()
+            kind: round(speed, 1) for kind, speed in list_prefill_speeds(pool).items()
         },
         models=models,
     )
--- a/src/arbutuspulley/pool/demand.py
+++ b/src/arbutuspulley/pool/demand.py
@@ -8,7 +8,7 @@
 import math
 
 from arbutuspulley.pool.duration import estimate_run
-from arbutuspulley.pool.state import Demand, PoolState, find_speed
+from arbutuspulley.pool.state import Demand, PoolState, get_prefill_speed
 from arbutuspulley.ports.fleet import ModelNeed
 
 HALF_LIFE_MS = 3_000
@@ -48,7 +48,7 @@
 and demand moves on within some seconds."""
 
 
-def get_weight(pool: PoolState, need: ModelNeed) -> float:
+def estimate_token_cost(pool: PoolState, need: ModelNeed) -> float:
     """Return what a request takes of a copy of its model, in prompt tokens.
 
     A server is full by what it reads or by its slots, whichever is sooner. Where it has
@@ -57,13 +57,15 @@
     model whose copies seem to be half idle.
     """
     run_ms = estimate_run(pool.durations, need)
-    held = run_ms / max(1, pool.spec.slots) * get_rate(pool, need.model) / 1_000
+    held = (
+        run_ms / max(1, pool.spec.slots) * get_copy_token_rate(pool, need.model) / 1_000
+    )
     return max(float(need.prompt_tokens), held)
 
 
-def note_demand(pool: PoolState, model: str, tokens: float, *, now: int) -> None:
-    """Count what a request takes of a copy, see :func:`get_weight`."""
-    age_demand(pool, now=now)
+def record_demand(pool: PoolState, model: str, tokens: float, *, now: int) -> None:
+    """Count what a request takes of a copy, see :func:`estimate_token_cost`."""
+    decay_demand(pool, now=now)
     if pool.demand_since is None:
         pool.demand_since = now
     demand = pool.demand.setdefault(model, Demand())
@@ -72,7 +74,7 @@
     pool.mean_tokens += 0.02 * (tokens - pool.mean_tokens)
 
 
-def age_demand(pool: PoolState, *, now: int) -> None:
+def decay_demand(pool: PoolState, *, now: int) -> None:
     """Let the counts decay to the present."""
     past = now - pool.demand_at
     if past <= 0:
@@ -108,7 +110,7 @@
     return {model: get_demand(pool, model) for model in pool.demand}
 
 
-def assume_demand(pool: PoolState, rates: dict[str, float], *, now: int) -> None:
+def inherit_demand(pool: PoolState, rates: dict[str, float], *, now: int) -> None:
     """Begin with what a predecessor was asked for.
 
     :param rates: prompt tokens a second by model.
@@ -133,22 +135,22 @@
     return 1 - 0.5 ** (seen_ms / half_life_ms)
 
 
-def get_rate(pool: PoolState, model: str) -> float:
+def get_copy_token_rate(pool: PoolState, model: str) -> float:
     """Return the prompt tokens a second that one copy of a model takes."""
-    return find_speed(pool, model) * PACE * 1_000
+    return get_prefill_speed(pool, model) * PACE * 1_000
 
 
-def get_request_rate(pool: PoolState) -> float:
+def get_copy_request_rate(pool: PoolState) -> float:
     """Return the requests a second that one copy of a model takes at least."""
-    rates = (get_rate(pool, model) for model in pool.spec.models)
+    rates = (get_copy_token_rate(pool, model) for model in pool.spec.models)
     return min(rates, default=0.0) / max(1.0, pool.mean_tokens)
 
 
-def get_excess(pool: PoolState, model: str, copies: int) -> float:
+def estimate_excess_requests(pool: PoolState, model: str, copies: int) -> float:
     """Return how many requests so many copies would leave waiting.
 
     With no copy, that is all of them.
     """
     demand = get_demand(pool, model)
-    excess = max(0.0, demand - FULL * get_rate(pool, model) * copies)
+    excess = max(0.0, demand - FULL * get_copy_token_rate(pool, model) * copies)
     return excess * AHEAD_S / max(1.0, pool.mean_tokens)
--- a/src/arbutuspulley/pool/eviction.py
+++ b/src/arbutuspulley/pool/eviction.py
@@ -11,7 +11,7 @@
     index_copies,
     refresh_copies,
 )
-from arbutuspulley.pool.demand import get_excess, get_request_rate
+from arbutuspulley.pool.demand import estimate_excess_requests, get_copy_request_rate
 from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload
 from arbutuspulley.ports.fleet import EngineSpec
 
@@ -93,7 +93,7 @@
     """Begin a pass of orders."""
     least_per_s: float | None = None
     if any(one.limit is not None for one in pool.servers.values()):
-        least_per_s = LIMITED_PART * get_request_rate(pool)
+        least_per_s = LIMITED_PART * get_copy_request_rate(pool)
     return RoomPass(
         pool=pool,
         index=index_copies(pool, now=now, least_per_s=least_per_s),
@@ -196,7 +196,9 @@
     """Return what one copy less of a model would cost, in requests that wait."""
     pool = state.pool
     copies = len(get_copies(state.index, model))
-    cost = get_excess(pool, model, copies - 1) - get_excess(pool, model, copies)
+    cost = estimate_excess_requests(pool, model, copies - 1) - estimate_excess_requests(
+        pool, model, copies
+    )
     cost += state.waiting[model] / max(1, copies)
     if copies <= 1:
         cost += SOLE_COST
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -11,15 +11,15 @@
 from arbutuspulley.admission.rates import spend
 from arbutuspulley.data import Value
 from arbutuspulley.pool.copies import CopyIndex, get_copies, index_copies
-from arbutuspulley.pool.demand import get_rate
+from arbutuspulley.pool.demand import get_copy_token_rate
 from arbutuspulley.pool.pauses import find_start, note_reading
 from arbutuspulley.pool.state import (
     PoolState,
     Run,
     ServerState,
     WaitingRequest,
-    find_speed,
     get_limit_wait,
+    get_prefill_speed,
     holds,
     is_usable,
     settle_due,
@@ -266,15 +266,15 @@
     """Return when a prompt may start at a server, by pace and by streams' pauses."""
     start = find_start(
         server.pauses,
-        read_ms=_get_read_ms(pool, waiting.need),
+        prefill_ms=_get_read_ms(pool, waiting.need),
         pause_ms=load.pause_ms,
         now=now,
     )
-    return max(start, server.read_until)
+    return max(start, server.prefill_until)
 
 
 def _get_read_ms(pool: PoolState, need: ModelNeed) -> float:
-    return need.prompt_tokens / find_speed(pool, need.model)
+    return need.prompt_tokens / get_prefill_speed(pool, need.model)
 
 
 def _sum_load(server: ServerState) -> _Load:
@@ -334,7 +334,7 @@
         origin=waiting.origin,
         need=need,
         granted_at=now,
-        was_free=server.read_until <= now,
+        was_free=server.prefill_until <= now,
         is_repeat=waiting.is_repeat,
         pause_ms=0 if is_late else waiting.pause_ms,
     )
@@ -344,8 +344,10 @@
         keep_ms=max(LEAST_KEPT_MS, load.pause_ms, waiting.pause_ms),
         now=now,
     )
-    begin = max(float(now), server.read_until)
-    server.read_until = begin + need.prompt_tokens * 1_000 / get_rate(pool, need.model)
+    begin = max(float(now), server.prefill_until)
+    server.prefill_until = begin + need.prompt_tokens * 1_000 / get_copy_token_rate(
+        pool, need.model
+    )
     if need.adapter:
         server.adapter_used_at[need.model, need.adapter] = now
     return Grant(
--- a/src/arbutuspulley/pool/load_rate.py
+++ b/src/arbutuspulley/pool/load_rate.py
@@ -42,7 +42,7 @@
     return [at for at in pool.loads if at > now - WINDOW_MS]
 
 
-def assume_loads(
+def inherit_loads(
     pool: PoolState, known: list[int], *, unknown_until: int | None
 ) -> None:
     """Count what a predecessor has loaded, and what it may have loaded besides.
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -17,7 +17,7 @@
     get_load_ms,
 )
 from arbutuspulley.pool.copies import get_copies
-from arbutuspulley.pool.demand import get_excess, get_rate
+from arbutuspulley.pool.demand import estimate_excess_requests, get_copy_token_rate
 from arbutuspulley.pool.eviction import (
     RoomPass,
     begin_pass,
@@ -142,7 +142,7 @@
             continue
         if pair in server.adapters_due:
             return True
-        is_free = server.read_until - now < SPREAD_BACKLOG_MS
+        is_free = server.prefill_until - now < SPREAD_BACKLOG_MS
         is_free = is_free and not get_limit_wait(server, now=now)
         if is_free and holds(server, waiting.need, now=now):
             return True
@@ -166,7 +166,7 @@
     ]
     return min(
         candidates,
-        key=lambda one: (one.limit is not None, one.read_until, len(one.runs)),
+        key=lambda one: (one.limit is not None, one.prefill_until, len(one.runs)),
         default=None,
     )
 
@@ -219,7 +219,9 @@
     pool, waiting = state.pool, state.waiting[model]
     found = get_copies(state.index, model)
     copies = sum(not _is_stuck(state, one, model) for one in found)
-    gain = get_excess(pool, model, copies) - get_excess(pool, model, copies + 1)
+    gain = estimate_excess_requests(pool, model, copies) - estimate_excess_requests(
+        pool, model, copies + 1
+    )
     gain += _count_relieved(pool, model, waiting, copies)
     return gain + _count_missed(pool, model, waiting, copies, now=state.index.now)
 
@@ -234,7 +236,9 @@
 
 def _count_relieved(pool: PoolState, model: str, waiting: int, copies: int) -> float:
     """Return how many of a model's waiting requests another copy would take over."""
-    at_once = get_rate(pool, model) * HOT_BACKLOG_MS / 1_000 / pool.mean_tokens
+    at_once = (
+        get_copy_token_rate(pool, model) * HOT_BACKLOG_MS / 1_000 / pool.mean_tokens
+    )
     return max(0.0, waiting - at_once * copies) / (copies + 1)
 
 
--- a/src/arbutuspulley/pool/pauses.py
+++ b/src/arbutuspulley/pool/pauses.py
@@ -52,11 +52,13 @@
     """
 
     readings: deque[Reading] = msgspec.field(default_factory=deque)
-    read_ms: float = 0
+    prefill_ms: float = 0
     event_ms: float = FIRST_EVENT_MS
 
 
-def note_reading(state: PauseState, read_ms: float, *, keep_ms: int, now: int) -> None:
+def note_reading(
+    state: PauseState, prefill_ms: float, *, keep_ms: int, now: int
+) -> None:
     """A prompt starts that takes so long to read.
 
     :param keep_ms: the longest pause that matters at this server.
@@ -65,12 +67,12 @@
     while readings and readings[0].end < now - keep_ms:
         readings.popleft()
     begin = max(float(now), readings[-1].end) if readings else float(now)
-    readings.append(Reading(begin=begin, end=begin + read_ms))
-    state.read_ms += read_ms
+    readings.append(Reading(begin=begin, end=begin + prefill_ms))
+    state.prefill_ms += prefill_ms
 
 
 def note_stream(
-    state: PauseState, *, events: int, took_ms: float, read_ms: float
+    state: PauseState, *, events: int, took_ms: float, prefill_ms: float
 ) -> None:
     """A stream ended whole.
 
@@ -79,11 +81,13 @@
     """
     if events < FEWEST_EVENTS:
         return
-    event_ms = max(0.0, took_ms - read_ms) / (events - 1)
+    event_ms = max(0.0, took_ms - prefill_ms) / (events - 1)
     state.event_ms += EVENT_MEMORY * (event_ms - state.event_ms)
 
 
-def find_start(state: PauseState, *, read_ms: float, pause_ms: int, now: int) -> float:
+def find_start(
+    state: PauseState, *, prefill_ms: float, pause_ms: int, now: int
+) -> float:
     """Return when a prompt may start so that no stream pauses for too long, in ms.
 
     :param read_ms: how long the prompt takes to read.
@@ -92,12 +96,12 @@
     if not pause_ms or not state.readings:
         return float(now)
     most = max(LEAST_PART * pause_ms, pause_ms - state.event_ms - SLACK_MS)
-    left = max(0.0, most - read_ms)
+    left = max(0.0, most - prefill_ms)
     for reading in reversed(state.readings):
         length = reading.end - reading.begin
         if length > left:
             # What is read after this moment, and the prompt, fit into one pause.
             free_from = reading.end - left
-            return max(float(now), free_from + max(0.0, pause_ms - read_ms))
+            return max(float(now), free_from + max(0.0, pause_ms - prefill_ms))
         left -= length
     return float(now)
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -77,7 +77,7 @@
     need: ModelNeed
     granted_at: int
     pause_ms: int = 0
-    read_before_ms: float = 0
+    prefill_before_ms: float = 0
     first_at: int | None = None
     was_free: bool = False
     is_repeat: bool = False
@@ -154,7 +154,7 @@
     unanswered_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
     late_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
     ordered_at: int = 0
-    read_until: float = 0
+    prefill_until: float = 0
     pauses: PauseState = msgspec.field(default_factory=PauseState)
     suspect_until: int = 0
     failures: int = 0
@@ -323,7 +323,7 @@
     if server is None or run is None:
         return
     run.first_at = now
-    run.read_before_ms = server.pauses.read_ms
+    run.prefill_before_ms = server.pauses.prefill_ms
     if run.was_free:
         add_sample(
             _get_speed_state(pool, run.need.model),
@@ -345,7 +345,7 @@
     return f"{found.size_mb:g}/{found.adapter_mb:g}" if found else ""
 
 
-def find_speed(pool: PoolState, model: str) -> float:
+def get_prefill_speed(pool: PoolState, model: str) -> float:
     """Return the prompt tokens of a model that a server reads in a ms.
 
     Of a kind that was not seen yet, the slowest of the others is assumed.
@@ -357,12 +357,12 @@
     return min(known, default=DEFAULT_SPEED)
 
 
-def list_speeds(pool: PoolState) -> dict[str, float]:
+def list_prefill_speeds(pool: PoolState) -> dict[str, float]:
     """Return the reading speeds by kind of model, for a successor."""
     return {kind: get_speed(one) for kind, one in pool.speeds.items()}
 
 
-def assume_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
+def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
     """Begin with what a predecessor has learnt."""
     for kind, speed in speeds.items():
         pool.speeds.setdefault(kind, SpeedState(guess=speed))
@@ -372,7 +372,7 @@
     kind = get_kind(pool.spec, model)
     state = pool.speeds.get(kind)
     if state is None:
-        state = pool.speeds[kind] = SpeedState(guess=find_speed(pool, model))
+        state = pool.speeds[kind] = SpeedState(guess=get_prefill_speed(pool, model))
     return state
 
 
@@ -402,7 +402,7 @@
             server.pauses,
             events=events,
             took_ms=took_ms,
-            read_ms=server.pauses.read_ms - run.read_before_ms,
+            prefill_ms=server.pauses.prefill_ms - run.prefill_before_ms,
         )
 
 
--- a/src/arbutuspulley/pool/waits.py
+++ b/src/arbutuspulley/pool/waits.py
@@ -3,7 +3,7 @@
 from arbutuspulley.admission.rates import get_wait
 from arbutuspulley.pool.answers import NEVER, get_load_ms
 from arbutuspulley.pool.copies import CopyIndex, get_copies
-from arbutuspulley.pool.demand import get_rate
+from arbutuspulley.pool.demand import get_copy_token_rate
 from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload
 
 LEAST_RETRY_MS = 200
@@ -30,7 +30,7 @@
 
     :param copy_times: as :func:`list_copy_times` returns them; not empty.
     """
-    rate = get_rate(pool, model) / 1_000
+    rate = get_copy_token_rate(pool, model) / 1_000
     left, at = float(tokens), copy_times[0]
     for copies, next_at in enumerate(copy_times[1:], start=1):
         taken = copies * rate * (next_at - at)
--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -11,13 +11,13 @@
 import pytest
 
 from arbutuspulley.pool.demand import (
-    assume_demand,
+    estimate_excess_requests,
+    estimate_token_cost,
+    get_copy_token_rate,
     get_demand,
-    get_excess,
-    get_rate,
-    get_weight,
+    inherit_demand,
     list_demand,
-    note_demand,
+    record_demand,
 )
 from arbutuspulley.pool.duration import estimate_run
 from arbutuspulley.pool.orders import plan_orders
@@ -31,7 +31,7 @@
         now += chance.expovariate(per_s / 1_000)
         if now >= end:
             return
-        note_demand(pool, model, 1_000, now=int(now))
+        record_demand(pool, model, 1_000, now=int(now))
 
 
 def test_a_rise_is_seen_within_a_second():
@@ -72,7 +72,7 @@
 def test_a_successor_goes_on_with_what_was_known():
     pool, successor = build_pool(), build_pool()
     ask(pool, per_s=30, begin=0, end=9_000, chance=random.Random(2))
-    assume_demand(successor, list_demand(pool), now=77)
+    inherit_demand(successor, list_demand(pool), now=77)
     known = get_demand(pool, "m0")
     assert get_demand(successor, "m0") == pytest.approx(known)
 
@@ -93,10 +93,10 @@
         output_tokens=460,
         expected_tokens=expected,
     )
-    weight = get_weight(pool, need)
+    weight = estimate_token_cost(pool, need)
     assert (weight > prompt) == (binds == "slots")
-    read_ms = weight * 1_000 / get_rate(pool, "m0")
-    assert slots * read_ms >= estimate_run(pool.durations, need)
+    prefill_ms = weight * 1_000 / get_copy_token_rate(pool, "m0")
+    assert slots * prefill_ms >= estimate_run(pool.durations, need)
 
 
 def test_a_model_whose_slots_are_full_gets_another_copy():
@@ -111,7 +111,9 @@
     now = 0
     for _ in range(30):
         now += 100
-        note_demand(pool, "m0", get_weight(pool, need), now=now)
-    assert get_excess(pool, "m0", 1) > get_excess(pool, "m0", 2)
+        record_demand(pool, "m0", estimate_token_cost(pool, need), now=now)
+    assert estimate_excess_requests(pool, "m0", 1) > estimate_excess_requests(
+        pool, "m0", 2
+    )
     (order,) = plan_orders(pool, now=now)
     assert (order.incarnation, order.model) == ("s1", "m0")
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -3,7 +3,7 @@
 import pytest
 
 from arbutuspulley.pool.answers import apply_order_answer
-from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.demand import record_demand
 from arbutuspulley.pool.duration import (
     DEFAULT_TOKEN_MS,
     DurationState,
@@ -51,7 +51,7 @@
 
 def ask_often(pool, model, *, now, waiting=3):
     for number in range(waiting):
-        note_demand(pool, model, 1_200, now=now)
+        record_demand(pool, model, 1_200, now=now)
         add_waiting(pool, f"{model}-{number}", model, now=now)
 
 
--- a/tests/test_pool_grants.py
+++ b/tests/test_pool_grants.py
@@ -39,7 +39,7 @@
 
 def test_a_late_request_may_start_a_little_ahead_of_the_pace():
     """While others keep coming in time, late ones must not wait for ever."""
-    pool = build_pool(build_server("s0", "m0", read_until=100))
+    pool = build_pool(build_server("s0", "m0", prefill_until=100))
     add_waiting(pool, "late", "m0", late_at=5)
     assert get_granted(plan_grants(pool, now=50)) == {}
     assert get_granted(plan_grants(pool, now=61)) == {"late": "s0"}
@@ -47,7 +47,7 @@
 
 def test_the_least_busy_server_with_the_model_is_chosen():
     pool = build_pool(
-        build_server("s0", "m0", read_until=500),
+        build_server("s0", "m0", prefill_until=500),
         build_server("s1", "m0", zone="z2"),
         build_server("s2", "m1"),
     )
@@ -120,7 +120,7 @@
 def test_a_wait_without_hope_is_refused_at_once():
     """Forty callers ask for a model with one copy. The last of them would wait longer
     than callers do; held to the end, they lose that time, too."""
-    pool = build_pool(build_server("s0", "m0", read_until=10_000))
+    pool = build_pool(build_server("s0", "m0", prefill_until=10_000))
     for number in range(60):
         add_waiting(pool, f"r{number:02}", "m0", arrived_at=number, late_at=9_999)
     refused = [one.key for one in plan_grants(pool, now=100)]
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -53,7 +53,7 @@
     has it spends its limit on models that others have too."""
     limited, other = build_server("s0", "m0", "m1"), build_server("s1", "m0")
     limit_server(limited, 1.0, now=-10_000)
-    other.read_until = 300
+    other.prefill_until = 300
     pool = build_pool(limited, other)
     add_waiting(pool, "busy", "m0", arrived_at=0)
     add_waiting(pool, "rare", "m1", arrived_at=1)
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -7,10 +7,10 @@
     apply_report,
     list_servers_needing_report,
 )
-from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.demand import record_demand
 from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
-from arbutuspulley.pool.load_rate import assume_loads, may_load, note_load
+from arbutuspulley.pool.load_rate import inherit_loads, may_load, note_load
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import record_not_run
 from arbutuspulley.ports.fleet import (
@@ -118,7 +118,7 @@
 def test_adapters_that_are_waited_for_do_not_push_each_other_out():
     """More adapters are waited for than there are places, while the server reads. They
     were loaded and unloaded in turn, some hundred times a second, and none was used."""
-    server = build_server("s0", "m0", read_until=500)
+    server = build_server("s0", "m0", prefill_until=500)
     server.models["m0"] = {"a1", "a2"}
     pool = build_pool(server)
     for name in ("a1", "a2", "a3"):
@@ -157,8 +157,8 @@
     """One request for a rare model pushed out both copies of the busiest model."""
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0", "m1"))
     for number in range(60):
-        note_demand(pool, "m0", 1_000, now=number * 20)
-        note_demand(pool, "m1", 1_000, now=number * 20)
+        record_demand(pool, "m0", 1_000, now=number * 20)
+        record_demand(pool, "m1", 1_000, now=number * 20)
     add_waiting(pool, "r0", "m2", now=1_200)
     assert plan_orders(pool, now=1_200) == []
 
@@ -166,7 +166,7 @@
 def test_a_rare_model_is_loaded_all_the_same_after_a_while():
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0", "m1"))
     for number in range(10):
-        note_demand(pool, "m0", 1_000, now=number * 100)
+        record_demand(pool, "m0", 1_000, now=number * 100)
     add_waiting(pool, "r0", "m2", now=1_000)
     plan_orders(pool, now=1_000)
     orders = plan_orders(pool, now=9_000)
@@ -174,7 +174,7 @@
 
 
 def test_a_model_with_many_waiting_gets_another_copy():
-    pool = build_pool(build_server("s0", "m0", read_until=900), build_server("s1"))
+    pool = build_pool(build_server("s0", "m0", prefill_until=900), build_server("s1"))
     for number in range(8):
         add_waiting(pool, f"r{number}", "m0")
     assert show(plan_orders(pool, now=10)) == ["load m0 s1 0"]
@@ -183,7 +183,7 @@
 def test_demand_brings_a_copy_ahead_of_any_wait():
     pool = build_pool(build_server("s0", "m0"), build_server("s1"))
     for number in range(300):
-        note_demand(pool, "m0", 1_000, now=number * 10)
+        record_demand(pool, "m0", 1_000, now=number * 10)
     assert show(plan_orders(pool, now=3_000)) == ["load m0 s1 0"]
 
 
@@ -298,7 +298,7 @@
     killed. Its successor knows those that were told, and that as many as run at once
     may have been ordered since."""
     pool = build_pool(build_server("s0"))
-    assume_loads(pool, [0] * known, unknown_until=unknown_until)
+    inherit_loads(pool, [0] * known, unknown_until=unknown_until)
     ordered = known + (unknown_until is not None) * 3
     while may_load(pool, now=1_000):
         note_load(pool, now=1_000)
@@ -311,7 +311,7 @@
     coordinator took all of the rate for used up; a model that 30 requests waited for
     was not loaded for five seconds more."""
     pool = build_pool(build_server("s0"))
-    assume_loads(pool, [-9_000], unknown_until=-6_000)
+    inherit_loads(pool, [-9_000], unknown_until=-6_000)
     add_waiting(pool, "r0", "m0")
     for _ in range(9):
         note_load(pool, now=9)
--- a/tests/test_pool_pauses.py
+++ b/tests/test_pool_pauses.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("readings", "read_ms", "expected"),
+    ("readings", "prefill_ms", "expected"),
     [
         ([], 100, 0),
         ([(0, 100)], 75, 100),
@@ -45,12 +45,12 @@
         ([(0, 20), (20, 100)], 75, 195),
     ],
 )
-def test_a_prompt_starts_when_one_pause_can_hold_it(readings, read_ms, expected):
+def test_a_prompt_starts_when_one_pause_can_hold_it(readings, prefill_ms, expected):
     state = PauseState()
     for begin, length in readings:
         note_reading(state, length, keep_ms=1_000, now=begin)
     now = int(max((one.end for one in state.readings), default=0))
-    start = find_start(state, read_ms=read_ms, pause_ms=PAUSE_MS, now=now)
+    start = find_start(state, prefill_ms=prefill_ms, pause_ms=PAUSE_MS, now=now)
     assert start == max(now, expected)
 
 
@@ -62,10 +62,10 @@
     now = 0
     spans = []
     for _ in range(400):
-        read_ms = chance.uniform(5, MOST_MS)
-        start = find_start(state, read_ms=read_ms, pause_ms=PAUSE_MS, now=now)
+        prefill_ms = chance.uniform(5, MOST_MS)
+        start = find_start(state, prefill_ms=prefill_ms, pause_ms=PAUSE_MS, now=now)
         now = max(now, int(start) + 1)
-        note_reading(state, read_ms, keep_ms=1_000, now=now)
+        note_reading(state, prefill_ms, keep_ms=1_000, now=now)
         end = state.readings[-1].end
         spans.append(count_read(state, end - PAUSE_MS, end))
     assert max(spans) <= MOST_MS + 1
@@ -74,15 +74,15 @@
 def test_without_a_stream_to_keep_in_time_nothing_is_held_back():
     state = PauseState()
     note_reading(state, 500, keep_ms=1_000, now=0)
-    assert find_start(state, read_ms=100, pause_ms=0, now=10) == 10
+    assert find_start(state, prefill_ms=100, pause_ms=0, now=10) == 10
 
 
 def test_the_time_of_an_event_is_learnt_without_what_was_read_meanwhile():
     state = PauseState()
-    note_stream(state, events=11, took_ms=1_500, read_ms=500)
+    note_stream(state, events=11, took_ms=1_500, prefill_ms=500)
     expected = FIRST_EVENT_MS + EVENT_MEMORY * (100 - FIRST_EVENT_MS)
     assert state.event_ms == pytest.approx(expected)
-    note_stream(state, events=2, took_ms=9_000, read_ms=0)
+    note_stream(state, events=2, took_ms=9_000, prefill_ms=0)
     assert state.event_ms == pytest.approx(expected)
 
 
@@ -90,7 +90,7 @@
     state = PauseState(event_ms=400)
     note_reading(state, 10, keep_ms=1_000, now=0)
     least = LEAST_PART * PAUSE_MS
-    assert find_start(state, read_ms=least - 10, pause_ms=PAUSE_MS, now=10) == 10
+    assert find_start(state, prefill_ms=least - 10, pause_ms=PAUSE_MS, now=10) == 10
 
 
 def test_streams_of_a_server_do_not_pause_for_a_burst_of_prompts():
--- a/tests/test_pool_speed.py
+++ b/tests/test_pool_speed.py
@@ -12,9 +12,9 @@
     get_speed,
 )
 from arbutuspulley.pool.state import (
-    assume_speeds,
-    find_speed,
-    list_speeds,
+    get_prefill_speed,
+    inherit_prefill_speeds,
+    list_prefill_speeds,
     record_first_event,
     record_run_end,
 )
@@ -108,19 +108,19 @@
     pool = build_two_kinds()
     now = serve(pool, "large", count=40, tokens_per_ms=19.2, start=0)
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=now)
-    assert find_speed(pool, "large") == pytest.approx(19.2, rel=0.15)
-    assert find_speed(pool, "small") == pytest.approx(66, rel=0.2)
+    assert get_prefill_speed(pool, "large") == pytest.approx(19.2, rel=0.15)
+    assert get_prefill_speed(pool, "small") == pytest.approx(66, rel=0.2)
     add_waiting(pool, "next", "small", tokens=2_000, now=now)
     plan_grants(pool, now=now)
-    assert pool.servers["s1"].read_until - now < 60
+    assert pool.servers["s1"].prefill_until - now < 60
 
 
 def test_a_kind_that_was_not_seen_is_read_as_slowly_as_the_slowest_known():
     pool = build_two_kinds()
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=0)
-    assert find_speed(pool, "large") == find_speed(pool, "small")
+    assert get_prefill_speed(pool, "large") == get_prefill_speed(pool, "small")
     serve(pool, "large", count=40, tokens_per_ms=10, start=now)
-    assert find_speed(pool, "large") == pytest.approx(10, rel=0.15)
+    assert get_prefill_speed(pool, "large") == pytest.approx(10, rel=0.15)
 
 
 def test_a_successor_begins_with_what_was_learnt():
@@ -129,6 +129,6 @@
     before = build_two_kinds()
     serve(before, "small", count=40, tokens_per_ms=66, start=0)
     after = build_two_kinds()
-    assume_speeds(after, list_speeds(before))
-    assert find_speed(after, "small") == find_speed(before, "small")
-    assert find_speed(after, "large") == find_speed(before, "large")
+    inherit_prefill_speeds(after, list_prefill_speeds(before))
+    assert get_prefill_speed(after, "small") == get_prefill_speed(before, "small")
+    assert get_prefill_speed(after, "large") == get_prefill_speed(before, "large")
--- a/tests/test_pool_waits.py
+++ b/tests/test_pool_waits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from arbutuspulley.pool.copies import index_copies
-from arbutuspulley.pool.demand import get_rate
+from arbutuspulley.pool.demand import get_copy_token_rate
 from arbutuspulley.pool.grants import Refusal, plan_grants
 from arbutuspulley.pool.waits import (
     LEAST_RETRY_MS,
@@ -36,7 +36,7 @@
 def test_a_copy_helps_from_when_it_is_there(seconds, copy_times, expected_ms):
     """Prompts of so many seconds for one copy."""
     pool = build_pool()
-    tokens = int(get_rate(pool, "m0") * seconds)
+    tokens = int(get_copy_token_rate(pool, "m0") * seconds)
     wait_ms = estimate_wait(pool, "m0", tokens, copy_times)
     assert wait_ms == pytest.approx(expected_ms, abs=1)
 
@@ -75,7 +75,7 @@
     seconds, copy_times, expected
 ):
     pool = build_pool()
-    tokens = int(get_rate(pool, "m0") * seconds)
+    tokens = int(get_copy_token_rate(pool, "m0") * seconds)
     assert estimate_retry(pool, "m0", tokens, copy_times) == pytest.approx(
         expected, abs=1
     )
