--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -12,7 +12,6 @@
 from arbutuspulley.data import Value
 from arbutuspulley.pool.copies import CopyIndex, get_copies, index_copies
 from arbutuspulley.pool.demand import get_copy_token_rate
-from arbutuspulley.pool.pauses import find_start, note_reading
 from arbutuspulley.pool.state import (
     PoolState,
     Run,
@@ -24,6 +23,7 @@
     is_usable,
     settle_due,
 )
+from arbutuspulley.pool.stream_gaps import find_start, note_reading
 from arbutuspulley.pool.waits import (
     estimate_limited_wait,
     estimate_retry,
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -6,13 +6,13 @@
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State, Value
 from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
-from arbutuspulley.pool.pauses import PauseState, note_stream
 from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
     add_sample,
     get_speed,
 )
+from arbutuspulley.pool.stream_gaps import PauseState, note_stream
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ServerEntry, TryEnd
 
 DEFAULT_ADAPTER_MS = 25
--- a/tests/test_pool_pauses.py
+++ b/tests/test_pool_stream_gaps.py
@@ -11,7 +11,7 @@
 import pytest
 
 from arbutuspulley.pool.grants import Grant, find_next_wakeup, plan_grants
-from arbutuspulley.pool.pauses import (
+from arbutuspulley.pool.stream_gaps import (
     EVENT_MEMORY,
     FIRST_EVENT_MS,
     LEAST_PART,
