--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -93,7 +93,7 @@
             arrived_at=now,
             late_at=now + 400,
             give_up_at=now + 2_000,
-            pause_ms=250,
+            gap_target_ms=250,
         )
     return pool, now
 
@@ -136,7 +136,7 @@
             need=_build_need(chance.choice(sorted(held))),
             granted_at=0,
             first_at=10,
-            pause_ms=250,
+            gap_target_ms=250,
         )
     return server
 
--- a/src/arbutuspulley/node/intake.py
+++ b/src/arbutuspulley/node/intake.py
@@ -36,7 +36,7 @@
         give_up_at=now + int(ask.left_ms * LEFT_PART),
         avoid=ask.avoid,
         is_repeat=ask.is_repeat,
-        pause_ms=ask.pause_ms,
+        gap_target_ms=ask.pause_ms,
     )
 
 
@@ -56,9 +56,9 @@
                     origin=origin,
                     need=run.need,
                     granted_at=begun_at,
-                    pause_ms=run.pause_ms,
+                    gap_target_ms=run.pause_ms,
                     first_at=begun_at,
-                    prefill_before_ms=server.pauses.prefill_ms,
+                    prefill_before_ms=server.stream_gaps.prefill_ms,
                 )
 
 
--- a/src/arbutuspulley/pool/demand.py
+++ b/src/arbutuspulley/pool/demand.py
@@ -36,8 +36,8 @@
 PACE = 0.8
 """Part of the reading speed at which prompts are started; the rest of the time goes to
 generation. What falls into one pause is bounded beside it, see
-:mod:`arbutuspulley.pool.stream_gaps`. At 1.0 prompts catch up with each other as soon as one
-takes longer than expected, and all streams there wait."""
+:mod:`arbutuspulley.pool.stream_gaps`. At 1.0 prompts catch up with each other as soon
+as one takes longer than expected, and all streams there wait."""
 
 FULL = 0.8
 """Part of the paced reading speed of its copies that a model may use before it needs
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -23,7 +23,7 @@
     is_usable,
     settle_due,
 )
-from arbutuspulley.pool.stream_gaps import find_start, note_reading
+from arbutuspulley.pool.stream_gaps import find_start, record_prefill
 from arbutuspulley.pool.waits import (
     estimate_limited_wait,
     estimate_retry,
@@ -68,7 +68,7 @@
     """
 
     tokens: int
-    pause_ms: int
+    gap_target_ms: int
 
 
 class Grant(Value, frozen=True):
@@ -265,9 +265,9 @@
 ) -> float:
     """Return when a prompt may start at a server, by pace and by streams' pauses."""
     start = find_start(
-        server.pauses,
+        server.stream_gaps,
         prefill_ms=_get_read_ms(pool, waiting.need),
-        pause_ms=load.pause_ms,
+        gap_target_ms=load.gap_target_ms,
         now=now,
     )
     return max(start, server.prefill_until)
@@ -281,7 +281,9 @@
     runs = server.runs.values()
     return _Load(
         tokens=sum(run.need.prompt_tokens + run.need.output_tokens for run in runs),
-        pause_ms=min((run.pause_ms for run in runs if run.pause_ms), default=0),
+        gap_target_ms=min(
+            (run.gap_target_ms for run in runs if run.gap_target_ms), default=0
+        ),
     )
 
 
@@ -336,12 +338,12 @@
         granted_at=now,
         was_free=server.prefill_until <= now,
         is_repeat=waiting.is_repeat,
-        pause_ms=0 if is_late else waiting.pause_ms,
+        gap_target_ms=0 if is_late else waiting.gap_target_ms,
     )
-    note_reading(
-        server.pauses,
+    record_prefill(
+        server.stream_gaps,
         _get_read_ms(pool, need),
-        keep_ms=max(LEAST_KEPT_MS, load.pause_ms, waiting.pause_ms),
+        keep_ms=max(LEAST_KEPT_MS, load.gap_target_ms, waiting.gap_target_ms),
         now=now,
     )
     begin = max(float(now), server.prefill_until)
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -12,7 +12,7 @@
     add_sample,
     get_speed,
 )
-from arbutuspulley.pool.stream_gaps import PauseState, note_stream
+from arbutuspulley.pool.stream_gaps import StreamGapState, record_stream
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ServerEntry, TryEnd
 
 DEFAULT_ADAPTER_MS = 25
@@ -57,7 +57,7 @@
     arrived_at: int
     late_at: int
     give_up_at: int
-    pause_ms: int = 0
+    gap_target_ms: int = 0
     avoid: tuple[str, ...] = ()
     is_repeat: bool = False
 
@@ -76,7 +76,7 @@
     origin: str
     need: ModelNeed
     granted_at: int
-    pause_ms: int = 0
+    gap_target_ms: int = 0
     prefill_before_ms: float = 0
     first_at: int | None = None
     was_free: bool = False
@@ -155,7 +155,7 @@
     late_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
     ordered_at: int = 0
     prefill_until: float = 0
-    pauses: PauseState = msgspec.field(default_factory=PauseState)
+    stream_gaps: StreamGapState = msgspec.field(default_factory=StreamGapState)
     suspect_until: int = 0
     failures: int = 0
     failure_share: float = 0
@@ -323,7 +323,7 @@
     if server is None or run is None:
         return
     run.first_at = now
-    run.prefill_before_ms = server.pauses.prefill_ms
+    run.prefill_before_ms = server.stream_gaps.prefill_ms
     if run.was_free:
         add_sample(
             _get_speed_state(pool, run.need.model),
@@ -398,11 +398,11 @@
     if run is not None and run.first_at is not None and how is TryEnd.DONE:
         took_ms = now - run.first_at
         note_run_time(pool.durations, run.need, took_ms=took_ms)
-        note_stream(
-            server.pauses,
+        record_stream(
+            server.stream_gaps,
             events=events,
             took_ms=took_ms,
-            prefill_ms=server.pauses.prefill_ms - run.prefill_before_ms,
+            prefill_ms=server.stream_gaps.prefill_ms - run.prefill_before_ms,
         )
 
 
--- a/src/arbutuspulley/pool/stream_gaps.py
+++ b/src/arbutuspulley/pool/stream_gaps.py
@@ -36,14 +36,14 @@
 whole of it, streams can't be kept in time by not reading."""
 
 
-class Reading(Value, frozen=True):
+class PrefillSpan(Value, frozen=True):
     """A prompt that a server reads, from when to when, in ms."""
 
     begin: float
     end: float
 
 
-class PauseState(State):
+class StreamGapState(State):
     """What one server reads, and how long its events take.
 
     :param readings: those that end within the longest pause, in order.
@@ -51,28 +51,28 @@
     :param event_ms: how long an event takes to generate while nothing is read, in ms.
     """
 
-    readings: deque[Reading] = msgspec.field(default_factory=deque)
+    prefills: deque[PrefillSpan] = msgspec.field(default_factory=deque)
     prefill_ms: float = 0
     event_ms: float = FIRST_EVENT_MS
 
 
-def note_reading(
-    state: PauseState, prefill_ms: float, *, keep_ms: int, now: int
+def record_prefill(
+    state: StreamGapState, prefill_ms: float, *, keep_ms: int, now: int
 ) -> None:
     """A prompt starts that takes so long to read.
 
     :param keep_ms: the longest pause that matters at this server.
     """
-    readings = state.readings
-    while readings and readings[0].end < now - keep_ms:
-        readings.popleft()
-    begin = max(float(now), readings[-1].end) if readings else float(now)
-    readings.append(Reading(begin=begin, end=begin + prefill_ms))
+    prefills = state.prefills
+    while prefills and prefills[0].end < now - keep_ms:
+        prefills.popleft()
+    begin = max(float(now), prefills[-1].end) if prefills else float(now)
+    prefills.append(PrefillSpan(begin=begin, end=begin + prefill_ms))
     state.prefill_ms += prefill_ms
 
 
-def note_stream(
-    state: PauseState, *, events: int, took_ms: float, prefill_ms: float
+def record_stream(
+    state: StreamGapState, *, events: int, took_ms: float, prefill_ms: float
 ) -> None:
     """A stream ended whole.
 
@@ -86,22 +86,22 @@
 
 
 def find_start(
-    state: PauseState, *, prefill_ms: float, pause_ms: int, now: int
+    state: StreamGapState, *, prefill_ms: float, gap_target_ms: int, now: int
 ) -> float:
     """Return when a prompt may start so that no stream pauses for too long, in ms.
 
     :param read_ms: how long the prompt takes to read.
     :param pause_ms: the longest pause that any stream there may make; 0: any.
     """
-    if not pause_ms or not state.readings:
+    if not gap_target_ms or not state.prefills:
         return float(now)
-    most = max(LEAST_PART * pause_ms, pause_ms - state.event_ms - SLACK_MS)
+    most = max(LEAST_PART * gap_target_ms, gap_target_ms - state.event_ms - SLACK_MS)
     left = max(0.0, most - prefill_ms)
-    for reading in reversed(state.readings):
-        length = reading.end - reading.begin
+    for prefill in reversed(state.prefills):
+        length = prefill.end - prefill.begin
         if length > left:
             # What is read after this moment, and the prompt, fit into one pause.
-            free_from = reading.end - left
-            return max(float(now), free_from + max(0.0, pause_ms - prefill_ms))
+            free_from = prefill.end - left
+            return max(float(now), free_from + max(0.0, gap_target_ms - prefill_ms))
         left -= length
     return float(now)
--- a/tests/test_pool_stream_gaps.py
+++ b/tests/test_pool_stream_gaps.py
@@ -16,10 +16,10 @@
     FIRST_EVENT_MS,
     LEAST_PART,
     SLACK_MS,
-    PauseState,
+    StreamGapState,
     find_start,
-    note_reading,
-    note_stream,
+    record_prefill,
+    record_stream,
 )
 from tests.pools import add_run, add_waiting, build_pool, build_server
 
@@ -29,12 +29,12 @@
 
 def count_read(state, begin, end):
     return sum(
-        max(0.0, min(one.end, end) - max(one.begin, begin)) for one in state.readings
+        max(0.0, min(one.end, end) - max(one.begin, begin)) for one in state.prefills
     )
 
 
 @pytest.mark.parametrize(
-    ("readings", "prefill_ms", "expected"),
+    ("prefills", "prefill_ms", "expected"),
     [
         ([], 100, 0),
         ([(0, 100)], 75, 100),
@@ -45,12 +45,12 @@
         ([(0, 20), (20, 100)], 75, 195),
     ],
 )
-def test_a_prompt_starts_when_one_pause_can_hold_it(readings, prefill_ms, expected):
-    state = PauseState()
-    for begin, length in readings:
-        note_reading(state, length, keep_ms=1_000, now=begin)
-    now = int(max((one.end for one in state.readings), default=0))
-    start = find_start(state, prefill_ms=prefill_ms, pause_ms=PAUSE_MS, now=now)
+def test_a_prompt_starts_when_one_pause_can_hold_it(prefills, prefill_ms, expected):
+    state = StreamGapState()
+    for begin, length in prefills:
+        record_prefill(state, length, keep_ms=1_000, now=begin)
+    now = int(max((one.end for one in state.prefills), default=0))
+    start = find_start(state, prefill_ms=prefill_ms, gap_target_ms=PAUSE_MS, now=now)
     assert start == max(now, expected)
 
 
@@ -58,39 +58,43 @@
     """Prompts arrive without an end, each smaller than what one pause holds. Whatever
     their sizes, no span of the length of a pause has more than that read in it."""
     chance = random.Random(7)
-    state = PauseState()
+    state = StreamGapState()
     now = 0
     spans = []
     for _ in range(400):
         prefill_ms = chance.uniform(5, MOST_MS)
-        start = find_start(state, prefill_ms=prefill_ms, pause_ms=PAUSE_MS, now=now)
+        start = find_start(
+            state, prefill_ms=prefill_ms, gap_target_ms=PAUSE_MS, now=now
+        )
         now = max(now, int(start) + 1)
-        note_reading(state, prefill_ms, keep_ms=1_000, now=now)
-        end = state.readings[-1].end
+        record_prefill(state, prefill_ms, keep_ms=1_000, now=now)
+        end = state.prefills[-1].end
         spans.append(count_read(state, end - PAUSE_MS, end))
     assert max(spans) <= MOST_MS + 1
 
 
 def test_without_a_stream_to_keep_in_time_nothing_is_held_back():
-    state = PauseState()
-    note_reading(state, 500, keep_ms=1_000, now=0)
-    assert find_start(state, prefill_ms=100, pause_ms=0, now=10) == 10
+    state = StreamGapState()
+    record_prefill(state, 500, keep_ms=1_000, now=0)
+    assert find_start(state, prefill_ms=100, gap_target_ms=0, now=10) == 10
 
 
 def test_the_time_of_an_event_is_learnt_without_what_was_read_meanwhile():
-    state = PauseState()
-    note_stream(state, events=11, took_ms=1_500, prefill_ms=500)
+    state = StreamGapState()
+    record_stream(state, events=11, took_ms=1_500, prefill_ms=500)
     expected = FIRST_EVENT_MS + EVENT_MEMORY * (100 - FIRST_EVENT_MS)
     assert state.event_ms == pytest.approx(expected)
-    note_stream(state, events=2, took_ms=9_000, prefill_ms=0)
+    record_stream(state, events=2, took_ms=9_000, prefill_ms=0)
     assert state.event_ms == pytest.approx(expected)
 
 
 def test_where_events_alone_fill_a_pause_some_reading_goes_on():
-    state = PauseState(event_ms=400)
-    note_reading(state, 10, keep_ms=1_000, now=0)
+    state = StreamGapState(event_ms=400)
+    record_prefill(state, 10, keep_ms=1_000, now=0)
     least = LEAST_PART * PAUSE_MS
-    assert find_start(state, prefill_ms=least - 10, pause_ms=PAUSE_MS, now=10) == 10
+    assert (
+        find_start(state, prefill_ms=least - 10, gap_target_ms=PAUSE_MS, now=10) == 10
+    )
 
 
 def test_streams_of_a_server_do_not_pause_for_a_burst_of_prompts():
@@ -98,10 +102,10 @@
     pace alone two of 100 ms started within 155 ms, and all streams paused for 260."""
     server = build_server("s0", "m0")
     add_run(server, "r", "m0")
-    server.runs["r"].pause_ms = PAUSE_MS
+    server.runs["r"].gap_target_ms = PAUSE_MS
     pool = build_pool(server)
     for number in range(10):
-        add_waiting(pool, f"r{number}", "m0", tokens=2_000, pause_ms=PAUSE_MS)
+        add_waiting(pool, f"r{number}", "m0", tokens=2_000, gap_target_ms=PAUSE_MS)
     now, starts = 1, []
     while len(starts) < 5 and now < 2_000:
         granted = [one for one in plan_grants(pool, now=now) if isinstance(one, Grant)]
@@ -116,9 +120,9 @@
     that came later fitted in at once, again and again, and it was never started."""
     server = build_server("s0", "m0")
     add_run(server, "r", "m0")
-    server.runs["r"].pause_ms = PAUSE_MS
+    server.runs["r"].gap_target_ms = PAUSE_MS
     pool = build_pool(server)
-    note_reading(server.pauses, 100, keep_ms=1_000, now=0)
+    record_prefill(server.stream_gaps, 100, keep_ms=1_000, now=0)
     add_waiting(pool, "long", "m0", tokens=3_400, arrived_at=1)
     add_waiting(pool, "short", "m0", tokens=400, arrived_at=2)
     now, order = 101, []
