--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -14,10 +14,10 @@
 
 import cyclopts
 
-from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.demand import record_demand
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.state import PoolState, Run, ServerState, Waiting
+from arbutuspulley.pool.state import PoolState, Run, ServerState, WaitingRequest
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
 
 MODELS_PER_SERVER = 2.8
@@ -82,9 +82,9 @@
     now = 0
     for _ in range(ASKED):
         now += 2
-        note_demand(pool, _pick(names, chance), 800, now=now)
+        record_demand(pool, _pick(names, chance), 800, now=now)
     for number in range(servers * WAITING_PER_SERVER):
-        pool.waiting[f"w{number}"] = Waiting(
+        pool.waiting[f"w{number}"] = WaitingRequest(
             key=f"w{number}",
             origin="n1",
             need=_build_need(_pick(names, chance)),
@@ -93,7 +93,7 @@
             arrived_at=now,
             late_at=now + 400,
             give_up_at=now + 2_000,
-            pause_ms=250,
+            gap_target_ms=250,
         )
     return pool, now
 
@@ -136,7 +136,7 @@
             need=_build_need(chance.choice(sorted(held))),
             granted_at=0,
             first_at=10,
-            pause_ms=250,
+            gap_target_ms=250,
         )
     return server
 
--- a/src/arbutuspulley/node/intake.py
+++ b/src/arbutuspulley/node/intake.py
@@ -10,11 +10,11 @@
 from arbutuspulley.pool.state import (
     PoolState,
     Run,
-    Waiting,
-    note_end,
-    note_first,
-    note_missing,
-    note_unreachable,
+    WaitingRequest,
+    record_first_event,
+    record_not_run,
+    record_run_end,
+    record_unreachable,
 )
 from arbutuspulley.ports.fleet import AttemptOutcome
 
@@ -26,12 +26,12 @@
 """Part of the time that a caller waits after which its request is given up."""
 
 
-def build_waiting(origin: str, ask: GrantRequest, *, now: int) -> Waiting:
+def build_waiting(origin: str, ask: GrantRequest, *, now: int) -> WaitingRequest:
     """Build the entry of a request that needs a server.
 
     :param origin: the instance that asks.
     """
-    return Waiting(
+    return WaitingRequest(
         key=ask.key,
         origin=origin,
         need=ask.need,
@@ -42,7 +42,7 @@
         give_up_at=now + int(ask.left_ms * LEFT_PART),
         avoid=ask.avoid,
         is_repeat=ask.is_repeat,
-        pause_ms=ask.pause_ms,
+        gap_target_ms=ask.pause_ms,
     )
 
 
@@ -62,9 +62,9 @@
                     origin=origin,
                     need=run.need,
                     granted_at=begun_at,
-                    pause_ms=run.pause_ms,
+                    gap_target_ms=run.pause_ms,
                     first_at=begun_at,
-                    read_before_ms=server.pauses.read_ms,
+                    prefill_before_ms=server.stream_gaps.prefill_ms,
                 )
 
 
@@ -77,13 +77,13 @@
             continue
         key, incarnation = message.key, message.incarnation
         if isinstance(message, ResponseStarted):
-            note_first(pool, key, incarnation, took_ms=message.took_ms, now=now)
+            record_first_event(pool, key, incarnation, took_ms=message.took_ms, now=now)
         elif message.how is AttemptOutcome.NOT_RUN:
-            note_missing(pool, key, incarnation, now=now)
+            record_not_run(pool, key, incarnation, now=now)
         elif message.how is AttemptOutcome.UNREACHED:
-            note_unreachable(pool, key, incarnation, now=now)
+            record_unreachable(pool, key, incarnation, now=now)
         else:
-            note_end(
+            record_run_end(
                 pool,
                 key,
                 incarnation,
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -11,19 +11,19 @@
 from arbutuspulley.admission.rate_limits import consume
 from arbutuspulley.data import Value
 from arbutuspulley.pool.copies import CopyIndex, get_copies, index_copies
-from arbutuspulley.pool.demand import get_rate
-from arbutuspulley.pool.pauses import find_start, note_reading
+from arbutuspulley.pool.demand import get_copy_token_rate
 from arbutuspulley.pool.state import (
     PoolState,
     Run,
     ServerState,
-    Waiting,
-    find_speed,
+    WaitingRequest,
     get_limit_wait,
+    get_prefill_speed,
     holds,
     is_usable,
     settle_due,
 )
+from arbutuspulley.pool.stream_gaps import find_start, record_prefill
 from arbutuspulley.pool.waits import (
     estimate_limited_wait,
     estimate_retry,
@@ -68,7 +68,7 @@
     """
 
     tokens: int
-    pause_ms: int
+    gap_target_ms: int
 
 
 class Grant(Value, frozen=True):
@@ -157,7 +157,7 @@
     return decided
 
 
-def find_wake(pool: PoolState, *, now: int) -> int | None:
+def find_next_wakeup(pool: PoolState, *, now: int) -> int | None:
     """Return when :func:`plan_grants` should look again, in ms; ``None``: on events."""
     if not pool.waiting:
         return None
@@ -194,7 +194,7 @@
     return estimate_wait(pool, model, tokens, [0.0] * len(copy_times))
 
 
-def _rank(waiting: Waiting, now: int) -> tuple[bool, int, int, int]:
+def _rank(waiting: WaitingRequest, now: int) -> tuple[bool, int, int, int]:
     """Return the key by which requests start: the lowest first.
 
     Of those that can still be in time, whoever must start first; of late ones, whoever
@@ -207,7 +207,7 @@
 
 def _try_grant(
     pool: PoolState,
-    waiting: Waiting,
+    waiting: WaitingRequest,
     index: CopyIndex,
     claimed: dict[str, float],
     loads: dict[str, _Load],
@@ -256,31 +256,38 @@
 
 
 def _find_start(
-    pool: PoolState, server: ServerState, load: _Load, waiting: Waiting, *, now: int
+    pool: PoolState,
+    server: ServerState,
+    load: _Load,
+    waiting: WaitingRequest,
+    *,
+    now: int,
 ) -> float:
     """Return when a prompt may start at a server, by pace and by streams' pauses."""
     start = find_start(
-        server.pauses,
-        read_ms=_get_read_ms(pool, waiting.need),
-        pause_ms=load.pause_ms,
+        server.stream_gaps,
+        prefill_ms=_get_read_ms(pool, waiting.need),
+        gap_target_ms=load.gap_target_ms,
         now=now,
     )
-    return max(start, server.read_until)
+    return max(start, server.prefill_until)
 
 
 def _get_read_ms(pool: PoolState, need: ModelNeed) -> float:
-    return need.prompt_tokens / find_speed(pool, need.model)
+    return need.prompt_tokens / get_prefill_speed(pool, need.model)
 
 
 def _sum_load(server: ServerState) -> _Load:
     runs = server.runs.values()
     return _Load(
         tokens=sum(run.need.prompt_tokens + run.need.output_tokens for run in runs),
-        pause_ms=min((run.pause_ms for run in runs if run.pause_ms), default=0),
+        gap_target_ms=min(
+            (run.gap_target_ms for run in runs if run.gap_target_ms), default=0
+        ),
     )
 
 
-def _may_start_at(server: ServerState, waiting: Waiting, *, now: int) -> bool:
+def _may_start_at(server: ServerState, waiting: WaitingRequest, *, now: int) -> bool:
     """Tell whether a server has what a request needs, and a slot."""
     if not is_usable(server, now=now) or server.incarnation in waiting.avoid:
         return False
@@ -294,14 +301,14 @@
 
 
 def _has_memory(
-    pool: PoolState, server: ServerState, load: _Load, waiting: Waiting
+    pool: PoolState, server: ServerState, load: _Load, waiting: WaitingRequest
 ) -> bool:
     asked = waiting.need.prompt_tokens + waiting.need.output_tokens
     most = pool.spec.cache_tokens * CACHE_PART
     return not server.runs or load.tokens + asked <= most
 
 
-def _compute_cost(server: ServerState, waiting: Waiting) -> float:
+def _compute_cost(server: ServerState, waiting: WaitingRequest) -> float:
     """Return what speaks against a server beside the wait for it, in ms of waiting."""
     cost = RUN_COST_MS * len(server.runs)
     cost += FAILURE_COST_MS * server.failure_share
@@ -315,7 +322,7 @@
 def _grant(
     pool: PoolState,
     server: ServerState,
-    waiting: Waiting,
+    waiting: WaitingRequest,
     load: _Load,
     *,
     now: int,
@@ -329,18 +336,20 @@
         origin=waiting.origin,
         need=need,
         granted_at=now,
-        was_free=server.read_until <= now,
+        was_free=server.prefill_until <= now,
         is_repeat=waiting.is_repeat,
-        pause_ms=0 if is_late else waiting.pause_ms,
+        gap_target_ms=0 if is_late else waiting.gap_target_ms,
     )
-    note_reading(
-        server.pauses,
+    record_prefill(
+        server.stream_gaps,
         _get_read_ms(pool, need),
-        keep_ms=max(LEAST_KEPT_MS, load.pause_ms, waiting.pause_ms),
+        keep_ms=max(LEAST_KEPT_MS, load.gap_target_ms, waiting.gap_target_ms),
         now=now,
     )
-    begin = max(float(now), server.read_until)
-    server.read_until = begin + need.prompt_tokens * 1_000 / get_rate(pool, need.model)
+    begin = max(float(now), server.prefill_until)
+    server.prefill_until = begin + need.prompt_tokens * 1_000 / get_copy_token_rate(
+        pool, need.model
+    )
     if need.adapter:
         server.adapter_used_at[need.model, need.adapter] = now
     return Grant(
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -17,9 +17,8 @@
     get_load_ms,
 )
 from arbutuspulley.pool.copies import get_copies
-from arbutuspulley.pool.demand import get_excess, get_rate
-from arbutuspulley.pool.loads import may_load, note_load
-from arbutuspulley.pool.room import (
+from arbutuspulley.pool.demand import estimate_excess_requests, get_copy_token_rate
+from arbutuspulley.pool.eviction import (
     RoomPass,
     begin_pass,
     choose_adapter_victim,
@@ -27,10 +26,11 @@
     note_change,
     plan_room,
 )
+from arbutuspulley.pool.load_rate import may_load, note_load
 from arbutuspulley.pool.state import (
     PoolState,
     ServerState,
-    Waiting,
+    WaitingRequest,
     estimate_unload,
     get_limit_wait,
     has_weights,
@@ -117,7 +117,7 @@
 
 
 def _plan_adapters(pool: PoolState, planned: list[PlannedOrder], *, now: int) -> None:
-    wanted: dict[tuple[str, str], Waiting] = {}
+    wanted: dict[tuple[str, str], WaitingRequest] = {}
     for waiting in pool.waiting.values():
         if waiting.need.adapter:
             pair = (waiting.need.model, waiting.need.adapter)
@@ -135,14 +135,14 @@
             planned.append(order)
 
 
-def _is_adapter_near(pool: PoolState, waiting: Waiting, *, now: int) -> bool:
+def _is_adapter_near(pool: PoolState, waiting: WaitingRequest, *, now: int) -> bool:
     pair = (waiting.need.model, waiting.need.adapter)
     for server in pool.servers.values():
         if not is_usable(server, now=now):
             continue
         if pair in server.adapters_due:
             return True
-        is_free = server.read_until - now < SPREAD_BACKLOG_MS
+        is_free = server.prefill_until - now < SPREAD_BACKLOG_MS
         is_free = is_free and not get_limit_wait(server, now=now)
         if is_free and holds(server, waiting.need, now=now):
             return True
@@ -166,7 +166,7 @@
     ]
     return min(
         candidates,
-        key=lambda one: (one.limit is not None, one.read_until, len(one.runs)),
+        key=lambda one: (one.limit is not None, one.prefill_until, len(one.runs)),
         default=None,
     )
 
@@ -219,7 +219,9 @@
     pool, waiting = state.pool, state.waiting[model]
     found = get_copies(state.index, model)
     copies = sum(not _is_stuck(state, one, model) for one in found)
-    gain = get_excess(pool, model, copies) - get_excess(pool, model, copies + 1)
+    gain = estimate_excess_requests(pool, model, copies) - estimate_excess_requests(
+        pool, model, copies + 1
+    )
     gain += _count_relieved(pool, model, waiting, copies)
     return gain + _count_missed(pool, model, waiting, copies, now=state.index.now)
 
@@ -234,7 +236,9 @@
 
 def _count_relieved(pool: PoolState, model: str, waiting: int, copies: int) -> float:
     """Return how many of a model's waiting requests another copy would take over."""
-    at_once = get_rate(pool, model) * HOT_BACKLOG_MS / 1_000 / pool.mean_tokens
+    at_once = (
+        get_copy_token_rate(pool, model) * HOT_BACKLOG_MS / 1_000 / pool.mean_tokens
+    )
     return max(0.0, waiting - at_once * copies) / (copies + 1)
 
 
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -6,19 +6,19 @@
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State, Value
 from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
-from arbutuspulley.pool.pauses import PauseState, note_stream
-from arbutuspulley.pool.speed import (
+from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
+    add_sample,
     get_speed,
-    note_first_event,
 )
+from arbutuspulley.pool.stream_gaps import StreamGapState, record_stream
 from arbutuspulley.ports.fleet import AttemptOutcome, EngineSpec, ModelNeed, ServerEntry
 
 DEFAULT_ADAPTER_MS = 25
 """First guess of how long an adapter takes to load, in ms: adapters of some ten MB
 take 5 to 15, and the order's way there. Corrected by refusals, see
-:func:`note_missing`."""
+:func:`record_not_run`."""
 
 SUSPECT_MS = 1_000
 """How long a server that could not be reached gets no work, in ms; doubled at each
@@ -36,7 +36,7 @@
 """Prompt tokens of a request before any was seen: a page or two of text."""
 
 
-class Waiting(State):
+class WaitingRequest(State):
     """A request that waits for a server.
 
     :param origin: the instance that asked.
@@ -57,7 +57,7 @@
     arrived_at: int
     late_at: int
     give_up_at: int
-    pause_ms: int = 0
+    gap_target_ms: int = 0
     avoid: tuple[str, ...] = ()
     is_repeat: bool = False
 
@@ -76,8 +76,8 @@
     origin: str
     need: ModelNeed
     granted_at: int
-    pause_ms: int = 0
-    read_before_ms: float = 0
+    gap_target_ms: int = 0
+    prefill_before_ms: float = 0
     first_at: int | None = None
     was_free: bool = False
     is_repeat: bool = False
@@ -154,8 +154,8 @@
     unanswered_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
     late_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
     ordered_at: int = 0
-    read_until: float = 0
-    pauses: PauseState = msgspec.field(default_factory=PauseState)
+    prefill_until: float = 0
+    stream_gaps: StreamGapState = msgspec.field(default_factory=StreamGapState)
     suspect_until: int = 0
     failures: int = 0
     failure_share: float = 0
@@ -196,7 +196,7 @@
     service: str
     spec: EngineSpec
     servers: dict[str, ServerState] = msgspec.field(default_factory=dict)
-    waiting: dict[str, Waiting] = msgspec.field(default_factory=dict)
+    waiting: dict[str, WaitingRequest] = msgspec.field(default_factory=dict)
     demand: dict[str, Demand] = msgspec.field(default_factory=dict)
     demand_at: int = 0
     demand_since: int | None = None
@@ -209,7 +209,7 @@
     durations: DurationState = msgspec.field(default_factory=DurationState)
 
 
-def note_entries(pool: PoolState, entries: list[ServerEntry]) -> None:
+def update_servers(pool: PoolState, entries: list[ServerEntry]) -> None:
     """Bring the servers up to date with the registered entries.
 
     Holdings are taken from the entry only for a server that is new here: later
@@ -278,7 +278,7 @@
     """Count loads as done whose time has come.
 
     A load that is late shows by a refusal of the first request that tries it; see
-    :func:`note_missing`. Only one request tries, until it was answered.
+    :func:`record_not_run`. Only one request tries, until it was answered.
     """
     if server.loading and now >= server.loading_until:
         server.models.setdefault(server.loading, set())
@@ -311,7 +311,7 @@
     }
 
 
-def note_first(
+def record_first_event(
     pool: PoolState, key: str, incarnation: str, *, took_ms: int, now: int
 ) -> None:
     """The first part of an answer came: the prompt is read, the load confirmed.
@@ -323,9 +323,9 @@
     if server is None or run is None:
         return
     run.first_at = now
-    run.read_before_ms = server.pauses.read_ms
+    run.prefill_before_ms = server.stream_gaps.prefill_ms
     if run.was_free:
-        note_first_event(
+        add_sample(
             _get_speed_state(pool, run.need.model),
             tokens=run.need.prompt_tokens,
             took_ms=took_ms,
@@ -345,7 +345,7 @@
     return f"{found.size_mb:g}/{found.adapter_mb:g}" if found else ""
 
 
-def find_speed(pool: PoolState, model: str) -> float:
+def get_prefill_speed(pool: PoolState, model: str) -> float:
     """Return the prompt tokens of a model that a server reads in a ms.
 
     Of a kind that was not seen yet, the slowest of the others is assumed.
@@ -357,12 +357,12 @@
     return min(known, default=DEFAULT_SPEED)
 
 
-def list_speeds(pool: PoolState) -> dict[str, float]:
+def list_prefill_speeds(pool: PoolState) -> dict[str, float]:
     """Return the reading speeds by kind of model, for a successor."""
     return {kind: get_speed(one) for kind, one in pool.speeds.items()}
 
 
-def assume_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
+def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
     """Begin with what a predecessor has learnt."""
     for kind, speed in speeds.items():
         pool.speeds.setdefault(kind, SpeedState(guess=speed))
@@ -372,11 +372,11 @@
     kind = get_kind(pool.spec, model)
     state = pool.speeds.get(kind)
     if state is None:
-        state = pool.speeds[kind] = SpeedState(guess=find_speed(pool, model))
+        state = pool.speeds[kind] = SpeedState(guess=get_prefill_speed(pool, model))
     return state
 
 
-def note_end(
+def record_run_end(
     pool: PoolState,
     key: str,
     incarnation: str,
@@ -398,11 +398,11 @@
     if run is not None and run.first_at is not None and how is AttemptOutcome.DONE:
         took_ms = now - run.first_at
         note_run_time(pool.durations, run.need, took_ms=took_ms)
-        note_stream(
-            server.pauses,
+        record_stream(
+            server.stream_gaps,
             events=events,
             took_ms=took_ms,
-            read_ms=server.pauses.read_ms - run.read_before_ms,
+            prefill_ms=server.stream_gaps.prefill_ms - run.prefill_before_ms,
         )
 
 
@@ -420,7 +420,9 @@
     )
 
 
-def note_unreachable(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
+def record_unreachable(
+    pool: PoolState, key: str, incarnation: str, *, now: int
+) -> None:
     """A server could not be connected to; it gets no work for a while."""
     server = pool.servers.get(incarnation)
     if server is None:
@@ -433,7 +435,7 @@
     server.orders = None
 
 
-def note_missing(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
+def record_not_run(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
     """A server refused a request as not run: it lacks something, or is full.
 
     What was thought to be there may still be on its way; it is tried again a
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from arbutuspulley.pool.answers import note_answer
-from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.answers import apply_order_answer
+from arbutuspulley.pool.demand import record_demand
 from arbutuspulley.pool.duration import (
     DEFAULT_TOKEN_MS,
     DurationState,
@@ -51,7 +51,7 @@
 
 def ask_often(pool, model, *, now, waiting=3):
     for number in range(waiting):
-        note_demand(pool, model, 1_200, now=now)
+        record_demand(pool, model, 1_200, now=now)
         add_waiting(pool, f"{model}-{number}", model, now=now)
 
 
@@ -83,7 +83,7 @@
     assert order.incarnation == "s0"
     # A stream that was on its way to it runs for longer than all others.
     add_run(chosen, "late", order.model, expected=400, granted_at=10)
-    note_answer(pool, order, OrderAnswer.ACCEPTED, now=12)
+    apply_order_answer(pool, order, OrderAnswer.ACCEPTED, now=12)
     assert plan_orders(pool, now=100) == []
     other.runs.clear()
     assert [one.incarnation for one in plan_orders(pool, now=200)] == ["s1"]
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -2,9 +2,9 @@
 
 from arbutuspulley.admission.rate_limits import RateLimitLedger
 from arbutuspulley.pool.copies import get_copies
-from arbutuspulley.pool.grants import Grant, Refusal, find_wake, plan_grants
+from arbutuspulley.pool.eviction import SOLE_COST, begin_pass, compute_loss
+from arbutuspulley.pool.grants import Grant, Refusal, find_next_wakeup, plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.room import SOLE_COST, begin_pass, compute_loss
 from arbutuspulley.pool.state import Demand
 from arbutuspulley.ports.fleet import OrderKind
 from tests.pools import add_waiting, build_pool, build_server
@@ -53,7 +53,7 @@
     has it spends its limit on models that others have too."""
     limited, other = build_server("s0", "m0", "m1"), build_server("s1", "m0")
     limit_server(limited, 1.0, now=-10_000)
-    other.read_until = 300
+    other.prefill_until = 300
     pool = build_pool(limited, other)
     add_waiting(pool, "busy", "m0", arrived_at=0)
     add_waiting(pool, "rare", "m1", arrived_at=1)
@@ -67,7 +67,7 @@
     pool = build_pool(server)
     add_waiting(pool, "r0", "m0", late_at=4_000)
     assert plan_grants(pool, now=0) == []
-    assert find_wake(pool, now=0) == 500
+    assert find_next_wakeup(pool, now=0) == 500
     (granted,) = plan_grants(pool, now=500)
     assert granted.incarnation == "s0"
 
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -2,13 +2,17 @@
 
 import pytest
 
-from arbutuspulley.pool.answers import list_unsure, note_answer, note_report
-from arbutuspulley.pool.demand import note_demand
+from arbutuspulley.pool.answers import (
+    apply_order_answer,
+    apply_report,
+    list_servers_needing_report,
+)
+from arbutuspulley.pool.demand import record_demand
+from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
-from arbutuspulley.pool.loads import assume_loads, may_load, note_load
+from arbutuspulley.pool.load_rate import inherit_loads, may_load, note_load
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.room import count_used_mb
-from arbutuspulley.pool.state import note_missing
+from arbutuspulley.pool.state import record_not_run
 from arbutuspulley.ports.fleet import (
     LoadedModel,
     OrderAnswer,
@@ -28,7 +32,7 @@
 
 def answer(pool, orders, what, *, now):
     for order in orders:
-        note_answer(pool, order, what, now=now)
+        apply_order_answer(pool, order, what, now=now)
 
 
 def build_report(*models, orders=0, is_busy=False):
@@ -106,7 +110,7 @@
     add_waiting(pool, "r1", "m1")
     orders = plan_orders(pool, now=110)
     assert show(orders) == ["load m1 s0 0"]
-    note_missing(pool, "r0", "s0", now=120)
+    record_not_run(pool, "r0", "s0", now=120)
     answer(pool, orders, OrderAnswer.CONFLICT, now=130)
     assert count_used_mb(pool.spec, server) == 30
 
@@ -114,7 +118,7 @@
 def test_adapters_that_are_waited_for_do_not_push_each_other_out():
     """More adapters are waited for than there are places, while the server reads. They
     were loaded and unloaded in turn, some hundred times a second, and none was used."""
-    server = build_server("s0", "m0", read_until=500)
+    server = build_server("s0", "m0", prefill_until=500)
     server.models["m0"] = {"a1", "a2"}
     pool = build_pool(server)
     for name in ("a1", "a2", "a3"):
@@ -153,8 +157,8 @@
     """One request for a rare model pushed out both copies of the busiest model."""
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0", "m1"))
     for number in range(60):
-        note_demand(pool, "m0", 1_000, now=number * 20)
-        note_demand(pool, "m1", 1_000, now=number * 20)
+        record_demand(pool, "m0", 1_000, now=number * 20)
+        record_demand(pool, "m1", 1_000, now=number * 20)
     add_waiting(pool, "r0", "m2", now=1_200)
     assert plan_orders(pool, now=1_200) == []
 
@@ -162,7 +166,7 @@
 def test_a_rare_model_is_loaded_all_the_same_after_a_while():
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0", "m1"))
     for number in range(10):
-        note_demand(pool, "m0", 1_000, now=number * 100)
+        record_demand(pool, "m0", 1_000, now=number * 100)
     add_waiting(pool, "r0", "m2", now=1_000)
     plan_orders(pool, now=1_000)
     orders = plan_orders(pool, now=9_000)
@@ -170,7 +174,7 @@
 
 
 def test_a_model_with_many_waiting_gets_another_copy():
-    pool = build_pool(build_server("s0", "m0", read_until=900), build_server("s1"))
+    pool = build_pool(build_server("s0", "m0", prefill_until=900), build_server("s1"))
     for number in range(8):
         add_waiting(pool, f"r{number}", "m0")
     assert show(plan_orders(pool, now=10)) == ["load m0 s1 0"]
@@ -179,7 +183,7 @@
 def test_demand_brings_a_copy_ahead_of_any_wait():
     pool = build_pool(build_server("s0", "m0"), build_server("s1"))
     for number in range(300):
-        note_demand(pool, "m0", 1_000, now=number * 10)
+        record_demand(pool, "m0", 1_000, now=number * 10)
     assert show(plan_orders(pool, now=3_000)) == ["load m0 s1 0"]
 
 
@@ -215,9 +219,9 @@
     add_waiting(pool, "r0", "m2")
     answer(pool, plan_orders(pool, now=10), OrderAnswer.REFUSED, now=20)
     assert plan_orders(pool, now=100) == []
-    assert list_unsure(pool, now=100) == []
-    assert list_unsure(pool, now=400) == [server]
-    note_report(pool, "s0", build_report("m0", "m2", orders=1), asked_at=400)
+    assert list_servers_needing_report(pool, now=100) == []
+    assert list_servers_needing_report(pool, now=400) == [server]
+    apply_report(pool, "s0", build_report("m0", "m2", orders=1), asked_at=400)
     assert set(server.models) == {"m0", "m2"}
     assert server.orders == 1
 
@@ -228,7 +232,7 @@
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
     answer(pool, plan_orders(pool, now=1_000), OrderAnswer.ACCEPTED, now=1_010)
-    note_report(pool, "s0", build_report("m0"), asked_at=1_100)
+    apply_report(pool, "s0", build_report("m0"), asked_at=1_100)
     assert server.loading == "m2"
     assert server.orders == 1
 
@@ -294,7 +298,7 @@
     killed. Its successor knows those that were told, and that as many as run at once
     may have been ordered since."""
     pool = build_pool(build_server("s0"))
-    assume_loads(pool, [0] * known, unknown_until=unknown_until)
+    inherit_loads(pool, [0] * known, unknown_until=unknown_until)
     ordered = known + (unknown_until is not None) * 3
     while may_load(pool, now=1_000):
         note_load(pool, now=1_000)
@@ -307,7 +311,7 @@
     coordinator took all of the rate for used up; a model that 30 requests waited for
     was not loaded for five seconds more."""
     pool = build_pool(build_server("s0"))
-    assume_loads(pool, [-9_000], unknown_until=-6_000)
+    inherit_loads(pool, [-9_000], unknown_until=-6_000)
     add_waiting(pool, "r0", "m0")
     for _ in range(9):
         note_load(pool, now=9)
--- a/tests/test_pool_speed.py
+++ b/tests/test_pool_prefill_speed.py
@@ -5,18 +5,18 @@
 import pytest
 
 from arbutuspulley.pool.grants import plan_grants
-from arbutuspulley.pool.speed import (
+from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
     SpeedState,
+    add_sample,
     get_speed,
-    note_first_event,
 )
 from arbutuspulley.pool.state import (
-    assume_speeds,
-    find_speed,
-    list_speeds,
-    note_end,
-    note_first,
+    get_prefill_speed,
+    inherit_prefill_speeds,
+    list_prefill_speeds,
+    record_first_event,
+    record_run_end,
 )
 from arbutuspulley.ports.fleet import AttemptOutcome, ModelSpec
 from tests.pools import add_waiting, build_pool, build_server, build_spec
@@ -31,7 +31,7 @@
         took = 20 + chance.random() * 20 + tokens / true_speed
         if chance.random() < odd:
             took += chance.random() * 400
-        note_first_event(speed, tokens=tokens, took_ms=took)
+        add_sample(speed, tokens=tokens, took_ms=took)
     return get_speed(speed)
 
 
@@ -64,7 +64,7 @@
         took = 20 + chance.random() * 20 + tokens / 25.8
         if number % 4 == 0:
             took += chance.random() * 0.3 * tokens
-        note_first_event(speed, tokens=tokens, took_ms=took)
+        add_sample(speed, tokens=tokens, took_ms=took)
     assert get_speed(speed) == pytest.approx(25.8, rel=0.25)
 
 
@@ -95,8 +95,8 @@
         add_waiting(pool, key, model, tokens=tokens, now=now)
         plan_grants(pool, now=now)
         took = 15 + int(tokens / tokens_per_ms)
-        note_first(pool, key, "s1", took_ms=took, now=now + took)
-        note_end(pool, key, "s1", how=AttemptOutcome.DONE, now=now + took)
+        record_first_event(pool, key, "s1", took_ms=took, now=now + took)
+        record_run_end(pool, key, "s1", how=AttemptOutcome.DONE, now=now + took)
         now += 1_000
     return now
 
@@ -108,19 +108,19 @@
     pool = build_two_kinds()
     now = serve(pool, "large", count=40, tokens_per_ms=19.2, start=0)
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=now)
-    assert find_speed(pool, "large") == pytest.approx(19.2, rel=0.15)
-    assert find_speed(pool, "small") == pytest.approx(66, rel=0.2)
+    assert get_prefill_speed(pool, "large") == pytest.approx(19.2, rel=0.15)
+    assert get_prefill_speed(pool, "small") == pytest.approx(66, rel=0.2)
     add_waiting(pool, "next", "small", tokens=2_000, now=now)
     plan_grants(pool, now=now)
-    assert pool.servers["s1"].read_until - now < 60
+    assert pool.servers["s1"].prefill_until - now < 60
 
 
 def test_a_kind_that_was_not_seen_is_read_as_slowly_as_the_slowest_known():
     pool = build_two_kinds()
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=0)
-    assert find_speed(pool, "large") == find_speed(pool, "small")
+    assert get_prefill_speed(pool, "large") == get_prefill_speed(pool, "small")
     serve(pool, "large", count=40, tokens_per_ms=10, start=now)
-    assert find_speed(pool, "large") == pytest.approx(10, rel=0.15)
+    assert get_prefill_speed(pool, "large") == pytest.approx(10, rel=0.15)
 
 
 def test_a_successor_begins_with_what_was_learnt():
@@ -129,6 +129,6 @@
     before = build_two_kinds()
     serve(before, "small", count=40, tokens_per_ms=66, start=0)
     after = build_two_kinds()
-    assume_speeds(after, list_speeds(before))
-    assert find_speed(after, "small") == find_speed(before, "small")
-    assert find_speed(after, "large") == find_speed(before, "large")
+    inherit_prefill_speeds(after, list_prefill_speeds(before))
+    assert get_prefill_speed(after, "small") == get_prefill_speed(before, "small")
+    assert get_prefill_speed(after, "large") == get_prefill_speed(before, "large")
