--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -3,7 +3,7 @@
 import msgspec
 from aiohttp import web
 
-from arbutuspulley.node.callers import ENOUGH_NEAR, select_takers
+from arbutuspulley.node.advertisement import ENOUGH_NEAR, select_takers
 from arbutuspulley.node.messages import NodeInfo
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform import names
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -9,8 +9,8 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.confirmation import Confirmation
-from arbutuspulley.node.echo import Echo
 from arbutuspulley.node.following import is_followed, take_news, take_update
+from arbutuspulley.node.heartbeats import Echo
 from arbutuspulley.node.messages import (
     Ask,
     Beat,
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.node.callers import count_takers
+from arbutuspulley.node.advertisement import count_takers
 from arbutuspulley.node.following import is_followed
 from arbutuspulley.node.link import SILENCE_MS
 from arbutuspulley.node.messages import (
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -5,7 +5,7 @@
 from arbutuspulley.admission.quota import QuotaLedger, build_limits, get_lost_part
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.node.accounts import build_tolerance
-from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
+from arbutuspulley.node.advertisement import count_sharers, count_takers, select_takers
 from arbutuspulley.node.messages import Ask, NodeInfo, Overdrawn, Refused, Spent
 from arbutuspulley.node.state import NodeState
 
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -11,7 +11,7 @@
 from arbutuspulley.admission.repeats import RepeatBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
-from arbutuspulley.node.callers import count_sharers, select_takers
+from arbutuspulley.node.advertisement import count_sharers, select_takers
 from arbutuspulley.node.messages import Learnt, NodeInfo, StoreNews
 from arbutuspulley.node.metrics import NodeMetrics
 from arbutuspulley.node.versions import Versions
--- a/tests/test_callers.py
+++ b/tests/test_advertisement.py
@@ -4,7 +4,7 @@
 import pytest
 
 from arbutuspulley.admission.repeats import RepeatBudget, note_request, take_repeat
-from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
+from arbutuspulley.node.advertisement import count_sharers, count_takers, select_takers
 from arbutuspulley.node.directory import MOST_NAMED, Directory
 from arbutuspulley.routing.local import get_most_in_flight
 from tests.node_states import build_info, build_state
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -20,7 +20,7 @@
 from arbutuspulley.platform.store import RowsAnswer, StoredRow, WriteAnswer
 from arbutuspulley.results import PlatformUnavailableError
 from tests.node_states import build_state
-from tests.test_callers import build_area
+from tests.test_advertisement import build_area
 
 
 class LeaseStore:
--- a/tests/test_echo.py
+++ b/tests/test_heartbeats.py
@@ -4,8 +4,8 @@
 import pytest
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.node.echo import Echo
 from arbutuspulley.node.following import put_in_force
+from arbutuspulley.node.heartbeats import Echo
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import Beat, Digest, Hello
 from arbutuspulley.node.peers import Peers
