--- a/src/arbutuspulley/node/advertisement.py
+++ b/src/arbutuspulley/node/advertisement.py
@@ -9,7 +9,7 @@
 
 from arbutuspulley.node.messages import NodeInfo
 
-ENOUGH_NEAR = 2
+MIN_NEARBY_INSTANCES = 2
 """With so many instances ready in the caller's data centre, or else in its region,
 others are not named: its bytes then stay there, and one of them may still fail."""
 
@@ -28,7 +28,7 @@
 not all; the rest is for the others, which callers with an old answer may still use."""
 
 
-def select_takers(area: Sequence[NodeInfo]) -> list[NodeInfo]:
+def select_advertised(area: Sequence[NodeInfo]) -> list[NodeInfo]:
     """Return those instances of an area to which callers are sent.
 
     These are the best placed ones, or all if those are too few. The coordinator is left
@@ -36,7 +36,7 @@
 
     :param area: ready instances of one data centre or region.
     """
-    if len(area) < ENOUGH_NEAR:
+    if len(area) < MIN_NEARBY_INSTANCES:
         return list(area)
     best = max(one.capacity for one in area)
     strong = [one for one in area if one.capacity >= LIKE_PART * best]
@@ -45,21 +45,21 @@
         strong = list(area)
     others = [one for one in strong if not one.coordinates]
     for selected in (others, strong):
-        if len(selected) >= ENOUGH_NEAR:
+        if len(selected) >= MIN_NEARBY_INSTANCES:
             return selected
     return list(area)
 
 
-def count_takers(infos: Iterable[NodeInfo]) -> int:
+def count_advertised(infos: Iterable[NodeInfo]) -> int:
     """Return to how many instances of a fleet callers are sent."""
     sites: dict[str, list[NodeInfo]] = {}
     for info in infos:
         if info.is_ready:
             sites.setdefault(info.site, []).append(info)
-    return sum(len(select_takers(area)) for area in sites.values())
+    return sum(len(select_advertised(area)) for area in sites.values())
 
 
-def count_sharers(*, is_taker: bool, takers: int, instances: int) -> float:
+def get_share_divisor(*, is_advertised: bool, advertised: int, instances: int) -> float:
     """Return by how many an instance divides what all instances share.
 
     The parts of all add up to the whole at most.
@@ -67,8 +67,8 @@
     :param is_taker: whether callers are sent to this instance.
     :param takers: to how many they are sent in all; 0: not known.
     """
-    if not takers or takers >= instances:
+    if not advertised or advertised >= instances:
         return instances
-    if is_taker:
-        return takers / TAKERS_PART
-    return (instances - takers) / (1 - TAKERS_PART)
+    if is_advertised:
+        return advertised / TAKERS_PART
+    return (instances - advertised) / (1 - TAKERS_PART)
--- a/src/arbutuspulley/node/confirmation.py
+++ b/src/arbutuspulley/node/confirmation.py
@@ -23,7 +23,7 @@
         self._digests = Marks()
 
     @property
-    def vouched_digest(self) -> int:
+    def confirmed_status(self) -> int:
         """The digest that came before this instance got its own word; 0: none."""
         return self._digests.find_number(self._state.freshness.confirmed_at)
 
@@ -37,11 +37,11 @@
         limit_ms = int(withdrawal_ms * RELIED_ON_PART)
         return state.freshness.is_within(limit_ms, now=state.clock.now())
 
-    def note_beat(self, number: int, *, at: int) -> None:
+    def record_heartbeat(self, number: int, *, at: int) -> None:
         """Note that a beat is sent."""
         self._beats.note(number, at=at)
 
-    def take_digest(self, digest: Digest, *, at: int) -> None:
+    def record_status(self, digest: Digest, *, at: int) -> None:
         """Take in what a digest says of how new the configuration in force is."""
         state = self._state
         self._digests.note(digest.number, at=at)
--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -3,7 +3,7 @@
 import msgspec
 from aiohttp import web
 
-from arbutuspulley.node.advertisement import ENOUGH_NEAR, select_takers
+from arbutuspulley.node.advertisement import MIN_NEARBY_INSTANCES, select_advertised
 from arbutuspulley.node.messages import NodeInfo
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform import names
@@ -53,8 +53,8 @@
             [one for one in nodes if one.site == site],
             [one for one in nodes if one.region == region],
         ):
-            if len(area) >= ENOUGH_NEAR:
-                return _name(select_takers(area))
+            if len(area) >= MIN_NEARBY_INSTANCES:
+                return _name(select_advertised(area))
         return _name(nodes)
 
     def _get_ttl(self) -> float:
--- a/src/arbutuspulley/node/heartbeats.py
+++ b/src/arbutuspulley/node/heartbeats.py
@@ -7,7 +7,7 @@
 """
 
 
-class Echo:
+class HeartbeatTracker:
     """Beats on their way to the coordinator, by number.
 
     :param now: when the link was opened, in ms.
@@ -20,13 +20,13 @@
         self._sent_at: dict[int, int] = {}
         self._heard_of_at = now
 
-    def note_sent(self, now: int) -> int:
+    def record_sent(self, now: int) -> int:
         """Return the number of a beat that is sent now; numbers count from 1."""
         self._number += 1
         self._sent_at[self._number] = now
         return self._number
 
-    def note_heard(self, number: int) -> None:
+    def record_acknowledged(self, number: int) -> None:
         """The coordinator acknowledges a beat, and so all before it."""
         sent_at = self._sent_at.get(number)
         if sent_at is None:
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -10,7 +10,7 @@
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.confirmation import Confirmation
 from arbutuspulley.node.following import is_followed, take_news, take_update
-from arbutuspulley.node.heartbeats import Echo
+from arbutuspulley.node.heartbeats import HeartbeatTracker
 from arbutuspulley.node.messages import (
     Ask,
     Beat,
@@ -105,7 +105,7 @@
         self._state = state
         self._address = ""
         self._confirmation = Confirmation(state=state)
-        self._echo = Echo(now=state.clock.now())
+        self._echo = HeartbeatTracker(now=state.clock.now())
         self._heard_at = -SILENCE_MS
         self._is_closed = False
         # The coordinator's configuration; None until it has told on this connection.
@@ -360,12 +360,12 @@
     def _take_digest(self, digest: Digest) -> None:
         self.digest = digest
         self._heard_at = self._state.clock.now()
-        self._echo.note_heard(digest.beat)
+        self._echo.record_acknowledged(digest.beat)
         if self._version_there is None or digest.configuration > self._version_there:
             self._version_there = digest.configuration
         state = self._state
         if self.take_local is None:
-            self._confirmation.take_digest(digest, at=self._heard_at)
+            self._confirmation.record_status(digest, at=self._heard_at)
             age_ms = self._echo.get_age(self._heard_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = digest.instances
@@ -432,7 +432,7 @@
         # Each coordinator counts the changes of its list for itself, and the beats of
         # each connection.
         self._roster.version = 0
-        self._echo = Echo(now=self._state.clock.now())
+        self._echo = HeartbeatTracker(now=self._state.clock.now())
         self._confirmation = Confirmation(state=self._state)
         self._version_there = None
 
@@ -483,8 +483,8 @@
         """Return what this instance says of itself."""
         state = self._state
         now = state.clock.now()
-        number = self._echo.note_sent(now)
-        self._confirmation.note_beat(number, at=now)
+        number = self._echo.record_sent(now)
+        self._confirmation.record_heartbeat(number, at=now)
         return Beat(
             is_ready=state.is_ready,
             misses_store=state.store.is_failing if state.store.is_recent else None,
@@ -492,7 +492,7 @@
             roster=self._roster.version,
             configuration=state.configuration_version,
             number=number,
-            vouches=self._confirmation.vouched_digest,
+            vouches=self._confirmation.confirmed_status,
         )
 
 
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.node.advertisement import count_takers
+from arbutuspulley.node.advertisement import count_advertised
 from arbutuspulley.node.following import is_followed
 from arbutuspulley.node.link import SILENCE_MS
 from arbutuspulley.node.messages import (
@@ -281,7 +281,7 @@
         if infos == self._told:
             return
         self._told = infos
-        self._takers = count_takers(infos)
+        self._takers = count_advertised(infos)
         self._get_roster(self._state.settings.site)
         for site in {info.site for info in infos} | set(self._rosters):
             change = take_view(self._get_roster(site), select_view(infos, site=site))
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -5,7 +5,11 @@
 from arbutuspulley.admission.quota import QuotaLedger, build_limits, get_lost_part
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.node.accounts import build_tolerance
-from arbutuspulley.node.advertisement import count_sharers, count_takers, select_takers
+from arbutuspulley.node.advertisement import (
+    count_advertised,
+    get_share_divisor,
+    select_advertised,
+)
 from arbutuspulley.node.messages import Ask, NodeInfo, Overdrawn, Refused, Spent
 from arbutuspulley.node.state import NodeState
 
@@ -132,8 +136,8 @@
     """Return which part of what all instances share one of them uses by itself."""
     ready = [one for one in among if one.is_ready]
     near = [one for one in ready if one.site == info.site]
-    return 1 / count_sharers(
-        is_taker=info in select_takers(near),
-        takers=count_takers(ready),
+    return 1 / get_share_divisor(
+        is_advertised=info in select_advertised(near),
+        advertised=count_advertised(ready),
         instances=len(ready),
     )
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -11,7 +11,7 @@
 from arbutuspulley.admission.repeats import RepeatBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
-from arbutuspulley.node.advertisement import count_sharers, select_takers
+from arbutuspulley.node.advertisement import get_share_divisor, select_advertised
 from arbutuspulley.node.messages import Learnt, NodeInfo, StoreNews
 from arbutuspulley.node.metrics import NodeMetrics
 from arbutuspulley.node.versions import Versions
@@ -184,9 +184,9 @@
         if basis != self._sharers_basis:
             near = [one for one in self.nodes if one.is_ready and one.site == own.site]
             near = [own, *(one for one in near if one.name != own.name)]
-            self._sharers = count_sharers(
-                is_taker=own in select_takers(near),
-                takers=self.takers,
+            self._sharers = get_share_divisor(
+                is_advertised=own in select_advertised(near),
+                advertised=self.takers,
                 instances=self.instances,
             )
             self._sharers_basis = basis
--- a/tests/test_advertisement.py
+++ b/tests/test_advertisement.py
@@ -4,7 +4,11 @@
 import pytest
 
 from arbutuspulley.admission.repeats import RepeatBudget, note_request, take_repeat
-from arbutuspulley.node.advertisement import count_sharers, count_takers, select_takers
+from arbutuspulley.node.advertisement import (
+    count_advertised,
+    get_share_divisor,
+    select_advertised,
+)
 from arbutuspulley.node.directory import MOST_NAMED, Directory
 from arbutuspulley.routing.local import get_most_in_flight
 from tests.node_states import build_info, build_state
@@ -51,36 +55,42 @@
 def test_callers_are_sent_to_the_best_placed_where_these_are_enough(area, expected):
     """Half the streams went through links of 5 Mbit/s, and 72 instances kept hardly any
     connection to a server in use until its next request."""
-    assert select_takers(area) == [area[number] for number in expected]
+    assert select_advertised(area) == [area[number] for number in expected]
 
 
 def test_takers_are_counted_by_data_centre():
     fleet = build_area(LARGE, LARGE, *[SMALL] * 20)
     fleet += build_area(1, 1, 1, site="b1")
     fleet += [msgspec.structs.replace(build_area(9, site="b1")[0], is_ready=False)]
-    assert count_takers(fleet) == 5
+    assert count_advertised(fleet) == 5
 
 
-@pytest.mark.parametrize("takers", [6, 15, 40])
-def test_the_parts_of_all_add_up_to_the_whole_at_most(takers):
+@pytest.mark.parametrize("advertised", [6, 15, 40])
+def test_the_parts_of_all_add_up_to_the_whole_at_most(advertised):
     """Callers that still hold an old answer come to any instance. The connections that
     a server accepts and the repeats of all must hold even if all use their part."""
     instances = 72
     counts = [
-        count_sharers(is_taker=number < takers, takers=takers, instances=instances)
+        get_share_divisor(
+            is_advertised=number < advertised,
+            advertised=advertised,
+            instances=instances,
+        )
         for number in range(instances)
     ]
     assert sum(1 / one for one in counts) <= 1.0001
 
 
 @pytest.mark.parametrize(
-    ("takers", "instances", "expected"),
+    ("advertised", "instances", "expected"),
     [(0, 72, 72), (72, 72, 72), (0, 0, 0)],
     ids=["not known", "all", "nothing known"],
 )
-def test_without_a_selection_all_share_alike(takers, instances, expected):
-    for is_taker in (True, False):
-        found = count_sharers(is_taker=is_taker, takers=takers, instances=instances)
+def test_without_a_selection_all_share_alike(advertised, instances, expected):
+    for is_advertised in (True, False):
+        found = get_share_divisor(
+            is_advertised=is_advertised, advertised=advertised, instances=instances
+        )
         assert found == expected
 
 
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.following import put_in_force
-from arbutuspulley.node.heartbeats import Echo
+from arbutuspulley.node.heartbeats import HeartbeatTracker
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import Beat, Digest, Hello
 from arbutuspulley.node.peers import Peers
@@ -15,22 +15,22 @@
 
 
 def test_what_was_told_is_as_old_as_the_newest_beat_acknowledged():
-    echo = Echo(now=100)
-    first, second = echo.note_sent(200), echo.note_sent(450)
+    echo = HeartbeatTracker(now=100)
+    first, second = echo.record_sent(200), echo.record_sent(450)
     assert (first, second) == (1, 2)
     assert echo.get_age(500) == 400
-    echo.note_heard(first)
+    echo.record_acknowledged(first)
     assert echo.get_age(500) == 300
-    echo.note_heard(second)
-    echo.note_heard(first)
+    echo.record_acknowledged(second)
+    echo.record_acknowledged(first)
     assert echo.get_age(500) == 50
 
 
 @pytest.mark.parametrize("number", [0, 7])
 def test_a_number_that_was_not_sent_acknowledges_nothing(number):
-    echo = Echo(now=0)
-    echo.note_sent(10)
-    echo.note_heard(number)
+    echo = HeartbeatTracker(now=0)
+    echo.record_sent(10)
+    echo.record_acknowledged(number)
     assert echo.get_age(1_000) == 1_000
 
 
@@ -56,7 +56,7 @@
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]))
     link = Link(state=state)
-    link._echo.note_sent(0)
+    link._echo.record_sent(0)
     now[0] = 1_500
     link.receive([Digest(is_holder=True, beat=1)])
     assert state.metrics.registry.get_sample_value("arbutus_link_age_seconds") == 1.5
