--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -21,13 +21,13 @@
     RosterChange,
     Spent,
 )
-from arbutuspulley.node.peers import SUCCESSORS
-from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS
+from arbutuspulley.node.peers import SUCCESSOR_COUNT
+from arbutuspulley.node.relay import DEFERRED_BATCH_BYTES, DEFERRED_INTERVAL_MS
 from arbutuspulley.node.roster import (
     RosterState,
-    build_whole,
+    build_full_roster,
     select_view,
-    take_view,
+    update_roster,
 )
 
 FRAME_BYTES = 60
@@ -101,10 +101,10 @@
     linked = instances if instances < 360 else instances // sites
     infos = [_build_info(number, sites) for number in range(linked)]
     roster = RosterState(site="site-0", version=1)
-    take_view(roster, select_view(infos, site="site-0"))
-    whole = _count(build_whole(roster))
+    update_roster(roster, select_view(infos, site="site-0"))
+    whole = _count(build_full_roster(roster))
     joined = _build_info(linked * sites, sites)
-    change = take_view(roster, select_view([*infos, joined], site="site-0"))
+    change = update_roster(roster, select_view([*infos, joined], site="site-0"))
     changed = _count(change) if change is not None else 0
     beats = SECOND_MS / BEAT_MS
     digest = Digest(
@@ -133,12 +133,16 @@
     servers = SERVERS_PER_INSTANCE[instances] * instances
     if instances == 360:
         servers = 580
-    told = min(servers, servers * CHANGES_PER_SERVER_S * QUIET_MS / SECOND_MS)
-    news = min(told * ROW_BYTES, QUIET_BYTES) * SECOND_MS / QUIET_MS
+    told = min(
+        servers, servers * CHANGES_PER_SERVER_S * DEFERRED_INTERVAL_MS / SECOND_MS
+    )
+    news = (
+        min(told * ROW_BYTES, DEFERRED_BATCH_BYTES) * SECOND_MS / DEFERRED_INTERVAL_MS
+    )
     starts = linked * REPLACED_A_DAY / DAY_S * 2 * changed
     down = beats * _count(digest) + news + starts
     up = beats * (_count(beat) + spent)
-    learnt = SUCCESSORS * _count(_build_learnt(int(servers * MODELS_PER_SERVER)))
+    learnt = SUCCESSOR_COUNT * _count(_build_learnt(int(servers * MODELS_PER_SERVER)))
     return Sums(
         down=down,
         up=up,
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -111,8 +111,8 @@
         "_state",
         "_tasks",
         "_timer",
-        "acts",
         "alone_since",
+        "is_active",
     )
 
     def __init__(
@@ -137,7 +137,7 @@
         self._rates = Rates(state=state)
         self._reports = Reports(state=state, note_taken=self.kick)
         self._inherited = InheritedLoads(loads={}, unknown_until=None)
-        self.acts = False
+        self.is_active = False
         self.alone_since: int | None = None
         state.on_change.append(self.take_change)
         state.on_news.append(self._relay_news)
@@ -145,7 +145,7 @@
 
     def list_loads(self) -> dict[str, list[int]] | None:
         """Return when loads were ordered, by service; ``None`` if not coordinating."""
-        if not self.acts:
+        if not self.is_active:
             return None
         now = self._state.clock.now()
         return {
@@ -158,13 +158,13 @@
 
         :param inherited: what is known of loads that others ordered.
         """
-        self.acts = True
+        self.is_active = True
         self.alone_since = None
         self._state.coordinates = True
         self._relay.begin()
         self._peers.begin()
-        self._quotas.begin()
-        self._rates.begin()
+        self._quotas.reset()
+        self._rates.reset()
         self._pools.clear()
         self._inherited = inherited
         self.take_change()
@@ -173,7 +173,7 @@
 
     def end(self) -> None:
         """Stop being the coordinator; all instances lose their links."""
-        self.acts = False
+        self.is_active = False
         self._state.coordinates = False
         self._state.metrics.coordinates.set(0)
         if self._timer is not None:
@@ -198,9 +198,9 @@
     def take_change(self) -> None:
         """Bring the pools up to date with configuration and entries."""
         configuration = self._state.configuration
-        if not self.acts or configuration is None:
+        if not self.is_active or configuration is None:
             return
-        self._quotas.take_change()
+        self._quotas.apply_configuration()
         for name, service in configuration.services.items():
             if service.engine is None:
                 continue
@@ -230,7 +230,7 @@
         """Take messages of an instance."""
         now = self._state.clock.now()
         for message in messages:
-            self._take_one(origin, message, now=now)
+            self._handle_message(origin, message, now=now)
         # What was spent changes no decision on who goes to which server.
         if any(not isinstance(message, Spent) for message in messages):
             self.kick()
@@ -239,14 +239,14 @@
         """Serve one instance's link until it ends."""
         socket = web.WebSocketResponse(compress=False, max_msg_size=1 << 20)
         await socket.prepare(request)
-        if not self.acts:
+        if not self.is_active:
             await socket.close()
             return socket
         peer: Peer | None = None
         writer: asyncio.Task[None] | None = None
         try:
             async for message in socket:
-                if message.type is not aiohttp.WSMsgType.BINARY or not self.acts:
+                if message.type is not aiohttp.WSMsgType.BINARY or not self.is_active:
                     break
                 messages = decode_from_node(message.data)
                 if peer is None:
@@ -269,7 +269,7 @@
 
     def kick(self) -> None:
         """Decide again soon, once for all that happens meanwhile."""
-        if self.acts and not self._is_kicked:
+        if self.is_active and not self._is_kicked:
             self._is_kicked = True
             loop = asyncio.get_running_loop()
             loop.call_later(self._grant_pacer.get_delay(loop.time()), self._decide)
@@ -282,7 +282,7 @@
             # It is back before the end of its link was seen here. What ended meanwhile
             # was never told, and would hold its slot for ever.
             drop_instance(self._pools, name)
-        self._quotas.note_linked(name)
+        self._quotas.mark_linked(name)
         self._take_limits(messages[0].limits, are_first=True)
         peer = self._peers.add(messages[0])
         peer.send(self._rates.list_all())
@@ -292,16 +292,16 @@
         if not self._peers.drop(peer):
             return
         drop_instance(self._pools, peer.info.name)
-        self._quotas.note_lost(peer.info)
-        if self.acts:
+        self._quotas.mark_lost(peer.info)
+        if self.is_active:
             self._peers.tell_roster()
             self.kick()
 
-    def _take_one(self, origin: str, message: ToCoordinator, *, now: int) -> None:
+    def _handle_message(self, origin: str, message: ToCoordinator, *, now: int) -> None:
         if isinstance(message, Ask):
             self._take_ask(origin, message, now=now)
         elif isinstance(message, Spent):
-            overdrawn = self._quotas.take_spent(message, now=now)
+            overdrawn = self._quotas.charge_usage(message, now=now)
             if overdrawn is not None:
                 self._peers.send(origin, overdrawn)
         elif isinstance(message, Permission):
@@ -309,7 +309,7 @@
         elif isinstance(message, ServerLimit):
             self._take_limits((message,))
         elif isinstance(message, Beat):
-            if self._peers.take_beat(origin, message):
+            if self._peers.handle_heartbeat(origin, message):
                 self._tell_lost()
         elif isinstance(message, StoreNews):
             self._relay_news(take_news(self._state, message, by="follower"))
@@ -338,11 +338,11 @@
 
     def _tell_lost(self) -> None:
         """Tell all at once if nobody follows the store any more."""
-        if self.acts and not self._peers.is_store_followed():
+        if self.is_active and not self._peers.is_store_followed():
             self._send_digest()
 
     def _relay_news(self, news: StoreNews) -> None:
-        if self.acts and (news.configuration or news.rows):
+        if self.is_active and (news.configuration or news.rows):
             self._peers.tell_news(news)
 
     def _take_ask(self, origin: str, ask: Ask, *, now: int) -> None:
@@ -363,7 +363,7 @@
 
     def _decide(self) -> None:
         self._is_kicked = False
-        if not self.acts:
+        if not self.is_active:
             return
         now = self._state.clock.now()
         loop = asyncio.get_running_loop()
@@ -444,7 +444,7 @@
         told_at = -TELL_EVERY_MS
         while True:
             self._peers.tell_roster()
-            self._share(self._peers.list_linked())
+            self._update_shares(self._peers.list_linked())
             self._send_digest()
             for report in self._reports.ask(self._pools.values()):
                 self._spawn(report)
@@ -456,9 +456,9 @@
                 self._peers.tell_behind()
             await asyncio.sleep(BEAT_MS / SECOND_MS)
 
-    def _share(self, linked: list[NodeInfo]) -> None:
+    def _update_shares(self, linked: list[NodeInfo]) -> None:
         """Work out what may be given out here, and tell of limits that have changed."""
-        self._quotas.set_linked(linked)
+        self._quotas.update_linked(linked)
         self._rates.set_part(self._quotas.find_part(linked, ends_ms=None))
         changes = self._rates.list_changes()
         if changes is not None:
@@ -478,7 +478,7 @@
 
     def _send_digest(self) -> None:
         now = self._state.clock.now()
-        count = self._peers.send_digest(
+        count = self._peers.send_status(
             is_holder=is_holder(self._lease, now=now) or self._orders_on()
         )
         if count > 1:
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -111,9 +111,9 @@
                 self._lease.version = -1
             await asyncio.sleep(TICK_MS / SECOND_MS)
 
-    async def give_back(self) -> None:
+    async def release_lease(self) -> None:
         """Release the lease at a planned stop."""
-        was_acting = self._coordinator.acts
+        was_acting = self._coordinator.is_active
         if is_holder(self._lease, now=self._state.clock.now()):
             await self._release()
         if was_acting:
@@ -122,11 +122,11 @@
     async def _tick(self) -> None:
         now = self._state.clock.now()
         self._link.check()
-        if self._coordinator.acts and self._is_alone(now):
+        if self._coordinator.is_active and self._is_alone(now):
             self._stays_alone = True
             await self._hand_over("alone", now=now)
             return
-        if is_holder(self._lease, now=now) and self._coordinator.acts:
+        if is_holder(self._lease, now=now) and self._coordinator.is_active:
             if (
                 self._state.stopping_at is None
                 and now - self._lease.renewed_at >= RENEW_MS
@@ -135,7 +135,7 @@
             elif self._is_outdone(now):
                 await self._hand_over("better placed", now=now)
             return
-        if self._link.is_up and not self._coordinator.acts:
+        if self._link.is_up and not self._coordinator.is_active:
             digest = self._link.digest
             if digest is not None and digest.is_holder:
                 self._look_at = None
@@ -230,7 +230,7 @@
         found = self._lease.row
         if found is None or not found.boot or found.boot == self._lease.boot:
             return
-        if self._coordinator.acts:
+        if self._coordinator.is_active:
             self._step_down("replaced")
         if found.holder != self._lease.name:
             self._stays_alone = False
@@ -249,7 +249,7 @@
             self._follow_holder()
             return
         log_event(Event.LEASE_TAKEN, fence=claim.fence, version=self._lease.version)
-        if not self._coordinator.acts:
+        if not self._coordinator.is_active:
             self._link.cut()
             self._link.take_local = self._take_local
             self._coordinator.begin(inherited)
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -20,10 +20,15 @@
 )
 from arbutuspulley.node.peer import Peer
 from arbutuspulley.node.relay import Relay
-from arbutuspulley.node.roster import RosterState, build_whole, select_view, take_view
+from arbutuspulley.node.roster import (
+    RosterState,
+    build_full_roster,
+    select_view,
+    update_roster,
+)
 from arbutuspulley.node.state import NodeState
 
-SUCCESSORS = 4
+SUCCESSOR_COUNT = 4
 """Instances that are told what the coordinator has learnt, the best placed: one of them
 comes next. All of it, to all, would grow with the models times the instances."""
 
@@ -93,7 +98,7 @@
             build_configuration=(
                 self._state.versions.build
                 if hello.reads_updates
-                else self._relay.build_whole
+                else self._relay.build_full_configuration
             ),
         )
         peer.tell_configuration(self._state.configuration_version)
@@ -111,7 +116,7 @@
         log_event(Event.PEER_DOWN, instance=peer.info.name)
         return True
 
-    def take_beat(self, origin: str, beat: Beat) -> bool:
+    def handle_heartbeat(self, origin: str, beat: Beat) -> bool:
         """Take in what an instance says of itself.
 
         :return: whether it has just lost the store.
@@ -133,7 +138,7 @@
         now = self._state.clock.now()
         if not beat.roster and now - peer.roster_at >= WHOLE_AGAIN_MS:
             peer.roster_at = now
-            peer.send(build_whole(self._get_roster(peer.info.site)))
+            peer.send(build_full_roster(self._get_roster(peer.info.site)))
         return has_lost_store
 
     def _take_word(self, peer: Peer, beat: Beat) -> None:
@@ -195,7 +200,7 @@
         """Send what was learnt to those that will claim the lease first."""
         ready = [one for one in self._by_name.values() if one.info.is_ready]
         ready.sort(key=lambda one: (-one.info.capacity, one.info.name))
-        for peer in ready[:SUCCESSORS]:
+        for peer in ready[:SUCCESSOR_COUNT]:
             peer.send(learnt)
 
     def tell_news(self, news: StoreNews) -> None:
@@ -211,7 +216,7 @@
         for peer in self._by_name.values():
             peer.tell_configuration(self._state.configuration_version)
 
-    def send_digest(self, *, is_holder: bool) -> int:
+    def send_status(self, *, is_holder: bool) -> int:
         """Send the digest, and before it what was held back.
 
         The list of instances is to be told before.
@@ -284,13 +289,15 @@
         self._takers = count_advertised(infos)
         self._get_roster(self._state.settings.site)
         for site in {info.site for info in infos} | set(self._rosters):
-            change = take_view(self._get_roster(site), select_view(infos, site=site))
+            change = update_roster(
+                self._get_roster(site), select_view(infos, site=site)
+            )
             if change is not None:
                 self._send_change(site, change)
 
     def _send_change(self, site: str, change: RosterChange) -> None:
         if site == self._state.settings.site:
-            self._receive_local([build_whole(self._get_roster(site))])
+            self._receive_local([build_full_roster(self._get_roster(site))])
         for peer in self._by_name.values():
             # An instance that has no list yet asks for the whole in its first beat.
             if peer.info.site == site and peer.roster_at >= 0:
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -40,7 +40,7 @@
         self._known = 0
         self._began_at = 0
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Begin as a coordinator that no instance is linked to yet."""
         self._ledger.begin()
         self._lost.clear()
@@ -48,7 +48,7 @@
         self._known = self._state.instances
         self._began_at = self._state.clock.now()
 
-    def take_change(self) -> None:
+    def apply_configuration(self) -> None:
         """Take over the quotas of the configuration in force."""
         state = self._state
         teams = state.configuration.teams if state.configuration else None
@@ -67,7 +67,7 @@
             return None
         return Refused(key=ask.key, retry_after_ms=wait_ms, is_over_quota=True)
 
-    def take_spent(self, spent: Spent, *, now: int) -> Overdrawn | None:
+    def charge_usage(self, spent: Spent, *, now: int) -> Overdrawn | None:
         """Take in what an instance has spent.
 
         :return: what it is to be told, if the team is in debt.
@@ -77,16 +77,16 @@
             return None
         return Overdrawn(team=spent.team, wait_ms=wait_ms)
 
-    def note_linked(self, name: str) -> None:
+    def mark_linked(self, name: str) -> None:
         """An instance is linked and counts here."""
         self._lost.pop(name, None)
 
-    def note_lost(self, info: NodeInfo) -> None:
+    def mark_lost(self, info: NodeInfo) -> None:
         """The link of an instance is lost; if it takes callers, it serves on."""
         if info.is_ready:
             self._lost[info.name] = info, self._state.clock.now()
 
-    def set_linked(self, linked: Sequence[NodeInfo]) -> None:
+    def update_linked(self, linked: Sequence[NodeInfo]) -> None:
         """Work out which part of each quota may be given out; call at intervals.
 
         :param linked: the linked instances, the own one included.
@@ -115,7 +115,7 @@
         part = 1.0
         for info, at in self._lost.values():
             left = get_lost_part(now - at, ends_ms=ends_ms)
-            part -= left * get_part(info, among=among)
+            part -= left * get_local_share(info, among=among)
         heard_of = len(linked) + len(lost)
         if now - self._began_at < UNKNOWN_MS and self._known > heard_of:
             part *= heard_of / self._known
@@ -132,7 +132,7 @@
         self._linked = linked
 
 
-def get_part(info: NodeInfo, *, among: Sequence[NodeInfo]) -> float:
+def get_local_share(info: NodeInfo, *, among: Sequence[NodeInfo]) -> float:
     """Return which part of what all instances share one of them uses by itself."""
     ready = [one for one in among if one.is_ready]
     near = [one for one in ready if one.site == info.site]
--- a/src/arbutuspulley/node/rates.py
+++ b/src/arbutuspulley/node/rates.py
@@ -25,7 +25,7 @@
         self._ledger = RateLedger()
         self._changed: set[str] = set()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Begin as a coordinator that no instance is linked to yet."""
         known = self._state.limits.list_limits()
         self._ledger.begin(known, now=self._state.clock.now())
--- a/src/arbutuspulley/node/relay.py
+++ b/src/arbutuspulley/node/relay.py
@@ -18,12 +18,12 @@
 """Instances that follow the store beside the coordinator: with the loss of a data
 centre one of the three is left."""
 
-QUIET_MS = 3 * SECOND_MS
+DEFERRED_INTERVAL_MS = 3 * SECOND_MS
 """How long a row is held back that says only which models a server holds, in ms: those
 change with each load, and instances use them only while nobody coordinates. Told at
 once, they alone would take more of each link than all control may."""
 
-QUIET_BYTES = 6_000
+DEFERRED_BATCH_BYTES = 6_000
 """Most bytes of such rows that are told at a time: 2 KB a second of the 4 that an
 instance may spend on control. The rest waits for the next time, the oldest first."""
 
@@ -69,11 +69,11 @@
 
     def flush(self, now: int) -> StoreNews | None:
         """Return what was held back, once its time has come."""
-        if now - self._flushed_at < QUIET_MS:
+        if now - self._flushed_at < DEFERRED_INTERVAL_MS:
             return None
         self._flushed_at = now
         rows: list[RelayedRow] = []
-        left = QUIET_BYTES
+        left = DEFERRED_BATCH_BYTES
         for row in list(self._quiet.values()):
             left -= len(row.value)
             if left < 0:
@@ -86,7 +86,7 @@
         rows = list_rows(self._state, after=hello.store_version)
         return StoreNews(rows=rows) if rows else None
 
-    def build_whole(self, _base: int) -> StoreNews:
+    def build_full_configuration(self, _base: int) -> StoreNews:
         """Return the configuration for an instance that understands no updates."""
         return StoreNews(configuration=self._state.configuration_body)
 
--- a/src/arbutuspulley/node/roster.py
+++ b/src/arbutuspulley/node/roster.py
@@ -44,7 +44,9 @@
     return not info.is_ready, -info.capacity, info.name
 
 
-def take_view(roster: RosterState, view: dict[str, NodeInfo]) -> RosterChange | None:
+def update_roster(
+    roster: RosterState, view: dict[str, NodeInfo]
+) -> RosterChange | None:
     """Take in what is to be told; return the difference, ``None`` if there is none."""
     joined = [info for name, info in view.items() if roster.nodes.get(name) != info]
     left = [name for name in roster.nodes if name not in view]
@@ -58,7 +60,7 @@
     )
 
 
-def build_whole(roster: RosterState) -> RosterChange:
+def build_full_roster(roster: RosterState) -> RosterChange:
     """Return the whole list, for an instance that has none."""
     return RosterChange(version=roster.version, joined=tuple(roster.nodes.values()))
 
--- a/src/arbutuspulley/node/stopping.py
+++ b/src/arbutuspulley/node/stopping.py
@@ -31,11 +31,11 @@
         # While the store is away nobody can take the lease over: callers found no
         # coordinator for 5 s, and waited in vain until they left.
         if not is_given_back and not state.store.is_failing:
-            await election.give_back()
+            await election.release_lease()
             is_given_back = True
         await asyncio.sleep(TICK_MS / SECOND_MS)
     if not is_given_back:
-        await election.give_back()
+        await election.release_lease()
     link.close()
     for server in servers:
         server.close()
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -8,7 +8,7 @@
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.messages import Ask, Digest, Overdrawn, Spent
 from arbutuspulley.node.progress import RequestFailedError
-from arbutuspulley.node.quotas import Quotas, get_part
+from arbutuspulley.node.quotas import Quotas, get_local_share
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import FleetConfiguration, ModelNeed, Team
 from tests.node_states import build_info, build_state
@@ -96,8 +96,8 @@
 def build_quotas(instance, *, linked=1):
     instance.state.instances = linked
     quotas = Quotas(state=instance.state)
-    quotas.begin()
-    quotas.take_change()
+    quotas.reset()
+    quotas.apply_configuration()
     return quotas
 
 
@@ -127,9 +127,9 @@
     refused = ask(quotas, 400, now=now + 5_000)
     assert refused.is_over_quota
     assert refused.retry_after_ms == 401
-    overdrawn = quotas.take_spent(Spent(team="t", cost=600), now=now + 5_100)
+    overdrawn = quotas.charge_usage(Spent(team="t", cost=600), now=now + 5_100)
     assert overdrawn == Overdrawn(team="t", wait_ms=501)
-    assert quotas.take_spent(Spent(team="t", cost=-600), now=now + 5_100) is None
+    assert quotas.charge_usage(Spent(team="t", cost=-600), now=now + 5_100) is None
 
 
 def test_a_free_request_is_not_charged():
@@ -142,13 +142,13 @@
     instance = Instance()
     infos = [build_info(name) for name in ("a", "b", "c")]
     quotas = build_quotas(instance, linked=3)
-    quotas.set_linked(infos)
+    quotas.update_linked(infos)
     assert quotas._ledger.part == 1
-    quotas.note_lost(infos[2])
-    quotas.set_linked(infos[:2])
+    quotas.mark_lost(infos[2])
+    quotas.update_linked(infos[:2])
     assert quotas._ledger.part == pytest.approx(2 / 3)
-    quotas.note_linked("c")
-    quotas.set_linked(infos)
+    quotas.mark_linked("c")
+    quotas.update_linked(infos)
     assert quotas._ledger.part == 1
 
 
@@ -157,10 +157,10 @@
     beside the next one: the links' ends come seconds later, or never."""
     quotas = build_quotas(Instance())
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
-    quotas.set_linked(infos)
-    quotas.set_linked(infos[:1])
+    quotas.update_linked(infos)
+    quotas.update_linked(infos[:1])
     assert quotas._ledger.part == 0.25
-    quotas.set_linked(infos)
+    quotas.update_linked(infos)
     assert quotas._ledger.part == 1
 
 
@@ -170,9 +170,9 @@
     instance = Instance(withdrawal_ms=5_000)
     quotas = build_quotas(instance)
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
-    quotas.set_linked(infos)
+    quotas.update_linked(infos)
     for _ in range(3):
-        quotas.set_linked(infos[:1])
+        quotas.update_linked(infos[:1])
         assert quotas._ledger.part == 0.25
         instance.now[0] += 2_500
 
@@ -181,14 +181,14 @@
     instance = Instance()
     infos = [build_info("a"), build_info("b", is_ready=False), build_info("c")]
     quotas = build_quotas(instance)
-    quotas.note_lost(infos[1])
-    quotas.set_linked(infos[:1])
+    quotas.mark_lost(infos[1])
+    quotas.update_linked(infos[:1])
     assert quotas._ledger.part == 1
-    quotas.note_lost(infos[2])
-    quotas.set_linked(infos[:1])
+    quotas.mark_lost(infos[2])
+    quotas.update_linked(infos[:1])
     assert quotas._ledger.part == 0.5
     instance.now[0] += 20_000
-    quotas.set_linked(infos[:1])
+    quotas.update_linked(infos[:1])
     assert quotas._ledger.part == 1
 
 
@@ -196,10 +196,10 @@
     instance = Instance()
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas = build_quotas(instance, linked=4)
-    quotas.set_linked(infos[:1])
+    quotas.update_linked(infos[:1])
     assert quotas._ledger.part == 0.25
     instance.now[0] += 2_000
-    quotas.set_linked(infos[:1])
+    quotas.update_linked(infos[:1])
     assert quotas._ledger.part == 1
 
 
@@ -207,8 +207,8 @@
     strong = [build_info(f"s{n}", capacity=4.0) for n in range(2)]
     small = [build_info(f"w{n}", capacity=0.5) for n in range(10)]
     infos = [*strong, *small]
-    assert get_part(strong[0], among=infos) == pytest.approx(0.425)
-    assert sum(get_part(one, among=infos) for one in infos) == pytest.approx(1)
+    assert get_local_share(strong[0], among=infos) == pytest.approx(0.425)
+    assert sum(get_local_share(one, among=infos) for one in infos) == pytest.approx(1)
 
 
 def test_what_a_cut_off_instance_keeps_runs_out_on_both_sides():
@@ -216,10 +216,10 @@
     instance = Instance(withdrawal_ms=5_000)
     quotas = build_quotas(instance)
     infos = [build_info("a"), build_info("b")]
-    quotas.note_lost(infos[1])
+    quotas.mark_lost(infos[1])
     parts = []
     for _ in range(3):
-        quotas.set_linked(infos[:1])
+        quotas.update_linked(infos[:1])
         parts.append(quotas._ledger.part)
         instance.now[0] += 2_500
     assert parts == [0.5, 0.75, 1]
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -21,7 +21,7 @@
     coordinator = Coordinator(
         state=state, lease=lease, receive_local=lambda _messages: None
     )
-    coordinator.acts = True
+    coordinator.is_active = True
     server = build_server("s0", "m0")
     coordinator._pools = {"llm": build_pool(server)}
     coordinator._add_peer([build_hello()])
@@ -31,7 +31,7 @@
     need = server.runs["runs"].need
     hello = build_hello(RunningRequest(key="runs", incarnation="s0", need=need))
     coordinator._add_peer([hello])
-    coordinator._take_one("x", hello, now=0)
+    coordinator._handle_message("x", hello, now=0)
     assert set(server.runs) == {"runs"}
 
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -56,7 +56,7 @@
     """The coordinator's part of a process, without any work."""
 
     def __init__(self):
-        self.acts = False
+        self.is_active = False
         self.alone_since = None
         self.best = 0.0
         self.taken = []
@@ -65,10 +65,10 @@
         self.taken.append((origin, messages))
 
     def begin(self, _inherited):
-        self.acts = True
+        self.is_active = True
 
     def end(self):
-        self.acts = False
+        self.is_active = False
 
     def list_loads(self):
         return {}
@@ -98,7 +98,7 @@
         if self._now[0] < self.believes_until:
             return True
         leader = self._members.get(self.leads_to)
-        return leader is not None and leader.coordinator.acts
+        return leader is not None and leader.coordinator.is_active
 
     def check(self):
         pass
@@ -169,7 +169,7 @@
 
 
 def list_leaders(members):
-    return [name for name, one in members.items() if one.coordinator.acts]
+    return [name for name, one in members.items() if one.coordinator.is_active]
 
 
 def tell_all(members, capacities):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -35,7 +35,7 @@
 def take_digest(peers):
     """Send a digest and return what instance ``a`` gets."""
     peers.get("a").outgoing.clear()
-    peers.send_digest(is_holder=True)
+    peers.send_status(is_holder=True)
     return next(one for one in peers.get("a").outgoing if isinstance(one, Digest))
 
 
@@ -69,11 +69,11 @@
     link = Link(state=there)
     link.forget_coordinator()
     first = link.build_beat()
-    peers.take_beat("a", first)
+    peers.handle_heartbeat("a", first)
     now[0] = 1_200
     state.freshness.confirm(now[0], source="store")
     now[0] = 1_250
-    peers.take_beat("a", link.build_beat())
+    peers.handle_heartbeat("a", link.build_beat())
     digest = take_digest(peers)
     assert (digest.beat, digest.fresh_beat) == (2, 1)
     now[0] = 9_000
@@ -86,7 +86,7 @@
     now = [1_000]
     state = build_instance(now)
     peers = build_peers(state)
-    peers.take_beat("a", Beat(is_ready=True, number=7))
+    peers.handle_heartbeat("a", Beat(is_ready=True, number=7))
     assert take_digest(peers).fresh_beat == 0
     state.freshness.confirm(900, source="store")
     assert take_digest(peers).fresh_beat == 0
@@ -138,7 +138,7 @@
     beat = msgspec.structs.replace(link.build_beat(), configuration=version)
     assert beat.vouches == 1
     now[0] = 6_000
-    peers.take_beat("a", beat)
+    peers.handle_heartbeat("a", beat)
     assert state.freshness.confirmed_at == confirmed_at
 
 
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -41,8 +41,10 @@
     told = {}
     for name, number in (("a", 3), ("b", 8)):
         peers.add(Hello(info=build_info(name)))
-        peers.take_beat(name, Beat(is_ready=True, number=number, configuration=1))
-    peers.send_digest(is_holder=True)
+        peers.handle_heartbeat(
+            name, Beat(is_ready=True, number=number, configuration=1)
+        )
+    peers.send_status(is_holder=True)
     for name in ("a", "b"):
         (digest,) = [one for one in peers.get(name).outgoing if isinstance(one, Digest)]
         told[name] = digest.beat
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -65,8 +65,8 @@
         lease=CoordinatorState(name="own", link="own:1", boot="b", lease_ms=3_000),
         receive_local=sent.extend,
     )
-    coordinator.acts = True
-    coordinator._rates.begin()
+    coordinator.is_active = True
+    coordinator._rates.reset()
     coordinator._pools = {"llm": build_pool(build_server(A.incarnation, "m0"))}
     coordinator._rates.apply(coordinator._pools.values())
     return coordinator, sent
@@ -170,11 +170,11 @@
 def test_the_coordinator_keeps_to_what_any_instance_has_read():
     coordinator, sent = build_coordinator()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
-    coordinator._take_one("x", limit, now=0)
+    coordinator._handle_message("x", limit, now=0)
     assert get_limit(coordinator) == 2.0
-    coordinator._share([build_info("own")])
+    coordinator._update_shares([build_info("own")])
     assert sent == [ServerLimits(limits=(limit,))]
-    coordinator._share([build_info("own")])
+    coordinator._update_shares([build_info("own")])
     assert len(sent) == 1
 
 
@@ -183,11 +183,11 @@
     coordinator, sent = build_coordinator()
     coordinator._add_peer([Hello(info=build_info("x"))])
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
-    coordinator._take_one("own", limit, now=0)
+    coordinator._handle_message("own", limit, now=0)
     coordinator._rates._ledger.get(A.incarnation).left = 1.0
     for key in ("r0", "r1"):
         message = Permission(key=key, incarnation=A.incarnation)
-        coordinator._take_one("own", message, now=0)
+        coordinator._handle_message("own", message, now=0)
     assert [type(one) for one in sent] == [Granted, Refused]
 
 
@@ -215,7 +215,7 @@
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator, sent = build_coordinator(limits=(limit,))
     over = ServerLimit(incarnation=A.incarnation)
-    coordinator._take_one("x", over, now=0)
+    coordinator._handle_message("x", over, now=0)
     assert get_limit(coordinator) is None
-    coordinator._share([build_info("own")])
+    coordinator._update_shares([build_info("own")])
     assert sent == [ServerLimits(limits=(over,))]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -153,14 +153,14 @@
     peer = peers.add(Hello(info=build_info("x"), configuration=5))
     assert peer.take_outgoing() == []
     late = peers.add(Hello(info=build_info("y"), configuration=4))
-    peers.take_beat("y", Beat(is_ready=True, configuration=5))
+    peers.handle_heartbeat("y", Beat(is_ready=True, configuration=5))
     assert not any(isinstance(one, ConfigurationUpdate) for one in late.take_outgoing())
 
 
 def test_what_speaks_of_a_configuration_comes_after_it():
     _state, peers = build_peers(5)
     peer = peers.add(Hello(info=build_info("x"), reads_updates=True))
-    peers.send_digest(is_holder=True)
+    peers.send_status(is_holder=True)
     kinds = [type(one) for one in peer.take_outgoing()]
     assert kinds == [ConfigurationUpdate, Digest]
 
@@ -170,21 +170,21 @@
     _state, peers = build_peers(5)
     for name in ("a", "b", "c"):
         peers.add(Hello(info=build_info(name), configuration=5))
-        peers.take_beat(name, Beat(is_ready=True, follows_store=True))
-    peers.send_digest(is_holder=True)
+        peers.handle_heartbeat(name, Beat(is_ready=True, follows_store=True))
+    peers.send_status(is_holder=True)
     assert peers.get("c").take_outgoing()[-1].followers == ("a", "b")
-    peers.take_beat("a", Beat(is_ready=True, misses_store=True))
-    peers.send_digest(is_holder=True)
+    peers.handle_heartbeat("a", Beat(is_ready=True, misses_store=True))
+    peers.send_status(is_holder=True)
     assert peers.get("c").take_outgoing()[-1].followers == ("b", "c")
 
 
 def test_whether_anyone_follows_the_store_is_known_as_a_beat_comes():
     _state, peers = build_peers(5)
     peers.add(Hello(info=build_info("a"), configuration=5))
-    assert not peers.take_beat("a", Beat(is_ready=True, follows_store=True))
+    assert not peers.handle_heartbeat("a", Beat(is_ready=True, follows_store=True))
     assert not peers.is_store_followed()
-    peers.send_digest(is_holder=True)
+    peers.send_status(is_holder=True)
     assert peers.is_store_followed()
-    assert peers.take_beat("a", Beat(is_ready=True))
+    assert peers.handle_heartbeat("a", Beat(is_ready=True))
     assert not peers.is_store_followed()
-    assert not peers.take_beat("a", Beat(is_ready=True))
+    assert not peers.handle_heartbeat("a", Beat(is_ready=True))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
     StoreNews,
     decode_from_coordinator,
 )
-from arbutuspulley.node.relay import QUIET_BYTES, QUIET_MS, Relay
+from arbutuspulley.node.relay import DEFERRED_BATCH_BYTES, DEFERRED_INTERVAL_MS, Relay
 from arbutuspulley.node.server_rows import list_rows, take_servers
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import RowsAnswer, StoredRow
@@ -131,8 +131,8 @@
     assert relay.select(held) is None
     # Whoever goes on by itself must ask the store for what was held back.
     assert relay.store_version == 1
-    assert relay.flush(QUIET_MS - 1) is None
-    assert relay.flush(QUIET_MS).rows == held.rows
+    assert relay.flush(DEFERRED_INTERVAL_MS - 1) is None
+    assert relay.flush(DEFERRED_INTERVAL_MS).rows == held.rows
     assert relay.store_version == 2
     drains = StoreNews(rows=(build_row("a", 3, state="draining"),))
     assert relay.select(take_news(state, drains, by="coordinator")).rows == drains.rows
@@ -147,11 +147,11 @@
     held = tuple(build_row(f"s{one:02}", one + 81, models=("m0",)) for one in range(80))
     relay.select(take_news(state, StoreNews(rows=held), by="coordinator"))
     state.store_version = 160
-    told = relay.flush(QUIET_MS).rows
-    assert sum(len(row.value) for row in told) <= QUIET_BYTES
+    told = relay.flush(DEFERRED_INTERVAL_MS).rows
+    assert sum(len(row.value) for row in told) <= DEFERRED_BATCH_BYTES
     assert told == held[: len(told)] and len(told) < len(held)
     assert relay.store_version == held[len(told)].version - 1
-    again = relay.flush(2 * QUIET_MS).rows
+    again = relay.flush(2 * DEFERRED_INTERVAL_MS).rows
     assert again == held[len(told) : len(told) + len(again)]
 
 
@@ -166,7 +166,7 @@
         state, StoreNews(rows=(RelayedRow(key="a", version=3),)), by="coordinator"
     )
     assert relay.select(gone).rows == gone.rows
-    assert relay.flush(QUIET_MS) is None
+    assert relay.flush(DEFERRED_INTERVAL_MS) is None
 
 
 def test_an_instance_that_links_up_is_told_what_it_misses():
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -11,9 +11,9 @@
     RosterCopy,
     RosterState,
     apply_change,
-    build_whole,
+    build_full_roster,
     select_view,
-    take_view,
+    update_roster,
 )
 from tests.node_states import build_info
 
@@ -42,21 +42,21 @@
             del present[number]
         else:
             present[number] = build_numbered(number, is_ready=chance.random() < 0.8)
-        change = take_view(roster, select_view(present.values(), site="a1"))
+        change = update_roster(roster, select_view(present.values(), site="a1"))
         if chance.random() < 0.05:
             copy = RosterCopy()
         if change is not None and copy.version:
             assert apply_change(copy, change)
         elif not copy.version:
-            assert apply_change(copy, build_whole(roster))
+            assert apply_change(copy, build_full_roster(roster))
         assert copy.nodes == {one.name: one for one in present.values()}
 
 
 def test_nothing_is_told_when_nothing_changed():
     roster = RosterState(site="a1", version=1)
     view = select_view([build_numbered(1)], site="a1")
-    assert take_view(roster, view) is not None
-    assert take_view(roster, dict(view)) is None
+    assert update_roster(roster, view) is not None
+    assert update_roster(roster, dict(view)) is None
 
 
 @pytest.mark.parametrize(
@@ -79,9 +79,9 @@
     hundred bytes, however many there are. The whole list went to each at a change."""
     infos = [build_numbered(n, site=f"s{n % sites}") for n in range(instances)]
     roster = RosterState(site="s0", version=1)
-    take_view(roster, select_view(infos, site="s0"))
+    update_roster(roster, select_view(infos, site="s0"))
     joined = build_numbered(instances, site="s0")
-    change = take_view(roster, select_view([*infos, joined], site="s0"))
+    change = update_roster(roster, select_view([*infos, joined], site="s0"))
     assert len(msgspec.msgpack.encode(change)) < 200
-    whole = len(msgspec.msgpack.encode(build_whole(roster)))
+    whole = len(msgspec.msgpack.encode(build_full_roster(roster)))
     assert whole < 160 * (instances / sites + sites * SAMPLE + 1)
