--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -25,13 +25,6 @@
     may_order_on,
 )
 from arbutuspulley.node.following import take_news, take_update
-from arbutuspulley.node.intake import (
-    build_waiting,
-    drop_instance,
-    take_outcome,
-    take_running,
-    take_withdrawal,
-)
 from arbutuspulley.node.link import BEAT_MS
 from arbutuspulley.node.messages import (
     Ask,
@@ -57,6 +50,13 @@
 from arbutuspulley.node.peer import Peer, write_frames
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.pool_log import log_grant, log_pool, log_refusal
+from arbutuspulley.node.pool_updates import (
+    build_waiting,
+    drop_instance,
+    take_outcome,
+    take_running,
+    take_withdrawal,
+)
 from arbutuspulley.node.quotas import Quotas
 from arbutuspulley.node.rates import Rates
 from arbutuspulley.node.relay import Relay
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -2,8 +2,8 @@
 
 from arbutuspulley.membership.coordinator import CoordinatorState
 from arbutuspulley.node.coordinator import Coordinator
-from arbutuspulley.node.intake import take_running
 from arbutuspulley.node.messages import Hello, RunningRequest
+from arbutuspulley.node.pool_updates import take_running
 from tests.node_states import build_info, build_state
 from tests.pools import add_run, build_pool, build_server
 
