--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -220,7 +220,9 @@
             how = AttemptOutcome.LEFT
             raise
         finally:
-            record_done(record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED)
+            record_done(
+                record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED
+            )
             if took is not None and not self.route.is_stream:
                 adjust_concurrency_limit(
                     record,
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -9,7 +9,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.confirmation import Confirmation
-from arbutuspulley.node.echo import Echo
+from arbutuspulley.node.heartbeats import HeartbeatTracker
 from arbutuspulley.node.messages import (
     AttemptEnded,
     CancelRequest,
@@ -109,7 +109,7 @@
         self._state = state
         self._address = ""
         self._confirmation = Confirmation(state=state)
-        self._echo = Echo(now=state.clock.now())
+        self._echo = HeartbeatTracker(now=state.clock.now())
         self._heard_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
         # The coordinator's configuration; None until it has told on this connection.
@@ -364,12 +364,12 @@
     def _take_digest(self, status: CoordinatorStatus) -> None:
         self.status = status
         self._heard_at = self._state.clock.now()
-        self._echo.note_heard(status.beat)
+        self._echo.record_acknowledged(status.beat)
         if self._version_there is None or status.configuration > self._version_there:
             self._version_there = status.configuration
         state = self._state
         if self.deliver_local is None:
-            self._confirmation.take_digest(status, at=self._heard_at)
+            self._confirmation.record_status(status, at=self._heard_at)
             age_ms = self._echo.get_age(self._heard_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = status.instances
@@ -436,7 +436,7 @@
         # Each coordinator counts the changes of its list for itself, and the beats of
         # each connection.
         self._roster.version = 0
-        self._echo = Echo(now=self._state.clock.now())
+        self._echo = HeartbeatTracker(now=self._state.clock.now())
         self._confirmation = Confirmation(state=self._state)
         self._version_there = None
 
@@ -487,8 +487,8 @@
         """Return what this instance says of itself."""
         state = self._state
         now = state.clock.now()
-        number = self._echo.note_sent(now)
-        self._confirmation.note_beat(number, at=now)
+        number = self._echo.record_sent(now)
+        self._confirmation.record_heartbeat(number, at=now)
         return Heartbeat(
             is_ready=state.is_ready,
             misses_store=state.store.is_failing
@@ -498,7 +498,7 @@
             roster=self._roster.version,
             configuration=state.configuration_version,
             number=number,
-            vouches=self._confirmation.vouched_digest,
+            vouches=self._confirmation.confirmed_status,
         )
 
 
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -76,7 +76,8 @@
             self._link.report_usage(team.name, cost)
             return Payment(team=team.name, cost=cost, is_local=False)
         part = get_disconnected_fraction(
-            self._local.get_uncoordinated_ms(now), decay_ms=self._state.settings.revocation_ms
+            self._local.get_uncoordinated_ms(now),
+            decay_ms=self._state.settings.revocation_ms,
         )
         part /= max(1.0, self._state.share_divisor)
         self._local.tolerance = build_tolerance(self._state.settings)
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -8,7 +8,11 @@
     get_disconnected_fraction,
 )
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.node.callers import count_sharers, count_takers, select_takers
+from arbutuspulley.node.advertisement import (
+    count_advertised,
+    get_share_divisor,
+    select_advertised,
+)
 from arbutuspulley.node.messages import (
     GrantRequest,
     NodeInfo,
@@ -46,7 +50,7 @@
         self._known = 0
         self._began_at = 0
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Begin as a coordinator that no instance is linked to yet."""
         self._ledger.reset()
         self._lost.clear()
@@ -54,7 +58,7 @@
         self._known = self._state.instances
         self._began_at = self._state.clock.now()
 
-    def take_change(self) -> None:
+    def apply_configuration(self) -> None:
         """Take over the quotas of the configuration in force."""
         state = self._state
         teams = state.configuration.teams if state.configuration else None
@@ -73,7 +77,7 @@
             return None
         return Refused(key=ask.key, retry_after_ms=wait_ms, is_over_quota=True)
 
-    def take_spent(self, spent: QuotaUsage, *, now: int) -> QuotaExceeded | None:
+    def charge_usage(self, spent: QuotaUsage, *, now: int) -> QuotaExceeded | None:
         """Take in what an instance has spent.
 
         :return: what it is to be told, if the team is in debt.
@@ -83,16 +87,16 @@
             return None
         return QuotaExceeded(team=spent.team, wait_ms=wait_ms)
 
-    def note_linked(self, name: str) -> None:
+    def mark_linked(self, name: str) -> None:
         """An instance is linked and counts here."""
         self._lost.pop(name, None)
 
-    def note_lost(self, info: NodeInfo) -> None:
+    def mark_lost(self, info: NodeInfo) -> None:
         """The link of an instance is lost; if it takes callers, it serves on."""
         if info.is_ready:
             self._lost[info.name] = info, self._state.clock.now()
 
-    def set_linked(self, linked: Sequence[NodeInfo]) -> None:
+    def update_linked(self, linked: Sequence[NodeInfo]) -> None:
         """Work out which part of each quota may be given out; call at intervals.
 
         :param linked: the linked instances, the own one included.
@@ -121,7 +125,7 @@
         part = 1.0
         for info, at in self._lost.values():
             left = get_disconnected_fraction(now - at, decay_ms=ends_ms)
-            part -= left * get_part(info, among=among)
+            part -= left * get_local_share(info, among=among)
         heard_of = len(linked) + len(lost)
         if now - self._began_at < UNKNOWN_MS and self._known > heard_of:
             part *= heard_of / self._known
@@ -138,12 +142,12 @@
         self._linked = linked
 
 
-def get_part(info: NodeInfo, *, among: Sequence[NodeInfo]) -> float:
+def get_local_share(info: NodeInfo, *, among: Sequence[NodeInfo]) -> float:
     """Return which part of what all instances share one of them uses by itself."""
     ready = [one for one in among if one.is_ready]
     near = [one for one in ready if one.site == info.site]
-    return 1 / count_sharers(
-        is_taker=info in select_takers(near),
-        takers=count_takers(ready),
+    return 1 / get_share_divisor(
+        is_advertised=info in select_advertised(near),
+        advertised=count_advertised(ready),
         instances=len(ready),
     )
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -11,7 +11,7 @@
 from arbutuspulley.admission.service_retry_budget import ServiceRetryBudget
 from arbutuspulley.clock import Clock
 from arbutuspulley.membership.capacity import get_capacity
-from arbutuspulley.node.callers import count_sharers, select_takers
+from arbutuspulley.node.advertisement import get_share_divisor, select_advertised
 from arbutuspulley.node.messages import CoordinatorEstimates, NodeInfo, StoreUpdate
 from arbutuspulley.node.metrics import NodeMetrics
 from arbutuspulley.node.versions import Versions
@@ -184,9 +184,9 @@
         if basis != self._share_divisor_basis:
             near = [one for one in self.nodes if one.is_ready and one.site == own.site]
             near = [own, *(one for one in near if one.name != own.name)]
-            self._share_divisor = count_sharers(
-                is_taker=own in select_takers(near),
-                takers=self.advertised,
+            self._share_divisor = get_share_divisor(
+                is_advertised=own in select_advertised(near),
+                advertised=self.advertised,
                 instances=self.instances,
             )
             self._share_divisor_basis = basis
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -47,7 +47,9 @@
 """A store that was away longer than this, in ms, may have let entries lapse of
 servers that live: they could not write to it either."""
 
-FOLLOW_TIMEOUT_MS = FEED_WAIT_MS + int(FEED_TIMEOUT_MARGIN_S * SECOND_MS) + CHANGE_BATCH_MS
+FOLLOW_TIMEOUT_MS = (
+    FEED_WAIT_MS + int(FEED_TIMEOUT_MARGIN_S * SECOND_MS) + CHANGE_BATCH_MS
+)
 """A table whose changes the store has not told for so long, in ms, is not followed: a
 call for changes is answered or given up within this time."""
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -20,7 +20,7 @@
 from arbutuspulley.platform.store import RowsAnswer, StoredRow, WriteAnswer
 from arbutuspulley.results import PlatformUnavailableError
 from tests.node_states import build_state
-from tests.test_callers import build_area
+from tests.test_advertisement import build_area
 
 
 class LeaseStore:
@@ -58,7 +58,7 @@
     """The coordinator's part of a process, without any work."""
 
     def __init__(self):
-        self.acts = False
+        self.is_active = False
         self.alone_since = None
         self.best = 0.0
         self.taken = []
@@ -67,10 +67,10 @@
         self.taken.append((origin, messages))
 
     def begin(self, _inherited):
-        self.acts = True
+        self.is_active = True
 
     def end(self):
-        self.acts = False
+        self.is_active = False
 
     def list_loads(self):
         return {}
@@ -100,7 +100,7 @@
         if self._now[0] < self.believes_until:
             return True
         leader = self._members.get(self.leads_to)
-        return leader is not None and leader.coordinator.acts
+        return leader is not None and leader.coordinator.is_active
 
     def check_timeout(self):
         pass
@@ -171,7 +171,7 @@
 
 
 def list_leaders(members):
-    return [name for name, one in members.items() if one.coordinator.acts]
+    return [name for name, one in members.items() if one.coordinator.is_active]
 
 
 def tell_all(members, capacities):
