--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -128,7 +128,7 @@
         zone="z1",
         slots=12,
         models={model: set() for model in held},
-        orders=0,
+        accepted_orders=0,
     )
     for run_number in range(RUNS_PER_SERVER):
         server.runs[f"r{number}-{run_number}"] = Run(
--- a/src/arbutuspulley/pool/copies.py
+++ b/src/arbutuspulley/pool/copies.py
@@ -10,7 +10,7 @@
 from arbutuspulley.pool.state import (
     PoolState,
     ServerState,
-    get_limit_wait,
+    get_rate_limit_wait,
     is_usable,
 )
 
@@ -30,20 +30,20 @@
     now: int
     copies: dict[str, list[ServerState]] = msgspec.field(default_factory=dict)
     limited: dict[str, list[ServerState]] = msgspec.field(default_factory=dict)
-    listed: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)
-    least_per_s: float | None = None
+    models_by_server: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)
+    min_requests_per_s: float | None = None
 
 
 def index_copies(
-    pool: PoolState, *, now: int, least_per_s: float | None = None
+    pool: PoolState, *, now: int, min_requests_per_s: float | None = None
 ) -> CopyIndex:
     """Build the index of a pool's servers.
 
     :param least_per_s: see :class:`CopyIndex`.
     """
-    index = CopyIndex(now=now, least_per_s=least_per_s)
+    index = CopyIndex(now=now, min_requests_per_s=min_requests_per_s)
     for server in pool.servers.values():
-        _list_server(index, server)
+        _add_server(index, server)
     return index
 
 
@@ -52,29 +52,29 @@
     return index.copies.get(model, [])
 
 
-def refresh_copies(index: CopyIndex, server: ServerState) -> None:
+def reindex_server(index: CopyIndex, server: ServerState) -> None:
     """Correct the index after something was planned or ordered at a server."""
-    for model in index.listed.pop(server.incarnation, ()):
+    for model in index.models_by_server.pop(server.incarnation, ()):
         copies = index.copies[model]
         index.copies[model] = [one for one in copies if one is not server]
-    _list_server(index, server)
+    _add_server(index, server)
 
 
-def _list_server(index: CopyIndex, server: ServerState) -> None:
+def _add_server(index: CopyIndex, server: ServerState) -> None:
     if not is_usable(server, now=index.now):
         return
-    if _is_held_back(index, server):
+    if _is_rate_limited(index, server):
         for model in server.models:
             index.limited.setdefault(model, []).append(server)
         return
     models = {*server.models, server.loading, server.planned}
     models -= {"", server.unloading}
-    index.listed[server.incarnation] = tuple(models)
+    index.models_by_server[server.incarnation] = tuple(models)
     for model in models:
         index.copies.setdefault(model, []).append(server)
 
 
-def _is_held_back(index: CopyIndex, server: ServerState) -> bool:
-    if index.least_per_s is None or server.limit is None:
-        return get_limit_wait(server, now=index.now) > 0
-    return server.limit.per_s < index.least_per_s
+def _is_rate_limited(index: CopyIndex, server: ServerState) -> bool:
+    if index.min_requests_per_s is None or server.limit is None:
+        return get_rate_limit_wait(server, now=index.now) > 0
+    return server.limit.per_s < index.min_requests_per_s
--- a/src/arbutuspulley/pool/duration.py
+++ b/src/arbutuspulley/pool/duration.py
@@ -11,16 +11,16 @@
 """How long a token takes, in ms, until enough was seen: large models on accelerators of
 today take 10 to 20 under load."""
 
-USED_PART = 0.3
+USED_OUTPUT_FRACTION = 0.3
 """Part of the most tokens allowed that a request generates, where it does not say how
 many it expects: callers allow about three times what answers take."""
 
-LEAST_LEFT_MS = 200.0
-LEFT_PART = 0.3
+MIN_REMAINING_MS = 200.0
+MIN_REMAINING_FRACTION = 0.3
 """A run lasts at least so many ms more, and at least such a part of the time that it
 has run: what callers expect is often exceeded, and then by a good part."""
 
-FORGET = 0.98
+DECAY = 0.98
 """How much older runs count with each new one: about the last 50 do."""
 
 
@@ -37,28 +37,30 @@
 
 def get_expected_tokens(need: ModelNeed) -> float:
     """Return how many tokens a request will probably generate."""
-    return need.expected_tokens or USED_PART * need.output_tokens
+    return need.expected_tokens or USED_OUTPUT_FRACTION * need.output_tokens
 
 
-def note_run_time(state: DurationState, need: ModelNeed, *, took_ms: float) -> None:
+def record_run_time(state: DurationState, need: ModelNeed, *, took_ms: float) -> None:
     """Count a run that ended well.
 
     :param took_ms: from the first part of its answer to the end.
     """
-    state.tokens = state.tokens * FORGET + get_expected_tokens(need)
-    state.times = state.times * FORGET + took_ms
+    state.tokens = state.tokens * DECAY + get_expected_tokens(need)
+    state.times = state.times * DECAY + took_ms
 
 
-def estimate_run(state: DurationState, need: ModelNeed) -> float:
+def estimate_run_time(state: DurationState, need: ModelNeed) -> float:
     """Return how long a request will probably run, in ms."""
-    whole = get_expected_tokens(need) * state.times / max(1.0, state.tokens)
-    return max(LEAST_LEFT_MS, whole)
+    total_ms = get_expected_tokens(need) * state.times / max(1.0, state.tokens)
+    return max(MIN_REMAINING_MS, total_ms)
 
 
-def estimate_left(state: DurationState, need: ModelNeed, *, ran_ms: float) -> float:
+def estimate_remaining_time(
+    state: DurationState, need: ModelNeed, *, ran_ms: float
+) -> float:
     """Return how much longer a run will probably last, in ms.
 
     :param ran_ms: since it was granted.
     """
-    whole = estimate_run(state, need)
-    return max(LEAST_LEFT_MS, LEFT_PART * ran_ms, whole - ran_ms)
+    total_ms = estimate_run_time(state, need)
+    return max(MIN_REMAINING_MS, MIN_REMAINING_FRACTION * ran_ms, total_ms - ran_ms)
--- a/src/arbutuspulley/pool/eviction.py
+++ b/src/arbutuspulley/pool/eviction.py
@@ -9,31 +9,31 @@
     CopyIndex,
     get_copies,
     index_copies,
-    refresh_copies,
+    reindex_server,
 )
 from arbutuspulley.pool.demand import estimate_excess_requests, get_copy_request_rate
-from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload
+from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload_wait
 from arbutuspulley.ports.fleet import EngineSpec
 
-SOLE_COST = 0.3
+LAST_COPY_COST = 0.3
 """What unloading the only copy of a model costs beside its demand, in requests; it has
 to be loaded again before it can be served."""
 
-BLOCK_COST = 0.5
+UNLOAD_WAIT_COST_PER_S = 0.5
 """What each second costs for which an unload waits for runs, in requests: the server
 takes no other order meanwhile, so that no adapter gets onto it."""
 
-STEP_COST = 0.1
+UNLOAD_COST = 0.1
 """What each unload costs by itself, in requests: an order, and a copy less."""
 
 
-LIMITED_PART = 0.5
+LIMITED_COPY_FRACTION = 0.5
 """A server that names a rate limit counts as a copy of its models if it takes this part
 of what one usually takes. By whether it may get a request right now it would count as
 one copy more and one less by turns, and others would be unloaded for it."""
 
 
-class Victim(Value, frozen=True):
+class EvictionCandidate(Value, frozen=True):
     """A model that may leave a server.
 
     :param cost: in requests that would have to wait.
@@ -47,7 +47,7 @@
     size_mb: float
 
 
-class RoomPlan(Value, frozen=True):
+class EvictionPlan(Value, frozen=True):
     """Models to unload, in order, before another fits.
 
     :param cost: in requests that will have to wait.
@@ -59,7 +59,7 @@
     wait_ms: float = 0
 
 
-class ServerRoom(Value, frozen=True):
+class EvictionOptions(Value, frozen=True):
     """What a server has free, and what could leave it, the cheapest first.
 
     :param free_mb: once the model that is leaving has left.
@@ -68,51 +68,51 @@
 
     free_mb: float
     wait_ms: float
-    victims: tuple[Victim, ...]
+    candidates: tuple[EvictionCandidate, ...]
 
 
-class RoomPass(State):
+class PlanningCycle(State):
     """What one pass of orders has worked out, the same for many models and servers.
 
     Without it, the cost of each model's leaving would be worked out for each pair of a
     wanted model and a server.
 
     :param waiting: how many requests wait for each model.
-    :param losses: what :func:`compute_loss` returned, by model.
+    :param losses: what :func:`compute_eviction_cost` returned, by model.
     :param rooms: by incarnation.
     """
 
     pool: PoolState
     index: CopyIndex
     waiting: Counter[str]
-    losses: dict[str, float] = msgspec.field(default_factory=dict)
-    rooms: dict[str, ServerRoom] = msgspec.field(default_factory=dict)
+    eviction_costs: dict[str, float] = msgspec.field(default_factory=dict)
+    options: dict[str, EvictionOptions] = msgspec.field(default_factory=dict)
 
 
-def begin_pass(pool: PoolState, *, now: int) -> RoomPass:
+def begin_cycle(pool: PoolState, *, now: int) -> PlanningCycle:
     """Begin a pass of orders."""
-    least_per_s: float | None = None
+    min_requests_per_s: float | None = None
     if any(one.limit is not None for one in pool.servers.values()):
-        least_per_s = LIMITED_PART * get_copy_request_rate(pool)
-    return RoomPass(
+        min_requests_per_s = LIMITED_COPY_FRACTION * get_copy_request_rate(pool)
+    return PlanningCycle(
         pool=pool,
-        index=index_copies(pool, now=now, least_per_s=least_per_s),
+        index=index_copies(pool, now=now, min_requests_per_s=min_requests_per_s),
         waiting=Counter(one.need.model for one in pool.waiting.values()),
     )
 
 
-def note_change(state: RoomPass, server: ServerState, models: set[str]) -> None:
+def update_cycle(cycle: PlanningCycle, server: ServerState, models: set[str]) -> None:
     """Correct what the pass knows after something was planned or ordered at a server.
 
     :param models: those whose copies have changed by that.
     """
-    refresh_copies(state.index, server)
-    state.rooms.pop(server.incarnation, None)
+    reindex_server(cycle.index, server)
+    cycle.options.pop(server.incarnation, None)
     for model in models:
-        state.losses.pop(model, None)
-    for incarnation in list(state.rooms):
-        if not models.isdisjoint(state.pool.servers[incarnation].models):
-            del state.rooms[incarnation]
+        cycle.eviction_costs.pop(model, None)
+    for incarnation in list(cycle.options):
+        if not models.isdisjoint(cycle.pool.servers[incarnation].models):
+            del cycle.options[incarnation]
 
 
 def count_used_mb(spec: EngineSpec, server: ServerState) -> float:
@@ -122,90 +122,98 @@
     """
     models = set(server.models) | ({server.loading} - {""})
     models |= {server.unloading} - {""}
-    accepted = server.orders or 0
+    accepted = server.accepted_orders or 0
     models |= {
-        model for model, late in server.late_loads.items() if late.expected >= accepted
+        model
+        for model, late in server.previous_loads.items()
+        if late.expected_orders >= accepted
     }
     used = sum(spec.models[one].size_mb for one in models if one in spec.models)
     for model, adapters in server.models.items():
         if model in spec.models:
             used += len(adapters) * spec.models[model].adapter_mb
-    for model, _adapter in [*server.adapters_due, *server.adapters_leaving]:
+    for model, _adapter in [*server.adapters_due, *server.adapters_unloading]:
         if model in spec.models:
             used += spec.models[model].adapter_mb
     return used
 
 
-def plan_room(state: RoomPass, server: ServerState, model: str) -> RoomPlan | None:
+def plan_eviction(
+    cycle: PlanningCycle, server: ServerState, model: str
+) -> EvictionPlan | None:
     """Choose what leaves a server so that a model fits, at the least cost.
 
     :return: ``None`` if it can't be made to fit.
     """
-    room = state.rooms.get(server.incarnation)
-    if room is None:
-        room = state.rooms[server.incarnation] = _find_room(state, server)
-    free = room.free_mb
-    needed = state.pool.spec.models[model].size_mb
-    cost, wait_ms = 0.0, room.wait_ms
+    options = cycle.options.get(server.incarnation)
+    if options is None:
+        options = cycle.options[server.incarnation] = _build_options(cycle, server)
+    free = options.free_mb
+    needed = cycle.pool.spec.models[model].size_mb
+    cost, wait_ms = 0.0, options.wait_ms
     victims: list[str] = []
-    for victim in room.victims:
+    for candidate in options.candidates:
         if free >= needed:
             break
-        victims.append(victim.model)
-        cost += victim.cost + STEP_COST
-        wait_ms += victim.wait_ms
-        free += victim.size_mb
+        victims.append(candidate.model)
+        cost += candidate.cost + UNLOAD_COST
+        wait_ms += candidate.wait_ms
+        free += candidate.size_mb
     if free < needed:
         return None
-    return RoomPlan(victims=tuple(victims), cost=cost, wait_ms=wait_ms)
+    return EvictionPlan(victims=tuple(victims), cost=cost, wait_ms=wait_ms)
 
 
-def _find_room(state: RoomPass, server: ServerState) -> ServerRoom:
-    pool, spec = state.pool, state.pool.spec
+def _build_options(cycle: PlanningCycle, server: ServerState) -> EvictionOptions:
+    pool, spec = cycle.pool, cycle.pool.spec
     free = spec.memory_mb - count_used_mb(spec, server)
     wait_ms = 0.0
-    leaving = server.unloading
-    if leaving in spec.models:
-        free += spec.models[leaving].size_mb
-        wait_ms = estimate_unload(pool, server, leaving, now=state.index.now)
-    rated = [
-        rate_victim(state, server, held) for held in server.models if held != leaving
+    unloading = server.unloading
+    if unloading in spec.models:
+        free += spec.models[unloading].size_mb
+        wait_ms = estimate_unload_wait(pool, server, unloading, now=cycle.index.now)
+    candidates = [
+        rate_candidate(cycle, server, held)
+        for held in server.models
+        if held != unloading
     ]
-    rated.sort(key=lambda one: (one.cost, one.model))
-    return ServerRoom(free_mb=free, wait_ms=wait_ms, victims=tuple(rated))
+    candidates.sort(key=lambda one: (one.cost, one.model))
+    return EvictionOptions(free_mb=free, wait_ms=wait_ms, candidates=tuple(candidates))
 
 
-def rate_victim(state: RoomPass, server: ServerState, model: str) -> Victim:
+def rate_candidate(
+    cycle: PlanningCycle, server: ServerState, model: str
+) -> EvictionCandidate:
     """Work out what it would cost if a model left a server."""
-    if model not in state.losses:
-        state.losses[model] = compute_loss(state, model)
-    wait_ms = estimate_unload(state.pool, server, model, now=state.index.now)
-    spec = state.pool.spec.models.get(model)
+    if model not in cycle.eviction_costs:
+        cycle.eviction_costs[model] = compute_eviction_cost(cycle, model)
+    wait_ms = estimate_unload_wait(cycle.pool, server, model, now=cycle.index.now)
+    spec = cycle.pool.spec.models.get(model)
     size_mb = 0.0
     if spec is not None:
         size_mb = spec.size_mb + spec.adapter_mb * len(server.models[model])
-    return Victim(
+    return EvictionCandidate(
         model=model,
-        cost=state.losses[model] + BLOCK_COST * wait_ms / 1_000,
+        cost=cycle.eviction_costs[model] + UNLOAD_WAIT_COST_PER_S * wait_ms / 1_000,
         wait_ms=wait_ms,
         size_mb=size_mb,
     )
 
 
-def compute_loss(state: RoomPass, model: str) -> float:
+def compute_eviction_cost(cycle: PlanningCycle, model: str) -> float:
     """Return what one copy less of a model would cost, in requests that wait."""
-    pool = state.pool
-    copies = len(get_copies(state.index, model))
+    pool = cycle.pool
+    copies = len(get_copies(cycle.index, model))
     cost = estimate_excess_requests(pool, model, copies - 1) - estimate_excess_requests(
         pool, model, copies
     )
-    cost += state.waiting[model] / max(1, copies)
+    cost += cycle.waiting[model] / max(1, copies)
     if copies <= 1:
-        cost += SOLE_COST
+        cost += LAST_COPY_COST
     return cost
 
 
-def choose_adapter_victim(
+def choose_adapter_to_evict(
     pool: PoolState, server: ServerState
 ) -> tuple[str, str] | None:
     """Return the adapter that was used least recently and that nobody needs now.
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -17,25 +17,25 @@
     Run,
     ServerState,
     WaitingRequest,
-    get_limit_wait,
+    complete_due_loads,
     get_prefill_speed,
-    holds,
+    get_rate_limit_wait,
+    has_model,
     is_usable,
-    settle_due,
 )
 from arbutuspulley.pool.stream_gaps import find_start, record_prefill
 from arbutuspulley.pool.waits import (
-    estimate_limited_wait,
-    estimate_retry,
+    estimate_rate_limit_wait,
+    estimate_retry_after,
     estimate_wait,
-    list_copy_times,
+    list_copy_ready_times,
 )
 from arbutuspulley.ports.fleet import ModelNeed
 
-CACHE_PART = 0.95
+CACHE_FRACTION = 0.95
 """Part of the KV cache that is granted; beyond it requests preempt each other."""
 
-LATE_AHEAD_MS = 40
+LATE_HEAD_START_MS = 40
 """How far ahead of the pace a request that is already late may start at a server that
 nobody waits for who can still be in time, in ms. Started at once, late ones made
 others late, too, which costs most where a late answer is next to useless."""
@@ -55,12 +55,12 @@
 """What a server that names a rate limit adds to its rank, in ms of waiting. The few
 requests that it takes are left to models that no other server has."""
 
-LEAST_KEPT_MS = 1_000
+MIN_PREFILL_RETENTION_MS = 1_000
 """How long it is kept what a server has read, in ms: callers of streams notice
 pauses of some hundred ms."""
 
 
-class _Load(Value, frozen=True):
+class _Usage(Value, frozen=True):
     """What a server's runs take, summed once a pass and server.
 
     :param tokens: of the KV cache.
@@ -111,67 +111,71 @@
 def plan_grants(pool: PoolState, *, now: int) -> list[Grant | Refusal]:
     """Decide who starts, in order of urgency; those who can still be in time first."""
     for server in pool.servers.values():
-        settle_due(server, now=now)
-    decided: list[Grant | Refusal] = []
-    ahead: Counter[str] = Counter()
-    requests: Counter[str] = Counter()
+        complete_due_loads(server, now=now)
+    decisions: list[Grant | Refusal] = []
+    tokens_ahead: Counter[str] = Counter()
+    requests_ahead: Counter[str] = Counter()
     index = index_copies(pool, now=now)
-    copy_times = {
-        model: list_copy_times(pool, model, index)
+    ready_times = {
+        model: list_copy_ready_times(pool, model, index)
         for model in {one.need.model for one in pool.waiting.values()}
     }
-    claimed: dict[str, float] = {}
-    loads: dict[str, _Load] = {}
-    pool.next_start = None
-    for waiting in sorted(pool.waiting.values(), key=lambda one: _rank(one, now)):
+    reserved_ms: dict[str, float] = {}
+    usages: dict[str, _Usage] = {}
+    pool.next_start_at = None
+    for waiting in sorted(
+        pool.waiting.values(), key=lambda one: _get_start_order(one, now)
+    ):
         model = waiting.need.model
-        times = copy_times[model]
+        times = ready_times[model]
         limited_ms = 0.0
         if not times:
-            limited_ms = estimate_limited_wait(index, model, requests[model])
-        least_ms = _get_least_wait(pool, model, ahead[model], times) or limited_ms
-        if now + least_ms >= waiting.give_up_at:
+            limited_ms = estimate_rate_limit_wait(index, model, requests_ahead[model])
+        min_wait_ms = (
+            _get_min_wait(pool, model, tokens_ahead[model], times) or limited_ms
+        )
+        if now + min_wait_ms >= waiting.give_up_at:
             del pool.waiting[waiting.key]
-            decided.append(
+            decisions.append(
                 Refusal(
                     key=waiting.key,
                     origin=waiting.origin,
-                    retry_after_ms=estimate_retry(
-                        pool, model, ahead[model], times, limited_ms=limited_ms
+                    retry_after_ms=estimate_retry_after(
+                        pool, model, tokens_ahead[model], times, limited_ms=limited_ms
                     ),
                     model=model,
-                    tokens_ahead=ahead[model],
+                    tokens_ahead=tokens_ahead[model],
                     copies=len(times),
                     limited=len(index.limited.get(model, ())),
                     waited_ms=now - waiting.arrived_at,
                 )
             )
             continue
-        grant = _try_grant(pool, waiting, index, claimed, loads)
+        grant = _try_grant(pool, waiting, index, reserved_ms, usages)
         if grant is None:
-            ahead[model] += waiting.need.prompt_tokens
-            requests[model] += 1
+            tokens_ahead[model] += waiting.need.prompt_tokens
+            requests_ahead[model] += 1
         else:
             del pool.waiting[waiting.key]
-            decided.append(grant)
-    return decided
+            decisions.append(grant)
+    return decisions
 
 
 def find_next_wakeup(pool: PoolState, *, now: int) -> int | None:
     """Return when :func:`plan_grants` should look again, in ms; ``None``: on events."""
     if not pool.waiting:
         return None
-    times = [] if pool.next_start is None else [pool.next_start]
+    times = [] if pool.next_start_at is None else [pool.next_start_at]
     times += [one.loading_until for one in pool.servers.values() if one.loading]
     for server in pool.servers.values():
         times.extend(server.adapters_due.values())
-        limited_ms = get_limit_wait(server, now=now)
+        limited_ms = get_rate_limit_wait(server, now=now)
         if limited_ms:
             times.append(now + limited_ms)
     times += [
         t
         for one in pool.servers.values()
-        for t in one.refusing_until.values()
+        for t in one.model_backoff_until.values()
         if t > now
     ]
     times.extend(one.late_at for one in pool.waiting.values() if one.late_at > now)
@@ -179,8 +183,8 @@
     return max(now + 1, int(min(times, default=now + 50)))
 
 
-def _get_least_wait(
-    pool: PoolState, model: str, tokens: float, copy_times: list[float]
+def _get_min_wait(
+    pool: PoolState, model: str, tokens: float, ready_times: list[float]
 ) -> float:
     """Return the least time that a request must wait, in ms.
 
@@ -189,12 +193,12 @@
     been served late. Where no server has the model, the wait is not known and counts
     as nothing.
     """
-    if not copy_times:
+    if not ready_times:
         return 0.0
-    return estimate_wait(pool, model, tokens, [0.0] * len(copy_times))
+    return estimate_wait(pool, model, tokens, [0.0] * len(ready_times))
 
 
-def _rank(waiting: WaitingRequest, now: int) -> tuple[bool, int, int, int]:
+def _get_start_order(waiting: WaitingRequest, now: int) -> tuple[bool, int, int, int]:
     """Return the key by which requests start: the lowest first.
 
     Of those that can still be in time, whoever must start first; of late ones, whoever
@@ -209,8 +213,8 @@
     pool: PoolState,
     waiting: WaitingRequest,
     index: CopyIndex,
-    claimed: dict[str, float],
-    loads: dict[str, _Load],
+    reserved_ms: dict[str, float],
+    usages: dict[str, _Usage],
 ) -> Grant | None:
     """Grant the best server, if it may start a prompt now.
 
@@ -222,43 +226,45 @@
     best: ServerState | None = None
     best_cost = best_start = 0.0
     for server in get_copies(index, waiting.need.model):
-        if not _may_start_at(server, waiting, now=now):
+        if not _can_start_at(server, waiting, now=now):
             continue
-        load = loads.get(server.incarnation)
-        if load is None:
-            load = loads[server.incarnation] = _sum_load(server)
-        if not _has_memory(pool, server, load, waiting):
+        usage = usages.get(server.incarnation)
+        if usage is None:
+            usage = usages[server.incarnation] = _sum_usage(server)
+        if not _has_memory(pool, server, usage, waiting):
             continue
-        start = _find_start(pool, server, load, waiting, now=now)
-        cost = start - now + claimed.get(server.incarnation, 0.0)
+        start = _find_start(pool, server, usage, waiting, now=now)
+        cost = start - now + reserved_ms.get(server.incarnation, 0.0)
         cost += _compute_cost(server, waiting)
         if best is None or cost < best_cost:
             best, best_cost, best_start = server, cost, start
     if best is None:
         return None
     is_late = now >= waiting.late_at
-    is_claimed = best.incarnation in claimed
-    ahead_ms = LATE_AHEAD_MS if is_late and not is_claimed else 0
-    if is_claimed or best_start > now + ahead_ms:
-        if not is_claimed:
-            _note_start(pool, best_start - ahead_ms)
+    is_reserved = best.incarnation in reserved_ms
+    head_start_ms = LATE_HEAD_START_MS if is_late and not is_reserved else 0
+    if is_reserved or best_start > now + head_start_ms:
+        if not is_reserved:
+            _record_next_start(pool, best_start - head_start_ms)
         if not is_late:
-            ahead = claimed.get(best.incarnation, 0.0)
-            claimed[best.incarnation] = ahead + _get_read_ms(pool, waiting.need)
+            ahead_ms = reserved_ms.get(best.incarnation, 0.0)
+            reserved_ms[best.incarnation] = ahead_ms + _get_prefill_ms(
+                pool, waiting.need
+            )
         return None
-    load = loads.pop(best.incarnation)
-    return _grant(pool, best, waiting, load, now=now, is_late=is_late)
+    usage = usages.pop(best.incarnation)
+    return _grant(pool, best, waiting, usage, now=now, is_late=is_late)
 
 
-def _note_start(pool: PoolState, start: float) -> None:
-    if pool.next_start is None or start < pool.next_start:
-        pool.next_start = start
+def _record_next_start(pool: PoolState, start: float) -> None:
+    if pool.next_start_at is None or start < pool.next_start_at:
+        pool.next_start_at = start
 
 
 def _find_start(
     pool: PoolState,
     server: ServerState,
-    load: _Load,
+    usage: _Usage,
     waiting: WaitingRequest,
     *,
     now: int,
@@ -266,20 +272,20 @@
     """Return when a prompt may start at a server, by pace and by streams' pauses."""
     start = find_start(
         server.stream_gaps,
-        prefill_ms=_get_read_ms(pool, waiting.need),
-        gap_target_ms=load.gap_target_ms,
+        prefill_ms=_get_prefill_ms(pool, waiting.need),
+        gap_target_ms=usage.gap_target_ms,
         now=now,
     )
     return max(start, server.prefill_until)
 
 
-def _get_read_ms(pool: PoolState, need: ModelNeed) -> float:
+def _get_prefill_ms(pool: PoolState, need: ModelNeed) -> float:
     return need.prompt_tokens / get_prefill_speed(pool, need.model)
 
 
-def _sum_load(server: ServerState) -> _Load:
+def _sum_usage(server: ServerState) -> _Usage:
     runs = server.runs.values()
-    return _Load(
+    return _Usage(
         tokens=sum(run.need.prompt_tokens + run.need.output_tokens for run in runs),
         gap_target_ms=min(
             (run.gap_target_ms for run in runs if run.gap_target_ms), default=0
@@ -287,25 +293,25 @@
     )
 
 
-def _may_start_at(server: ServerState, waiting: WaitingRequest, *, now: int) -> bool:
+def _can_start_at(server: ServerState, waiting: WaitingRequest, *, now: int) -> bool:
     """Tell whether a server has what a request needs, and a slot."""
     if not is_usable(server, now=now) or server.incarnation in waiting.avoid:
         return False
-    if not holds(server, waiting.need, now=now):
+    if not has_model(server, waiting.need, now=now):
         return False
-    if len(server.runs) >= server.slots or get_limit_wait(server, now=now):
+    if len(server.runs) >= server.slots or get_rate_limit_wait(server, now=now):
         return False
-    return server.unconfirmed != waiting.need.model or not any(
-        run.need.model == server.unconfirmed for run in server.runs.values()
+    return server.unconfirmed_load != waiting.need.model or not any(
+        run.need.model == server.unconfirmed_load for run in server.runs.values()
     )
 
 
 def _has_memory(
-    pool: PoolState, server: ServerState, load: _Load, waiting: WaitingRequest
+    pool: PoolState, server: ServerState, usage: _Usage, waiting: WaitingRequest
 ) -> bool:
-    asked = waiting.need.prompt_tokens + waiting.need.output_tokens
-    most = pool.spec.cache_tokens * CACHE_PART
-    return not server.runs or load.tokens + asked <= most
+    needed = waiting.need.prompt_tokens + waiting.need.output_tokens
+    max_tokens = pool.spec.cache_tokens * CACHE_FRACTION
+    return not server.runs or usage.tokens + needed <= max_tokens
 
 
 def _compute_cost(server: ServerState, waiting: WaitingRequest) -> float:
@@ -323,7 +329,7 @@
     pool: PoolState,
     server: ServerState,
     waiting: WaitingRequest,
-    load: _Load,
+    usage: _Usage,
     *,
     now: int,
     is_late: bool,
@@ -336,14 +342,16 @@
         origin=waiting.origin,
         need=need,
         granted_at=now,
-        was_free=server.prefill_until <= now,
+        was_prefill_idle=server.prefill_until <= now,
         is_repeat=waiting.is_repeat,
         gap_target_ms=0 if is_late else waiting.gap_target_ms,
     )
     record_prefill(
         server.stream_gaps,
-        _get_read_ms(pool, need),
-        keep_ms=max(LEAST_KEPT_MS, load.gap_target_ms, waiting.gap_target_ms),
+        _get_prefill_ms(pool, need),
+        retention_ms=max(
+            MIN_PREFILL_RETENTION_MS, usage.gap_target_ms, waiting.gap_target_ms
+        ),
         now=now,
     )
     begin = max(float(now), server.prefill_until)
--- a/src/arbutuspulley/pool/load_rate.py
+++ b/src/arbutuspulley/pool/load_rate.py
@@ -2,12 +2,12 @@
 
 import math
 
-from arbutuspulley.pool.state import PoolState, has_weights
+from arbutuspulley.pool.state import PoolState, has_local_weights
 
 WINDOW_MS = 5_000
 """Span over which the weight store counts loads, in ms."""
 
-MARGIN = 2
+BURST_LOADS = 2
 """Loads that a span may hold above the store's rate; the store tolerates 3 and a
 tenth, and one is left for a load whose order was answered late."""
 
@@ -16,18 +16,18 @@
     """Tell whether one more load from the weight store may begin."""
     while pool.loads and pool.loads[0] <= now - WINDOW_MS:
         pool.loads.pop(0)
-    if _count_running(pool, now=now) >= _get_at_once(pool):
+    if _count_running_loads(pool, now=now) >= _get_max_concurrent_loads(pool):
         return False
-    most = pool.spec.loads_per_s * WINDOW_MS / 1_000 + MARGIN
-    return len(pool.loads) + 1 <= most
+    max_loads = pool.spec.loads_per_s * WINDOW_MS / 1_000 + BURST_LOADS
+    return len(pool.loads) + 1 <= max_loads
 
 
-def note_load(pool: PoolState, *, now: int) -> None:
+def record_load(pool: PoolState, *, now: int) -> None:
     """Count a load."""
     pool.loads.append(now)
 
 
-def forget_load(pool: PoolState) -> None:
+def remove_last_load(pool: PoolState) -> None:
     """Take the newest load off the count: it certainly did not begin.
 
     Counted like others, loads that a server was too busy to take would keep models that
@@ -57,17 +57,17 @@
     """
     pool.loads = sorted(known)
     if unknown_until is not None:
-        pool.loads += [unknown_until] * _get_at_once(pool)
+        pool.loads += [unknown_until] * _get_max_concurrent_loads(pool)
 
 
-def _count_running(pool: PoolState, *, now: int) -> int:
+def _count_running_loads(pool: PoolState, *, now: int) -> int:
     return sum(
-        bool(server.loading) and not has_weights(server, server.loading)
+        bool(server.loading) and not has_local_weights(server, server.loading)
         for server in pool.servers.values()
     )
 
 
-def _get_at_once(pool: PoolState) -> int:
+def _get_max_concurrent_loads(pool: PoolState) -> int:
     """Return how many loads run at once at full speed: as many as begin while one runs.
 
     More of them only slow each other down.
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -2,7 +2,7 @@
 
 Each order names the number of orders that the server has accepted so far. A
 server carries it out only if that still holds, so an order that is lost, late or
-doubled never meets a state it was not planned for: whichever of two orders comes
+doubled never meets a cycle it was not planned for: whichever of two orders comes
 first makes the other fail. No reservation for lost orders is needed.
 """
 
@@ -13,69 +13,69 @@
 from arbutuspulley.pool.answers import (
     NEVER,
     PlannedOrder,
-    finish_unload,
+    complete_unload,
     get_load_ms,
 )
 from arbutuspulley.pool.copies import get_copies
 from arbutuspulley.pool.demand import estimate_excess_requests, get_copy_token_rate
 from arbutuspulley.pool.eviction import (
-    RoomPass,
-    begin_pass,
-    choose_adapter_victim,
+    PlanningCycle,
+    begin_cycle,
+    choose_adapter_to_evict,
     count_used_mb,
-    note_change,
-    plan_room,
+    plan_eviction,
+    update_cycle,
 )
-from arbutuspulley.pool.load_rate import may_load, note_load
+from arbutuspulley.pool.load_rate import may_load, record_load
 from arbutuspulley.pool.state import (
     PoolState,
     ServerState,
     WaitingRequest,
-    estimate_unload,
-    get_limit_wait,
-    has_weights,
-    holds,
+    estimate_unload_wait,
+    get_rate_limit_wait,
+    has_local_weights,
+    has_model,
     is_usable,
 )
 from arbutuspulley.ports.fleet import OrderKind
 
-LEAST_GAIN = 1.5
+MIN_GAIN = 1.5
 """Requests that another copy must spare a wait, beyond those that wait for what has to
 leave. Loads are priced, and below this models of like demand push each other out."""
 
-MISSED_PER_S = 1.0
+MISSING_GAIN_PER_S = 1.0
 """By how many requests the need of a model without a copy grows for each second that
 it has been missed, so that rarely used ones are served, too."""
 
-MOST_MISSED = 8.0
+MAX_MISSING_GAIN = 8.0
 """Most of that, in requests."""
 
-HOT_BACKLOG_MS = 250
+COPY_BACKLOG_MS = 250
 """Wait of a model's prompts that one copy works off in time, in ms: what is left of
 aims of some 600 ms after a prompt's own time and a load's order."""
 
-RUN_SHARE = 0.05
+RUN_COST = 0.05
 """What each request that runs on a server counts against loading there, in requests:
 all that a server holds shares its batch."""
 
-NEAR_GAIN = 0.3
+LOCAL_WEIGHTS_GAIN = 0.3
 """What it counts for a server that it has the weights in memory or on disk, in
 requests: the load takes half as long and costs nothing."""
 
-PLAN_MS = 6_000
+PLAN_LIFETIME_MS = 6_000
 """How long a server is kept for a model that is to be loaded there, in ms: what leaves
 may wait for streams that take some seconds."""
 
-PATIENCE_MS = 3_000
+GAIN_HORIZON_MS = 3_000
 """After so long a copy no longer spares anybody a wait, in ms: callers leave after 2 to
 4 s without a first event."""
 
-STUCK_MS = 1_000
+MAX_UNLOAD_WAIT_MS = 1_000
 """A server whose unload will wait for longer, in ms, does not count as about to have
 the model that it was chosen for: a model that nobody has would not be loaded anywhere
 for as long as its server waits for one stream to end, and its callers be refused."""
 
-SPREAD_BACKLOG_MS = 150
+ADAPTER_BACKLOG_MS = 150
 """Backlog of the servers with an adapter that is worth loading it elsewhere, in ms;
 an adapter takes a tenth of that."""
 
@@ -84,34 +84,34 @@
     """Decide the next orders, at most one a server."""
     planned: list[PlannedOrder] = []
     _plan_adapters(pool, planned, now=now)
-    state = begin_pass(pool, now=now)
+    cycle = begin_cycle(pool, now=now)
     for server in pool.servers.values():
         if server.planned and now >= server.planned_until:
-            _change(state, server, planned="")
+            _set_planned(cycle, server, planned="")
         if not server.planned:
             server.planned_gain = 0
-        order = _go_on(state, server)
+        order = _plan_next_step(cycle, server)
         if order is not None:
             planned.append(order)
-    _plan_models(state, planned)
+    _plan_models(cycle, planned)
     return planned
 
 
-def _change(state: RoomPass, server: ServerState, *, planned: str) -> None:
+def _set_planned(cycle: PlanningCycle, server: ServerState, *, planned: str) -> None:
     """Plan a model at a server, or none, and correct what the pass knows."""
     before = server.planned
     server.planned = planned
-    note_change(state, server, {before, planned})
+    update_cycle(cycle, server, {before, planned})
 
 
 def _may_order(server: ServerState, *, now: int) -> bool:
-    finish_unload(server)
+    complete_unload(server)
     if server.unloading:
         return False
     return (
-        server.orders is not None
-        and not server.order_busy
-        and now >= server.order_again_at
+        server.accepted_orders is not None
+        and not server.is_order_in_flight
+        and now >= server.next_order_at
         and is_usable(server, now=now)
     )
 
@@ -122,35 +122,37 @@
         if waiting.need.adapter:
             pair = (waiting.need.model, waiting.need.adapter)
             wanted.setdefault(pair, waiting)
-    taken: set[str] = set()
+    ordered: set[str] = set()
     for (model, adapter), waiting in wanted.items():
-        if _is_adapter_near(pool, waiting, now=now):
+        if _is_adapter_available(pool, waiting, now=now):
             continue
-        server = _find_adapter_server(pool, model, adapter, taken, now=now)
+        server = _choose_adapter_server(pool, model, adapter, ordered, now=now)
         if server is None:
             continue
-        taken.add(server.incarnation)
-        order = _order_adapter(pool, server, model, adapter)
+        ordered.add(server.incarnation)
+        order = _build_adapter_order(pool, server, model, adapter)
         if order is not None:
             planned.append(order)
 
 
-def _is_adapter_near(pool: PoolState, waiting: WaitingRequest, *, now: int) -> bool:
+def _is_adapter_available(
+    pool: PoolState, waiting: WaitingRequest, *, now: int
+) -> bool:
     pair = (waiting.need.model, waiting.need.adapter)
     for server in pool.servers.values():
         if not is_usable(server, now=now):
             continue
         if pair in server.adapters_due:
             return True
-        is_free = server.prefill_until - now < SPREAD_BACKLOG_MS
-        is_free = is_free and not get_limit_wait(server, now=now)
-        if is_free and holds(server, waiting.need, now=now):
+        is_free = server.prefill_until - now < ADAPTER_BACKLOG_MS
+        is_free = is_free and not get_rate_limit_wait(server, now=now)
+        if is_free and has_model(server, waiting.need, now=now):
             return True
     return False
 
 
-def _find_adapter_server(
-    pool: PoolState, model: str, adapter: str, taken: set[str], *, now: int
+def _choose_adapter_server(
+    pool: PoolState, model: str, adapter: str, ordered: set[str], *, now: int
 ) -> ServerState | None:
     candidates = [
         server
@@ -158,11 +160,11 @@
         if model in server.models
         and adapter not in server.models[model]
         and server.unloading != model
-        and now >= server.refusing_until.get(model, 0)
-        and server.incarnation not in taken
+        and now >= server.model_backoff_until.get(model, 0)
+        and server.incarnation not in ordered
         and _may_order(server, now=now)
         and not server.loading
-        and not get_limit_wait(server, now=now)
+        and not get_rate_limit_wait(server, now=now)
     ]
     return min(
         candidates,
@@ -171,23 +173,23 @@
     )
 
 
-def _order_adapter(
+def _build_adapter_order(
     pool: PoolState, server: ServerState, model: str, adapter: str
 ) -> PlannedOrder | None:
     spec = pool.spec
     count = sum(len(held) for held in server.models.values())
-    count += len(server.adapters_due) + len(server.adapters_leaving)
+    count += len(server.adapters_due) + len(server.adapters_unloading)
     needed = spec.models[model].adapter_mb
     is_room = count_used_mb(spec, server) + needed <= spec.memory_mb
     if count < spec.adapter_slots and is_room:
-        return _build(pool, server, OrderKind.LOAD, model, adapter)
-    victim = choose_adapter_victim(pool, server)
+        return _build_order(pool, server, OrderKind.LOAD, model, adapter)
+    victim = choose_adapter_to_evict(pool, server)
     if victim is None:
         return None
-    return _build(pool, server, OrderKind.UNLOAD, *victim)
+    return _build_order(pool, server, OrderKind.UNLOAD, *victim)
 
 
-def _plan_models(state: RoomPass, planned: list[PlannedOrder]) -> None:
+def _plan_models(cycle: PlanningCycle, planned: list[PlannedOrder]) -> None:
     """Choose servers for the models that need another copy, the most wanted first.
 
     A model that needs several gets them before others that are wanted less. One at a
@@ -195,155 +197,167 @@
     waited for, and the busiest model waited for seconds for the next.
     """
     wanted: list[tuple[float, str]] = []
-    pool = state.pool
-    for model in {*state.waiting, *pool.demand}:
+    pool = cycle.pool
+    for model in {*cycle.waiting, *pool.demand}:
         if model in pool.spec.models:
-            gain = _compute_gain(state, model)
+            gain = _compute_gain(cycle, model)
             if gain > 0:
                 heapq.heappush(wanted, (-gain, model))
     while wanted:
         gain, model = heapq.heappop(wanted)
-        server = _choose_server(state, model, -gain)
+        server = _choose_server(cycle, model, -gain)
         if server is None:
             continue
-        order = _go_on(state, server)
+        order = _plan_next_step(cycle, server)
         if order is not None:
             planned.append(order)
-        gain = _compute_gain(state, model)
+        gain = _compute_gain(cycle, model)
         if gain > 0:
             heapq.heappush(wanted, (-gain, model))
 
 
-def _compute_gain(state: RoomPass, model: str) -> float:
+def _compute_gain(cycle: PlanningCycle, model: str) -> float:
     """Return how many requests another copy of a model would spare a wait."""
-    pool, waiting = state.pool, state.waiting[model]
-    found = get_copies(state.index, model)
-    copies = sum(not _is_stuck(state, one, model) for one in found)
+    pool, waiting = cycle.pool, cycle.waiting[model]
+    found = get_copies(cycle.index, model)
+    copies = sum(not _is_unload_delayed(cycle, one, model) for one in found)
     gain = estimate_excess_requests(pool, model, copies) - estimate_excess_requests(
         pool, model, copies + 1
     )
-    gain += _count_relieved(pool, model, waiting, copies)
-    return gain + _count_missed(pool, model, waiting, copies, now=state.index.now)
+    gain += _estimate_relieved(pool, model, waiting, copies)
+    return gain + _compute_missing_gain(
+        pool, model, waiting, copies, now=cycle.index.now
+    )
 
 
-def _is_stuck(state: RoomPass, server: ServerState, model: str) -> bool:
+def _is_unload_delayed(cycle: PlanningCycle, server: ServerState, model: str) -> bool:
     """Tell whether a server that is to load a model waits long to unload another."""
     if server.planned != model or not server.unloading:
         return False
-    now = state.index.now
-    return estimate_unload(state.pool, server, server.unloading, now=now) > STUCK_MS
+    now = cycle.index.now
+    return (
+        estimate_unload_wait(cycle.pool, server, server.unloading, now=now)
+        > MAX_UNLOAD_WAIT_MS
+    )
 
 
-def _count_relieved(pool: PoolState, model: str, waiting: int, copies: int) -> float:
+def _estimate_relieved(pool: PoolState, model: str, waiting: int, copies: int) -> float:
     """Return how many of a model's waiting requests another copy would take over."""
-    at_once = (
-        get_copy_token_rate(pool, model) * HOT_BACKLOG_MS / 1_000 / pool.mean_tokens
+    requests_per_copy = (
+        get_copy_token_rate(pool, model) * COPY_BACKLOG_MS / 1_000 / pool.mean_tokens
     )
-    return max(0.0, waiting - at_once * copies) / (copies + 1)
+    return max(0.0, waiting - requests_per_copy * copies) / (copies + 1)
 
 
-def _count_missed(
+def _compute_missing_gain(
     pool: PoolState, model: str, waiting: int, copies: int, *, now: int
 ) -> float:
     if copies:
-        pool.missed_at.pop(model, None)
+        pool.missing_since.pop(model, None)
         return 0.0
     if not waiting:
         return 0.0
-    since = pool.missed_at.setdefault(model, now)
-    missed = MISSED_PER_S * (now - since) / 1_000
-    return LEAST_GAIN + min(MOST_MISSED, missed)
+    since = pool.missing_since.setdefault(model, now)
+    missing_gain = MISSING_GAIN_PER_S * (now - since) / 1_000
+    return MIN_GAIN + min(MAX_MISSING_GAIN, missing_gain)
 
 
-def _choose_server(state: RoomPass, model: str, gain: float) -> ServerState | None:
+def _choose_server(cycle: PlanningCycle, model: str, gain: float) -> ServerState | None:
     """Choose where another copy of a model is loaded, and plan it there.
 
     :param gain: requests that it would spare a wait.
     """
-    pool, now = state.pool, state.index.now
+    pool, now = cycle.pool, cycle.index.now
     spec = pool.spec.models[model]
-    if gain * (1 + spec.load_ms / PATIENCE_MS) < LEAST_GAIN:
+    if gain * (1 + spec.load_ms / GAIN_HORIZON_MS) < MIN_GAIN:
         # Too little even where nothing has to leave and the weights are at hand.
         return None
     best: ServerState | None = None
-    most = 0.0
-    is_store_free = may_load(pool, now=now)
+    best_worth = 0.0
+    may_load_from_store = may_load(pool, now=now)
     usable = [one for one in pool.servers.values() if is_usable(one, now=now)]
     are_all_limited = all(one.limit is not None for one in usable)
     for server in usable:
         if server.limit is not None and not are_all_limited:
             continue
-        if get_limit_wait(server, now=now):
+        if get_rate_limit_wait(server, now=now):
             continue
         if model in server.models or server.loading or server.planned == model:
             continue
         if not (server.planned or _may_order(server, now=now)):
             continue
-        if server.order_busy:
+        if server.is_order_in_flight:
             continue
-        is_near = has_weights(server, model)
-        if not is_near and not is_store_free:
+        is_local = has_local_weights(server, model)
+        if not is_local and not may_load_from_store:
             continue
-        plan = plan_room(state, server, model)
+        plan = plan_eviction(cycle, server, model)
         if plan is None:
             continue
         saved_ms = spec.load_ms - get_load_ms(server, spec)
-        left = gain * max(0.0, 1 - (plan.wait_ms - saved_ms) / PATIENCE_MS)
-        if left - plan.cost < LEAST_GAIN + server.planned_gain:
+        net_gain = gain * max(0.0, 1 - (plan.wait_ms - saved_ms) / GAIN_HORIZON_MS)
+        if net_gain - plan.cost < MIN_GAIN + server.planned_gain:
             continue
-        worth = left - plan.cost - RUN_SHARE * len(server.runs) + NEAR_GAIN * is_near
-        if best is None or worth > most:
-            best, most = server, worth
+        worth = (
+            net_gain
+            - plan.cost
+            - RUN_COST * len(server.runs)
+            + LOCAL_WEIGHTS_GAIN * is_local
+        )
+        if best is None or worth > best_worth:
+            best, best_worth = server, worth
     if best is None:
         return None
     for server in pool.servers.values():
-        if _is_stuck(state, server, model):
-            _change(state, server, planned="")
-    _change(state, best, planned=model)
-    best.planned_gain = most
-    best.planned_until = now + PLAN_MS
+        if _is_unload_delayed(cycle, server, model):
+            _set_planned(cycle, server, planned="")
+    _set_planned(cycle, best, planned=model)
+    best.planned_gain = best_worth
+    best.planned_until = now + PLAN_LIFETIME_MS
     return best
 
 
-def _go_on(state: RoomPass, server: ServerState) -> PlannedOrder | None:
+def _plan_next_step(cycle: PlanningCycle, server: ServerState) -> PlannedOrder | None:
     """Take the next step towards the model that a server is to get."""
-    pool, now = state.pool, state.index.now
+    pool, now = cycle.pool, cycle.index.now
     model = server.planned
     if not model or server.loading or not _may_order(server, now=now):
         return None
     if model in server.models:
-        _change(state, server, planned="")
+        _set_planned(cycle, server, planned="")
         return None
     # Its runs may have ended since, which _may_order has just taken in.
-    state.rooms.pop(server.incarnation, None)
-    plan = plan_room(state, server, model)
+    cycle.options.pop(server.incarnation, None)
+    plan = plan_eviction(cycle, server, model)
     if plan is None:
-        _change(state, server, planned="")
+        _set_planned(cycle, server, planned="")
         return None
     if plan.victims:
-        order = _build(pool, server, OrderKind.UNLOAD, plan.victims[0], "")
-        note_change(state, server, {model, plan.victims[0]})
+        order = _build_order(pool, server, OrderKind.UNLOAD, plan.victims[0], "")
+        update_cycle(cycle, server, {model, plan.victims[0]})
         return order
-    is_counted = not has_weights(server, model) and model != server.unanswered_load
-    if is_counted:
+    is_store_load = (
+        not has_local_weights(server, model) and model != server.unanswered_model
+    )
+    if is_store_load:
         if not may_load(pool, now=now):
             return None
-        note_load(pool, now=now)
-    order = _build(pool, server, OrderKind.LOAD, model, "")
-    note_change(state, server, {model})
-    return msgspec.structs.replace(order, is_counted=is_counted)
+        record_load(pool, now=now)
+    order = _build_order(pool, server, OrderKind.LOAD, model, "")
+    update_cycle(cycle, server, {model})
+    return msgspec.structs.replace(order, is_store_load=is_store_load)
 
 
-def _build(
+def _build_order(
     pool: PoolState, server: ServerState, kind: OrderKind, model: str, adapter: str
 ) -> PlannedOrder:
     used_mb = int(count_used_mb(pool.spec, server))
-    server.order_busy = True
+    server.is_order_in_flight = True
     if kind is OrderKind.UNLOAD:
         # Nothing more is sent to what leaves, but it counts until it has left.
         if adapter:
             server.models[model].discard(adapter)
-            server.adapters_leaving.add((model, adapter))
+            server.adapters_unloading.add((model, adapter))
         else:
             server.unloading = model
     elif adapter:
@@ -357,6 +371,6 @@
         address=server.address,
         model=model,
         adapter=adapter,
-        expected_orders=server.orders or 0,
+        expected_orders=server.accepted_orders or 0,
         used_mb=used_mb,
     )
--- a/src/arbutuspulley/pool/prefill_speed.py
+++ b/src/arbutuspulley/pool/prefill_speed.py
@@ -20,26 +20,26 @@
 """Prompt tokens that a server reads in a ms, until enough was seen: about what one
 accelerator reads of a model of 70 GB, so that the first prompts don't stop streams."""
 
-LEAST_SPEED = 5.0
-MOST_SPEED = 80.0
+MIN_SPEED = 5.0
+MAX_SPEED = 80.0
 """Bounds of what is believed, in tokens a ms: beyond, a prompt of 1,000 tokens takes
 less than the scatter of first events, and the slope is an accident of their times."""
 
-MOST_SAMPLES = 64
+MAX_SAMPLES = 64
 """Requests that are kept: some seconds of a busy model's."""
 
-LEAST_SPREAD = 300
+MIN_TOKEN_DIFFERENCE = 300
 """Fewest tokens by which two prompts differ for their slope to count: times scatter by
 some 10 ms, which is the reading time of as many tokens."""
 
-PRIOR_PAIRS = 60
+PRIOR_SLOPES = 60
 """How many pairs the first guess weighs as much as: those of about 15 requests."""
 
-REFRESH = 4
+REFRESH_SAMPLES = 4
 """New requests after which the speed is worked out anew: 2,000 slopes take 0.3 ms."""
 
 
-class SpeedState(State):
+class PrefillSpeedState(State):
     """What was seen of one kind of model.
 
     :param guess: what is believed before, in tokens a ms.
@@ -48,42 +48,42 @@
     :param fresh: requests since then.
     """
 
-    guess: float = DEFAULT_SPEED
+    prior: float = DEFAULT_SPEED
     samples: deque[tuple[int, float]] = msgspec.field(
-        default_factory=lambda: deque(maxlen=MOST_SAMPLES)
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
     )
     speed: float = 0
-    fresh: int = 0
+    new_samples: int = 0
 
 
-def add_sample(state: SpeedState, *, tokens: int, took_ms: float) -> None:
+def add_sample(state: PrefillSpeedState, *, tokens: int, took_ms: float) -> None:
     """Count a request that started on a server that read nothing else.
 
     :param tokens: of its prompt.
     :param took_ms: from sending it to its first event.
     """
     state.samples.append((tokens, took_ms))
-    state.fresh += 1
+    state.new_samples += 1
 
 
-def get_speed(state: SpeedState) -> float:
+def get_speed(state: PrefillSpeedState) -> float:
     """Return the prompt tokens that a server reads in a ms."""
     if not state.samples:
-        return state.guess
-    if not state.speed or state.fresh >= REFRESH:
-        state.fresh = 0
+        return state.prior
+    if not state.speed or state.new_samples >= REFRESH_SAMPLES:
+        state.new_samples = 0
         state.speed = _compute_speed(state)
     return state.speed
 
 
-def _compute_speed(state: SpeedState) -> float:
-    slopes = [1 / state.guess] * PRIOR_PAIRS
+def _compute_speed(state: PrefillSpeedState) -> float:
+    slopes = [1 / state.prior] * PRIOR_SLOPES
     samples = sorted(state.samples)
     for index, (tokens, took) in enumerate(samples):
         slopes.extend(
             (longer - took) / (more - tokens)
             for more, longer in samples[index + 1 :]
-            if more - tokens >= LEAST_SPREAD
+            if more - tokens >= MIN_TOKEN_DIFFERENCE
         )
-    slope = max(1 / MOST_SPEED, statistics.median(slopes))
-    return max(LEAST_SPEED, 1 / slope)
+    slope = max(1 / MAX_SPEED, statistics.median(slopes))
+    return max(MIN_SPEED, 1 / slope)
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -5,34 +5,38 @@
 from arbutuspulley.admission.rate_limits import RateLimit, get_wait
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State, Value
-from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
+from arbutuspulley.pool.duration import (
+    DurationState,
+    estimate_remaining_time,
+    record_run_time,
+)
 from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
-    SpeedState,
+    PrefillSpeedState,
     add_sample,
     get_speed,
 )
 from arbutuspulley.pool.stream_gaps import StreamGapState, record_stream
 from arbutuspulley.ports.fleet import AttemptOutcome, EngineSpec, ModelNeed, ServerEntry
 
-DEFAULT_ADAPTER_MS = 25
+DEFAULT_ADAPTER_LOAD_MS = 25
 """First guess of how long an adapter takes to load, in ms: adapters of some ten MB
 take 5 to 15, and the order's way there. Corrected by refusals, see
 :func:`record_not_run`."""
 
-SUSPECT_MS = 1_000
+INITIAL_BACKOFF_MS = 1_000
 """How long a server that could not be reached gets no work, in ms; doubled at each
 further failure."""
 
-LONGEST_SUSPECT_MS = 4_000
+MAX_BACKOFF_MS = 4_000
 """Most of that, in ms: crashed servers are back after 4 to 6 s."""
 
 
-FAILURE_MEMORY = 0.1
+FAILURE_SMOOTHING = 0.1
 """Weight of the newest run in a server's share of failures: about the last ten."""
 
 
-TYPICAL_TOKENS = 1_200
+DEFAULT_PROMPT_TOKENS = 1_200
 """Prompt tokens of a request before any was seen: a page or two of text."""
 
 
@@ -79,19 +83,20 @@
     gap_target_ms: int = 0
     prefill_before_ms: float = 0
     first_at: int | None = None
-    was_free: bool = False
+    was_prefill_idle: bool = False
     is_repeat: bool = False
 
 
-class LateLoad(Value, frozen=True):
+class UnansweredLoad(Value, frozen=True):
     """A load without an answer that the server's next start may still carry out.
 
-    :param expected: after so many accepted orders it is carried out, and only then.
-    :param until: when it has come at the latest, in ms.
+    :param expected_orders: after so many accepted orders it is carried out, and only
+        then.
+    :param expires_at: when it has come at the latest, in ms.
     """
 
-    expected: int
-    until: int
+    expected_orders: int
+    expires_at: int
 
 
 class ServerState(State):
@@ -99,8 +104,8 @@
 
     :param server_id: the id under which it may start again.
     :param models: what is ready, model to adapters.
-    :param orders: orders accepted since its start; ``None`` if a report is needed
-        before the next order.
+    :param accepted_orders: orders accepted since its start; ``None`` if a report is
+        needed before the next order.
     :param loading: the model that is being loaded, empty if none.
     :param loading_until: when that should be done, in ms.
     :param planned: the model that is to be loaded once another has left.
@@ -135,28 +140,28 @@
     server_id: str = ""
     is_leaving: bool = False
     models: dict[str, set[str]] = msgspec.field(default_factory=dict)
-    orders: int | None = None
+    accepted_orders: int | None = None
     loading: str = ""
     loading_until: int = 0
     planned: str = ""
     planned_until: int = 0
     planned_gain: float = 0
-    unconfirmed: str = ""
+    unconfirmed_load: str = ""
     unloading: str = ""
     adapters_due: dict[tuple[str, str], int] = msgspec.field(default_factory=dict)
-    adapters_leaving: set[tuple[str, str]] = msgspec.field(default_factory=set)
-    refusing_until: dict[str, int] = msgspec.field(default_factory=dict)
-    order_busy: bool = False
-    order_again_at: int = 0
+    adapters_unloading: set[tuple[str, str]] = msgspec.field(default_factory=set)
+    model_backoff_until: dict[str, int] = msgspec.field(default_factory=dict)
+    is_order_in_flight: bool = False
+    next_order_at: int = 0
     conflicts: int = 0
     unknowns: int = 0
-    unanswered_load: str = ""
-    unanswered_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
-    late_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
-    ordered_at: int = 0
+    unanswered_model: str = ""
+    unanswered_loads: dict[str, UnansweredLoad] = msgspec.field(default_factory=dict)
+    previous_loads: dict[str, UnansweredLoad] = msgspec.field(default_factory=dict)
+    order_answered_at: int = 0
     prefill_until: float = 0
     stream_gaps: StreamGapState = msgspec.field(default_factory=StreamGapState)
-    suspect_until: int = 0
+    backoff_until: int = 0
     failures: int = 0
     failure_share: float = 0
     limit: RateLimit | None = None
@@ -173,8 +178,8 @@
     :param swift: over about the last one.
     """
 
-    steady: float = 0
-    swift: float = 0
+    slow: float = 0
+    fast: float = 0
 
 
 class PoolState(State):
@@ -189,7 +194,7 @@
     :param next_start: when the first of those that wait for a server to have read may
         start, in ms; ``None`` if none does.
     :param speeds: what is known of the servers' reading speed, by kind of model;
-        see :func:`get_kind`.
+        see :func:`get_size_class`.
     :param durations: what is known of how long runs last.
     """
 
@@ -200,12 +205,12 @@
     demand: dict[str, Demand] = msgspec.field(default_factory=dict)
     demand_at: int = 0
     demand_since: int | None = None
-    mean_tokens: float = TYPICAL_TOKENS
-    missed_at: dict[str, int] = msgspec.field(default_factory=dict)
+    mean_tokens: float = DEFAULT_PROMPT_TOKENS
+    missing_since: dict[str, int] = msgspec.field(default_factory=dict)
     loads: list[int] = msgspec.field(default_factory=list)
-    next_start: float | None = None
-    adapter_ms: float = DEFAULT_ADAPTER_MS
-    speeds: dict[str, SpeedState] = msgspec.field(default_factory=dict)
+    next_start_at: float | None = None
+    adapter_load_ms: float = DEFAULT_ADAPTER_LOAD_MS
+    speeds: dict[str, PrefillSpeedState] = msgspec.field(default_factory=dict)
     durations: DurationState = msgspec.field(default_factory=DurationState)
 
 
@@ -216,19 +221,19 @@
     the own orders are known sooner and reports correct them.
     """
     listed = {one.incarnation: one for one in entries if one.service == pool.service}
-    gone: dict[str, ServerState] = {}
+    removed_by_id: dict[str, ServerState] = {}
     for incarnation in [one for one in pool.servers if one not in listed]:
-        left = pool.servers.pop(incarnation)
-        gone[left.server_id] = left
+        removed = pool.servers.pop(incarnation)
+        removed_by_id[removed.server_id] = removed
     for incarnation, entry in listed.items():
         server = pool.servers.get(incarnation)
         if server is None:
             server = _build_server(entry)
             pool.servers[incarnation] = server
-            if entry.server_id in gone:
+            if entry.server_id in removed_by_id:
                 # All else that was believed belongs to the start before. An order
                 # names the id only, so one that is carried out late meets this start.
-                server.late_loads = gone[entry.server_id].unanswered_loads
+                server.previous_loads = removed_by_id[entry.server_id].unanswered_loads
         server.is_leaving = entry.is_leaving
         server.address = entry.address
 
@@ -246,20 +251,20 @@
 
 def is_usable(server: ServerState, *, now: int) -> bool:
     """Tell whether a server may get new work."""
-    return not server.is_leaving and now >= server.suspect_until
+    return not server.is_leaving and now >= server.backoff_until
 
 
-def get_limit_wait(server: ServerState, *, now: int) -> int:
+def get_rate_limit_wait(server: ServerState, *, now: int) -> int:
     """Return in how many ms a server's rate limit allows it a request; 0: now."""
     return 0 if server.limit is None else get_wait(server.limit, now=now)
 
 
-def holds(server: ServerState, need: ModelNeed, *, now: int) -> bool:
+def has_model(server: ServerState, need: ModelNeed, *, now: int) -> bool:
     """Tell whether a server has the model and the adapter that a request needs."""
     adapters = server.models.get(need.model)
     if adapters is None or server.unloading == need.model:
         return False
-    if now < server.refusing_until.get(need.model, 0):
+    if now < server.model_backoff_until.get(need.model, 0):
         return False
     if not need.adapter:
         return True
@@ -269,12 +274,12 @@
     return due is not None and now >= due
 
 
-def has_weights(server: ServerState, model: str) -> bool:
+def has_local_weights(server: ServerState, model: str) -> bool:
     """Tell whether a server can load a model without the weight store."""
     return model in server.in_memory or model in server.on_disk
 
 
-def settle_due(server: ServerState, *, now: int) -> None:
+def complete_due_loads(server: ServerState, *, now: int) -> None:
     """Count loads as done whose time has come.
 
     A load that is late shows by a refusal of the first request that tries it; see
@@ -282,14 +287,14 @@
     """
     if server.loading and now >= server.loading_until:
         server.models.setdefault(server.loading, set())
-        server.unconfirmed = server.loading
+        server.unconfirmed_load = server.loading
         # A load leaves copies of the weights in the server's memory and on its disk.
         server.in_memory |= {server.loading}
         server.on_disk |= {server.loading}
         server.loading = ""
-    for model, late in list(server.late_loads.items()):
-        if now >= late.until:
-            del server.late_loads[model]
+    for model, late in list(server.previous_loads.items()):
+        if now >= late.expires_at:
+            del server.previous_loads[model]
     for (model, adapter), due in list(server.adapters_due.items()):
         if now >= due:
             del server.adapters_due[model, adapter]
@@ -297,17 +302,17 @@
                 server.models[model].add(adapter)
 
 
-def forget_model(server: ServerState, model: str) -> None:
+def remove_model(server: ServerState, model: str) -> None:
     """A model has left a server, and its adapters with it."""
     server.models.pop(model, None)
     if server.unloading == model:
         server.unloading = ""
-    if server.unconfirmed == model:
-        server.unconfirmed = ""
+    if server.unconfirmed_load == model:
+        server.unconfirmed_load = ""
     for pair in [pair for pair in server.adapters_due if pair[0] == model]:
         del server.adapters_due[pair]
-    server.adapters_leaving = {
-        pair for pair in server.adapters_leaving if pair[0] != model
+    server.adapters_unloading = {
+        pair for pair in server.adapters_unloading if pair[0] != model
     }
 
 
@@ -324,19 +329,19 @@
         return
     run.first_at = now
     run.prefill_before_ms = server.stream_gaps.prefill_ms
-    if run.was_free:
+    if run.was_prefill_idle:
         add_sample(
             _get_speed_state(pool, run.need.model),
             tokens=run.need.prompt_tokens,
             took_ms=took_ms,
         )
     server.failures = 0
-    server.suspect_until = 0
-    if server.unconfirmed == run.need.model:
-        server.unconfirmed = ""
+    server.backoff_until = 0
+    if server.unconfirmed_load == run.need.model:
+        server.unconfirmed_load = ""
 
 
-def get_kind(spec: EngineSpec, model: str) -> str:
+def get_size_class(spec: EngineSpec, model: str) -> str:
     """Name the models that are taken to be read equally fast: those of one size.
 
     Few requests come for a rarely used model; those for its like tell as much.
@@ -350,7 +355,7 @@
 
     Of a kind that was not seen yet, the slowest of the others is assumed.
     """
-    state = pool.speeds.get(get_kind(pool.spec, model))
+    state = pool.speeds.get(get_size_class(pool.spec, model))
     if state is not None:
         return get_speed(state)
     known = (get_speed(one) for one in pool.speeds.values())
@@ -365,14 +370,16 @@
 def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
     """Begin with what a predecessor has learnt."""
     for kind, speed in speeds.items():
-        pool.speeds.setdefault(kind, SpeedState(guess=speed))
+        pool.speeds.setdefault(kind, PrefillSpeedState(prior=speed))
 
 
-def _get_speed_state(pool: PoolState, model: str) -> SpeedState:
-    kind = get_kind(pool.spec, model)
+def _get_speed_state(pool: PoolState, model: str) -> PrefillSpeedState:
+    kind = get_size_class(pool.spec, model)
     state = pool.speeds.get(kind)
     if state is None:
-        state = pool.speeds[kind] = SpeedState(guess=get_prefill_speed(pool, model))
+        state = pool.speeds[kind] = PrefillSpeedState(
+            prior=get_prefill_speed(pool, model)
+        )
     return state
 
 
@@ -394,10 +401,10 @@
         return
     run = server.runs.pop(key, None)
     is_failed = how is AttemptOutcome.FAILED
-    server.failure_share += FAILURE_MEMORY * (is_failed - server.failure_share)
+    server.failure_share += FAILURE_SMOOTHING * (is_failed - server.failure_share)
     if run is not None and run.first_at is not None and how is AttemptOutcome.DONE:
         took_ms = now - run.first_at
-        note_run_time(pool.durations, run.need, took_ms=took_ms)
+        record_run_time(pool.durations, run.need, took_ms=took_ms)
         record_stream(
             server.stream_gaps,
             events=events,
@@ -406,13 +413,15 @@
         )
 
 
-def estimate_unload(
+def estimate_unload_wait(
     pool: PoolState, server: ServerState, model: str, *, now: int
 ) -> float:
     """Return how long the unload of a model will wait for its runs, in ms."""
     return max(
         (
-            estimate_left(pool.durations, run.need, ran_ms=now - run.granted_at)
+            estimate_remaining_time(
+                pool.durations, run.need, ran_ms=now - run.granted_at
+            )
             for run in server.runs.values()
             if run.need.model == model
         ),
@@ -429,10 +438,10 @@
         return
     server.runs.pop(key, None)
     server.failures += 1
-    server.suspect_until = now + double_pause(
-        SUSPECT_MS, longest_ms=LONGEST_SUSPECT_MS, count=server.failures
+    server.backoff_until = now + double_pause(
+        INITIAL_BACKOFF_MS, longest_ms=MAX_BACKOFF_MS, count=server.failures
     )
-    server.orders = None
+    server.accepted_orders = None
 
 
 def record_not_run(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
@@ -450,31 +459,31 @@
     need = run.need
     if server.unloading == need.model:
         return
-    if server.unconfirmed == need.model:
+    if server.unconfirmed_load == need.model:
         # The load takes longer than usual, or others slow it down. The model stays on
         # the books: its memory is taken.
-        server.refusing_until[need.model] = now + RETRY_LOAD_MS
-        server.order_again_at = now + RETRY_LOAD_MS
+        server.model_backoff_until[need.model] = now + RETRY_LOAD_MS
+        server.next_order_at = now + RETRY_LOAD_MS
         return
-    server.orders = None
+    server.accepted_orders = None
     if need.adapter and not run.is_repeat:
         adapters = server.models.get(need.model, set())
         adapters.discard(need.adapter)
         server.adapters_due[need.model, need.adapter] = now + RETRY_ADAPTER_MS
-        pool.adapter_ms = min(MOST_ADAPTER_MS, pool.adapter_ms * 1.25)
+        pool.adapter_load_ms = min(MAX_ADAPTER_LOAD_MS, pool.adapter_load_ms * 1.25)
         return
-    server.refusing_until[need.model] = now + REFUSING_MS
+    server.model_backoff_until[need.model] = now + MODEL_BACKOFF_MS
 
 
 RETRY_LOAD_MS = 150
 """When a load that took longer than expected is tried again, in ms."""
 
-REFUSING_MS = 150
+MODEL_BACKOFF_MS = 150
 """How long a model's requests are kept from a server that refused one, in ms: it may
 be unloading the model once its runs have ended, or be full."""
 
 RETRY_ADAPTER_MS = 20
 """When an adapter that took longer than expected is tried again, in ms."""
 
-MOST_ADAPTER_MS = 120
+MAX_ADAPTER_LOAD_MS = 120
 """Largest expected time of an adapter load, in ms: ten times the usual."""
--- a/src/arbutuspulley/pool/stream_gaps.py
+++ b/src/arbutuspulley/pool/stream_gaps.py
@@ -18,20 +18,20 @@
 
 from arbutuspulley.data import State, Value
 
-FIRST_EVENT_MS = 60.0
+DEFAULT_EVENT_MS = 60.0
 """How long an event takes to generate until streams were seen, in ms: an event
 holds some tokens, and a token takes 5 to 20 ms."""
 
-EVENT_MEMORY = 0.1
+EVENT_SMOOTHING = 0.1
 """Weight of the newest stream in a server's time for an event: about the last ten."""
 
-FEWEST_EVENTS = 3
+MIN_EVENTS = 3
 """Streams of fewer events say little of what one takes."""
 
-SLACK_MS = 15.0
+GAP_MARGIN_MS = 15.0
 """Kept free of each pause, in ms: the way to the caller and the timers on it."""
 
-LEAST_PART = 0.3
+MIN_PREFILL_FRACTION = 0.3
 """Part of the pause that may be read in any case. Where events alone take nearly the
 whole of it, streams can't be kept in time by not reading."""
 
@@ -53,18 +53,18 @@
 
     prefills: deque[PrefillSpan] = msgspec.field(default_factory=deque)
     prefill_ms: float = 0
-    event_ms: float = FIRST_EVENT_MS
+    event_ms: float = DEFAULT_EVENT_MS
 
 
 def record_prefill(
-    state: StreamGapState, prefill_ms: float, *, keep_ms: int, now: int
+    state: StreamGapState, prefill_ms: float, *, retention_ms: int, now: int
 ) -> None:
     """A prompt starts that takes so long to read.
 
     :param keep_ms: the longest pause that matters at this server.
     """
     prefills = state.prefills
-    while prefills and prefills[0].end < now - keep_ms:
+    while prefills and prefills[0].end < now - retention_ms:
         prefills.popleft()
     begin = max(float(now), prefills[-1].end) if prefills else float(now)
     prefills.append(PrefillSpan(begin=begin, end=begin + prefill_ms))
@@ -79,10 +79,10 @@
     :param took_ms: from its first event to its last.
     :param read_ms: what the server read meanwhile.
     """
-    if events < FEWEST_EVENTS:
+    if events < MIN_EVENTS:
         return
     event_ms = max(0.0, took_ms - prefill_ms) / (events - 1)
-    state.event_ms += EVENT_MEMORY * (event_ms - state.event_ms)
+    state.event_ms += EVENT_SMOOTHING * (event_ms - state.event_ms)
 
 
 def find_start(
@@ -95,13 +95,16 @@
     """
     if not gap_target_ms or not state.prefills:
         return float(now)
-    most = max(LEAST_PART * gap_target_ms, gap_target_ms - state.event_ms - SLACK_MS)
-    left = max(0.0, most - prefill_ms)
+    max_prefill_ms = max(
+        MIN_PREFILL_FRACTION * gap_target_ms,
+        gap_target_ms - state.event_ms - GAP_MARGIN_MS,
+    )
+    budget_ms = max(0.0, max_prefill_ms - prefill_ms)
     for prefill in reversed(state.prefills):
         length = prefill.end - prefill.begin
-        if length > left:
+        if length > budget_ms:
             # What is read after this moment, and the prompt, fit into one pause.
-            free_from = prefill.end - left
+            free_from = prefill.end - budget_ms
             return max(float(now), free_from + max(0.0, gap_target_ms - prefill_ms))
-        left -= length
+        budget_ms -= length
     return float(now)
--- a/src/arbutuspulley/pool/waits.py
+++ b/src/arbutuspulley/pool/waits.py
@@ -4,15 +4,15 @@
 from arbutuspulley.pool.answers import NEVER, get_load_ms
 from arbutuspulley.pool.copies import CopyIndex, get_copies
 from arbutuspulley.pool.demand import get_copy_token_rate
-from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload
+from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload_wait
 
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 4_000
+MIN_RETRY_AFTER_MS = 200
+MAX_RETRY_AFTER_MS = 4_000
 """Bounds of when a refused caller is told to come back, in ms: sooner, it meets the
 same queue, and it waits no longer than a third of its time, which is 3 to 15 s."""
 
 
-def list_copy_times(pool: PoolState, model: str, index: CopyIndex) -> list[float]:
+def list_copy_ready_times(pool: PoolState, model: str, index: CopyIndex) -> list[float]:
     """Return in how many ms each copy of a model can be used, the first one first.
 
     A copy that is still being loaded, or waits for another model to leave, does not
@@ -20,28 +20,30 @@
     the same queue; they come back once.
     """
     copies = get_copies(index, model)
-    return sorted(_estimate_ready(pool, one, model, now=index.now) for one in copies)
+    return sorted(
+        _estimate_ready_time(pool, one, model, now=index.now) for one in copies
+    )
 
 
 def estimate_wait(
-    pool: PoolState, model: str, tokens: float, copy_times: list[float]
+    pool: PoolState, model: str, tokens: float, ready_times: list[float]
 ) -> float:
     """Return in how many ms so many prompt tokens will have been started.
 
-    :param copy_times: as :func:`list_copy_times` returns them; not empty.
+    :param copy_times: as :func:`list_copy_ready_times` returns them; not empty.
     """
     rate = get_copy_token_rate(pool, model) / 1_000
-    left, at = float(tokens), copy_times[0]
-    for copies, next_at in enumerate(copy_times[1:], start=1):
-        taken = copies * rate * (next_at - at)
-        if taken >= left:
-            return at + left / (copies * rate)
-        left -= taken
-        at = next_at
-    return at + left / (len(copy_times) * rate)
+    remaining, elapsed_ms = float(tokens), ready_times[0]
+    for copies, next_at in enumerate(ready_times[1:], start=1):
+        started = copies * rate * (next_at - elapsed_ms)
+        if started >= remaining:
+            return elapsed_ms + remaining / (copies * rate)
+        remaining -= started
+        elapsed_ms = next_at
+    return elapsed_ms + remaining / (len(ready_times) * rate)
 
 
-def estimate_limited_wait(index: CopyIndex, model: str, requests: int) -> float:
+def estimate_rate_limit_wait(index: CopyIndex, model: str, requests: int) -> float:
     """Return in how many ms servers' rate limits let a request through; 0: not known.
 
     :param requests: that wait for the model before it.
@@ -54,11 +56,11 @@
     return min(get_wait(one, now=index.now) for one in limits) + requests / rate
 
 
-def estimate_retry(
+def estimate_retry_after(
     pool: PoolState,
     model: str,
     tokens: float,
-    copy_times: list[float],
+    ready_times: list[float],
     *,
     limited_ms: float = 0,
 ) -> int:
@@ -68,14 +70,14 @@
     :param limited_ms: how long rate limits keep it from the servers that have the
         model; 0: none do.
     """
-    if copy_times:
-        wait_ms = estimate_wait(pool, model, tokens, copy_times)
+    if ready_times:
+        wait_ms = estimate_wait(pool, model, tokens, ready_times)
     else:
         wait_ms = limited_ms or pool.spec.models[model].load_ms
-    return int(max(LEAST_RETRY_MS, min(MOST_RETRY_MS, wait_ms)))
+    return int(max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, wait_ms)))
 
 
-def _estimate_ready(
+def _estimate_ready_time(
     pool: PoolState, server: ServerState, model: str, *, now: int
 ) -> float:
     if model in server.models:
@@ -86,5 +88,5 @@
             return load_ms
         return max(0.0, float(server.loading_until - now))
     if server.unloading:
-        load_ms += estimate_unload(pool, server, server.unloading, now=now)
+        load_ms += estimate_unload_wait(pool, server, server.unloading, now=now)
     return load_ms
--- a/tests/pools.py
+++ b/tests/pools.py
@@ -35,7 +35,7 @@
         "zone": "z1",
         "slots": 8,
         "models": {model: set() for model in models},
-        "orders": 0,
+        "accepted_orders": 0,
         **changes,
     }
     return ServerState(**values)
--- a/tests/test_pool_copies.py
+++ b/tests/test_pool_copies.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from arbutuspulley.pool.copies import get_copies, index_copies, refresh_copies
-from arbutuspulley.pool.eviction import begin_pass, note_change, plan_room
+from arbutuspulley.pool.copies import get_copies, index_copies, reindex_server
+from arbutuspulley.pool.eviction import begin_cycle, plan_eviction, update_cycle
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import is_usable
 from scripts.bench_pool import build_pool
@@ -31,11 +31,11 @@
     server.loading = chance.choice([*models, "", "", ""])
     server.planned = chance.choice([*models, "", "", ""])
     server.is_leaving = chance.random() < 0.2
-    server.suspect_until = NOW + 500 if chance.random() < 0.2 else 0
+    server.backoff_until = NOW + 500 if chance.random() < 0.2 else 0
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_index_follows_each_change(seed):
+def test_reindexing_after_each_change_matches_full_scan(seed):
     chance = random.Random(seed)
     pool, _now = build_pool(10, chance=chance)
     models = list(pool.spec.models)
@@ -43,14 +43,14 @@
     for _ in range(30):
         server = chance.choice(list(pool.servers.values()))
         change(server, models, chance)
-        refresh_copies(index, server)
+        reindex_server(index, server)
         for model in models:
             found = {one.incarnation for one in get_copies(index, model)}
             assert found == find_copies(pool, model, now=NOW)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_a_pass_remembers_is_what_it_would_work_out_anew(seed):
+def test_cached_eviction_options_match_a_fresh_computation(seed):
     """What leaving costs is kept for all models and servers of a pass, and corrected as
     copies come and go. Kept too long, the only copy of a model would be unloaded."""
     chance = random.Random(seed)
@@ -58,32 +58,32 @@
     for server in pool.servers.values():
         for key in [key for key in server.runs if chance.random() < 0.7]:
             del server.runs[key]
-    state = begin_pass(pool, now=now)
+    cycle = begin_cycle(pool, now=now)
     models = list(pool.spec.models)
     servers = list(pool.servers.values())
     for _ in range(40):
         for server in chance.sample(servers, 5):
-            plan_room(state, server, _pick_missing(server, models))
+            plan_eviction(cycle, server, _pick_missing(server, models))
         server, wanted = chance.choice(servers), chance.choice(models)
         if wanted in server.models:
             continue
         before, server.planned = server.planned, wanted
-        note_change(state, server, {before, wanted})
-    assert state.rooms
-    for incarnation, room in dict(state.rooms).items():
+        update_cycle(cycle, server, {before, wanted})
+    assert cycle.options
+    for incarnation, options in dict(cycle.options).items():
         server = pool.servers[incarnation]
-        fresh = begin_pass(pool, now=now)
-        plan_room(
-            fresh, server, next(one for one in models if one not in server.models)
+        fresh_cycle = begin_cycle(pool, now=now)
+        plan_eviction(
+            fresh_cycle, server, next(one for one in models if one not in server.models)
         )
-        assert fresh.rooms[incarnation] == room
+        assert fresh_cycle.options[incarnation] == options
 
 
 def _pick_missing(server, models):
     return next(one for one in models if one not in server.models)
 
 
-def test_no_server_gets_two_orders_in_a_pass():
+def test_no_server_gets_two_orders_in_one_planning_cycle():
     pool, now = build_pool(20, chance=random.Random(3))
     for server in pool.servers.values():
         server.runs.clear()
--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -19,13 +19,13 @@
     list_demand,
     record_demand,
 )
-from arbutuspulley.pool.duration import estimate_run
+from arbutuspulley.pool.duration import estimate_run_time
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.ports.fleet import ModelNeed
 from tests.pools import add_run, build_pool, build_server, build_spec
 
 
-def ask(pool, *, per_s, begin, end, chance, model="m0"):
+def send_requests(pool, *, per_s, begin, end, chance, model="m0"):
     now = begin
     while True:
         now += chance.expovariate(per_s / 1_000)
@@ -34,44 +34,44 @@
         record_demand(pool, model, 1_000, now=int(now))
 
 
-def test_a_rise_is_seen_within_a_second():
+def test_rising_demand_is_detected_within_a_second():
     """Demand for a model rises to five times within a moment. By a mean of 3 s it was
     taken for twice as much after one second, and for less than the truth for nine."""
     chance = random.Random(3)
     pool = build_pool(mean_tokens=1_000.0)
-    ask(pool, per_s=10, begin=0, end=20_000, chance=chance)
+    send_requests(pool, per_s=10, begin=0, end=20_000, chance=chance)
     before = get_demand(pool, "m0")
-    ask(pool, per_s=50, begin=20_000, end=21_200, chance=chance)
+    send_requests(pool, per_s=50, begin=20_000, end=21_200, chance=chance)
     assert before < 16_000
     assert get_demand(pool, "m0") > 25_000
 
 
-def test_chance_is_not_taken_for_a_trend():
+def test_random_variation_does_not_change_the_estimate():
     chance = random.Random(5)
     pool = build_pool(mean_tokens=1_000.0)
-    ask(pool, per_s=20, begin=0, end=10_000, chance=chance)
+    send_requests(pool, per_s=20, begin=0, end=10_000, chance=chance)
     seen = []
     for second in range(10, 60):
         begin = second * 1_000
-        ask(pool, per_s=20, begin=begin, end=begin + 1_000, chance=chance)
+        send_requests(pool, per_s=20, begin=begin, end=begin + 1_000, chance=chance)
         seen.append(get_demand(pool, "m0"))
     off = [one for one in seen if not 10_000 < one < 30_000]
     assert len(off) <= 3
 
 
 @pytest.mark.parametrize("seconds", [1, 2, 4, 8])
-def test_a_start_does_not_look_like_little_demand(seconds):
+def test_demand_is_not_underestimated_after_a_start(seconds):
     """All instances start anew. Counted from nothing, a model that was asked for by 50
     requests a second seemed to be asked for by 10 after a second and had no second copy
     for three."""
     pool = build_pool(mean_tokens=1_000.0)
-    ask(pool, per_s=50, begin=0, end=seconds * 1_000, chance=random.Random(1))
+    send_requests(pool, per_s=50, begin=0, end=seconds * 1_000, chance=random.Random(1))
     assert get_demand(pool, "m0") == pytest.approx(50_000, rel=0.4)
 
 
-def test_a_successor_goes_on_with_what_was_known():
+def test_successor_inherits_the_demand_estimates():
     pool, successor = build_pool(), build_pool()
-    ask(pool, per_s=30, begin=0, end=9_000, chance=random.Random(2))
+    send_requests(pool, per_s=30, begin=0, end=9_000, chance=random.Random(2))
     inherit_demand(successor, list_demand(pool), now=77)
     known = get_demand(pool, "m0")
     assert get_demand(successor, "m0") == pytest.approx(known)
@@ -82,7 +82,9 @@
     [(12, 800, 290, "slots"), (64, 1_460, 120, "reading"), (12, 2_400, 27, "reading")],
     ids=["few slots, long streams", "many slots", "short answers to long prompts"],
 )
-def test_a_request_takes_of_a_copy_what_is_scarcer(slots, prompt, expected, binds):
+def test_token_cost_is_set_by_the_scarcer_of_slots_and_prefill(
+    slots, prompt, expected, binds
+):
     """Streams of two seconds on servers of twelve slots: six a second fit, while thirty
     prompts a second could be read."""
     pool = build_pool(spec=build_spec(slots=slots))
@@ -96,10 +98,10 @@
     weight = estimate_token_cost(pool, need)
     assert (weight > prompt) == (binds == "slots")
     prefill_ms = weight * 1_000 / get_copy_token_rate(pool, "m0")
-    assert slots * prefill_ms >= estimate_run(pool.durations, need)
+    assert slots * prefill_ms >= estimate_run_time(pool.durations, need)
 
 
-def test_a_model_whose_slots_are_full_gets_another_copy():
+def test_model_with_full_slots_gets_another_copy():
     """The only copy's twelve slots are full of long streams and ten requests a second
     come. By what they read the copy was a third in use, and nobody loaded another:
     35 requests waited, and a third of them were refused."""
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -7,8 +7,8 @@
 from arbutuspulley.pool.duration import (
     DEFAULT_TOKEN_MS,
     DurationState,
-    estimate_left,
-    note_run_time,
+    estimate_remaining_time,
+    record_run_time,
 )
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.ports.fleet import ModelNeed, OrderAnswer
@@ -36,26 +36,28 @@
     ],
     ids=["expected", "begun", "only the most known", "nearly done", "longer than said"],
 )
-def test_what_is_left_of_a_run(expected, output, ran_ms, left):
+def test_remaining_time_of_a_run(expected, output, ran_ms, left):
     need = build_need(expected=expected, output=output)
-    assert estimate_left(DurationState(), need, ran_ms=ran_ms) == pytest.approx(left)
+    assert estimate_remaining_time(
+        DurationState(), need, ran_ms=ran_ms
+    ) == pytest.approx(left)
 
 
-def test_the_time_of_a_token_is_learnt():
+def test_token_time_is_estimated_from_ended_runs():
     state = DurationState()
     for _ in range(200):
-        note_run_time(state, build_need(expected=100), took_ms=3_000)
-    left = estimate_left(state, build_need(expected=50), ran_ms=0)
+        record_run_time(state, build_need(expected=100), took_ms=3_000)
+    left = estimate_remaining_time(state, build_need(expected=50), ran_ms=0)
     assert left == pytest.approx(1_500, rel=0.05)
 
 
-def ask_often(pool, model, *, now, waiting=3):
+def add_demand(pool, model, *, now, waiting=3):
     for number in range(waiting):
         record_demand(pool, model, 1_200, now=now)
         add_waiting(pool, f"{model}-{number}", model, now=now)
 
 
-def test_the_model_that_leaves_is_one_whose_runs_end_soon():
+def test_model_whose_runs_end_soonest_is_evicted():
     """A model that nobody had was asked for. One server held a model with a single run
     that had just begun to write 400 tokens, another one with two runs nearly done. The
     first was chosen, since it had fewer runs; for 6 s it took no order."""
@@ -66,11 +68,11 @@
     for model in ("m2", "m3"):
         add_run(short, f"a-{model}", model, expected=20)
         add_run(short, f"b-{model}", model, expected=20)
-    ask_often(pool, "m4", now=10)
+    add_demand(pool, "m4", now=10)
     assert [one.incarnation for one in plan_orders(pool, now=10)] == ["s1"]
 
 
-def test_a_model_is_loaded_elsewhere_if_its_server_waits_for_a_long_stream():
+def test_model_is_loaded_elsewhere_if_the_unload_waits_for_a_long_stream():
     """The busiest model moved to a server whose unload waited for a long stream. It
     counted as being there soon. Other servers had room within a second, but for 7 s
     none was told to load it, and 103 of its requests were refused."""
@@ -78,7 +80,7 @@
     pool = build_pool(chosen, other)
     for model in ("m2", "m3"):
         add_run(other, f"r-{model}", model, expected=250)
-    ask_often(pool, "m4", now=10)
+    add_demand(pool, "m4", now=10)
     (order,) = plan_orders(pool, now=10)
     assert order.incarnation == "s0"
     # A stream that was on its way to it runs for longer than all others.
--- a/tests/test_pool_grants.py
+++ b/tests/test_pool_grants.py
@@ -27,7 +27,7 @@
     assert get_granted(plan_grants(pool, now=73)) == {"r1": "s0"}
 
 
-def test_the_urgent_start_first_and_the_late_last():
+def test_grants_are_ordered_by_priority_with_late_requests_last():
     pool = build_pool(build_server("s0", "m0"))
     add_waiting(pool, "late", "m0", priority=0, late_at=5)
     add_waiting(pool, "plain", "m0", priority=2)
@@ -37,7 +37,7 @@
     assert keys == [[("urgent", False)], [], [("plain", False)], [("late", True)]]
 
 
-def test_a_late_request_may_start_a_little_ahead_of_the_pace():
+def test_late_request_may_start_slightly_ahead_of_the_prefill_rate():
     """While others keep coming in time, late ones must not wait for ever."""
     pool = build_pool(build_server("s0", "m0", prefill_until=100))
     add_waiting(pool, "late", "m0", late_at=5)
@@ -45,7 +45,7 @@
     assert get_granted(plan_grants(pool, now=61)) == {"late": "s0"}
 
 
-def test_the_least_busy_server_with_the_model_is_chosen():
+def test_least_busy_server_with_the_model_is_chosen():
     pool = build_pool(
         build_server("s0", "m0", prefill_until=500),
         build_server("s1", "m0", zone="z2"),
@@ -59,19 +59,19 @@
     "changes",
     [
         {"is_leaving": True},
-        {"suspect_until": 100},
+        {"backoff_until": 100},
         {"unloading": "m0"},
-        {"refusing_until": {"m0": 100}},
+        {"model_backoff_until": {"m0": 100}},
         {"slots": 0},
     ],
 )
-def test_a_server_that_cannot_take_it_gets_nothing(changes):
+def test_unavailable_server_is_granted_nothing(changes):
     pool = build_pool(build_server("s0", "m0", **changes))
     add_waiting(pool, "r0", "m0")
     assert plan_grants(pool, now=10) == []
 
 
-def test_a_full_cache_takes_no_more():
+def test_full_kv_cache_takes_no_more_requests():
     """A ninth long prompt fits the slots but not the cache; the engine then preempts
     running streams, whose callers see a long pause."""
     pool = build_pool(build_server("s0", "m0"))
@@ -83,7 +83,7 @@
     assert get_granted(plan_grants(pool, now=6_010)) == {"r1": "s0"}
 
 
-def test_one_request_tries_a_load_that_should_be_done():
+def test_one_request_probes_an_unconfirmed_load():
     """A load takes longer than its model's usual time. All that waited for it were
     sent at once, were refused, and used up the budget of repeats."""
     pool = build_pool(build_server("s0", loading="m0", loading_until=100))
@@ -96,10 +96,10 @@
     assert get_granted(plan_grants(pool, now=260)) == {"r1": "s0"}
 
 
-def test_a_refusal_by_a_server_that_unloads_does_not_bring_the_model_back():
+def test_refusal_during_an_unload_does_not_mark_the_model_as_loading():
     """A request meets the unload of its model and is refused. The model counted as
     being loaded again, and was unloaded again, for seconds."""
-    server = build_server("s0", "m0", unconfirmed="m0")
+    server = build_server("s0", "m0", unconfirmed_load="m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m0")
     plan_grants(pool, now=0)
@@ -108,7 +108,7 @@
     assert server.loading == ""
 
 
-def test_what_waits_too_long_is_refused_with_a_time_to_come_back():
+def test_request_that_waits_too_long_is_refused_with_retry_after():
     pool = build_pool(build_server("s0", "m1"))
     add_waiting(pool, "r0", "m0", give_up_at=100)
     decided = plan_grants(pool, now=100)
@@ -117,7 +117,7 @@
     assert pool.waiting == {}
 
 
-def test_a_wait_without_hope_is_refused_at_once():
+def test_request_that_can_not_start_in_time_is_refused_at_once():
     """Forty callers ask for a model with one copy. The last of them would wait longer
     than callers do; held to the end, they lose that time, too."""
     pool = build_pool(build_server("s0", "m0", prefill_until=10_000))
@@ -128,16 +128,16 @@
     assert refused == [f"r{number}" for number in range(53, 60)]
 
 
-def test_an_unreachable_server_rests_longer_each_time():
+def test_backoff_of_an_unreachable_server_doubles():
     server = build_server("s0", "m0")
     pool = build_pool(server)
     record_unreachable(pool, "r0", "s0", now=0)
-    assert server.suspect_until == 1_000
+    assert server.backoff_until == 1_000
     record_unreachable(pool, "r0", "s0", now=1_000)
-    assert server.suspect_until == 3_000
+    assert server.backoff_until == 3_000
 
 
-def test_whoever_must_start_first_does():
+def test_requests_start_in_order_of_their_latest_start_time():
     """A caller that waits 1.5 s for its first event came before one that waits 0.5 s.
     In the order of arrival the second was late; both can be in time."""
     pool = build_pool(build_server("s0", "m0"))
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -2,7 +2,11 @@
 
 from arbutuspulley.admission.rate_limits import RateLimitLedger
 from arbutuspulley.pool.copies import get_copies
-from arbutuspulley.pool.eviction import SOLE_COST, begin_pass, compute_loss
+from arbutuspulley.pool.eviction import (
+    LAST_COPY_COST,
+    begin_cycle,
+    compute_eviction_cost,
+)
 from arbutuspulley.pool.grants import Grant, Refusal, find_next_wakeup, plan_grants
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import Demand
@@ -28,7 +32,7 @@
     return decided
 
 
-def test_a_limited_server_is_granted_no_more_than_it_takes():
+def test_limited_server_is_granted_no_more_than_its_limit():
     """Guards against a server in need that is granted by memory and pace alone."""
     server = build_server("s0", "m0")
     limit_server(server, 2.0)
@@ -38,7 +42,7 @@
     assert 18 <= len(granted) <= 20
 
 
-def test_requests_go_to_servers_that_name_no_limit():
+def test_servers_without_a_limit_are_preferred():
     limited, other = build_server("s0", "m0"), build_server("s1", "m0")
     limit_server(limited, 0.5)
     pool = build_pool(limited, other)
@@ -48,7 +52,7 @@
     assert granted.count("s0") <= 2
 
 
-def test_a_limited_server_is_left_to_models_that_only_it_has():
+def test_limited_server_is_reserved_for_models_that_only_it_has():
     """Guards against callers of a rare model that are refused as the only server that
     has it spends its limit on models that others have too."""
     limited, other = build_server("s0", "m0", "m1"), build_server("s1", "m0")
@@ -61,7 +65,7 @@
     assert granted == {"rare": "s0"}
 
 
-def test_a_request_that_a_limit_keeps_waiting_is_looked_at_again_in_time():
+def test_wakeup_is_scheduled_for_when_the_limit_allows_a_request():
     server = build_server("s0", "m0")
     limit_server(server, 2.0)
     pool = build_pool(server)
@@ -72,7 +76,7 @@
     assert granted.incarnation == "s0"
 
 
-def test_who_can_not_get_through_a_limit_is_refused_at_once_with_when_to_come_back():
+def test_request_beyond_a_limit_is_refused_at_once_with_retry_after():
     """Guards against callers that wait in vain for a server in need."""
     server = build_server("s0", "m0")
     limit_server(server, 1.0)
@@ -85,7 +89,7 @@
     assert all(3_900 <= one.retry_after_ms <= 4_000 for one in refused)
 
 
-def test_a_model_that_only_limited_servers_have_is_loaded_elsewhere():
+def test_model_that_only_limited_servers_have_is_loaded_elsewhere():
     """Guards against callers that are refused while other servers have room."""
     limited, other = build_server("s0", "m0"), build_server("s1")
     limit_server(limited, 0.5)
@@ -99,7 +103,7 @@
     )
 
 
-def test_nothing_is_loaded_at_a_limited_server_while_others_are_not():
+def test_nothing_is_loaded_on_a_limited_server_while_others_have_no_limit():
     limited, other = build_server("s0"), build_server("s1", "m1", "m2")
     limit_server(limited, 5.0, now=-10_000)
     pool = build_pool(limited, other)
@@ -108,20 +112,20 @@
     assert [one.incarnation for one in orders] == ["s1"]
 
 
-def test_a_copy_at_a_limited_server_does_not_make_another_one_spare():
+def test_copy_on_a_limited_server_does_not_make_another_copy_redundant():
     """Guards against models that are unloaded elsewhere each time that a server in need
     may get a request, and loaded again as it may not."""
     limited = build_server("s0", "m0")
     limit_server(limited, 1.0, now=-10_000)
     other = build_server("s1", "m0", "m1")
-    pool = build_pool(limited, other, demand={"m0": Demand(steady=9_000, swift=9_000)})
-    state = begin_pass(pool, now=0)
-    assert get_copies(state.index, "m0") == [other]
-    assert compute_loss(state, "m0") >= SOLE_COST
+    pool = build_pool(limited, other, demand={"m0": Demand(slow=9_000, fast=9_000)})
+    cycle = begin_cycle(pool, now=0)
+    assert get_copies(cycle.index, "m0") == [other]
+    assert compute_eviction_cost(cycle, "m0") >= LAST_COPY_COST
 
 
-def test_a_server_with_a_limit_that_hardly_binds_counts_as_a_copy():
+def test_server_with_a_high_limit_counts_as_a_copy():
     limited = build_server("s0", "m0")
     limit_server(limited, 100.0)
-    state = begin_pass(build_pool(limited), now=0)
-    assert get_copies(state.index, "m0") == [limited]
+    cycle = begin_cycle(build_pool(limited), now=0)
+    assert get_copies(cycle.index, "m0") == [limited]
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -10,7 +10,7 @@
 from arbutuspulley.pool.demand import record_demand
 from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
-from arbutuspulley.pool.load_rate import inherit_loads, may_load, note_load
+from arbutuspulley.pool.load_rate import inherit_loads, may_load, record_load
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.pool.state import record_not_run
 from arbutuspulley.ports.fleet import (
@@ -22,7 +22,7 @@
 from tests.pools import add_run, add_waiting, build_pool, build_server, build_spec
 
 
-def show(orders):
+def format_orders(orders):
     return [
         f"{one.kind.value} {one.model}{'/' + one.adapter if one.adapter else ''}"
         f" {one.incarnation} {one.expected_orders}"
@@ -30,9 +30,9 @@
     ]
 
 
-def answer(pool, orders, what, *, now):
+def apply_answers(pool, orders, answer, *, now):
     for order in orders:
-        apply_order_answer(pool, order, what, now=now)
+        apply_order_answer(pool, order, answer, now=now)
 
 
 def build_report(*models, orders=0, is_busy=False):
@@ -51,7 +51,7 @@
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0"))
     add_waiting(pool, "r0", "m2")
     orders = plan_orders(pool, now=10)
-    assert show(orders) == ["load m2 s1 0"]
+    assert format_orders(orders) == ["load m2 s1 0"]
     assert plan_orders(pool, now=11) == []
 
 
@@ -64,13 +64,13 @@
     add_waiting(pool, "r0", "m0", adapter="a1")
     add_waiting(pool, "r1", "m2")
     orders = plan_orders(pool, now=10)
-    assert show(orders) == ["load m0/a1 s0 0"]
+    assert format_orders(orders) == ["load m0/a1 s0 0"]
 
 
 @pytest.mark.parametrize(
-    "what", [OrderAnswer.CONFLICT, OrderAnswer.UNKNOWN, OrderAnswer.REFUSED]
+    "answer", [OrderAnswer.CONFLICT, OrderAnswer.UNKNOWN, OrderAnswer.REFUSED]
 )
-def test_memory_is_not_free_before_an_unload_was_taken(what):
+def test_memory_stays_in_use_until_an_unload_is_accepted(answer):
     """An unload is refused, or its answer is lost. Its memory was given to the next
     load, and the server, which still held the model, crashed."""
     server = build_server("s0", "m0", "m1")
@@ -79,11 +79,11 @@
     orders = plan_orders(pool, now=10)
     assert orders[0].kind is OrderKind.UNLOAD
     assert count_used_mb(pool.spec, server) == 60
-    answer(pool, orders, what, now=20)
+    apply_answers(pool, orders, answer, now=20)
     assert count_used_mb(pool.spec, server) == 60
 
 
-def test_memory_is_not_free_while_runs_hold_up_an_unload():
+def test_memory_stays_in_use_while_an_unload_waits_for_runs():
     server = build_server("s0", "m0", "m1")
     add_run(server, "x", "m0")
     add_run(server, "y", "m1")
@@ -92,13 +92,13 @@
         add_waiting(pool, f"r{number}", "m2")
     orders = plan_orders(pool, now=10)
     assert orders[0].kind is OrderKind.UNLOAD
-    answer(pool, orders, OrderAnswer.ACCEPTED, now=20)
+    apply_answers(pool, orders, OrderAnswer.ACCEPTED, now=20)
     assert plan_orders(pool, now=30) == []
     server.runs.clear()
-    assert show(plan_orders(pool, now=40)) == ["load m2 s0 1"]
+    assert format_orders(plan_orders(pool, now=40)) == ["load m2 s0 1"]
 
 
-def test_a_load_that_takes_long_stays_on_the_books():
+def test_memory_of_an_overdue_load_stays_in_use():
     """A load takes longer than usual, and the request that tried it is refused while
     the next order is under way. As that order met a conflict, the model under load
     was forgotten; the next load found room that was not there, and crashed the server.
@@ -109,13 +109,13 @@
     plan_grants(pool, now=100)
     add_waiting(pool, "r1", "m1")
     orders = plan_orders(pool, now=110)
-    assert show(orders) == ["load m1 s0 0"]
+    assert format_orders(orders) == ["load m1 s0 0"]
     record_not_run(pool, "r0", "s0", now=120)
-    answer(pool, orders, OrderAnswer.CONFLICT, now=130)
+    apply_answers(pool, orders, OrderAnswer.CONFLICT, now=130)
     assert count_used_mb(pool.spec, server) == 30
 
 
-def test_adapters_that_are_waited_for_do_not_push_each_other_out():
+def test_adapters_with_waiting_requests_do_not_evict_each_other():
     """More adapters are waited for than there are places, while the server reads. They
     were loaded and unloaded in turn, some hundred times a second, and none was used."""
     server = build_server("s0", "m0", prefill_until=500)
@@ -126,7 +126,7 @@
     assert plan_orders(pool, now=10) == []
 
 
-def test_an_adapter_whose_unload_waits_keeps_its_place():
+def test_adapter_keeps_its_slot_until_its_unload_is_complete():
     """An adapter in use is told to leave, which waits. Its place was given to the next
     one; the ninth adapter of eight crashed the server."""
     server = build_server("s0", "m0")
@@ -135,22 +135,22 @@
     add_waiting(pool, "r0", "m0", adapter="a3")
     orders = plan_orders(pool, now=10)
     assert orders[0].kind is OrderKind.UNLOAD
-    answer(pool, orders, OrderAnswer.ACCEPTED, now=20)
+    apply_answers(pool, orders, OrderAnswer.ACCEPTED, now=20)
     assert [one.kind for one in plan_orders(pool, now=30)] != [OrderKind.LOAD]
     answer_now = plan_orders(pool, now=40)
     assert all(one.kind is OrderKind.UNLOAD for one in answer_now)
 
 
-def test_an_idle_adapter_makes_way_at_once():
+def test_idle_adapter_is_evicted_at_once():
     server = build_server("s0", "m0")
     server.models["m0"] = {"a1", "a2"}
     server.adapter_used_at = {("m0", "a1"): 5, ("m0", "a2"): 1}
     pool = build_pool(server)
     add_waiting(pool, "r0", "m0", adapter="a3")
     orders = plan_orders(pool, now=10)
-    assert show(orders) == ["unload m0/a2 s0 0"]
-    answer(pool, orders, OrderAnswer.HELD_ALREADY, now=20)
-    assert show(plan_orders(pool, now=30)) == ["load m0/a3 s0 1"]
+    assert format_orders(orders) == ["unload m0/a2 s0 0"]
+    apply_answers(pool, orders, OrderAnswer.HELD_ALREADY, now=20)
+    assert format_orders(plan_orders(pool, now=30)) == ["load m0/a3 s0 1"]
 
 
 def test_a_busy_model_is_not_evicted_for_a_rare_one():
@@ -163,7 +163,7 @@
     assert plan_orders(pool, now=1_200) == []
 
 
-def test_a_rare_model_is_loaded_all_the_same_after_a_while():
+def test_rare_model_is_loaded_eventually():
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0", "m1"))
     for number in range(10):
         record_demand(pool, "m0", 1_000, now=number * 100)
@@ -177,17 +177,17 @@
     pool = build_pool(build_server("s0", "m0", prefill_until=900), build_server("s1"))
     for number in range(8):
         add_waiting(pool, f"r{number}", "m0")
-    assert show(plan_orders(pool, now=10)) == ["load m0 s1 0"]
+    assert format_orders(plan_orders(pool, now=10)) == ["load m0 s1 0"]
 
 
-def test_demand_brings_a_copy_ahead_of_any_wait():
+def test_demand_adds_a_copy_before_any_request_waits():
     pool = build_pool(build_server("s0", "m0"), build_server("s1"))
     for number in range(300):
         record_demand(pool, "m0", 1_000, now=number * 10)
-    assert show(plan_orders(pool, now=3_000)) == ["load m0 s1 0"]
+    assert format_orders(plan_orders(pool, now=3_000)) == ["load m0 s1 0"]
 
 
-def test_a_planned_copy_counts_as_one():
+def test_planned_copy_counts_as_a_copy():
     """Every server with room was told to load one rare model at the same moment."""
     pool = build_pool(*(build_server(f"s{n}", "m0", "m1") for n in range(4)))
     add_waiting(pool, "r0", "m2")
@@ -195,7 +195,7 @@
     assert plan_orders(pool, now=20) == []
 
 
-def test_an_order_without_an_answer_is_given_again_at_once():
+def test_unanswered_order_is_sent_again_at_once():
     """For some seconds a third of the orders get no answer and are carried out late.
 
     Waiting for a report each time left models missing for seconds. The next order
@@ -205,39 +205,39 @@
     server = build_server("s0", "m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
-    answer(pool, plan_orders(pool, now=10), OrderAnswer.UNKNOWN, now=210)
+    apply_answers(pool, plan_orders(pool, now=10), OrderAnswer.UNKNOWN, now=210)
     again = plan_orders(pool, now=220)
-    assert show(again) == ["load m2 s0 0"]
+    assert format_orders(again) == ["load m2 s0 0"]
     assert len(pool.loads) == 1
-    answer(pool, again, OrderAnswer.CONFLICT, now=230)
-    assert server.orders is None
+    apply_answers(pool, again, OrderAnswer.CONFLICT, now=230)
+    assert server.accepted_orders is None
 
 
-def test_a_doubtful_order_waits_for_a_report_made_after_it():
+def test_refused_order_needs_a_report_made_after_it():
     server = build_server("s0", "m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
-    answer(pool, plan_orders(pool, now=10), OrderAnswer.REFUSED, now=20)
+    apply_answers(pool, plan_orders(pool, now=10), OrderAnswer.REFUSED, now=20)
     assert plan_orders(pool, now=100) == []
     assert list_servers_needing_report(pool, now=100) == []
     assert list_servers_needing_report(pool, now=400) == [server]
     apply_report(pool, "s0", build_report("m0", "m2", orders=1), asked_at=400)
     assert set(server.models) == {"m0", "m2"}
-    assert server.orders == 1
+    assert server.accepted_orders == 1
 
 
-def test_an_older_report_changes_nothing():
+def test_stale_report_is_ignored():
     """A report is some hundred ms old. One from before a load made it forgotten."""
     server = build_server("s0", "m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
-    answer(pool, plan_orders(pool, now=1_000), OrderAnswer.ACCEPTED, now=1_010)
+    apply_answers(pool, plan_orders(pool, now=1_000), OrderAnswer.ACCEPTED, now=1_010)
     apply_report(pool, "s0", build_report("m0"), asked_at=1_100)
     assert server.loading == "m2"
-    assert server.orders == 1
+    assert server.accepted_orders == 1
 
 
-def test_a_conflict_is_tried_again_and_then_looked_into():
+def test_conflicts_are_retried_before_a_report_is_needed():
     server = build_server("s0", "m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
@@ -245,18 +245,20 @@
     for _ in range(3):
         now += 100
         orders = plan_orders(pool, now=now)
-        assert show(orders) == ["load m2 s0 0"]
-        answer(pool, orders, OrderAnswer.CONFLICT, now=now)
-    answer(pool, plan_orders(pool, now=now + 100), OrderAnswer.CONFLICT, now=now + 100)
-    assert server.orders is None
+        assert format_orders(orders) == ["load m2 s0 0"]
+        apply_answers(pool, orders, OrderAnswer.CONFLICT, now=now)
+    apply_answers(
+        pool, plan_orders(pool, now=now + 100), OrderAnswer.CONFLICT, now=now + 100
+    )
+    assert server.accepted_orders is None
 
 
-def test_loads_stay_below_the_rate_of_the_weight_store():
+def test_loads_stay_below_the_rate_limit_of_the_weight_store():
     pool = build_pool(build_server("s0"))
     begun = 0
     for now in range(0, 20_000, 50):
         if may_load(pool, now=now):
-            note_load(pool, now=now)
+            record_load(pool, now=now)
             begun += 1
             recent = [at for at in pool.loads if at > now - 5_000]
             assert len(recent) <= 2 * 5 * 1.1 + 3
@@ -264,7 +266,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "counted"),
+    ("answer", "counted"),
     [
         (OrderAnswer.ACCEPTED, 1),
         (OrderAnswer.UNKNOWN, 1),
@@ -273,27 +275,27 @@
         (OrderAnswer.HELD_ALREADY, 0),
     ],
 )
-def test_a_load_that_did_not_begin_does_not_count(what, counted):
+def test_load_that_did_not_start_is_not_counted(answer, counted):
     """Servers that were still unloading answered a load with a conflict, and each of
     these took up a part of the weight store's rate. The load itself, 60 ms later, had
     to wait for 1.2 s, and with it 69 callers of a model that nobody had."""
     pool = build_pool(build_server("s0", "m0"))
     add_waiting(pool, "r0", "m2")
-    answer(pool, plan_orders(pool, now=10), what, now=20)
+    apply_answers(pool, plan_orders(pool, now=10), answer, now=20)
     assert len(pool.loads) == counted
 
 
-def test_a_load_in_doubt_counts_once():
+def test_unanswered_load_is_counted_once():
     pool = build_pool(build_server("s0", "m0"))
     add_waiting(pool, "r0", "m2")
-    answer(pool, plan_orders(pool, now=10), OrderAnswer.UNKNOWN, now=210)
-    answer(pool, plan_orders(pool, now=220), OrderAnswer.CONFLICT, now=230)
+    apply_answers(pool, plan_orders(pool, now=10), OrderAnswer.UNKNOWN, now=210)
+    apply_answers(pool, plan_orders(pool, now=220), OrderAnswer.CONFLICT, now=230)
     assert len(pool.loads) == 1
 
 
 @pytest.mark.parametrize("known", [0, 3, 6, 12])
 @pytest.mark.parametrize("unknown_until", [None, 0, 900])
-def test_two_coordinators_together_keep_to_the_weight_stores_rate(known, unknown_until):
+def test_successor_keeps_to_the_rate_limit_of_the_weight_store(known, unknown_until):
     """A coordinator orders as many loads as the weight store's rate allows and is
     killed. Its successor knows those that were told, and that as many as run at once
     may have been ordered since."""
@@ -301,12 +303,12 @@
     inherit_loads(pool, [0] * known, unknown_until=unknown_until)
     ordered = known + (unknown_until is not None) * 3
     while may_load(pool, now=1_000):
-        note_load(pool, now=1_000)
+        record_load(pool, now=1_000)
         ordered += 1
     assert ordered <= max(12, known + 3)
 
 
-def test_a_successor_loads_at_once_what_the_rate_has_left():
+def test_successor_may_use_the_remaining_load_rate_at_once():
     """The store is away for eight seconds, and nobody may give orders. The next
     coordinator took all of the rate for used up; a model that 30 requests waited for
     was not loaded for five seconds more."""
@@ -314,11 +316,11 @@
     inherit_loads(pool, [-9_000], unknown_until=-6_000)
     add_waiting(pool, "r0", "m0")
     for _ in range(9):
-        note_load(pool, now=9)
-    assert show(plan_orders(pool, now=10)) == ["load m0 s0 0"]
+        record_load(pool, now=9)
+    assert format_orders(plan_orders(pool, now=10)) == ["load m0 s0 0"]
 
 
-def test_no_more_loads_at_once_than_the_store_carries_at_full_speed():
+def test_concurrent_loads_are_bounded_by_the_store_rate():
     servers = [build_server(f"s{n}") for n in range(6)]
     pool = build_pool(*servers, spec=build_spec(loads_per_s=2))
     for number in range(5):
@@ -326,26 +328,29 @@
     assert len(plan_orders(pool, now=10)) == 3
 
 
-def test_the_busiest_model_gets_all_the_copies_it_needs_first():
+def test_busiest_model_gets_all_its_copies_first():
     """Demand moves to a model with one copy; 60 requests wait for it and one for
     another. One copy at a time was planned, so each other server that was free just
     then went to the model that one request waited for, and the 60 waited for its load.
     """
-    busy = build_server("s0", "m0", orders=None)
+    busy = build_server("s0", "m0", accepted_orders=None)
     pool = build_pool(busy, build_server("s1"), build_server("s2"))
     for number in range(60):
         add_waiting(pool, f"r{number}", "m0")
     add_waiting(pool, "rare", "m1")
-    assert sorted(show(plan_orders(pool, now=10))) == ["load m0 s1 0", "load m0 s2 0"]
+    assert sorted(format_orders(plan_orders(pool, now=10))) == [
+        "load m0 s1 0",
+        "load m0 s2 0",
+    ]
 
 
-def test_a_plan_gives_way_to_a_model_that_is_wanted_by_far_more():
+def test_planned_load_is_replaced_by_a_model_with_far_more_demand():
     """A server waits for a run to end before it loads a model for one request. Then
     demand moves to another model; its 60 requests waited until that load was done."""
     server = build_server("s1", "m2", "m3", unloading="m2", planned="m1")
     server.planned_gain, server.planned_until = 1.6, 6_000
     add_run(server, "r", "m2")
-    pool = build_pool(build_server("s0", "m0", orders=None), server)
+    pool = build_pool(build_server("s0", "m0", accepted_orders=None), server)
     add_waiting(pool, "rare", "m1")
     plan_orders(pool, now=10)
     assert server.planned == "m1"
@@ -354,4 +359,4 @@
     assert plan_orders(pool, now=11) == []
     assert server.planned == "m0"
     server.runs.clear()
-    assert show(plan_orders(pool, now=20)) == ["load m0 s1 0"]
+    assert format_orders(plan_orders(pool, now=20)) == ["load m0 s1 0"]
--- a/tests/test_pool_prefill_speed.py
+++ b/tests/test_pool_prefill_speed.py
@@ -7,7 +7,7 @@
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
-    SpeedState,
+    PrefillSpeedState,
     add_sample,
     get_speed,
 )
@@ -22,43 +22,45 @@
 from tests.pools import add_waiting, build_pool, build_server, build_spec
 
 
-def learn(true_speed, *, requests, odd=0.0, seed=1):
+def estimate_speed(true_speed, *, requests, outliers=0.0, seed=1):
     """Requests of 100 to 3,800 tokens, 20 to 40 ms beside reading, some of them odd."""
     chance = random.Random(seed)
-    speed = SpeedState()
+    speed = PrefillSpeedState()
     for _ in range(requests):
         tokens = int(min(3_800, chance.lognormvariate(6.8, 0.8)) + 100)
         took = 20 + chance.random() * 20 + tokens / true_speed
-        if chance.random() < odd:
+        if chance.random() < outliers:
             took += chance.random() * 400
         add_sample(speed, tokens=tokens, took_ms=took)
     return get_speed(speed)
 
 
 @pytest.mark.parametrize("true_speed", [12.0, 19.2, 25.8, 40.0])
-def test_the_speed_is_found_within_some_hundred_requests(true_speed):
-    assert learn(true_speed, requests=400) == pytest.approx(true_speed, rel=0.15)
+def test_speed_converges_within_some_hundred_requests(true_speed):
+    assert estimate_speed(true_speed, requests=400) == pytest.approx(
+        true_speed, rel=0.15
+    )
 
 
-def test_before_any_request_the_default_holds():
-    assert get_speed(SpeedState()) == DEFAULT_SPEED
+def test_default_speed_applies_before_any_request():
+    assert get_speed(PrefillSpeedState()) == DEFAULT_SPEED
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_odd_requests_do_not_turn_it_around(seed):
+def test_outliers_do_not_distort_the_speed(seed):
     """A few short prompts take long for other reasons. The slope came out near zero,
     the speed at its upper bound, and prompts were no longer paced at all."""
-    assert 14 < learn(25.8, requests=60, odd=0.15, seed=seed) < 45
+    assert 14 < estimate_speed(25.8, requests=60, outliers=0.15, seed=seed) < 45
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_takeover_does_not_slow_everybody_down(seed):
+def test_unknown_prefills_after_a_takeover_do_not_distort_the_speed(seed):
     """A coordinator that has just taken over does not know what its servers read. Every
     fourth request waits there behind prompts that it never heard of, the longer the
     more. The speed came out at a third, prompts were held back for 20 s, and 300
     requests were refused that servers had time for."""
     chance = random.Random(seed)
-    speed = SpeedState()
+    speed = PrefillSpeedState()
     for number in range(60):
         tokens = int(min(3_800, chance.lognormvariate(6.8, 0.8)) + 100)
         took = 20 + chance.random() * 20 + tokens / 25.8
@@ -68,7 +70,7 @@
     assert get_speed(speed) == pytest.approx(25.8, rel=0.25)
 
 
-def build_two_kinds():
+def build_two_size_classes():
     sizes = {"large": 60, "small": 20}
     models = {
         name: ModelSpec(
@@ -101,11 +103,11 @@
     return now
 
 
-def test_a_model_that_is_read_fast_is_not_paced_like_a_slow_one():
+def test_prefill_speed_differs_by_size_class():
     """Servers read their small models three to four times as fast as the large ones.
     All were paced by one speed, that of the large ones, so that callers of small models
     waited for servers that had time for them."""
-    pool = build_two_kinds()
+    pool = build_two_size_classes()
     now = serve(pool, "large", count=40, tokens_per_ms=19.2, start=0)
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=now)
     assert get_prefill_speed(pool, "large") == pytest.approx(19.2, rel=0.15)
@@ -115,20 +117,20 @@
     assert pool.servers["s1"].prefill_until - now < 60
 
 
-def test_a_kind_that_was_not_seen_is_read_as_slowly_as_the_slowest_known():
-    pool = build_two_kinds()
+def test_unknown_size_class_has_the_slowest_known_speed():
+    pool = build_two_size_classes()
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=0)
     assert get_prefill_speed(pool, "large") == get_prefill_speed(pool, "small")
     serve(pool, "large", count=40, tokens_per_ms=10, start=now)
     assert get_prefill_speed(pool, "large") == pytest.approx(10, rel=0.15)
 
 
-def test_a_successor_begins_with_what_was_learnt():
+def test_successor_inherits_the_prefill_speeds():
     """A coordinator that took over began with the default speed. On servers that read
     faster, callers waited for some seconds after each change."""
-    before = build_two_kinds()
+    before = build_two_size_classes()
     serve(before, "small", count=40, tokens_per_ms=66, start=0)
-    after = build_two_kinds()
+    after = build_two_size_classes()
     inherit_prefill_speeds(after, list_prefill_speeds(before))
     assert get_prefill_speed(after, "small") == get_prefill_speed(before, "small")
     assert get_prefill_speed(after, "large") == get_prefill_speed(before, "large")
--- a/tests/test_pool_restart.py
+++ b/tests/test_pool_restart.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from arbutuspulley.pool.answers import LATE_ORDER_MS, apply_order_answer
+from arbutuspulley.pool.answers import MAX_ORDER_DELAY_MS, apply_order_answer
 from arbutuspulley.pool.eviction import count_used_mb
 from arbutuspulley.pool.grants import plan_grants
 from arbutuspulley.pool.orders import plan_orders
-from arbutuspulley.pool.state import record_run_end, settle_due, update_servers
+from arbutuspulley.pool.state import complete_due_loads, record_run_end, update_servers
 from arbutuspulley.ports.fleet import (
     AttemptOutcome,
     LoadedModel,
@@ -37,53 +37,51 @@
     return pool, pool.servers["s0@1"]
 
 
-def test_nothing_of_the_start_before_is_believed():
+def test_state_of_the_previous_incarnation_is_discarded():
     """A server crashes and is back within a second under its id, with nothing loaded.
     Requests went on to it for the models that it had held, each refused, and its
     orders were numbered from where the old start had been."""
     pool, old = build("m0", "m1")
-    old.orders, old.failures, old.suspect_until = 7, 3, 4_000
+    old.accepted_orders, old.failures, old.backoff_until = 7, 3, 4_000
     old.runs.clear()
     add_run(old, "r0", "m0")
     update_servers(pool, [build_entry(2)])
     new = pool.servers["s0@2"]
-    assert (new.models, new.runs, new.orders) == ({}, {}, None)
-    assert (new.failures, new.suspect_until) == (0, 0)
+    assert (new.models, new.runs, new.accepted_orders) == ({}, {}, None)
+    assert (new.failures, new.backoff_until) == (0, 0)
     add_waiting(pool, "r1", "m0")
     assert plan_grants(pool, now=10) == []
 
 
-def test_an_answer_or_end_from_before_is_not_taken_for_the_new_start():
+def test_answers_for_the_previous_incarnation_do_not_change_the_new_one():
     pool, old = build("m0")
-    old.orders = 0
+    old.accepted_orders = 0
     add_waiting(pool, "r0", "m1")
     (order,) = plan_orders(pool, now=10)
     update_servers(pool, [build_entry(2)])
     apply_order_answer(pool, order, OrderAnswer.ACCEPTED, now=20)
     record_run_end(pool, "r9", "s0@1", how=AttemptOutcome.FAILED, now=20)
     new = pool.servers["s0@2"]
-    assert (new.loading, new.orders, new.failure_share) == ("", None, 0)
+    assert (new.loading, new.accepted_orders, new.failure_share) == ("", None, 0)
 
 
 @pytest.mark.parametrize(
     ("orders", "now", "expected_mb"),
-    [(0, 100, 30), (1, 100, 30), (2, 100, 0), (0, 100 + LATE_ORDER_MS, 0)],
+    [(0, 100, 30), (1, 100, 30), (2, 100, 0), (0, 100 + MAX_ORDER_DELAY_MS, 0)],
 )
-def test_a_load_without_an_answer_may_still_reach_the_new_start(
-    orders, now, expected_mb
-):
+def test_unanswered_load_counts_for_the_new_incarnation(orders, now, expected_mb):
     """A load is sent and not answered, the server crashes and is back under its id.
     The load is carried out seconds later, once the new start has accepted as many
     orders as the old one had: together with another model it was over the memory, and
     the server crashed again."""
     pool, old = build("m0")
-    old.orders = 1
+    old.accepted_orders = 1
     add_waiting(pool, "r0", "m1")
     (order,) = plan_orders(pool, now=10)
     assert (order.kind, order.expected_orders) == (OrderKind.LOAD, 1)
     apply_order_answer(pool, order, OrderAnswer.UNKNOWN, now=100)
     update_servers(pool, [build_entry(2)])
     new = pool.servers["s0@2"]
-    new.orders = orders
-    settle_due(new, now=now)
+    new.accepted_orders = orders
+    complete_due_loads(new, now=now)
     assert count_used_mb(pool.spec, new) == expected_mb
--- a/tests/test_pool_stream_gaps.py
+++ b/tests/test_pool_stream_gaps.py
@@ -12,10 +12,10 @@
 
 from arbutuspulley.pool.grants import Grant, find_next_wakeup, plan_grants
 from arbutuspulley.pool.stream_gaps import (
-    EVENT_MEMORY,
-    FIRST_EVENT_MS,
-    LEAST_PART,
-    SLACK_MS,
+    DEFAULT_EVENT_MS,
+    EVENT_SMOOTHING,
+    GAP_MARGIN_MS,
+    MIN_PREFILL_FRACTION,
     StreamGapState,
     find_start,
     record_prefill,
@@ -23,11 +23,11 @@
 )
 from tests.pools import add_run, add_waiting, build_pool, build_server
 
-PAUSE_MS = 250
-MOST_MS = PAUSE_MS - FIRST_EVENT_MS - SLACK_MS
+GAP_TARGET_MS = 250
+MAX_PREFILL_MS = GAP_TARGET_MS - DEFAULT_EVENT_MS - GAP_MARGIN_MS
 
 
-def count_read(state, begin, end):
+def sum_prefill_ms(state, begin, end):
     return sum(
         max(0.0, min(one.end, end) - max(one.begin, begin)) for one in state.prefills
     )
@@ -45,16 +45,18 @@
         ([(0, 20), (20, 100)], 75, 195),
     ],
 )
-def test_a_prompt_starts_when_one_pause_can_hold_it(prefills, prefill_ms, expected):
+def test_prompt_starts_once_it_fits_into_one_gap(prefills, prefill_ms, expected):
     state = StreamGapState()
     for begin, length in prefills:
-        record_prefill(state, length, keep_ms=1_000, now=begin)
+        record_prefill(state, length, retention_ms=1_000, now=begin)
     now = int(max((one.end for one in state.prefills), default=0))
-    start = find_start(state, prefill_ms=prefill_ms, gap_target_ms=PAUSE_MS, now=now)
+    start = find_start(
+        state, prefill_ms=prefill_ms, gap_target_ms=GAP_TARGET_MS, now=now
+    )
     assert start == max(now, expected)
 
 
-def test_no_pause_holds_more_than_it_may_while_prompts_keep_coming():
+def test_prefill_per_gap_stays_bounded_while_prompts_keep_arriving():
     """Prompts arrive without an end, each smaller than what one pause holds. Whatever
     their sizes, no span of the length of a pause has more than that read in it."""
     chance = random.Random(7)
@@ -62,50 +64,51 @@
     now = 0
     spans = []
     for _ in range(400):
-        prefill_ms = chance.uniform(5, MOST_MS)
+        prefill_ms = chance.uniform(5, MAX_PREFILL_MS)
         start = find_start(
-            state, prefill_ms=prefill_ms, gap_target_ms=PAUSE_MS, now=now
+            state, prefill_ms=prefill_ms, gap_target_ms=GAP_TARGET_MS, now=now
         )
         now = max(now, int(start) + 1)
-        record_prefill(state, prefill_ms, keep_ms=1_000, now=now)
+        record_prefill(state, prefill_ms, retention_ms=1_000, now=now)
         end = state.prefills[-1].end
-        spans.append(count_read(state, end - PAUSE_MS, end))
-    assert max(spans) <= MOST_MS + 1
+        spans.append(sum_prefill_ms(state, end - GAP_TARGET_MS, end))
+    assert max(spans) <= MAX_PREFILL_MS + 1
 
 
-def test_without_a_stream_to_keep_in_time_nothing_is_held_back():
+def test_prompts_are_not_delayed_without_streams_that_have_a_gap_target():
     state = StreamGapState()
-    record_prefill(state, 500, keep_ms=1_000, now=0)
+    record_prefill(state, 500, retention_ms=1_000, now=0)
     assert find_start(state, prefill_ms=100, gap_target_ms=0, now=10) == 10
 
 
-def test_the_time_of_an_event_is_learnt_without_what_was_read_meanwhile():
+def test_event_time_excludes_prefill_time():
     state = StreamGapState()
     record_stream(state, events=11, took_ms=1_500, prefill_ms=500)
-    expected = FIRST_EVENT_MS + EVENT_MEMORY * (100 - FIRST_EVENT_MS)
+    expected = DEFAULT_EVENT_MS + EVENT_SMOOTHING * (100 - DEFAULT_EVENT_MS)
     assert state.event_ms == pytest.approx(expected)
     record_stream(state, events=2, took_ms=9_000, prefill_ms=0)
     assert state.event_ms == pytest.approx(expected)
 
 
-def test_where_events_alone_fill_a_pause_some_reading_goes_on():
+def test_some_prefill_is_allowed_when_events_alone_fill_the_gap():
     state = StreamGapState(event_ms=400)
-    record_prefill(state, 10, keep_ms=1_000, now=0)
-    least = LEAST_PART * PAUSE_MS
+    record_prefill(state, 10, retention_ms=1_000, now=0)
+    least = MIN_PREFILL_FRACTION * GAP_TARGET_MS
     assert (
-        find_start(state, prefill_ms=least - 10, gap_target_ms=PAUSE_MS, now=10) == 10
+        find_start(state, prefill_ms=least - 10, gap_target_ms=GAP_TARGET_MS, now=10)
+        == 10
     )
 
 
-def test_streams_of_a_server_do_not_pause_for_a_burst_of_prompts():
+def test_burst_of_prompts_does_not_exceed_the_gap_target():
     """Ten callers' prompts reach a server whose streams are all in time. By the mean
     pace alone two of 100 ms started within 155 ms, and all streams paused for 260."""
     server = build_server("s0", "m0")
     add_run(server, "r", "m0")
-    server.runs["r"].gap_target_ms = PAUSE_MS
+    server.runs["r"].gap_target_ms = GAP_TARGET_MS
     pool = build_pool(server)
     for number in range(10):
-        add_waiting(pool, f"r{number}", "m0", tokens=2_000, gap_target_ms=PAUSE_MS)
+        add_waiting(pool, f"r{number}", "m0", tokens=2_000, gap_target_ms=GAP_TARGET_MS)
     now, starts = 1, []
     while len(starts) < 5 and now < 2_000:
         granted = [one for one in plan_grants(pool, now=now) if isinstance(one, Grant)]
@@ -115,14 +118,14 @@
     assert min(gaps) >= 175
 
 
-def test_a_long_prompt_is_not_passed_by_short_ones_at_its_server():
+def test_long_prompt_is_not_overtaken_by_short_ones():
     """A long prompt waits until the pause of the streams has room for it. Short ones
     that came later fitted in at once, again and again, and it was never started."""
     server = build_server("s0", "m0")
     add_run(server, "r", "m0")
-    server.runs["r"].gap_target_ms = PAUSE_MS
+    server.runs["r"].gap_target_ms = GAP_TARGET_MS
     pool = build_pool(server)
-    record_prefill(server.stream_gaps, 100, keep_ms=1_000, now=0)
+    record_prefill(server.stream_gaps, 100, retention_ms=1_000, now=0)
     add_waiting(pool, "long", "m0", tokens=3_400, arrived_at=1)
     add_waiting(pool, "short", "m0", tokens=400, arrived_at=2)
     now, order = 101, []
--- a/tests/test_pool_waits.py
+++ b/tests/test_pool_waits.py
@@ -11,17 +11,17 @@
 from arbutuspulley.pool.demand import get_copy_token_rate
 from arbutuspulley.pool.grants import Refusal, plan_grants
 from arbutuspulley.pool.waits import (
-    LEAST_RETRY_MS,
-    MOST_RETRY_MS,
-    estimate_retry,
+    MAX_RETRY_AFTER_MS,
+    MIN_RETRY_AFTER_MS,
+    estimate_retry_after,
     estimate_wait,
-    list_copy_times,
+    list_copy_ready_times,
 )
 from tests.pools import add_run, add_waiting, build_pool, build_server
 
 
 @pytest.mark.parametrize(
-    ("seconds", "copy_times", "expected_ms"),
+    ("seconds", "ready_times", "expected_ms"),
     [
         (1, [0], 1_000),
         (1, [0, 0], 500),
@@ -33,25 +33,27 @@
         (6, [0, 1_000, 2_000], 3_000),
     ],
 )
-def test_a_copy_helps_from_when_it_is_there(seconds, copy_times, expected_ms):
+def test_copy_reduces_the_wait_once_it_is_ready(seconds, ready_times, expected_ms):
     """Prompts of so many seconds for one copy."""
     pool = build_pool()
     tokens = int(get_copy_token_rate(pool, "m0") * seconds)
-    wait_ms = estimate_wait(pool, "m0", tokens, copy_times)
+    wait_ms = estimate_wait(pool, "m0", tokens, ready_times)
     assert wait_ms == pytest.approx(expected_ms, abs=1)
 
 
-def test_what_must_leave_first_counts():
+def test_ready_time_includes_the_unload_wait():
     loading = build_server("s1", loading="m0", loading_until=700)
     unloading = build_server("s2", "m1", planned="m0", unloading="m1")
     add_run(unloading, "r", "m1", expected=100)
     pool = build_pool(build_server("s0", "m0"), loading, unloading)
-    first, second, third = list_copy_times(pool, "m0", index_copies(pool, now=100))
+    first, second, third = list_copy_ready_times(
+        pool, "m0", index_copies(pool, now=100)
+    )
     assert (first, second) == (0, 600)
     assert third > pool.spec.models["m0"].load_ms + 1_000
 
 
-def test_a_refused_caller_is_told_when_the_copy_is_there():
+def test_retry_after_includes_the_time_until_a_copy_is_ready():
     """A copy that would be there in three seconds counted like one that was: callers
     that were refused came back after 0.2 s, met the same queue and were lost."""
     loading = build_server("s0", loading="m0", loading_until=3_000)
@@ -63,19 +65,19 @@
 
 
 @pytest.mark.parametrize(
-    ("seconds", "copy_times", "expected"),
+    ("seconds", "ready_times", "expected"),
     [
-        (0, [0], LEAST_RETRY_MS),
-        (60, [0], MOST_RETRY_MS),
+        (0, [0], MIN_RETRY_AFTER_MS),
+        (60, [0], MAX_RETRY_AFTER_MS),
         (1, [0], 1_000),
         (1, [], 1_200),
     ],
 )
-def test_a_refused_caller_comes_back_when_it_would_get_in(
-    seconds, copy_times, expected
+def test_retry_after_is_the_estimated_wait_within_bounds(
+    seconds, ready_times, expected
 ):
     pool = build_pool()
     tokens = int(get_copy_token_rate(pool, "m0") * seconds)
-    assert estimate_retry(pool, "m0", tokens, copy_times) == pytest.approx(
+    assert estimate_retry_after(pool, "m0", tokens, ready_times) == pytest.approx(
         expected, abs=1
     )
