--- a/src/arbutuspulley/pool/__init__.py
+++ b/src/arbutuspulley/pool/__init__.py
@@ -1,7 +1,7 @@
-"""One service's model servers: who runs where, what is loaded, who waits.
+"""Model servers of one service: loaded models, running requests, waiting requests.
 
-One coordinator holds this aggregate for a service. All of it is decided by pure
-functions of state and time; nothing that was promised depends on them alone,
-since each order is a compare-and-set at the server and each request names the
-incarnation that may run it.
+One coordinator holds this state for each service. All decisions are pure functions of
+state and time. Correctness does not depend on them alone: each order is a
+compare-and-set at the server, and each request names the incarnation of the server
+that may run it.
 """
--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -1,4 +1,4 @@
-"""What servers' answers to orders and their reports mean."""
+"""State changes that follow from servers' answers to orders and from their reports."""
 
 from arbutuspulley.data import Value
 from arbutuspulley.pool.load_rate import remove_last_load
@@ -11,40 +11,42 @@
 from arbutuspulley.ports.fleet import ModelSpec, OrderAnswer, OrderKind, ServerReport
 
 LOAD_MARGIN_MS = 30
-"""Added to a model's load time before it counts as done, in ms: one way there and
-the server's own timer."""
+"""Added to a model's load time before the load is assumed complete, in ms: covers the
+one-way network delay and the server's own timer."""
 
 MAX_REPORT_AGE_MS = 600
-"""Reports are this old at most, in ms: servers make them every few hundred. An
-older belief than this gives way to a report."""
+"""Maximum age of a report, in ms: servers make one every few hundred ms. A report
+overrides state that is older than this."""
 
 CONFLICT_BACKOFF_MS = 60
-"""Pause before the next order to a server that is still busy, in ms."""
+"""Backoff before the next order to a server that is still busy, in ms."""
 
 MAX_CONFLICTS = 3
-"""Conflicts in a row after which a report is asked for. Before, the server probably
-still carries out the order before."""
+"""Consecutive conflicts after which a report is requested. Up to then, the server is
+probably still carrying out the previous order."""
 
 UNLOAD_DELAY_MS = 30
-"""Pause after an unload was taken, in ms: an order that follows at once meets a server
-that is still busy with it, and then waits twice as long."""
+"""Delay of the next order after an accepted unload, in ms. An order that is sent at
+once finds the server still busy and then waits twice as long."""
 
 MAX_UNKNOWNS = 4
-"""Orders without an answer in a row after which a report is asked for."""
+"""Consecutive unanswered orders after which a report is requested."""
 
 MAX_ORDER_DELAY_MS = 13_000
-"""How long an order without an answer may still be carried out, in ms: servers are
-known to do so up to 12 s later."""
+"""How long after it was sent an unanswered order may still be carried out, in ms:
+servers do so up to 12 s later."""
 
 NEVER = 1 << 60
-"""A time that does not come, in ms: an order's answer is awaited first."""
+"""Placeholder for a completion time that is unknown until the order is answered, in
+ms."""
 
 
 class PlannedOrder(Value, frozen=True):
-    """An order to be sent now; its holder and fence are the coordinator's.
+    """An order to be sent now; the coordinator adds its holder name and fencing token.
 
-    :param used_mb: memory that the server was believed to use as it was planned.
-    :param is_counted: whether it was counted as a load from the weight store.
+    :param expected_orders: accepted orders at the server for which the order is valid.
+    :param used_mb: estimated memory use of the server at planning time, in MB.
+    :param is_store_load: whether it counts against the rate of the weight store.
     """
 
     kind: OrderKind
@@ -60,7 +62,10 @@
 def apply_order_answer(
     pool: PoolState, order: PlannedOrder, answer: OrderAnswer, *, now: int
 ) -> None:
-    """Take in how a server took an order."""
+    """Update a server's state with its answer to an order.
+
+    :param now: in ms.
+    """
     server = pool.servers.get(order.incarnation)
     if server is None:
         return
@@ -81,19 +86,19 @@
         server.accepted_orders = None
         return
     if answer is OrderAnswer.HELD_ALREADY:
-        # The count did not move: the server had it, or has it on its way.
+        # Not counted as accepted: the model or adapter is loaded or being loaded.
         server.models.setdefault(order.model, set())
         if order.adapter:
             server.models[order.model].add(order.adapter)
         return
     if answer is OrderAnswer.CONFLICT and server.conflicts < MAX_CONFLICTS:
-        # It was not carried out. The server is probably busy with the one before.
+        # Not carried out: the server is probably busy with the previous order.
         server.conflicts += 1
         server.next_order_at = now + CONFLICT_BACKOFF_MS
         return
     if answer is OrderAnswer.UNKNOWN and server.unknowns < MAX_UNKNOWNS:
-        # Whatever became of it: the next order expects the same number, so that only
-        # one of the two is ever carried out. A conflict then means that it was this.
+        # The next order expects the same count, so at most one of the two is carried
+        # out. If the next one meets a conflict, this one was carried out.
         server.unknowns += 1
         server.conflicts = MAX_CONFLICTS
         if order.kind is OrderKind.LOAD and not order.adapter:
@@ -103,8 +108,7 @@
                 expires_at=now + MAX_ORDER_DELAY_MS,
             )
         return
-    # What a refused or doubtful order has changed is only known from a report that
-    # was made after it.
+    # Only a report made later shows what a refused or unanswered order has changed.
     server.conflicts = server.unknowns = 0
     server.accepted_orders = None
     server.next_order_at = now + CONFLICT_BACKOFF_MS
@@ -113,9 +117,9 @@
 def apply_report(
     pool: PoolState, incarnation: str, report: ServerReport, *, asked_at: int
 ) -> None:
-    """Take in a server's own account, unless what is known is newer.
+    """Update a server's state from its report, unless the state is newer.
 
-    :param asked_at: when the report was asked for, in ms.
+    :param asked_at: when the report was requested, in ms.
     """
     server = pool.servers.get(incarnation)
     if server is None or server.is_order_in_flight:
@@ -150,7 +154,10 @@
 
 
 def list_servers_needing_report(pool: PoolState, *, now: int) -> list[ServerState]:
-    """Return the servers whose report is needed before they get another order."""
+    """Return the servers that need a new report before they get another order.
+
+    :param now: in ms.
+    """
     return [
         server
         for server in pool.servers.values()
@@ -165,10 +172,10 @@
 def _has_certainly_not_started(
     server: ServerState, order: PlannedOrder, answer: OrderAnswer
 ) -> bool:
-    """Tell whether a load that was counted has certainly not begun."""
+    """Tell whether a counted load from the weight store has certainly not started."""
     if order.kind is not OrderKind.LOAD or order.adapter or not order.is_store_load:
         return False
-    # The same load may have been ordered before without an answer, and be under way.
+    # An earlier unanswered order for the same load may be in progress.
     is_in_doubt = (
         answer is OrderAnswer.UNKNOWN or server.unanswered_model == order.model
     )
@@ -176,7 +183,7 @@
 
 
 def _is_completed_at_once(order: PlannedOrder, answer: OrderAnswer) -> bool:
-    # An adapter that no request uses is unloaded at once, which answers 200 too.
+    # Unloading an idle adapter completes at once; the server then also answers 200.
     is_adapter_unload = order.kind is OrderKind.UNLOAD and bool(order.adapter)
     return answer is OrderAnswer.HELD_ALREADY and is_adapter_unload
 
@@ -190,8 +197,8 @@
     now: int,
 ) -> None:
     if order.kind is OrderKind.UNLOAD:
-        # Taken but not done: it waits for runs to end. A model's runs are known; an
-        # adapter keeps its place until a report no longer shows it.
+        # Accepted, but it waits for runs to end. The runs of a model are known here;
+        # an adapter keeps its slot until a report no longer lists it.
         if order.adapter and answer is OrderAnswer.ACCEPTED:
             return
         if order.adapter:
@@ -210,7 +217,10 @@
 
 
 def get_load_ms(server: ServerState, spec: ModelSpec) -> float:
-    """Return how long a server takes to load a model, by where its weights are."""
+    """Return how long a server takes to load a model, in ms.
+
+    That depends on where its weights are: in host memory, on disk or in the store.
+    """
     if spec.name in server.in_memory:
         return spec.warm_load_ms
     if spec.name in server.on_disk:
@@ -229,7 +239,7 @@
 def _revert_order(
     server: ServerState, order: PlannedOrder, answer: OrderAnswer
 ) -> None:
-    """An order was not taken: all is as before."""
+    """Undo the state changes of an order that was not accepted."""
     if order.kind is OrderKind.LOAD:
         if order.adapter:
             server.adapters_due.pop((order.model, order.adapter), None)
@@ -244,7 +254,7 @@
 
 
 def complete_unload(server: ServerState) -> None:
-    """Count a model as gone once the runs that its unload waited for have ended."""
+    """Remove a model that is being unloaded once none of its runs is left."""
     model = server.unloading
     if model and not server.is_order_in_flight and not _has_runs(server, model):
         remove_model(server, model)
--- a/src/arbutuspulley/pool/copies.py
+++ b/src/arbutuspulley/pool/copies.py
@@ -1,7 +1,7 @@
-"""Which servers have a copy of each model, found without looking at all servers.
+"""Index of the servers that have a copy of each model.
 
-Made anew for each pass of decisions and corrected as the pass changes a server. So a
-pass looks at each server once, not once for each model and each waiting request.
+It is built for each planning cycle and updated when the cycle changes a server. So a
+cycle scans all servers once, not once for each model and each waiting request.
 """
 
 import msgspec
@@ -16,15 +16,15 @@
 
 
 class CopyIndex(State):
-    """The usable servers of each model.
-
-    :param now: as of when, in ms.
-    :param copies: servers that have a model, or will have it soon, by model.
-    :param limited: servers that have a model, but that the rate limit which they name
-        holds back, by model. They count as no copies.
-    :param least_per_s: requests a second that a limited server must take to count as a
-        copy; ``None``: it counts while it may get one now.
-    :param listed: under which models a server is listed, by incarnation.
+    """Usable servers by model.
+
+    :param now: time for which the index is valid, in ms.
+    :param copies: servers that have a model loaded, loading or planned, by model.
+    :param limited: servers that have a model but can't serve it because of their rate
+        limit, by model. They don't count as copies.
+    :param min_requests_per_s: rate limit from which a limited server counts as a copy;
+        ``None``: it counts if its limit allows a request now.
+    :param models_by_server: models under which a server is indexed, by incarnation.
     """
 
     now: int
@@ -39,7 +39,8 @@
 ) -> CopyIndex:
     """Build the index of a pool's servers.
 
-    :param least_per_s: see :class:`CopyIndex`.
+    :param now: in ms.
+    :param min_requests_per_s: see :class:`CopyIndex`.
     """
     index = CopyIndex(now=now, min_requests_per_s=min_requests_per_s)
     for server in pool.servers.values():
@@ -48,12 +49,12 @@
 
 
 def get_copies(index: CopyIndex, model: str) -> list[ServerState]:
-    """Return the usable servers that have a model, or will have it soon."""
+    """Return the usable servers that have a model loaded, loading or planned."""
     return index.copies.get(model, [])
 
 
 def reindex_server(index: CopyIndex, server: ServerState) -> None:
-    """Correct the index after something was planned or ordered at a server."""
+    """Update the index after a load or unload was planned or ordered at a server."""
     for model in index.models_by_server.pop(server.incarnation, ()):
         copies = index.copies[model]
         index.copies[model] = [one for one in copies if one is not server]
--- a/src/arbutuspulley/pool/demand.py
+++ b/src/arbutuspulley/pool/demand.py
@@ -1,8 +1,8 @@
-"""How much each model is asked for, and what another copy or one less would mean.
+"""Demand for each model, and the effect of one copy more or less.
 
-All is counted in requests, so that a wait, a load and an unload can be compared. What a
-request takes of a copy is counted in prompt tokens: those that the copy could have read
-meanwhile, if the request holds a slot for longer than its own prompt takes.
+Effects are in requests, so that waits, loads and unloads can be compared. Demand is in
+prompt tokens. A request that occupies a slot for longer than the prefill of its prompt
+takes counts as the tokens that the copy could have prefilled in that time.
 """
 
 import math
@@ -12,49 +12,49 @@
 from arbutuspulley.ports.fleet import ModelNeed
 
 SLOW_HALF_LIFE_MS = 3_000
-"""Time after which an old request counts half in the steady estimate, in ms. A shorter
-one takes chance for a trend: models of like demand then push each other out."""
+"""Half-life of the slow moving average, in ms. A shorter one follows random variation,
+and models of similar demand then evict each other."""
 
 FAST_HALF_LIFE_MS = 1_000
-"""The same in the swift estimate, in ms. Demand moves to other models within seconds;
-by the steady one alone, a model would seem to be asked for half of what it is after one
-half-life, and stay with too few copies for as long."""
+"""Half-life of the fast moving average, in ms. Demand moves to other models within
+seconds; the slow average alone shows only half of a new demand after one half-life, and
+the model has too few copies for that long."""
 
 MIN_SIGMAS = 2.0
-"""By how many times its own scatter the swift estimate must differ to be believed."""
+"""Standard deviations by which the fast average must differ from the slow one to be
+used instead."""
 
 MEAN_SQUARE_RATIO = 1.5
-"""Mean square of a request's tokens over the square of their mean, for that scatter."""
+"""Mean square of a request's tokens over their squared mean, for that deviation."""
 
 MIN_OBSERVED_MS = 500
-"""Requests of at least so long are taken to have been seen, in ms: scaled up from less,
-the first few would look like a crowd."""
+"""Minimum observation time to which averages are scaled, in ms: scaled up from less,
+the first few requests would look like a surge."""
 
 FULLY_OBSERVED_MS = 60_000
-"""After so long the counts show all of a steady demand, in ms."""
+"""Observation time after which the averages show all of a constant demand, in ms."""
 
 PREFILL_FRACTION = 0.8
-"""Part of the reading speed at which prompts are started; the rest of the time goes to
-generation. What falls into one pause is bounded beside it, see
-:mod:`arbutuspulley.pool.stream_gaps`. At 1.0 prompts catch up with each other as soon
-as one takes longer than expected, and all streams there wait."""
+"""Fraction of the prefill speed at which prompts are started; the rest of the time goes
+to decode. Prefill within one gap between stream events is bounded in addition, see
+:mod:`arbutuspulley.pool.stream_gaps`. At 1.0 prefills queue up as soon as one takes
+longer than expected, and all streams of the server stall."""
 
 TARGET_UTILISATION = 0.8
-"""Part of the paced reading speed of its copies that a model may use before it needs
-another one; beyond, waits grow fast."""
+"""Utilisation of its copies' token rate above which a model needs another copy; waits
+grow fast beyond it."""
 
 HORIZON_S = 2.0
-"""For how long the effect of a copy more or less is counted, in s: a load takes 1.2 s
-and demand moves on within some seconds."""
+"""Time over which the effect of one copy more or less is counted, in s: a load takes
+1.2 s, and demand moves on within some seconds."""
 
 
 def estimate_token_cost(pool: PoolState, need: ModelNeed) -> float:
-    """Return what a request takes of a copy of its model, in prompt tokens.
+    """Return how much of a copy's capacity a request takes, in prompt tokens.
 
-    A server is full by what it reads or by its slots, whichever is sooner. Where it has
-    twelve slots and streams take two seconds, the slots let six requests a second
-    through, however fast it reads: by the reading alone, requests would wait for a
-    model whose copies seem to be half idle.
+    Either prefill or slots limit a server. With twelve slots and streams of two
+    seconds, the slots admit six requests a second, however fast prefill is. Counted by
+    prefill alone, requests would wait for a model whose copies seem to be half idle.
     """
     run_ms = estimate_run_time(pool.durations, need)
     slot_tokens = (
@@ -64,7 +64,11 @@
 
 
 def record_demand(pool: PoolState, model: str, tokens: float, *, now: int) -> None:
-    """Count what a request takes of a copy, see :func:`estimate_token_cost`."""
+    """Add a request to the demand for its model.
+
+    :param tokens: its cost, see :func:`estimate_token_cost`.
+    :param now: in ms.
+    """
     decay_demand(pool, now=now)
     if pool.demand_since is None:
         pool.demand_since = now
@@ -75,7 +79,10 @@
 
 
 def decay_demand(pool: PoolState, *, now: int) -> None:
-    """Let the counts decay to the present."""
+    """Decay the moving averages to the present time.
+
+    :param now: in ms.
+    """
     elapsed_ms = now - pool.demand_at
     if elapsed_ms <= 0:
         return
@@ -90,9 +97,9 @@
 
 
 def get_demand(pool: PoolState, model: str) -> float:
-    """Return the prompt tokens a second that a model is asked for.
+    """Return the demand for a model, in prompt tokens a second.
 
-    That is the steady estimate, unless the swift one differs by more than chance.
+    That is the slow average, unless the fast one differs by more than random variation.
     """
     demand = pool.demand.get(model)
     if demand is None:
@@ -106,14 +113,15 @@
 
 
 def list_demand(pool: PoolState) -> dict[str, float]:
-    """Return what each model is asked for, for a successor."""
+    """Return the demand by model, in prompt tokens a second, for a successor."""
     return {model: get_demand(pool, model) for model in pool.demand}
 
 
 def inherit_demand(pool: PoolState, rates: dict[str, float], *, now: int) -> None:
-    """Begin with what a predecessor was asked for.
+    """Start with the demand that the previous coordinator has estimated.
 
     :param rates: prompt tokens a second by model.
+    :param now: in ms.
     """
     if not rates:
         return
@@ -124,9 +132,9 @@
 
 
 def _get_observed_fraction(pool: PoolState, half_life_ms: int) -> float:
-    """Return which part of a steady demand the counts can show by now.
+    """Return the fraction of a constant demand that the averages show by now.
 
-    They begin with nothing. Without this, models seemed to be hardly asked for in the
+    They start at zero. Without this correction, demand would be underestimated in the
     first seconds after a start.
     """
     if pool.demand_since is None:
@@ -136,20 +144,20 @@
 
 
 def get_copy_token_rate(pool: PoolState, model: str) -> float:
-    """Return the prompt tokens a second that one copy of a model takes."""
+    """Return the capacity of one copy of a model, in prompt tokens a second."""
     return get_prefill_speed(pool, model) * PREFILL_FRACTION * 1_000
 
 
 def get_copy_request_rate(pool: PoolState) -> float:
-    """Return the requests a second that one copy of a model takes at least."""
+    """Return the capacity of one copy of the slowest model, in requests a second."""
     rates = (get_copy_token_rate(pool, model) for model in pool.spec.models)
     return min(rates, default=0.0) / max(1.0, pool.mean_tokens)
 
 
 def estimate_excess_requests(pool: PoolState, model: str, copies: int) -> float:
-    """Return how many requests so many copies would leave waiting.
+    """Return how many requests would have to wait, given the number of copies.
 
-    With no copy, that is all of them.
+    Without a copy, all of them do.
     """
     demand = get_demand(pool, model)
     excess = max(
--- a/src/arbutuspulley/pool/eviction.py
+++ b/src/arbutuspulley/pool/eviction.py
@@ -1,4 +1,4 @@
-"""What has to leave a server so that a model fits, and what that costs."""
+"""Choice and cost of the models and adapters to evict from a server."""
 
 from collections import Counter
 
@@ -16,29 +16,30 @@
 from arbutuspulley.ports.fleet import EngineSpec
 
 LAST_COPY_COST = 0.3
-"""What unloading the only copy of a model costs beside its demand, in requests; it has
-to be loaded again before it can be served."""
+"""Cost of evicting the last copy of a model in addition to its demand, in requests: it
+has to be loaded again before it can be served."""
 
 UNLOAD_WAIT_COST_PER_S = 0.5
-"""What each second costs for which an unload waits for runs, in requests: the server
-takes no other order meanwhile, so that no adapter gets onto it."""
+"""Cost of each second that an unload waits for runs, in requests: the server accepts no
+other order meanwhile, so that no adapter can be loaded there."""
 
 UNLOAD_COST = 0.1
-"""What each unload costs by itself, in requests: an order, and a copy less."""
+"""Fixed cost of each unload, in requests: it takes an order and removes a copy."""
 
 
 LIMITED_COPY_FRACTION = 0.5
-"""A server that names a rate limit counts as a copy of its models if it takes this part
-of what one usually takes. By whether it may get a request right now it would count as
-one copy more and one less by turns, and others would be unloaded for it."""
+"""Fraction of the usual request rate of a copy that a server's rate limit must allow
+for it to count as a copy of its models. If it counted whenever its limit allows a
+request right now, the number of copies would alternate, and other copies would be
+unloaded."""
 
 
 class EvictionCandidate(Value, frozen=True):
-    """A model that may leave a server.
+    """A model that may be evicted from a server.
 
     :param cost: in requests that would have to wait.
     :param wait_ms: how long its unload would wait for runs.
-    :param size_mb: the memory that it would leave, its adapters' included.
+    :param size_mb: memory that it would free, including its adapters.
     """
 
     model: str
@@ -48,8 +49,9 @@
 
 
 class EvictionPlan(Value, frozen=True):
-    """Models to unload, in order, before another fits.
+    """Models to unload from a server so that another one fits.
 
+    :param victims: names of the models, in order of their unloads.
     :param cost: in requests that will have to wait.
     :param wait_ms: how long the unloads wait for runs.
     """
@@ -60,10 +62,11 @@
 
 
 class EvictionOptions(Value, frozen=True):
-    """What a server has free, and what could leave it, the cheapest first.
+    """Free memory of a server and its eviction candidates.
 
-    :param free_mb: once the model that is leaving has left.
-    :param wait_ms: how long that takes.
+    :param free_mb: free memory once the unload in progress is complete.
+    :param wait_ms: how long that unload still takes.
+    :param candidates: in order of cost, cheapest first.
     """
 
     free_mb: float
@@ -72,14 +75,14 @@
 
 
 class PlanningCycle(State):
-    """What one pass of orders has worked out, the same for many models and servers.
+    """Cached results of one planning cycle that many models and servers share.
 
-    Without it, the cost of each model's leaving would be worked out for each pair of a
-    wanted model and a server.
+    Without the cache, the eviction cost of each model would be computed for each pair
+    of a model to load and a server.
 
-    :param waiting: how many requests wait for each model.
-    :param losses: what :func:`compute_eviction_cost` returned, by model.
-    :param rooms: by incarnation.
+    :param waiting: number of waiting requests by model.
+    :param eviction_costs: results of :func:`compute_eviction_cost` by model.
+    :param options: eviction options of servers, by incarnation.
     """
 
     pool: PoolState
@@ -90,7 +93,10 @@
 
 
 def begin_cycle(pool: PoolState, *, now: int) -> PlanningCycle:
-    """Begin a pass of orders."""
+    """Start a planning cycle.
+
+    :param now: in ms.
+    """
     min_requests_per_s: float | None = None
     if any(one.limit is not None for one in pool.servers.values()):
         min_requests_per_s = LIMITED_COPY_FRACTION * get_copy_request_rate(pool)
@@ -102,9 +108,9 @@
 
 
 def update_cycle(cycle: PlanningCycle, server: ServerState, models: set[str]) -> None:
-    """Correct what the pass knows after something was planned or ordered at a server.
+    """Update a cycle after a load or unload was planned or ordered at a server.
 
-    :param models: those whose copies have changed by that.
+    :param models: models whose copies have changed.
     """
     reindex_server(cycle.index, server)
     cycle.options.pop(server.incarnation, None)
@@ -116,9 +122,10 @@
 
 
 def count_used_mb(spec: EngineSpec, server: ServerState) -> float:
-    """Return the memory that a server's models and adapters take, in MB.
+    """Return the memory that a server's models and adapters use, in MB.
 
-    What is on its way counts in full, and a model that is leaving until it has left.
+    Loads in progress count in full, as do unloads in progress until they are complete,
+    and unanswered loads for the previous incarnation that may still be carried out.
     """
     models = set(server.models) | ({server.loading} - {""})
     models |= {server.unloading} - {""}
@@ -141,9 +148,9 @@
 def plan_eviction(
     cycle: PlanningCycle, server: ServerState, model: str
 ) -> EvictionPlan | None:
-    """Choose what leaves a server so that a model fits, at the least cost.
+    """Choose which models to evict from a server so that a model fits, cheapest first.
 
-    :return: ``None`` if it can't be made to fit.
+    :return: ``None`` if the model does not fit even if all candidates are evicted.
     """
     options = cycle.options.get(server.incarnation)
     if options is None:
@@ -184,7 +191,7 @@
 def rate_candidate(
     cycle: PlanningCycle, server: ServerState, model: str
 ) -> EvictionCandidate:
-    """Work out what it would cost if a model left a server."""
+    """Compute the cost of evicting a model from a server."""
     if model not in cycle.eviction_costs:
         cycle.eviction_costs[model] = compute_eviction_cost(cycle, model)
     wait_ms = estimate_unload_wait(cycle.pool, server, model, now=cycle.index.now)
@@ -201,7 +208,7 @@
 
 
 def compute_eviction_cost(cycle: PlanningCycle, model: str) -> float:
-    """Return what one copy less of a model would cost, in requests that wait."""
+    """Return the cost of one copy less of a model, in requests that have to wait."""
     pool = cycle.pool
     copies = len(get_copies(cycle.index, model))
     cost = estimate_excess_requests(pool, model, copies - 1) - estimate_excess_requests(
@@ -216,10 +223,12 @@
 def choose_adapter_to_evict(
     pool: PoolState, server: ServerState
 ) -> tuple[str, str] | None:
-    """Return the adapter that was used least recently and that nobody needs now.
+    """Return the least recently used adapter that no request uses or waits for.
+
+    Adapters with waiting requests stay: if there are more of them than adapter slots,
+    they would otherwise evict each other before any was used.
 
-    What a request waits for stays: if more adapters are waited for than there are
-    places, they would otherwise push each other out before any was used.
+    :return: model and adapter; ``None`` if none can be evicted.
     """
     in_use = {(run.need.model, run.need.adapter) for run in server.runs.values()}
     in_use |= {(one.need.model, one.need.adapter) for one in pool.waiting.values()}
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -1,9 +1,9 @@
-"""Who of the waiting requests starts now, and at which server.
+"""Which waiting requests start now, and on which server.
 
-Prompts that reach one server together stop every stream there: a step that also
-reads a piece of a prompt takes far longer than one that only generates, and an
-event of a stream spans several steps. So the prompts of one server are started
-one after another, at a rate below the server's reading speed.
+Prompts that reach one server together stall every stream there: an engine step that
+includes a chunk of prefill takes far longer than one of decode only, and an event of a
+stream spans several steps. So the prompts of one server are started one after another,
+at a rate below the server's prefill speed.
 """
 
 from collections import Counter
@@ -33,38 +33,38 @@
 from arbutuspulley.ports.fleet import ModelNeed
 
 CACHE_FRACTION = 0.95
-"""Part of the KV cache that is granted; beyond it requests preempt each other."""
+"""Fraction of the KV cache that is granted; beyond it requests preempt each other."""
 
 LATE_HEAD_START_MS = 40
-"""How far ahead of the pace a request that is already late may start at a server that
-nobody waits for who can still be in time, in ms. Started at once, late ones made
-others late, too, which costs most where a late answer is next to useless."""
+"""How far ahead of the prefill rate a late request may start, in ms, on a server that
+no request waits for that can still meet its latency target. If late requests start at
+once, they make others late, which costs most where a late answer is of little use."""
 
 RUN_COST_MS = 2.0
-"""What a running request adds to a server's rank, in ms of waiting. It only breaks
-ties between servers that read nothing."""
+"""Cost of each request that runs on a server, in ms of waiting. It only breaks ties
+between servers without prefill in progress."""
 
 ZONE_COST_MS = 1.0
-"""What a server in another data centre adds to its rank, in ms of waiting: bytes
-between data centres cost, and its answers travel 0.5 to 0.9 ms longer."""
+"""Cost of a server in another data centre, in ms of waiting: traffic between data
+centres costs money, and answers take 0.5 to 0.9 ms longer."""
 
 FAILURE_COST_MS = 2_000.0
-"""What a server that fails all its requests adds to its rank, in ms of waiting."""
+"""Cost of a server that fails all its requests, in ms of waiting."""
 
 LIMITED_COST_MS = 500.0
-"""What a server that names a rate limit adds to its rank, in ms of waiting. The few
-requests that it takes are left to models that no other server has."""
+"""Cost of a server with a rate limit, in ms of waiting. The few requests that it takes
+are reserved for models that no other server has."""
 
 MIN_PREFILL_RETENTION_MS = 1_000
-"""How long it is kept what a server has read, in ms: callers of streams notice
-pauses of some hundred ms."""
+"""Minimum time for which prefills of a server are kept, in ms: callers of streams
+notice gaps of some hundred ms."""
 
 
 class _Usage(Value, frozen=True):
-    """What a server's runs take, summed once a pass and server.
+    """Totals over a server's runs, summed once for each planning cycle and server.
 
-    :param tokens: of the KV cache.
-    :param pause_ms: the shortest pause that a stream has to keep; 0: none has.
+    :param tokens: tokens that they may occupy in the KV cache.
+    :param gap_target_ms: lowest gap target of their streams; 0: none has a target.
     """
 
     tokens: int
@@ -72,11 +72,13 @@
 
 
 class Grant(Value, frozen=True):
-    """A waiting request may be sent to a server now.
+    """Decision that a waiting request is sent to a server now.
 
-    :param is_late: whether it was past its aim; it then gives way at the server.
+    :param origin: instance that the request came from.
+    :param is_late: whether it can hardly meet its latency target any more; it then has
+        lower priority at the server.
     :param waited_ms: how long it waited.
-    :param runs: requests that ran at the server.
+    :param runs: requests in flight at the server.
     """
 
     key: str
@@ -89,12 +91,14 @@
 
 
 class Refusal(Value, frozen=True):
-    """A waiting request is given up; it has not run.
-
-    :param retry_after_ms: when coming back may help.
-    :param tokens_ahead: prompts for the same model that would have started before.
-    :param copies: servers that had the model or were to have it soon.
-    :param limited: servers that had it, but were kept from it by their rate limits.
+    """Decision that a waiting request is refused; it has not run.
+
+    :param origin: instance that the request came from.
+    :param retry_after_ms: delay after which a retry may succeed.
+    :param tokens_ahead: prompt tokens of requests for the same model that would have
+        started earlier.
+    :param copies: servers that have the model loaded, loading or planned.
+    :param limited: servers that have the model, but whose rate limits allow no request.
     :param waited_ms: how long it waited.
     """
 
@@ -109,7 +113,12 @@
 
 
 def plan_grants(pool: PoolState, *, now: int) -> list[Grant | Refusal]:
-    """Decide who starts, in order of urgency; those who can still be in time first."""
+    """Decide which waiting requests start or are refused, in order of urgency.
+
+    Requests that can still meet their latency target come first.
+
+    :param now: in ms.
+    """
     for server in pool.servers.values():
         complete_due_loads(server, now=now)
     decisions: list[Grant | Refusal] = []
@@ -162,7 +171,10 @@
 
 
 def find_next_wakeup(pool: PoolState, *, now: int) -> int | None:
-    """Return when :func:`plan_grants` should look again, in ms; ``None``: on events."""
+    """Return when :func:`plan_grants` has to run again, in ms.
+
+    :return: ``None`` if no request waits; the next event then triggers it.
+    """
     if not pool.waiting:
         return None
     times = [] if pool.next_start_at is None else [pool.next_start_at]
@@ -186,12 +198,14 @@
 def _get_min_wait(
     pool: PoolState, model: str, tokens: float, ready_times: list[float]
 ) -> float:
-    """Return the least time that a request must wait, in ms.
+    """Return a lower bound of a request's wait, in ms.
+
+    A request is only refused if its wait is certainly too long. When planned copies
+    become ready is an estimate; judged by it, callers would be refused who could still
+    be served, if late. If no server has the model, the wait is unknown and counts as 0.
 
-    Only a wait that is certainly too long is a reason to refuse: when what is planned
-    will be there is a guess, and by that guess callers were refused who would have
-    been served late. Where no server has the model, the wait is not known and counts
-    as nothing.
+    :param tokens: prompt tokens of the requests ahead.
+    :param ready_times: see :func:`list_copy_ready_times`.
     """
     if not ready_times:
         return 0.0
@@ -199,10 +213,10 @@
 
 
 def _get_start_order(waiting: WaitingRequest, now: int) -> tuple[bool, int, int, int]:
-    """Return the key by which requests start: the lowest first.
+    """Return the sort key of a request; the lowest starts first.
 
-    Of those that can still be in time, whoever must start first; of late ones, whoever
-    came first.
+    Requests that can still meet their latency target start in order of their latest
+    start time, late ones in order of arrival.
     """
     is_late = now >= waiting.late_at
     due_at = 0 if is_late else waiting.late_at
@@ -218,9 +232,10 @@
 ) -> Grant | None:
     """Grant the best server, if it may start a prompt now.
 
-    :param claimed: servers that a request waits for that can still be in time, and how
-        long the prompts ahead take to read there, in ms; added to if this one does.
-    :param loads: what servers' runs take, as far as it was asked for; added to.
+    :param reserved_ms: prefill time of the prompts that wait for a server, by its
+        incarnation, in ms; only of requests that can still meet their latency target.
+        This request is added if it has to wait.
+    :param usages: cache of servers' usages by incarnation; filled on demand.
     """
     now = index.now
     best: ServerState | None = None
@@ -269,7 +284,10 @@
     *,
     now: int,
 ) -> float:
-    """Return when a prompt may start at a server, by pace and by streams' pauses."""
+    """Return when a prompt may start on a server, in ms.
+
+    Both the prefill rate and the gap targets of the server's streams limit that.
+    """
     start = find_start(
         server.stream_gaps,
         prefill_ms=_get_prefill_ms(pool, waiting.need),
@@ -294,7 +312,7 @@
 
 
 def _can_start_at(server: ServerState, waiting: WaitingRequest, *, now: int) -> bool:
-    """Tell whether a server has what a request needs, and a slot."""
+    """Tell whether a server has a request's model and adapter and a free slot."""
     if not is_usable(server, now=now) or server.incarnation in waiting.avoid:
         return False
     if not has_model(server, waiting.need, now=now):
@@ -315,7 +333,7 @@
 
 
 def _compute_cost(server: ServerState, waiting: WaitingRequest) -> float:
-    """Return what speaks against a server beside the wait for it, in ms of waiting."""
+    """Return the cost of a server in addition to the wait for it, in ms of waiting."""
     cost = RUN_COST_MS * len(server.runs)
     cost += FAILURE_COST_MS * server.failure_share
     if server.zone != waiting.zone:
--- a/src/arbutuspulley/pool/load_rate.py
+++ b/src/arbutuspulley/pool/load_rate.py
@@ -1,19 +1,22 @@
-"""The rate at which the weight store may be read, over all servers."""
+"""Rate limit of loads from the weight store, over all servers."""
 
 import math
 
 from arbutuspulley.pool.state import PoolState, has_local_weights
 
 WINDOW_MS = 5_000
-"""Span over which the weight store counts loads, in ms."""
+"""Window over which the weight store counts loads, in ms."""
 
 BURST_LOADS = 2
-"""Loads that a span may hold above the store's rate; the store tolerates 3 and a
-tenth, and one is left for a load whose order was answered late."""
+"""Loads in a window above the store's rate. The store tolerates 3 and a tenth of the
+rate; one is reserved for a load whose order is answered late."""
 
 
 def may_load(pool: PoolState, *, now: int) -> bool:
-    """Tell whether one more load from the weight store may begin."""
+    """Tell whether one more load from the weight store may start.
+
+    :param now: in ms.
+    """
     while pool.loads and pool.loads[0] <= now - WINDOW_MS:
         pool.loads.pop(0)
     if _count_running_loads(pool, now=now) >= _get_max_concurrent_loads(pool):
@@ -23,37 +26,41 @@
 
 
 def record_load(pool: PoolState, *, now: int) -> None:
-    """Count a load."""
+    """Count a load against the rate.
+
+    :param now: in ms.
+    """
     pool.loads.append(now)
 
 
 def remove_last_load(pool: PoolState) -> None:
-    """Take the newest load off the count: it certainly did not begin.
+    """Remove the newest load from the count, as it has certainly not started.
 
-    Counted like others, loads that a server was too busy to take would keep models that
-    nobody has waiting while the weight store is idle.
+    Otherwise loads that a busy server did not accept would delay the loads of models
+    without a copy while the weight store is idle.
     """
     if pool.loads:
         pool.loads.pop()
 
 
 def list_recent_loads(pool: PoolState, *, now: int) -> list[int]:
-    """Return when the loads that still count were ordered, in ms."""
+    """Return when the loads in the current window were ordered, in ms."""
     return [at for at in pool.loads if at > now - WINDOW_MS]
 
 
 def inherit_loads(
     pool: PoolState, known: list[int], *, unknown_until: int | None
 ) -> None:
-    """Count what a predecessor has loaded, and what it may have loaded besides.
+    """Count the loads of the previous coordinator, known and possible ones.
 
-    Without this, both together could pass the store's rate right after a change. Were
-    all of the rate taken for used, no model would be loaded for a whole span after each
-    change of the coordinator.
+    Without this, both coordinators together could exceed the store's rate right after a
+    change. If all of the rate were assumed to be used up, no model would be loaded for
+    a whole window after each change of the coordinator.
 
     :param known: when loads were ordered, in ms.
-    :param unknown_until: until when more may have been ordered, in ms; no more than run
-        at once, as it is a matter of seconds. ``None``: none were.
+    :param unknown_until: until when the previous coordinator may have ordered further
+        loads, in ms; ``None``: it has not. They are assumed to be as many as run
+        concurrently, since only some seconds are unknown.
     """
     pool.loads = sorted(known)
     if unknown_until is not None:
@@ -68,9 +75,9 @@
 
 
 def _get_max_concurrent_loads(pool: PoolState) -> int:
-    """Return how many loads run at once at full speed: as many as begin while one runs.
+    """Return how many loads may run concurrently: as many as start while one runs.
 
-    More of them only slow each other down.
+    Further loads only slow each other down.
     """
     longest = max((one.load_ms for one in pool.spec.models.values()), default=0)
     return max(1, math.ceil(pool.spec.loads_per_s * longest / 1_000))
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -1,9 +1,10 @@
-"""Which orders the model servers get next.
+"""Planning of load and unload orders for the model servers.
 
-Each order names the number of orders that the server has accepted so far. A
-server carries it out only if that still holds, so an order that is lost, late or
-doubled never meets a cycle it was not planned for: whichever of two orders comes
-first makes the other fail. No reservation for lost orders is needed.
+Each order names the number of orders that the server has accepted so far, and the
+server carries it out only if that number matches. A lost, late or duplicate order is
+therefore never applied to a state that it was not planned for: of two orders with the
+same number, the first to arrive makes the other one fail. No memory has to be reserved
+for lost orders.
 """
 
 import heapq
@@ -40,48 +41,52 @@
 from arbutuspulley.ports.fleet import OrderKind
 
 MIN_GAIN = 1.5
-"""Requests that another copy must spare a wait, beyond those that wait for what has to
-leave. Loads are priced, and below this models of like demand push each other out."""
+"""Minimum net gain of another copy: requests that it spares a wait, less those that
+have to wait for the models that are evicted. Loads cost money, and below this value
+models of similar demand evict each other."""
 
 MISSING_GAIN_PER_S = 1.0
-"""By how many requests the need of a model without a copy grows for each second that
-it has been missed, so that rarely used ones are served, too."""
+"""Growth of the gain of a model without a copy for each second that requests wait for
+it, in requests; so rarely used models are served, too."""
 
 MAX_MISSING_GAIN = 8.0
-"""Most of that, in requests."""
+"""Maximum of that growth, in requests."""
 
 COPY_BACKLOG_MS = 250
-"""Wait of a model's prompts that one copy works off in time, in ms: what is left of
-aims of some 600 ms after a prompt's own time and a load's order."""
+"""Backlog that one copy can work off within latency targets, in ms: what remains of
+targets of some 600 ms after a prompt's own prefill and the order of a load."""
 
 RUN_COST = 0.05
-"""What each request that runs on a server counts against loading there, in requests:
-all that a server holds shares its batch."""
+"""Cost of each request that runs on a server when a model is loaded there, in requests:
+all models of a server share its batch."""
 
 LOCAL_WEIGHTS_GAIN = 0.3
-"""What it counts for a server that it has the weights in memory or on disk, in
-requests: the load takes half as long and costs nothing."""
+"""Gain of a server that has the weights in host memory or on disk, in requests: the
+load takes half as long and costs nothing."""
 
 PLAN_LIFETIME_MS = 6_000
-"""How long a server is kept for a model that is to be loaded there, in ms: what leaves
-may wait for streams that take some seconds."""
+"""How long a server stays reserved for a planned load, in ms: the unloads before it may
+wait for streams that take some seconds."""
 
 GAIN_HORIZON_MS = 3_000
-"""After so long a copy no longer spares anybody a wait, in ms: callers leave after 2 to
-4 s without a first event."""
+"""Delay after which a copy no longer spares any caller a wait, in ms: callers
+disconnect after 2 to 4 s without a first event."""
 
 MAX_UNLOAD_WAIT_MS = 1_000
-"""A server whose unload will wait for longer, in ms, does not count as about to have
-the model that it was chosen for: a model that nobody has would not be loaded anywhere
-for as long as its server waits for one stream to end, and its callers be refused."""
+"""Maximum wait of an unload, in ms, for its server to count as a copy of the model that
+is planned there. Otherwise a model without a copy would be loaded nowhere else while
+its server waits for one stream to end, and its callers would be refused."""
 
 ADAPTER_BACKLOG_MS = 150
-"""Backlog of the servers with an adapter that is worth loading it elsewhere, in ms;
-an adapter takes a tenth of that."""
+"""Backlog of the servers with an adapter from which it is loaded on another one, in ms;
+an adapter load takes a tenth of that."""
 
 
 def plan_orders(pool: PoolState, *, now: int) -> list[PlannedOrder]:
-    """Decide the next orders, at most one a server."""
+    """Plan the next orders, at most one for each server.
+
+    :param now: in ms.
+    """
     planned: list[PlannedOrder] = []
     _plan_adapters(pool, planned, now=now)
     cycle = begin_cycle(pool, now=now)
@@ -98,7 +103,10 @@
 
 
 def _set_planned(cycle: PlanningCycle, server: ServerState, *, planned: str) -> None:
-    """Plan a model at a server, or none, and correct what the pass knows."""
+    """Set the planned model of a server, or clear it, and update the cycle.
+
+    :param planned: name of the model; empty: none.
+    """
     before = server.planned
     server.planned = planned
     update_cycle(cycle, server, {before, planned})
@@ -190,11 +198,11 @@
 
 
 def _plan_models(cycle: PlanningCycle, planned: list[PlannedOrder]) -> None:
-    """Choose servers for the models that need another copy, the most wanted first.
+    """Choose servers for the models that need another copy, highest gain first.
 
-    A model that needs several gets them before others that are wanted less. One at a
-    time, each server that was free at the moment went to a model that one request
-    waited for, and the busiest model waited for seconds for the next.
+    A model that needs several copies gets them before models with a lower gain. With
+    one copy for each model in turn, every free server would go to a model with a single
+    waiting request, and the busiest model would wait seconds for its next copy.
     """
     wanted: list[tuple[float, str]] = []
     pool = cycle.pool
@@ -217,7 +225,7 @@
 
 
 def _compute_gain(cycle: PlanningCycle, model: str) -> float:
-    """Return how many requests another copy of a model would spare a wait."""
+    """Return the gain of another copy of a model, in requests that it spares a wait."""
     pool, waiting = cycle.pool, cycle.waiting[model]
     found = get_copies(cycle.index, model)
     copies = sum(not _is_unload_delayed(cycle, one, model) for one in found)
@@ -231,7 +239,7 @@
 
 
 def _is_unload_delayed(cycle: PlanningCycle, server: ServerState, model: str) -> bool:
-    """Tell whether a server that is to load a model waits long to unload another."""
+    """Tell whether a planned load is delayed by a long wait for an unload."""
     if server.planned != model or not server.unloading:
         return False
     now = cycle.index.now
@@ -263,14 +271,15 @@
 
 
 def _choose_server(cycle: PlanningCycle, model: str, gain: float) -> ServerState | None:
-    """Choose where another copy of a model is loaded, and plan it there.
+    """Choose the server for another copy of a model, and plan the load there.
 
-    :param gain: requests that it would spare a wait.
+    :param gain: requests that the copy would spare a wait.
+    :return: ``None`` if no server is worth it.
     """
     pool, now = cycle.pool, cycle.index.now
     spec = pool.spec.models[model]
     if gain * (1 + spec.load_ms / GAIN_HORIZON_MS) < MIN_GAIN:
-        # Too little even where nothing has to leave and the weights are at hand.
+        # Too little even without evictions and with local weights.
         return None
     best: ServerState | None = None
     best_worth = 0.0
@@ -318,7 +327,7 @@
 
 
 def _plan_next_step(cycle: PlanningCycle, server: ServerState) -> PlannedOrder | None:
-    """Take the next step towards the model that a server is to get."""
+    """Return the next order that leads to a server's planned model, if one is due."""
     pool, now = cycle.pool, cycle.index.now
     model = server.planned
     if not model or server.loading or not _may_order(server, now=now):
@@ -326,7 +335,7 @@
     if model in server.models:
         _set_planned(cycle, server, planned="")
         return None
-    # Its runs may have ended since, which _may_order has just taken in.
+    # Runs may have ended since, and _may_order may have completed an unload.
     cycle.options.pop(server.incarnation, None)
     plan = plan_eviction(cycle, server, model)
     if plan is None:
@@ -354,7 +363,7 @@
     used_mb = int(count_used_mb(pool.spec, server))
     server.is_order_in_flight = True
     if kind is OrderKind.UNLOAD:
-        # Nothing more is sent to what leaves, but it counts until it has left.
+        # It gets no further requests, but its memory is in use until it is unloaded.
         if adapter:
             server.models[model].discard(adapter)
             server.adapters_unloading.add((model, adapter))
--- a/src/arbutuspulley/pool/prefill_speed.py
+++ b/src/arbutuspulley/pool/prefill_speed.py
@@ -1,12 +1,12 @@
-"""How fast servers read prompts, learnt from how long first events take.
-
-No server tells its reading speed, and it differs by model: on the same servers some
-models are read four times as fast as others. Among requests that started on a server
-that was reading nothing else, the time until the first event grows with the prompt
-by the time that a token takes; what is the same for all, such as a step and the way
-there, does not change that slope. The median of the slopes between pairs of requests
-(Theil and Sen's estimate) stands even if a quarter of the times are off, as they are
-on servers that a coordinator has just taken over with unknown work.
+"""Prefill speed of servers, estimated from the time to the first event.
+
+Servers do not report their prefill speed, and it differs by model: on the same servers
+some models are four times as fast as others. Among requests that started on a server
+without other prefill, the time to the first event grows with the prompt by the prefill
+time of each token; constant parts, such as an engine step and network delay, do not
+change that slope. The median of the slopes between pairs of requests (the Theil-Sen
+estimator) is robust even if a quarter of the times are outliers, as they are on servers
+with unknown work that a coordinator has just taken over.
 """
 
 import statistics
@@ -17,35 +17,36 @@
 from arbutuspulley.data import State
 
 DEFAULT_SPEED = 20.0
-"""Prompt tokens that a server reads in a ms, until enough was seen: about what one
-accelerator reads of a model of 70 GB, so that the first prompts don't stop streams."""
+"""Prefill speed in tokens a ms until enough requests were observed: about that of one
+accelerator with a model of 70 GB, so that the first prompts don't stall streams."""
 
 MIN_SPEED = 5.0
 MAX_SPEED = 80.0
-"""Bounds of what is believed, in tokens a ms: beyond, a prompt of 1,000 tokens takes
-less than the scatter of first events, and the slope is an accident of their times."""
+"""Bounds of the estimate, in tokens a ms: beyond the upper one, the prefill of 1,000
+tokens takes less than the random variation of first events, which then determines the
+slope."""
 
 MAX_SAMPLES = 64
-"""Requests that are kept: some seconds of a busy model's."""
+"""Number of requests that are kept: those of some seconds for a busy model."""
 
 MIN_TOKEN_DIFFERENCE = 300
-"""Fewest tokens by which two prompts differ for their slope to count: times scatter by
-some 10 ms, which is the reading time of as many tokens."""
+"""Minimum difference of two prompts in tokens for their slope to count: times vary by
+some 10 ms, which is the prefill time of as many tokens."""
 
 PRIOR_SLOPES = 60
-"""How many pairs the first guess weighs as much as: those of about 15 requests."""
+"""Weight of the prior estimate, in slopes between pairs: those of about 15 requests."""
 
 REFRESH_SAMPLES = 4
-"""New requests after which the speed is worked out anew: 2,000 slopes take 0.3 ms."""
+"""New requests after which the speed is computed again: 2,000 slopes take 0.3 ms."""
 
 
 class PrefillSpeedState(State):
-    """What was seen of one kind of model.
+    """Observed first events and estimated prefill speed of one size class of models.
 
-    :param guess: what is believed before, in tokens a ms.
-    :param samples: prompt tokens and ms to the first event of the newest requests.
-    :param speed: as last worked out, in tokens a ms; 0: not yet.
-    :param fresh: requests since then.
+    :param prior: estimate before any request, in tokens a ms.
+    :param samples: prompt tokens and time to the first event in ms of recent requests.
+    :param speed: last computed estimate, in tokens a ms; 0: not computed yet.
+    :param new_samples: requests since then.
     """
 
     prior: float = DEFAULT_SPEED
@@ -57,17 +58,17 @@
 
 
 def add_sample(state: PrefillSpeedState, *, tokens: int, took_ms: float) -> None:
-    """Count a request that started on a server that read nothing else.
+    """Add a request that started on a server without other prefill in progress.
 
-    :param tokens: of its prompt.
-    :param took_ms: from sending it to its first event.
+    :param tokens: tokens of its prompt.
+    :param took_ms: time from sending it to its first event.
     """
     state.samples.append((tokens, took_ms))
     state.new_samples += 1
 
 
 def get_speed(state: PrefillSpeedState) -> float:
-    """Return the prompt tokens that a server reads in a ms."""
+    """Return the estimated prefill speed, in tokens a ms."""
     if not state.samples:
         return state.prior
     if not state.speed or state.new_samples >= REFRESH_SAMPLES:
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -1,4 +1,4 @@
-"""State of one service's model servers and of the requests that wait for them."""
+"""State of the model servers of one service and of the requests that wait for them."""
 
 import msgspec
 
@@ -20,37 +20,38 @@
 from arbutuspulley.ports.fleet import AttemptOutcome, EngineSpec, ModelNeed, ServerEntry
 
 DEFAULT_ADAPTER_LOAD_MS = 25
-"""First guess of how long an adapter takes to load, in ms: adapters of some ten MB
-take 5 to 15, and the order's way there. Corrected by refusals, see
+"""Initial estimate of an adapter's load time, in ms: adapters of some ten MB take 5 to
+15 ms, plus the network delay of the order. Refusals raise it, see
 :func:`record_not_run`."""
 
 INITIAL_BACKOFF_MS = 1_000
-"""How long a server that could not be reached gets no work, in ms; doubled at each
-further failure."""
+"""Backoff of a server that could not be reached, in ms; doubled at each further
+failure."""
 
 MAX_BACKOFF_MS = 4_000
-"""Most of that, in ms: crashed servers are back after 4 to 6 s."""
+"""Maximum backoff, in ms: crashed servers are back after 4 to 6 s."""
 
 
 FAILURE_SMOOTHING = 0.1
-"""Weight of the newest run in a server's share of failures: about the last ten."""
+"""Weight of the newest run in the moving average of a server's failures: about the last
+ten runs count."""
 
 
 DEFAULT_PROMPT_TOKENS = 1_200
-"""Prompt tokens of a request before any was seen: a page or two of text."""
+"""Assumed prompt tokens of a request before the first one: a page or two of text."""
 
 
 class WaitingRequest(State):
     """A request that waits for a server.
 
-    :param origin: the instance that asked.
-    :param arrived_at: when it came, in ms.
-    :param late_at: after this it can hardly be on time any more.
-    :param give_up_at: after this it is refused.
+    :param origin: the instance that the request came from.
     :param priority: rank of its route; 0 is the most urgent.
-    :param avoid: incarnations that refused or failed it.
+    :param arrived_at: when it arrived, in ms.
+    :param late_at: after this time it can hardly meet its latency target, in ms.
+    :param give_up_at: after this time it is refused, in ms.
+    :param gap_target_ms: longest gap between its events that is on time; 0: any.
+    :param avoid: incarnations of servers that refused or failed it.
     :param is_repeat: whether a server has refused it before.
-    :param pause_ms: the longest pause between its events that is on time; 0: any.
     """
 
     key: str
@@ -69,12 +70,15 @@
 class Run(State):
     """A request that was granted a server and has not ended.
 
-    :param first_at: when the first part of its answer came, ``None`` before.
-    :param was_free: whether its server read nothing as it was granted.
+    :param origin: the instance that the request came from.
+    :param granted_at: when it was granted, in ms.
+    :param gap_target_ms: longest gap between its events that is on time; 0: any, also
+        for a request that is late already.
+    :param prefill_before_ms: total prefill time of its server at its first event.
+    :param first_at: when the first part of its answer came, in ms; ``None`` before.
+    :param was_prefill_idle: whether its server had no prefill in progress when it was
+        granted.
     :param is_repeat: whether a server has refused it before.
-    :param pause_ms: the longest pause between its events that is on time; 0: any, as of
-        one that is late already.
-    :param read_before_ms: what its server had read when its first event came.
     """
 
     origin: str
@@ -88,11 +92,11 @@
 
 
 class UnansweredLoad(Value, frozen=True):
-    """A load without an answer that the server's next start may still carry out.
+    """An unanswered load that the server's next incarnation may still carry out.
 
-    :param expected_orders: after so many accepted orders it is carried out, and only
-        then.
-    :param expires_at: when it has come at the latest, in ms.
+    :param expected_orders: number of accepted orders at which it is carried out, and
+        only then.
+    :param expires_at: latest time at which it may arrive, in ms.
     """
 
     expected_orders: int
@@ -100,37 +104,46 @@
 
 
 class ServerState(State):
-    """One model server as its coordinator believes it.
+    """State of one model server as its coordinator knows it.
 
-    :param server_id: the id under which it may start again.
-    :param models: what is ready, model to adapters.
+    :param server_id: id of the server; it keeps it when it restarts.
+    :param models: loaded models, each with its loaded adapters.
     :param accepted_orders: orders accepted since its start; ``None`` if a report is
         needed before the next order.
-    :param loading: the model that is being loaded, empty if none.
-    :param loading_until: when that should be done, in ms.
-    :param planned: the model that is to be loaded once another has left.
-    :param planned_gain: what that load was worth, in requests; a model that is worth
-        more by far takes its place.
-    :param planned_until: until when that plan stands, in ms.
-    :param unconfirmed: the model whose load should be done but has not answered.
-    :param unloading: the model that leaves once its runs have ended.
-    :param adapters_due: adapters on their way and when they should be there.
-    :param adapters_leaving: adapters whose unload has not been seen done.
-    :param refusing_until: models whose requests it has just refused as not run, and
-        until when none is sent to it, in ms.
-    :param order_busy: whether an order's answer is awaited.
-    :param order_again_at: no order before this time, in ms.
-    :param conflicts: orders in a row that the server could not take.
-    :param unknowns: orders in a row that got no answer.
-    :param unanswered_loads: loads without an answer, by model.
-    :param late_loads: those of the start before, if it went by the same id.
-    :param unanswered_load: the model of a load without an answer; it was counted.
-    :param read_until: when the prompts granted so far should be read, in ms.
-    :param pauses: what it reads between events of its streams.
-    :param suspect_until: no new work before this time, in ms.
-    :param failures: failures in a row.
-    :param failure_share: moving share of requests that failed.
-    :param limit: the rate limit that it names, ``None`` if it names none.
+    :param loading: model that is being loaded; empty if none.
+    :param loading_until: expected end of that load, in ms.
+    :param planned: model that is to be loaded, perhaps after an unload; empty if none.
+    :param planned_until: when that plan expires, in ms.
+    :param planned_gain: net gain of that load, in requests; a model with a far higher
+        gain replaces it.
+    :param unconfirmed_load: model whose load should be complete, but that has not
+        answered a request yet.
+    :param unloading: model that is unloaded once its runs have ended; empty if none.
+    :param adapters_due: expected end of adapter loads in progress, in ms, by model and
+        adapter.
+    :param adapters_unloading: adapters whose unload is not confirmed yet.
+    :param model_backoff_until: until when no request for a model is sent to the server,
+        in ms, by model; set when it refuses one as not run.
+    :param is_order_in_flight: whether an order has not been answered yet.
+    :param next_order_at: earliest time of the next order, in ms.
+    :param conflicts: consecutive orders that the server rejected as conflicts.
+    :param unknowns: consecutive orders without an answer.
+    :param unanswered_model: model of the last unanswered load; that load counts against
+        the rate of the weight store.
+    :param unanswered_loads: unanswered loads by model.
+    :param previous_loads: unanswered loads of the previous incarnation with the same
+        server id, by model.
+    :param order_answered_at: when the last order was answered, in ms.
+    :param prefill_until: expected end of the prefill of all granted prompts, in ms.
+    :param stream_gaps: prefill between events of its streams.
+    :param backoff_until: no new requests or orders before this time, in ms.
+    :param failures: consecutive failures to connect.
+    :param failure_share: moving average of the share of requests that failed.
+    :param limit: rate limit that the server names; ``None`` if it names none.
+    :param in_memory: models whose weights are in the server's host memory.
+    :param on_disk: models whose weights are on the server's disk.
+    :param runs: requests in flight, by key.
+    :param adapter_used_at: last use of adapters, in ms, by model and adapter.
     """
 
     incarnation: str
@@ -172,10 +185,10 @@
 
 
 class Demand(State):
-    """Prompt tokens a second asked for of a model, as moving means.
+    """Moving averages of the demand for a model, in prompt tokens a second.
 
-    :param steady: over the last seconds.
-    :param swift: over about the last one.
+    :param slow: average over the last seconds.
+    :param fast: average over about the last second.
     """
 
     slow: float = 0
@@ -185,17 +198,20 @@
 class PoolState(State):
     """All model servers of a service.
 
-    :param demand: what each model was asked for.
-    :param demand_at: when ``demand`` was last brought up to date.
-    :param demand_since: since when it is counted, in ms; ``None``: not yet.
-    :param mean_tokens: moving mean of a request's prompt tokens.
-    :param missed_at: models without a copy, and since when one is waited for, in ms.
+    :param servers: by incarnation.
+    :param waiting: waiting requests by key.
+    :param demand: demand by model.
+    :param demand_at: time for which ``demand`` is valid, in ms.
+    :param demand_since: when demand was first recorded, in ms; ``None``: not yet.
+    :param mean_tokens: moving average of the cost of a request, in prompt tokens.
+    :param missing_since: since when requests wait for a model without a copy, in ms, by
+        model.
     :param loads: when loads from the weight store were ordered, in ms.
-    :param next_start: when the first of those that wait for a server to have read may
-        start, in ms; ``None`` if none does.
-    :param speeds: what is known of the servers' reading speed, by kind of model;
-        see :func:`get_size_class`.
-    :param durations: what is known of how long runs last.
+    :param next_start_at: earliest time at which a request that waits for prefill on a
+        server may start, in ms; ``None`` if no request does.
+    :param adapter_load_ms: expected load time of an adapter.
+    :param speeds: estimated prefill speeds by size class, see :func:`get_size_class`.
+    :param durations: estimated run times.
     """
 
     service: str
@@ -215,10 +231,10 @@
 
 
 def update_servers(pool: PoolState, entries: list[ServerEntry]) -> None:
-    """Bring the servers up to date with the registered entries.
+    """Add, update and remove servers according to the registered entries.
 
-    Holdings are taken from the entry only for a server that is new here: later
-    the own orders are known sooner and reports correct them.
+    The loaded models of an entry are used only for a new server: for known servers, the
+    coordinator's own orders are more recent, and reports correct them.
     """
     listed = {one.incarnation: one for one in entries if one.service == pool.service}
     removed_by_id: dict[str, ServerState] = {}
@@ -231,8 +247,8 @@
             server = _build_server(entry)
             pool.servers[incarnation] = server
             if entry.server_id in removed_by_id:
-                # All else that was believed belongs to the start before. An order
-                # names the id only, so one that is carried out late meets this start.
+                # All other state belongs to the previous incarnation. An order names
+                # only the id, so a late one may be carried out by this incarnation.
                 server.previous_loads = removed_by_id[entry.server_id].unanswered_loads
         server.is_leaving = entry.is_leaving
         server.address = entry.address
@@ -250,12 +266,12 @@
 
 
 def is_usable(server: ServerState, *, now: int) -> bool:
-    """Tell whether a server may get new work."""
+    """Tell whether a server may get new requests and orders."""
     return not server.is_leaving and now >= server.backoff_until
 
 
 def get_rate_limit_wait(server: ServerState, *, now: int) -> int:
-    """Return in how many ms a server's rate limit allows it a request; 0: now."""
+    """Return in how many ms a server's rate limit allows a request; 0: now."""
     return 0 if server.limit is None else get_wait(server.limit, now=now)
 
 
@@ -280,15 +296,15 @@
 
 
 def complete_due_loads(server: ServerState, *, now: int) -> None:
-    """Count loads as done whose time has come.
+    """Mark loads as complete once their expected time has passed.
 
-    A load that is late shows by a refusal of the first request that tries it; see
-    :func:`record_not_run`. Only one request tries, until it was answered.
+    If a load takes longer, the server refuses the first request for the model, see
+    :func:`record_not_run`. Only one request is sent until it is answered.
     """
     if server.loading and now >= server.loading_until:
         server.models.setdefault(server.loading, set())
         server.unconfirmed_load = server.loading
-        # A load leaves copies of the weights in the server's memory and on its disk.
+        # A load also leaves the weights in the server's host memory and on its disk.
         server.in_memory |= {server.loading}
         server.on_disk |= {server.loading}
         server.loading = ""
@@ -303,7 +319,7 @@
 
 
 def remove_model(server: ServerState, model: str) -> None:
-    """A model has left a server, and its adapters with it."""
+    """Remove an unloaded model and its adapters from a server's state."""
     server.models.pop(model, None)
     if server.unloading == model:
         server.unloading = ""
@@ -319,9 +335,9 @@
 def record_first_event(
     pool: PoolState, key: str, incarnation: str, *, took_ms: int, now: int
 ) -> None:
-    """The first part of an answer came: the prompt is read, the load confirmed.
+    """Record the first part of an answer, which ends the prefill and confirms the load.
 
-    :param took_ms: since the request was sent to the server.
+    :param took_ms: time since the request was sent to the server.
     """
     server = pool.servers.get(incarnation)
     run = server.runs.get(key) if server else None
@@ -342,18 +358,19 @@
 
 
 def get_size_class(spec: EngineSpec, model: str) -> str:
-    """Name the models that are taken to be read equally fast: those of one size.
+    """Return the size class of a model; all models of one class share a prefill speed.
 
-    Few requests come for a rarely used model; those for its like tell as much.
+    A rarely used model gets too few requests for an estimate of its own; those for
+    models of the same size serve as well.
     """
     found = spec.models.get(model)
     return f"{found.size_mb:g}/{found.adapter_mb:g}" if found else ""
 
 
 def get_prefill_speed(pool: PoolState, model: str) -> float:
-    """Return the prompt tokens of a model that a server reads in a ms.
+    """Return the prefill speed of a model, in tokens a ms.
 
-    Of a kind that was not seen yet, the slowest of the others is assumed.
+    A size class without requests is assumed to be as slow as the slowest known one.
     """
     state = pool.speeds.get(get_size_class(pool.spec, model))
     if state is not None:
@@ -363,12 +380,15 @@
 
 
 def list_prefill_speeds(pool: PoolState) -> dict[str, float]:
-    """Return the reading speeds by kind of model, for a successor."""
+    """Return the prefill speeds by size class in tokens a ms, for a successor."""
     return {kind: get_speed(one) for kind, one in pool.speeds.items()}
 
 
 def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
-    """Begin with what a predecessor has learnt."""
+    """Start with the prefill speeds that the previous coordinator has estimated.
+
+    :param speeds: tokens a ms by size class.
+    """
     for kind, speed in speeds.items():
         pool.speeds.setdefault(kind, PrefillSpeedState(prior=speed))
 
@@ -392,9 +412,9 @@
     now: int,
     events: int = 0,
 ) -> None:
-    """A run ended.
+    """Record the end of a run.
 
-    :param events: of its stream, as far as this server made them.
+    :param events: number of events of its stream that this server generated.
     """
     server = pool.servers.get(incarnation)
     if server is None:
@@ -416,7 +436,7 @@
 def estimate_unload_wait(
     pool: PoolState, server: ServerState, model: str, *, now: int
 ) -> float:
-    """Return how long the unload of a model will wait for its runs, in ms."""
+    """Return how long the unload of a model has to wait for its runs, in ms."""
     return max(
         (
             estimate_remaining_time(
@@ -432,7 +452,7 @@
 def record_unreachable(
     pool: PoolState, key: str, incarnation: str, *, now: int
 ) -> None:
-    """A server could not be connected to; it gets no work for a while."""
+    """Record that a server could not be connected to, and back off from it."""
     server = pool.servers.get(incarnation)
     if server is None:
         return
@@ -445,10 +465,10 @@
 
 
 def record_not_run(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
-    """A server refused a request as not run: it lacks something, or is full.
+    """Record that a server refused a request as not run.
 
-    What was thought to be there may still be on its way; it is tried again a
-    little later, and a report is asked for before the next order.
+    It lacks the model or adapter, or is full. A load may still be in progress, so the
+    server is tried again a little later, and a report is needed before the next order.
     """
     server = pool.servers.get(incarnation)
     if server is None:
@@ -460,8 +480,8 @@
     if server.unloading == need.model:
         return
     if server.unconfirmed_load == need.model:
-        # The load takes longer than usual, or others slow it down. The model stays on
-        # the books: its memory is taken.
+        # The load takes longer than usual, or other loads slow it down. The model is
+        # not removed, because its memory is in use.
         server.model_backoff_until[need.model] = now + RETRY_LOAD_MS
         server.next_order_at = now + RETRY_LOAD_MS
         return
@@ -476,14 +496,16 @@
 
 
 RETRY_LOAD_MS = 150
-"""When a load that took longer than expected is tried again, in ms."""
+"""Backoff before the next request for a model whose load takes longer than expected, in
+ms."""
 
 MODEL_BACKOFF_MS = 150
-"""How long a model's requests are kept from a server that refused one, in ms: it may
-be unloading the model once its runs have ended, or be full."""
+"""Backoff before the next request for a model to a server that refused one, in ms: it
+may be unloading the model once its runs have ended, or be full."""
 
 RETRY_ADAPTER_MS = 20
-"""When an adapter that took longer than expected is tried again, in ms."""
+"""Backoff before the next request for an adapter whose load takes longer than expected,
+in ms."""
 
 MAX_ADAPTER_LOAD_MS = 120
-"""Largest expected time of an adapter load, in ms: ten times the usual."""
+"""Maximum expected load time of an adapter, in ms: ten times the usual one."""
--- a/src/arbutuspulley/pool/stream_gaps.py
+++ b/src/arbutuspulley/pool/stream_gaps.py
@@ -1,15 +1,15 @@
-"""How much a server may read between two events of the streams that run there.
-
-Whatever a server reads of prompts meanwhile lengthens the pause between two events of
-each of its streams. A pace holds the mean of it, but not what falls into one pause:
-with two or three prompts in a row, the streams of a whole server paused for 250 to 300
-ms where 250 were on time, and a seventh of all answers was late by just that. So what
-is read within any span of the longest allowed pause is bounded by what the generation
-of an event leaves of it, which is learnt from the streams.
-
-A prompt that is longer than this by itself can't be kept out for ever. It starts once
-as much of the span before it is free as it lacks, and whoever comes after it at the
-same server waits behind it.
+"""Bounds on prefill between two events of the streams that run on a server.
+
+Prefill lengthens the gap between two events of every stream on the server. The prefill
+rate bounds its average, but not the prefill within one gap: with two or three prompts
+in a row, all streams of a server had gaps of 250 to 300 ms with a target of 250, and a
+seventh of all answers was late just because of that. So prefill within any window as
+long as the lowest gap target is bounded by what the decode of an event leaves of it.
+The decode time is estimated from the streams.
+
+A prompt that exceeds this bound by itself can't be delayed for ever. It starts once
+enough time without prefill has passed in the window before it to make up for the
+excess, and later prompts for the same server wait behind it.
 """
 
 from collections import deque
@@ -19,36 +19,39 @@
 from arbutuspulley.data import State, Value
 
 DEFAULT_EVENT_MS = 60.0
-"""How long an event takes to generate until streams were seen, in ms: an event
-holds some tokens, and a token takes 5 to 20 ms."""
+"""Decode time of an event before any stream has ended, in ms: an event holds some
+tokens, and a token takes 5 to 20 ms."""
 
 EVENT_SMOOTHING = 0.1
-"""Weight of the newest stream in a server's time for an event: about the last ten."""
+"""Weight of the newest stream in the moving average of a server's event time: about
+the last ten streams count."""
 
 MIN_EVENTS = 3
-"""Streams of fewer events say little of what one takes."""
+"""Minimum events of a stream from which the event time is estimated: shorter streams
+say little about it."""
 
 GAP_MARGIN_MS = 15.0
-"""Kept free of each pause, in ms: the way to the caller and the timers on it."""
+"""Part of each gap that is left unused, in ms: network delay to the caller and timers
+on the way."""
 
 MIN_PREFILL_FRACTION = 0.3
-"""Part of the pause that may be read in any case. Where events alone take nearly the
-whole of it, streams can't be kept in time by not reading."""
+"""Fraction of the gap target that prefill may always use. If decode alone takes nearly
+all of the gap, delaying prefill does not help the streams to meet their target."""
 
 
 class PrefillSpan(Value, frozen=True):
-    """A prompt that a server reads, from when to when, in ms."""
+    """Time span of the prefill of one prompt, in ms."""
 
     begin: float
     end: float
 
 
 class StreamGapState(State):
-    """What one server reads, and how long its events take.
+    """Recent prefills of one server, and the decode time of its stream events.
 
-    :param readings: those that end within the longest pause, in order.
-    :param read_ms: reading time of all prompts so far, in ms.
-    :param event_ms: how long an event takes to generate while nothing is read, in ms.
+    :param prefills: prefills within the retention time, in order.
+    :param prefill_ms: total prefill time of all prompts so far.
+    :param event_ms: moving average of the decode time of an event, without prefill.
     """
 
     prefills: deque[PrefillSpan] = msgspec.field(default_factory=deque)
@@ -59,9 +62,11 @@
 def record_prefill(
     state: StreamGapState, prefill_ms: float, *, retention_ms: int, now: int
 ) -> None:
-    """A prompt starts that takes so long to read.
+    """Record that a prompt starts.
 
-    :param keep_ms: the longest pause that matters at this server.
+    :param prefill_ms: expected prefill time of the prompt.
+    :param retention_ms: how long ended prefills are kept.
+    :param now: in ms.
     """
     prefills = state.prefills
     while prefills and prefills[0].end < now - retention_ms:
@@ -74,10 +79,11 @@
 def record_stream(
     state: StreamGapState, *, events: int, took_ms: float, prefill_ms: float
 ) -> None:
-    """A stream ended whole.
+    """Record a stream that ended completely.
 
-    :param took_ms: from its first event to its last.
-    :param read_ms: what the server read meanwhile.
+    :param events: number of its events.
+    :param took_ms: time from its first event to its last.
+    :param prefill_ms: prefill time of the server within that time.
     """
     if events < MIN_EVENTS:
         return
@@ -88,10 +94,11 @@
 def find_start(
     state: StreamGapState, *, prefill_ms: float, gap_target_ms: int, now: int
 ) -> float:
-    """Return when a prompt may start so that no stream pauses for too long, in ms.
+    """Return when a prompt may start so that all streams meet their gap target, in ms.
 
-    :param read_ms: how long the prompt takes to read.
-    :param pause_ms: the longest pause that any stream there may make; 0: any.
+    :param prefill_ms: expected prefill time of the prompt.
+    :param gap_target_ms: lowest gap target of the server's streams; 0: none has one.
+    :param now: in ms.
     """
     if not gap_target_ms or not state.prefills:
         return float(now)
@@ -103,7 +110,7 @@
     for prefill in reversed(state.prefills):
         length = prefill.end - prefill.begin
         if length > budget_ms:
-            # What is read after this moment, and the prompt, fit into one pause.
+            # The prefill after this time and the prompt together fit into one gap.
             free_from = prefill.end - budget_ms
             return max(float(now), free_from + max(0.0, gap_target_ms - prefill_ms))
         budget_ms -= length
--- a/src/arbutuspulley/pool/waits.py
+++ b/src/arbutuspulley/pool/waits.py
@@ -1,4 +1,4 @@
-"""How long a model's prompts will wait for its servers, those to come included."""
+"""Estimated waits for the copies of a model, including copies that are being loaded."""
 
 from arbutuspulley.admission.rate_limits import get_wait
 from arbutuspulley.pool.answers import NEVER, get_load_ms
@@ -8,16 +8,17 @@
 
 MIN_RETRY_AFTER_MS = 200
 MAX_RETRY_AFTER_MS = 4_000
-"""Bounds of when a refused caller is told to come back, in ms: sooner, it meets the
-same queue, and it waits no longer than a third of its time, which is 3 to 15 s."""
+"""Bounds of the retry-after time of a refused request, in ms. An earlier retry meets
+the same queue, and a caller waits at most a third of its timeout, which is 3 to 15
+s."""
 
 
 def list_copy_ready_times(pool: PoolState, model: str, index: CopyIndex) -> list[float]:
-    """Return in how many ms each copy of a model can be used, the first one first.
+    """Return in how many ms each copy of a model will be ready, earliest first.
 
-    A copy that is still being loaded, or waits for another model to leave, does not
-    start prompts yet. Counted like the others, callers that were refused came back to
-    the same queue; they come back once.
+    A copy that is being loaded, or waits for the unload of another model, does not
+    start prompts yet. If it counted as ready, refused callers would retry too early and
+    meet the same queue; they retry only once.
     """
     copies = get_copies(index, model)
     return sorted(
@@ -28,9 +29,10 @@
 def estimate_wait(
     pool: PoolState, model: str, tokens: float, ready_times: list[float]
 ) -> float:
-    """Return in how many ms so many prompt tokens will have been started.
+    """Return in how many ms the queued prompt tokens will have been started.
 
-    :param copy_times: as :func:`list_copy_ready_times` returns them; not empty.
+    :param tokens: prompt tokens in the queue.
+    :param ready_times: as :func:`list_copy_ready_times` returns them; not empty.
     """
     rate = get_copy_token_rate(pool, model) / 1_000
     remaining, elapsed_ms = float(tokens), ready_times[0]
@@ -44,9 +46,10 @@
 
 
 def estimate_rate_limit_wait(index: CopyIndex, model: str, requests: int) -> float:
-    """Return in how many ms servers' rate limits let a request through; 0: not known.
+    """Return in how many ms the rate limits of a model's servers allow a request.
 
-    :param requests: that wait for the model before it.
+    :param requests: number of requests that wait for the model before it.
+    :return: 0 if it is not known.
     """
     servers = index.limited.get(model, [])
     limits = [one.limit for one in servers if one.limit is not None]
@@ -64,11 +67,13 @@
     *,
     limited_ms: float = 0,
 ) -> int:
-    """Return when a refused request will probably get in, in ms.
+    """Return the retry-after time of a refused request, in ms.
 
-    :param tokens: of the prompts that wait for the model before it.
-    :param limited_ms: how long rate limits keep it from the servers that have the
-        model; 0: none do.
+    It is the estimated wait until the request would be granted, within bounds.
+
+    :param tokens: prompt tokens of the requests that wait for the model before it.
+    :param limited_ms: wait for the rate limits of the servers that have the model; 0:
+        there is none.
     """
     if ready_times:
         wait_ms = estimate_wait(pool, model, tokens, ready_times)
