--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -36,9 +36,10 @@
 """Fraction of the KV cache that is granted; beyond it requests preempt each other."""
 
 LATE_HEAD_START_MS = 40
-"""How far ahead of the prefill rate a late request may start, in ms, on a server that
-no request waits for that can still meet its latency target. If late requests start at
-once, they make others late, which costs most where a late answer is of little use."""
+"""How far ahead of the prefill rate a late request may start, in ms, on a server
+without waiting requests that can still meet their latency target. If late requests
+start at once, they make others late, which costs most where a late answer is of little
+use."""
 
 RUN_COST_MS = 2.0
 """Cost of each request that runs on a server, in ms of waiting. It only breaks ties
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -41,9 +41,9 @@
 from arbutuspulley.ports.fleet import OrderKind
 
 MIN_GAIN = 1.5
-"""Minimum net gain of another copy: requests that it spares a wait, less those that
-have to wait for the models that are evicted. Loads cost money, and below this value
-models of similar demand evict each other."""
+"""Minimum net gain of another copy, in requests: those that no longer have to wait,
+less those that have to wait for the evicted models. Loads cost money, and below this
+value models of similar demand evict each other."""
 
 MISSING_GAIN_PER_S = 1.0
 """Growth of the gain of a model without a copy for each second that requests wait for
@@ -69,7 +69,7 @@
 wait for streams that take some seconds."""
 
 GAIN_HORIZON_MS = 3_000
-"""Delay after which a copy no longer spares any caller a wait, in ms: callers
+"""Delay after which another copy helps no waiting caller any more, in ms: callers
 disconnect after 2 to 4 s without a first event."""
 
 MAX_UNLOAD_WAIT_MS = 1_000
@@ -225,7 +225,7 @@
 
 
 def _compute_gain(cycle: PlanningCycle, model: str) -> float:
-    """Return the gain of another copy of a model, in requests that it spares a wait."""
+    """Return how many requests no longer have to wait with another copy of a model."""
     pool, waiting = cycle.pool, cycle.waiting[model]
     found = get_copies(cycle.index, model)
     copies = sum(not _is_unload_delayed(cycle, one, model) for one in found)
@@ -273,7 +273,7 @@
 def _choose_server(cycle: PlanningCycle, model: str, gain: float) -> ServerState | None:
     """Choose the server for another copy of a model, and plan the load there.
 
-    :param gain: requests that the copy would spare a wait.
+    :param gain: requests that no longer have to wait with the copy.
     :return: ``None`` if no server is worth it.
     """
     pool, now = cycle.pool, cycle.index.now
--- a/tests/pools.py
+++ b/tests/pools.py
@@ -1,4 +1,4 @@
-"""Builders of pools for tests of the coordinator's decisions."""
+"""Builders of pool states for tests of the coordinator's decisions."""
 
 from arbutuspulley.pool.state import PoolState, Run, ServerState, WaitingRequest
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
--- a/tests/test_pool_copies.py
+++ b/tests/test_pool_copies.py
@@ -1,4 +1,4 @@
-"""The index of copies says what a look at all servers would."""
+"""The index of copies and the caches of a planning cycle match a full computation."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 def find_copies(pool, model, *, now):
-    """Look at all servers."""
+    """Find the copies of a model by a scan of all servers."""
     return {
         server.incarnation
         for server in pool.servers.values()
@@ -25,7 +25,7 @@
 
 
 def change(server, models, chance):
-    """Change a server as planning and ordering do."""
+    """Change a server in the ways that planning and orders do."""
     held = sorted(server.models)
     server.unloading = chance.choice([*held, "", ""])
     server.loading = chance.choice([*models, "", "", ""])
@@ -51,8 +51,9 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_cached_eviction_options_match_a_fresh_computation(seed):
-    """What leaving costs is kept for all models and servers of a pass, and corrected as
-    copies come and go. Kept too long, the only copy of a model would be unloaded."""
+    """Eviction costs are cached for all models and servers of a planning cycle and
+    invalidated as copies change. With a stale cache, the last copy of a model would be
+    unloaded."""
     chance = random.Random(seed)
     pool, now = build_pool(10, chance=chance)
     for server in pool.servers.values():
--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -1,9 +1,9 @@
-"""How much each model is asked for, as demand moves.
+"""Demand estimates while demand moves between models.
 
-The load: a busy model is asked for by 10 to 50 requests a second of 1,000 tokens each,
-and within 4 to 6 s others take its place. A load takes 1.2 to 2 s and waits for the
-streams of what it displaces, so each second in which the rise goes unseen is one in
-which a queue builds up at too few copies.
+Workload: a busy model gets 10 to 50 requests a second of 1,000 tokens each, and demand
+moves to other models within 4 to 6 s. A load takes 1.2 to 2 s and waits for the streams
+of the evicted models, so for each second that a rise is not detected, a queue builds up
+at too few copies.
 """
 
 import random
@@ -35,8 +35,8 @@
 
 
 def test_rising_demand_is_detected_within_a_second():
-    """Demand for a model rises to five times within a moment. By a mean of 3 s it was
-    taken for twice as much after one second, and for less than the truth for nine."""
+    """Demand for a model suddenly rises fivefold. A moving average with a half-life of
+    3 s showed twice the former demand after one second, and was too low for nine."""
     chance = random.Random(3)
     pool = build_pool(mean_tokens=1_000.0)
     send_requests(pool, per_s=10, begin=0, end=20_000, chance=chance)
@@ -61,9 +61,8 @@
 
 @pytest.mark.parametrize("seconds", [1, 2, 4, 8])
 def test_demand_is_not_underestimated_after_a_start(seconds):
-    """All instances start anew. Counted from nothing, a model that was asked for by 50
-    requests a second seemed to be asked for by 10 after a second and had no second copy
-    for three."""
+    """All instances restart. Averages that started at zero showed 10 requests a second
+    after one second instead of 50, and the model had no second copy for three."""
     pool = build_pool(mean_tokens=1_000.0)
     send_requests(pool, per_s=50, begin=0, end=seconds * 1_000, chance=random.Random(1))
     assert get_demand(pool, "m0") == pytest.approx(50_000, rel=0.4)
@@ -85,8 +84,8 @@
 def test_token_cost_is_set_by_the_scarcer_of_slots_and_prefill(
     slots, prompt, expected, binds
 ):
-    """Streams of two seconds on servers of twelve slots: six a second fit, while thirty
-    prompts a second could be read."""
+    """With streams of two seconds, twelve slots admit six requests a second, while the
+    prefill speed allows thirty prompts a second."""
     pool = build_pool(spec=build_spec(slots=slots))
     need = ModelNeed(
         model="m0",
@@ -102,9 +101,9 @@
 
 
 def test_model_with_full_slots_gets_another_copy():
-    """The only copy's twelve slots are full of long streams and ten requests a second
-    come. By what they read the copy was a third in use, and nobody loaded another:
-    35 requests waited, and a third of them were refused."""
+    """The twelve slots of the only copy are full of long streams, and ten requests a
+    second arrive. By prefill alone the copy was a third utilised, and no other copy was
+    loaded: 35 requests waited, and a third of them were refused."""
     busy = build_server("s0", "m0", slots=12)
     pool = build_pool(busy, build_server("s1"), spec=build_spec(slots=12))
     for number in range(12):
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -1,4 +1,4 @@
-"""How much longer runs last, and what that means for the choice of what to unload."""
+"""Estimated remaining time of runs, and its effect on the choice of evictions."""
 
 import pytest
 
@@ -34,7 +34,7 @@
         (10, 400, 100, 200),
         (100, 400, 5_000, 1_500),
     ],
-    ids=["expected", "begun", "only the most known", "nearly done", "longer than said"],
+    ids=["expected", "begun", "only output limit", "nearly done", "longer than expected"],
 )
 def test_remaining_time_of_a_run(expected, output, ran_ms, left):
     need = build_need(expected=expected, output=output)
@@ -58,9 +58,10 @@
 
 
 def test_model_whose_runs_end_soonest_is_evicted():
-    """A model that nobody had was asked for. One server held a model with a single run
-    that had just begun to write 400 tokens, another one with two runs nearly done. The
-    first was chosen, since it had fewer runs; for 6 s it took no order."""
+    """A model without a copy is requested. One server has models with a single run each
+    that has just started to generate 400 tokens, the other one models with two runs
+    each that are nearly complete. If the number of runs decides, the first server is
+    chosen and accepts no order for 6 s."""
     long, short = build_server("s0", "m0", "m1"), build_server("s1", "m2", "m3")
     pool = build_pool(long, short)
     for model in ("m0", "m1"):
@@ -73,9 +74,9 @@
 
 
 def test_model_is_loaded_elsewhere_if_the_unload_waits_for_a_long_stream():
-    """The busiest model moved to a server whose unload waited for a long stream. It
-    counted as being there soon. Other servers had room within a second, but for 7 s
-    none was told to load it, and 103 of its requests were refused."""
+    """The busiest model is planned on a server whose unload waits for a long stream. It
+    counted as a copy, so for 7 s no other server was ordered to load it, although some
+    had free memory within a second, and 103 of its requests were refused."""
     chosen, other = build_server("s0", "m0", "m1"), build_server("s1", "m2", "m3")
     pool = build_pool(chosen, other)
     for model in ("m2", "m3"):
@@ -83,7 +84,7 @@
     add_demand(pool, "m4", now=10)
     (order,) = plan_orders(pool, now=10)
     assert order.incarnation == "s0"
-    # A stream that was on its way to it runs for longer than all others.
+    # A stream that was in flight to the server runs for longer than all others.
     add_run(chosen, "late", order.model, expected=400, granted_at=10)
     apply_order_answer(pool, order, OrderAnswer.ACCEPTED, now=12)
     assert plan_orders(pool, now=100) == []
--- a/tests/test_pool_grants.py
+++ b/tests/test_pool_grants.py
@@ -1,4 +1,4 @@
-"""Who starts when, and where."""
+"""When and where waiting requests start."""
 
 import pytest
 
@@ -13,10 +13,10 @@
 
 
 def test_prompts_of_one_server_start_one_after_another():
-    """Eight callers' prompts reach one server together, and every stream there stops
-    for half a second: each step of the engine also reads a piece of a prompt.
+    """If eight prompts reach one server together, every stream there stalls for half a
+    second, because each step of the engine includes a chunk of prefill.
 
-    At 20 tokens a ms and a pace of 0.8, 1,000 tokens take 62.5 ms.
+    At 20 tokens a ms and a prefill fraction of 0.8, 1,000 tokens take 62.5 ms.
     """
     pool = build_pool(build_server("s0", "m0"))
     for number in range(3):
@@ -38,7 +38,7 @@
 
 
 def test_late_request_may_start_slightly_ahead_of_the_prefill_rate():
-    """While others keep coming in time, late ones must not wait for ever."""
+    """Late requests must not wait for ever while other requests keep arriving."""
     pool = build_pool(build_server("s0", "m0", prefill_until=100))
     add_waiting(pool, "late", "m0", late_at=5)
     assert get_granted(plan_grants(pool, now=50)) == {}
@@ -72,8 +72,8 @@
 
 
 def test_full_kv_cache_takes_no_more_requests():
-    """A ninth long prompt fits the slots but not the cache; the engine then preempts
-    running streams, whose callers see a long pause."""
+    """A ninth long prompt fits the slots but not the KV cache; the engine then preempts
+    running streams, whose callers see a long gap."""
     pool = build_pool(build_server("s0", "m0"))
     add_waiting(pool, "r0", "m0", tokens=60_000)
     add_waiting(pool, "r1", "m0", tokens=60_000, late_at=0, give_up_at=90_000)
@@ -84,8 +84,8 @@
 
 
 def test_one_request_probes_an_unconfirmed_load():
-    """A load takes longer than its model's usual time. All that waited for it were
-    sent at once, were refused, and used up the budget of repeats."""
+    """A load takes longer than usual for its model. If all waiting requests are sent at
+    the expected time, they are refused and use up the retry budget."""
     pool = build_pool(build_server("s0", loading="m0", loading_until=100))
     add_waiting(pool, "r0", "m0")
     add_waiting(pool, "r1", "m0", arrived_at=1, late_at=0)
@@ -97,8 +97,8 @@
 
 
 def test_refusal_during_an_unload_does_not_mark_the_model_as_loading():
-    """A request meets the unload of its model and is refused. The model counted as
-    being loaded again, and was unloaded again, for seconds."""
+    """A request is refused during the unload of its model. The model was marked as
+    loading again and then unloaded again, for seconds."""
     server = build_server("s0", "m0", unconfirmed_load="m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m0")
@@ -118,8 +118,8 @@
 
 
 def test_request_that_can_not_start_in_time_is_refused_at_once():
-    """Forty callers ask for a model with one copy. The last of them would wait longer
-    than callers do; held to the end, they lose that time, too."""
+    """Forty callers request a model with one copy. The last of them would have to wait
+    longer than callers do; a late refusal would only cost them that time, too."""
     pool = build_pool(build_server("s0", "m0", prefill_until=10_000))
     for number in range(60):
         add_waiting(pool, f"r{number:02}", "m0", arrived_at=number, late_at=9_999)
@@ -138,8 +138,8 @@
 
 
 def test_requests_start_in_order_of_their_latest_start_time():
-    """A caller that waits 1.5 s for its first event came before one that waits 0.5 s.
-    In the order of arrival the second was late; both can be in time."""
+    """A request with a latency target of 1.5 s arrives before one with 0.5 s. In order
+    of arrival the second one is late; otherwise both meet their target."""
     pool = build_pool(build_server("s0", "m0"))
     add_waiting(pool, "patient", "m0", arrived_at=0, late_at=1_125)
     add_waiting(pool, "hasty", "m0", arrived_at=9, late_at=384)
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -1,4 +1,4 @@
-"""Model servers that name a rate limit: who is granted them, and what is loaded."""
+"""Grants and orders for model servers that name a rate limit."""
 
 from arbutuspulley.admission.rate_limits import RateLimitLedger
 from arbutuspulley.pool.copies import get_copies
@@ -15,14 +15,14 @@
 
 
 def limit_server(server, per_s, *, now=0):
-    """Let a server name a limit; its bucket begins empty."""
+    """Set a rate limit of a server; its token bucket starts empty."""
     ledger = RateLimitLedger()
     ledger.set_limit(server.incarnation, per_s, now=now)
     server.limit = ledger.get(server.incarnation)
 
 
 def grant_all(pool, *, until, every_ms=100):
-    """Let requests come at a steady pace and return what was decided, by time."""
+    """Add requests at a constant rate and return the decisions with their times."""
     decided = []
     for now in range(0, until, every_ms):
         add_waiting(pool, f"r{now}", "m0", now=now, tokens=100)
@@ -33,7 +33,7 @@
 
 
 def test_limited_server_is_granted_no_more_than_its_limit():
-    """Guards against a server in need that is granted by memory and pace alone."""
+    """Guards against grants that ignore the rate limit of an overloaded server."""
     server = build_server("s0", "m0")
     limit_server(server, 2.0)
     pool = build_pool(server)
@@ -53,8 +53,8 @@
 
 
 def test_limited_server_is_reserved_for_models_that_only_it_has():
-    """Guards against callers of a rare model that are refused as the only server that
-    has it spends its limit on models that others have too."""
+    """Guards against refusals for a rare model because the only server that has it uses
+    up its limit for models that other servers have, too."""
     limited, other = build_server("s0", "m0", "m1"), build_server("s1", "m0")
     limit_server(limited, 1.0, now=-10_000)
     other.prefill_until = 300
@@ -77,7 +77,7 @@
 
 
 def test_request_beyond_a_limit_is_refused_at_once_with_retry_after():
-    """Guards against callers that wait in vain for a server in need."""
+    """Guards against requests that wait in vain for an overloaded server."""
     server = build_server("s0", "m0")
     limit_server(server, 1.0)
     pool = build_pool(server)
@@ -90,7 +90,7 @@
 
 
 def test_model_that_only_limited_servers_have_is_loaded_elsewhere():
-    """Guards against callers that are refused while other servers have room."""
+    """Guards against refusals while other servers have free memory."""
     limited, other = build_server("s0", "m0"), build_server("s1")
     limit_server(limited, 0.5)
     pool = build_pool(limited, other)
@@ -113,8 +113,8 @@
 
 
 def test_copy_on_a_limited_server_does_not_make_another_copy_redundant():
-    """Guards against models that are unloaded elsewhere each time that a server in need
-    may get a request, and loaded again as it may not."""
+    """Guards against models that are unloaded from other servers whenever the limit of
+    an overloaded server allows a request, and loaded again when it does not."""
     limited = build_server("s0", "m0")
     limit_server(limited, 1.0, now=-10_000)
     other = build_server("s1", "m0", "m1")
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -1,4 +1,4 @@
-"""Which orders model servers get, and what their answers mean."""
+"""Planning of orders to model servers, and handling of their answers."""
 
 import pytest
 
@@ -56,9 +56,9 @@
 
 
 def test_a_server_gets_one_order_at_a_time():
-    """An adapter and a model were ordered of one server in one pass. The second order
-    failed, but the memory of what it should have unloaded already counted as free;
-    the next load crashed the server."""
+    """A server got an adapter order and a model order in one planning cycle. The second
+    one, an unload, failed, but its memory already counted as free; the next load
+    crashed the server."""
     server = build_server("s0", "m0", "m1")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m0", adapter="a1")
@@ -71,8 +71,8 @@
     "answer", [OrderAnswer.CONFLICT, OrderAnswer.UNKNOWN, OrderAnswer.REFUSED]
 )
 def test_memory_stays_in_use_until_an_unload_is_accepted(answer):
-    """An unload is refused, or its answer is lost. Its memory was given to the next
-    load, and the server, which still held the model, crashed."""
+    """An unload is refused, or its answer is lost. Its memory was used for the next
+    load, and the server, which still had the model, crashed."""
     server = build_server("s0", "m0", "m1")
     pool = build_pool(server)
     add_waiting(pool, "r1", "m2")
@@ -99,9 +99,10 @@
 
 
 def test_memory_of_an_overdue_load_stays_in_use():
-    """A load takes longer than usual, and the request that tried it is refused while
-    the next order is under way. As that order met a conflict, the model under load
-    was forgotten; the next load found room that was not there, and crashed the server.
+    """A load takes longer than usual, and the first request for the model is refused
+    while the next order is in flight. When that order met a conflict, the loading model
+    was removed from the state; the next load exceeded the memory and crashed the
+    server.
     """
     server = build_server("s0", loading="m0", loading_until=100)
     pool = build_pool(server)
@@ -116,8 +117,9 @@
 
 
 def test_adapters_with_waiting_requests_do_not_evict_each_other():
-    """More adapters are waited for than there are places, while the server reads. They
-    were loaded and unloaded in turn, some hundred times a second, and none was used."""
+    """Requests wait for more adapters than there are slots while the server is busy
+    with prefill. The adapters were loaded and unloaded in turn, some hundred times a
+    second, and none was used."""
     server = build_server("s0", "m0", prefill_until=500)
     server.models["m0"] = {"a1", "a2"}
     pool = build_pool(server)
@@ -127,8 +129,8 @@
 
 
 def test_adapter_keeps_its_slot_until_its_unload_is_complete():
-    """An adapter in use is told to leave, which waits. Its place was given to the next
-    one; the ninth adapter of eight crashed the server."""
+    """The unload of an adapter in use waits. Its slot was used for the next adapter;
+    with eight slots, the ninth adapter crashed the server."""
     server = build_server("s0", "m0")
     server.models["m0"] = {"a1", "a2"}
     pool = build_pool(server)
@@ -154,7 +156,7 @@
 
 
 def test_a_busy_model_is_not_evicted_for_a_rare_one():
-    """One request for a rare model pushed out both copies of the busiest model."""
+    """A single request for a rare model evicted both copies of the busiest model."""
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0", "m1"))
     for number in range(60):
         record_demand(pool, "m0", 1_000, now=number * 20)
@@ -188,7 +190,7 @@
 
 
 def test_planned_copy_counts_as_a_copy():
-    """Every server with room was told to load one rare model at the same moment."""
+    """All servers with free memory were ordered to load a rare model at once."""
     pool = build_pool(*(build_server(f"s{n}", "m0", "m1") for n in range(4)))
     add_waiting(pool, "r0", "m2")
     assert len(plan_orders(pool, now=10)) == 1
@@ -198,9 +200,9 @@
 def test_unanswered_order_is_sent_again_at_once():
     """For some seconds a third of the orders get no answer and are carried out late.
 
-    Waiting for a report each time left models missing for seconds. The next order
-    expects the same number, so that only one of the two is ever carried out; if it
-    meets a conflict, the first one was.
+    If each one waited for a report, models would be missing for seconds. The next order
+    expects the same number of accepted orders, so only one of the two is ever carried
+    out; if the second one meets a conflict, the first one was.
     """
     server = build_server("s0", "m0")
     pool = build_pool(server)
@@ -227,7 +229,8 @@
 
 
 def test_stale_report_is_ignored():
-    """A report is some hundred ms old. One from before a load made it forgotten."""
+    """Reports are some hundred ms old. One made before a load removed that load from
+    the state."""
     server = build_server("s0", "m0")
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
@@ -277,8 +280,8 @@
 )
 def test_load_that_did_not_start_is_not_counted(answer, counted):
     """Servers that were still unloading answered a load with a conflict, and each of
-    these took up a part of the weight store's rate. The load itself, 60 ms later, had
-    to wait for 1.2 s, and with it 69 callers of a model that nobody had."""
+    these loads counted against the weight store's rate. The retry 60 ms later had to
+    wait for 1.2 s, and so did 69 callers of a model without a copy."""
     pool = build_pool(build_server("s0", "m0"))
     add_waiting(pool, "r0", "m2")
     apply_answers(pool, plan_orders(pool, now=10), answer, now=20)
@@ -297,7 +300,7 @@
 @pytest.mark.parametrize("unknown_until", [None, 0, 900])
 def test_successor_keeps_to_the_rate_limit_of_the_weight_store(known, unknown_until):
     """A coordinator orders as many loads as the weight store's rate allows and is
-    killed. Its successor knows those that were told, and that as many as run at once
+    killed. Its successor knows the reported loads, and that as many as run concurrently
     may have been ordered since."""
     pool = build_pool(build_server("s0"))
     inherit_loads(pool, [0] * known, unknown_until=unknown_until)
@@ -309,9 +312,9 @@
 
 
 def test_successor_may_use_the_remaining_load_rate_at_once():
-    """The store is away for eight seconds, and nobody may give orders. The next
-    coordinator took all of the rate for used up; a model that 30 requests waited for
-    was not loaded for five seconds more."""
+    """The metadata store is unavailable for eight seconds, and no instance may send
+    orders. The next coordinator assumed that the whole rate was used up; a model that
+    30 requests waited for was not loaded for another five seconds."""
     pool = build_pool(build_server("s0"))
     inherit_loads(pool, [-9_000], unknown_until=-6_000)
     add_waiting(pool, "r0", "m0")
@@ -330,8 +333,8 @@
 
 def test_busiest_model_gets_all_its_copies_first():
     """Demand moves to a model with one copy; 60 requests wait for it and one for
-    another. One copy at a time was planned, so each other server that was free just
-    then went to the model that one request waited for, and the 60 waited for its load.
+    another model. With one copy planned at a time, each other free server went to the
+    model with one waiting request, and the 60 requests waited for that load.
     """
     busy = build_server("s0", "m0", accepted_orders=None)
     pool = build_pool(busy, build_server("s1"), build_server("s2"))
@@ -346,7 +349,7 @@
 
 def test_planned_load_is_replaced_by_a_model_with_far_more_demand():
     """A server waits for a run to end before it loads a model for one request. Then
-    demand moves to another model; its 60 requests waited until that load was done."""
+    demand moves to another model; its 60 requests waited for the end of that load."""
     server = build_server("s1", "m2", "m3", unloading="m2", planned="m1")
     server.planned_gain, server.planned_until = 1.6, 6_000
     add_run(server, "r", "m2")
--- a/tests/test_pool_prefill_speed.py
+++ b/tests/test_pool_prefill_speed.py
@@ -1,4 +1,4 @@
-"""The reading speed of servers, learnt from first events."""
+"""Prefill speed of servers, estimated from the time to the first event."""
 
 import random
 
@@ -23,7 +23,12 @@
 
 
 def estimate_speed(true_speed, *, requests, outliers=0.0, seed=1):
-    """Requests of 100 to 3,800 tokens, 20 to 40 ms beside reading, some of them odd."""
+    """Estimate the speed from requests of 100 to 3,800 tokens.
+
+    Their first events take 20 to 40 ms in addition to prefill.
+
+    :param outliers: share of requests that take up to 400 ms longer.
+    """
     chance = random.Random(seed)
     speed = PrefillSpeedState()
     for _ in range(requests):
@@ -49,16 +54,16 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_outliers_do_not_distort_the_speed(seed):
     """A few short prompts take long for other reasons. The slope came out near zero,
-    the speed at its upper bound, and prompts were no longer paced at all."""
+    the speed at its upper bound, and prompts were no longer rate-limited at all."""
     assert 14 < estimate_speed(25.8, requests=60, outliers=0.15, seed=seed) < 45
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_unknown_prefills_after_a_takeover_do_not_distort_the_speed(seed):
-    """A coordinator that has just taken over does not know what its servers read. Every
-    fourth request waits there behind prompts that it never heard of, the longer the
-    more. The speed came out at a third, prompts were held back for 20 s, and 300
-    requests were refused that servers had time for."""
+    """A coordinator that has just taken over does not know the prefills in progress on
+    its servers. Every fourth request waits there behind unknown prompts, longer prompts
+    for longer. The speed came out at a third of the true one, prompts were delayed for
+    20 s, and 300 requests were refused that the servers could have served."""
     chance = random.Random(seed)
     speed = PrefillSpeedState()
     for number in range(60):
@@ -88,7 +93,7 @@
 
 
 def serve(pool, model, *, count, tokens_per_ms, start):
-    """One prompt after another, each on an idle server; return when the last began."""
+    """Serve one prompt after another on an idle server; return the time afterwards."""
     chance = random.Random(3)
     now = start
     for number in range(count):
@@ -104,9 +109,9 @@
 
 
 def test_prefill_speed_differs_by_size_class():
-    """Servers read their small models three to four times as fast as the large ones.
-    All were paced by one speed, that of the large ones, so that callers of small models
-    waited for servers that had time for them."""
+    """Prefill of small models is three to four times as fast as that of large ones.
+    With one speed for all models, that of the large ones, callers of small models
+    waited for servers that could have served them."""
     pool = build_two_size_classes()
     now = serve(pool, "large", count=40, tokens_per_ms=19.2, start=0)
     now = serve(pool, "small", count=40, tokens_per_ms=66, start=now)
@@ -126,8 +131,8 @@
 
 
 def test_successor_inherits_the_prefill_speeds():
-    """A coordinator that took over began with the default speed. On servers that read
-    faster, callers waited for some seconds after each change."""
+    """A new coordinator started with the default speed. On faster servers, callers
+    waited for some seconds after each change of the coordinator."""
     before = build_two_size_classes()
     serve(before, "small", count=40, tokens_per_ms=66, start=0)
     after = build_two_size_classes()
--- a/tests/test_pool_restart.py
+++ b/tests/test_pool_restart.py
@@ -1,4 +1,4 @@
-"""What a pool believes of a server that starts again under its id."""
+"""State of a server that restarts with the same id."""
 
 import pytest
 
@@ -38,9 +38,9 @@
 
 
 def test_state_of_the_previous_incarnation_is_discarded():
-    """A server crashes and is back within a second under its id, with nothing loaded.
-    Requests went on to it for the models that it had held, each refused, and its
-    orders were numbered from where the old start had been."""
+    """A server crashes and restarts within a second with the same id and no models. It
+    still got requests for its former models, which it refused, and its orders continued
+    the numbering of the previous incarnation."""
     pool, old = build("m0", "m1")
     old.accepted_orders, old.failures, old.backoff_until = 7, 3, 4_000
     old.runs.clear()
@@ -70,10 +70,10 @@
     [(0, 100, 30), (1, 100, 30), (2, 100, 0), (0, 100 + MAX_ORDER_DELAY_MS, 0)],
 )
 def test_unanswered_load_counts_for_the_new_incarnation(orders, now, expected_mb):
-    """A load is sent and not answered, the server crashes and is back under its id.
-    The load is carried out seconds later, once the new start has accepted as many
-    orders as the old one had: together with another model it was over the memory, and
-    the server crashed again."""
+    """A load is not answered, and the server crashes and restarts with the same id. The
+    load is carried out seconds later, once the new incarnation has accepted as many
+    orders as the previous one had. Together with another model it exceeded the memory,
+    and the server crashed again."""
     pool, old = build("m0")
     old.accepted_orders = 1
     add_waiting(pool, "r0", "m1")
--- a/tests/test_pool_stream_gaps.py
+++ b/tests/test_pool_stream_gaps.py
@@ -1,8 +1,8 @@
-"""What a server may read between two events of its streams.
+"""Bounds on prefill between two events of a server's streams.
 
-The load: streams of 48 a server that generate an event in some 60 ms and may pause for
-250, and prompts of 500 to 7,000 tokens that a server reads at 38 a ms: 13 to 180 ms
-each. Two or three in a row within one pause make all of the streams there late.
+Workload: 48 streams a server with an event in some 60 ms and a gap target of 250 ms,
+and prompts of 500 to 7,000 tokens at 38 tokens a ms, so 13 to 180 ms of prefill each.
+Two or three prompts in a row within one gap make all streams of the server late.
 """
 
 import itertools
@@ -57,8 +57,8 @@
 
 
 def test_prefill_per_gap_stays_bounded_while_prompts_keep_arriving():
-    """Prompts arrive without an end, each smaller than what one pause holds. Whatever
-    their sizes, no span of the length of a pause has more than that read in it."""
+    """Prompts keep arriving, each of which fits into one gap. Whatever their sizes, no
+    window of the length of the gap target contains more prefill than the bound."""
     chance = random.Random(7)
     state = StreamGapState()
     now = 0
@@ -101,8 +101,9 @@
 
 
 def test_burst_of_prompts_does_not_exceed_the_gap_target():
-    """Ten callers' prompts reach a server whose streams are all in time. By the mean
-    pace alone two of 100 ms started within 155 ms, and all streams paused for 260."""
+    """Ten prompts reach a server whose streams all meet their gap target. Limited by
+    the average prefill rate alone, two prompts of 100 ms started within 155 ms, and all
+    streams had a gap of 260 ms."""
     server = build_server("s0", "m0")
     add_run(server, "r", "m0")
     server.runs["r"].gap_target_ms = GAP_TARGET_MS
@@ -119,8 +120,8 @@
 
 
 def test_long_prompt_is_not_overtaken_by_short_ones():
-    """A long prompt waits until the pause of the streams has room for it. Short ones
-    that came later fitted in at once, again and again, and it was never started."""
+    """A long prompt waits until it fits into a gap of the streams. Short ones that
+    arrived later kept fitting in at once, so the long one never started."""
     server = build_server("s0", "m0")
     add_run(server, "r", "m0")
     server.runs["r"].gap_target_ms = GAP_TARGET_MS
--- a/tests/test_pool_waits.py
+++ b/tests/test_pool_waits.py
@@ -1,8 +1,8 @@
-"""How long prompts wait for a model's copies, those to come included.
+"""Estimated waits for a model's copies, including copies that are being loaded.
 
-The load: demand moves to a model with one copy, 30 requests wait for it, and a second
-copy is being loaded for 1 to 2 s. Callers leave after 2 s without a first event, and
-come back once when they are refused.
+Workload: demand moves to a model with one copy, 30 requests wait for it, and the load
+of a second copy takes 1 to 2 s. Callers disconnect after 2 s without a first event, and
+retry once when they are refused.
 """
 
 import pytest
@@ -34,7 +34,7 @@
     ],
 )
 def test_copy_reduces_the_wait_once_it_is_ready(seconds, ready_times, expected_ms):
-    """Prompts of so many seconds for one copy."""
+    """``seconds``: time that one copy takes for the waiting prompts."""
     pool = build_pool()
     tokens = int(get_copy_token_rate(pool, "m0") * seconds)
     wait_ms = estimate_wait(pool, "m0", tokens, ready_times)
@@ -54,8 +54,8 @@
 
 
 def test_retry_after_includes_the_time_until_a_copy_is_ready():
-    """A copy that would be there in three seconds counted like one that was: callers
-    that were refused came back after 0.2 s, met the same queue and were lost."""
+    """A copy that becomes ready in three seconds counted as ready: refused callers
+    retried after 0.2 s, met the same queue and were lost."""
     loading = build_server("s0", loading="m0", loading_until=3_000)
     pool = build_pool(loading)
     add_waiting(pool, "r0", "m0", give_up_at=5)
