--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -33,8 +33,8 @@
 """Consecutive unanswered orders after which a report is requested."""
 
 MAX_ORDER_DELAY_MS = 13_000
-"""How long after it was sent an unanswered order may still be carried out, in ms:
-servers do so up to 12 s later."""
+"""How long an unanswered order may still be carried out, in ms: servers do so up to 12
+s later."""
 
 NEVER = 1 << 60
 """Placeholder for a completion time that is unknown until the order is answered, in
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -133,7 +133,7 @@
     :param unanswered_loads: unanswered loads by model.
     :param previous_loads: unanswered loads of the previous incarnation with the same
         server id, by model.
-    :param order_answered_at: when the last order was answered, in ms.
+    :param order_answered_at: when the last order was answered or timed out, in ms.
     :param prefill_until: expected end of the prefill of all granted prompts, in ms.
     :param stream_gaps: prefill between events of its streams.
     :param backoff_until: no new requests or orders before this time, in ms.
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -34,7 +34,13 @@
         (10, 400, 100, 200),
         (100, 400, 5_000, 1_500),
     ],
-    ids=["expected", "begun", "only output limit", "nearly done", "longer than expected"],
+    ids=[
+        "expected",
+        "begun",
+        "only output limit",
+        "nearly done",
+        "longer than expected",
+    ],
 )
 def test_remaining_time_of_a_run(expected, output, ran_ms, left):
     need = build_need(expected=expected, output=output)
