--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize(
     ("slots", "prompt", "expected", "binds"),
-    [(12, 800, 290, "slots"), (64, 1_460, 120, "reading"), (12, 2_400, 27, "reading")],
+    [(12, 800, 290, "slots"), (64, 1_460, 120, "prefill"), (12, 2_400, 27, "prefill")],
     ids=["few slots, long streams", "many slots", "short answers to long prompts"],
 )
 def test_token_cost_is_set_by_the_scarcer_of_slots_and_prefill(
