--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -304,11 +304,13 @@
         if plan is None:
             continue
         saved_ms = spec.load_ms - get_load_ms(server, spec)
-        net_gain = gain * max(0.0, 1 - (plan.wait_ms - saved_ms) / GAIN_HORIZON_MS)
-        if net_gain - plan.cost < MIN_GAIN + server.planned_gain:
+        discounted_gain = gain * max(
+            0.0, 1 - (plan.wait_ms - saved_ms) / GAIN_HORIZON_MS
+        )
+        if discounted_gain - plan.cost < MIN_GAIN + server.planned_gain:
             continue
         worth = (
-            net_gain
+            discounted_gain
             - plan.cost
             - RUN_COST * len(server.runs)
             + LOCAL_WEIGHTS_GAIN * is_local
