--- a/src/arbutuspulley/pool/eviction.py
+++ b/src/arbutuspulley/pool/eviction.py
@@ -1,4 +1,4 @@
-"""What has to leave a server so that a model fits, and what that costs."""
+"""Choice and cost of the models and adapters to evict from a server."""
 
 from collections import Counter
 
@@ -9,36 +9,37 @@
     CopyIndex,
     get_copies,
     index_copies,
-    refresh_copies,
+    reindex_server,
 )
 from arbutuspulley.pool.demand import estimate_excess_requests, get_copy_request_rate
-from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload
+from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload_wait
 from arbutuspulley.ports.fleet import EngineSpec
 
-SOLE_COST = 0.3
-"""What unloading the only copy of a model costs beside its demand, in requests; it has
-to be loaded again before it can be served."""
+LAST_COPY_COST = 0.3
+"""Cost of evicting the last copy of a model in addition to its demand, in requests: it
+has to be loaded again before it can be served."""
 
-BLOCK_COST = 0.5
-"""What each second costs for which an unload waits for runs, in requests: the server
-takes no other order meanwhile, so that no adapter gets onto it."""
+UNLOAD_WAIT_COST_PER_S = 0.5
+"""Cost of each second that an unload waits for runs, in requests: the server accepts no
+other order meanwhile, so that no adapter can be loaded there."""
 
-STEP_COST = 0.1
-"""What each unload costs by itself, in requests: an order, and a copy less."""
+UNLOAD_COST = 0.1
+"""Fixed cost of each unload, in requests: it takes an order and removes a copy."""
 
 
-LIMITED_PART = 0.5
-"""A server that names a rate limit counts as a copy of its models if it takes this part
-of what one usually takes. By whether it may get a request right now it would count as
-one copy more and one less by turns, and others would be unloaded for it."""
+LIMITED_COPY_FRACTION = 0.5
+"""Fraction of the usual request rate of a copy that a server's rate limit must allow
+for it to count as a copy of its models. If it counted whenever its limit allows a
+request right now, the number of copies would alternate, and other copies would be
+unloaded."""
 
 
-class Victim(Value, frozen=True):
-    """A model that may leave a server.
+class EvictionCandidate(Value, frozen=True):
+    """A model that may be evicted from a server.
 
     :param cost: in requests that would have to wait.
     :param wait_ms: how long its unload would wait for runs.
-    :param size_mb: the memory that it would leave, its adapters' included.
+    :param size_mb: memory that it would free, including its adapters.
     """
 
     model: str
@@ -47,9 +48,10 @@
     size_mb: float
 
 
-class RoomPlan(Value, frozen=True):
-    """Models to unload, in order, before another fits.
+class EvictionPlan(Value, frozen=True):
+    """Models to unload from a server so that another one fits.
 
+    :param victims: names of the models, in order of their unloads.
     :param cost: in requests that will have to wait.
     :param wait_ms: how long the unloads wait for runs.
     """
@@ -59,159 +61,174 @@
     wait_ms: float = 0
 
 
-class ServerRoom(Value, frozen=True):
-    """What a server has free, and what could leave it, the cheapest first.
+class EvictionOptions(Value, frozen=True):
+    """Free memory of a server and its eviction candidates.
 
-    :param free_mb: once the model that is leaving has left.
-    :param wait_ms: how long that takes.
+    :param free_mb: free memory once the unload in progress is complete.
+    :param wait_ms: how long that unload still takes.
+    :param candidates: in order of cost, cheapest first.
     """
 
     free_mb: float
     wait_ms: float
-    victims: tuple[Victim, ...]
+    candidates: tuple[EvictionCandidate, ...]
 
 
-class RoomPass(State):
-    """What one pass of orders has worked out, the same for many models and servers.
+class PlanningCycle(State):
+    """Cached results of one planning cycle that many models and servers share.
 
-    Without it, the cost of each model's leaving would be worked out for each pair of a
-    wanted model and a server.
+    Without the cache, the eviction cost of each model would be computed for each pair
+    of a model to load and a server.
 
-    :param waiting: how many requests wait for each model.
-    :param losses: what :func:`compute_loss` returned, by model.
-    :param rooms: by incarnation.
+    :param waiting: number of waiting requests by model.
+    :param eviction_costs: results of :func:`compute_eviction_cost` by model.
+    :param options: eviction options of servers, by incarnation.
     """
 
     pool: PoolState
     index: CopyIndex
     waiting: Counter[str]
-    losses: dict[str, float] = msgspec.field(default_factory=dict)
-    rooms: dict[str, ServerRoom] = msgspec.field(default_factory=dict)
+    eviction_costs: dict[str, float] = msgspec.field(default_factory=dict)
+    options: dict[str, EvictionOptions] = msgspec.field(default_factory=dict)
 
 
-def begin_pass(pool: PoolState, *, now: int) -> RoomPass:
-    """Begin a pass of orders."""
-    least_per_s: float | None = None
+def begin_cycle(pool: PoolState, *, now: int) -> PlanningCycle:
+    """Start a planning cycle.
+
+    :param now: in ms.
+    """
+    min_requests_per_s: float | None = None
     if any(one.limit is not None for one in pool.servers.values()):
-        least_per_s = LIMITED_PART * get_copy_request_rate(pool)
-    return RoomPass(
+        min_requests_per_s = LIMITED_COPY_FRACTION * get_copy_request_rate(pool)
+    return PlanningCycle(
         pool=pool,
-        index=index_copies(pool, now=now, least_per_s=least_per_s),
+        index=index_copies(pool, now=now, min_requests_per_s=min_requests_per_s),
         waiting=Counter(one.need.model for one in pool.waiting.values()),
     )
 
 
-def note_change(state: RoomPass, server: ServerState, models: set[str]) -> None:
-    """Correct what the pass knows after something was planned or ordered at a server.
+def update_cycle(cycle: PlanningCycle, server: ServerState, models: set[str]) -> None:
+    """Update a cycle after a load or unload was planned or ordered at a server.
 
-    :param models: those whose copies have changed by that.
+    :param models: models whose copies have changed.
     """
-    refresh_copies(state.index, server)
-    state.rooms.pop(server.incarnation, None)
+    reindex_server(cycle.index, server)
+    cycle.options.pop(server.incarnation, None)
     for model in models:
-        state.losses.pop(model, None)
-    for incarnation in list(state.rooms):
-        if not models.isdisjoint(state.pool.servers[incarnation].models):
-            del state.rooms[incarnation]
+        cycle.eviction_costs.pop(model, None)
+    for incarnation in list(cycle.options):
+        if not models.isdisjoint(cycle.pool.servers[incarnation].models):
+            del cycle.options[incarnation]
 
 
 def count_used_mb(spec: EngineSpec, server: ServerState) -> float:
-    """Return the memory that a server's models and adapters take, in MB.
+    """Return the memory that a server's models and adapters use, in MB.
 
-    What is on its way counts in full, and a model that is leaving until it has left.
+    Loads in progress count in full, as do unloads in progress until they are complete,
+    and unanswered loads for the previous incarnation that may still be carried out.
     """
     models = set(server.models) | ({server.loading} - {""})
     models |= {server.unloading} - {""}
-    accepted = server.orders or 0
+    accepted = server.accepted_orders or 0
     models |= {
-        model for model, late in server.late_loads.items() if late.expected >= accepted
+        model
+        for model, late in server.previous_loads.items()
+        if late.expected_orders >= accepted
     }
     used = sum(spec.models[one].size_mb for one in models if one in spec.models)
     for model, adapters in server.models.items():
         if model in spec.models:
             used += len(adapters) * spec.models[model].adapter_mb
-    for model, _adapter in [*server.adapters_due, *server.adapters_leaving]:
+    for model, _adapter in [*server.adapters_due, *server.adapters_unloading]:
         if model in spec.models:
             used += spec.models[model].adapter_mb
     return used
 
 
-def plan_room(state: RoomPass, server: ServerState, model: str) -> RoomPlan | None:
-    """Choose what leaves a server so that a model fits, at the least cost.
+def plan_eviction(
+    cycle: PlanningCycle, server: ServerState, model: str
+) -> EvictionPlan | None:
+    """Choose which models to evict from a server so that a model fits, cheapest first.
 
-    :return: ``None`` if it can't be made to fit.
+    :return: ``None`` if the model does not fit even if all candidates are evicted.
     """
-    room = state.rooms.get(server.incarnation)
-    if room is None:
-        room = state.rooms[server.incarnation] = _find_room(state, server)
-    free = room.free_mb
-    needed = state.pool.spec.models[model].size_mb
-    cost, wait_ms = 0.0, room.wait_ms
+    options = cycle.options.get(server.incarnation)
+    if options is None:
+        options = cycle.options[server.incarnation] = _build_options(cycle, server)
+    free = options.free_mb
+    needed = cycle.pool.spec.models[model].size_mb
+    cost, wait_ms = 0.0, options.wait_ms
     victims: list[str] = []
-    for victim in room.victims:
+    for candidate in options.candidates:
         if free >= needed:
             break
-        victims.append(victim.model)
-        cost += victim.cost + STEP_COST
-        wait_ms += victim.wait_ms
-        free += victim.size_mb
+        victims.append(candidate.model)
+        cost += candidate.cost + UNLOAD_COST
+        wait_ms += candidate.wait_ms
+        free += candidate.size_mb
     if free < needed:
         return None
-    return RoomPlan(victims=tuple(victims), cost=cost, wait_ms=wait_ms)
+    return EvictionPlan(victims=tuple(victims), cost=cost, wait_ms=wait_ms)
 
 
-def _find_room(state: RoomPass, server: ServerState) -> ServerRoom:
-    pool, spec = state.pool, state.pool.spec
+def _build_options(cycle: PlanningCycle, server: ServerState) -> EvictionOptions:
+    pool, spec = cycle.pool, cycle.pool.spec
     free = spec.memory_mb - count_used_mb(spec, server)
     wait_ms = 0.0
-    leaving = server.unloading
-    if leaving in spec.models:
-        free += spec.models[leaving].size_mb
-        wait_ms = estimate_unload(pool, server, leaving, now=state.index.now)
-    rated = [
-        rate_victim(state, server, held) for held in server.models if held != leaving
+    unloading = server.unloading
+    if unloading in spec.models:
+        free += spec.models[unloading].size_mb
+        wait_ms = estimate_unload_wait(pool, server, unloading, now=cycle.index.now)
+    candidates = [
+        rate_candidate(cycle, server, held)
+        for held in server.models
+        if held != unloading
     ]
-    rated.sort(key=lambda one: (one.cost, one.model))
-    return ServerRoom(free_mb=free, wait_ms=wait_ms, victims=tuple(rated))
-
-
-def rate_victim(state: RoomPass, server: ServerState, model: str) -> Victim:
-    """Work out what it would cost if a model left a server."""
-    if model not in state.losses:
-        state.losses[model] = compute_loss(state, model)
-    wait_ms = estimate_unload(state.pool, server, model, now=state.index.now)
-    spec = state.pool.spec.models.get(model)
+    candidates.sort(key=lambda one: (one.cost, one.model))
+    return EvictionOptions(free_mb=free, wait_ms=wait_ms, candidates=tuple(candidates))
+
+
+def rate_candidate(
+    cycle: PlanningCycle, server: ServerState, model: str
+) -> EvictionCandidate:
+    """Compute the cost of evicting a model from a server."""
+    if model not in cycle.eviction_costs:
+        cycle.eviction_costs[model] = compute_eviction_cost(cycle, model)
+    wait_ms = estimate_unload_wait(cycle.pool, server, model, now=cycle.index.now)
+    spec = cycle.pool.spec.models.get(model)
     size_mb = 0.0
     if spec is not None:
         size_mb = spec.size_mb + spec.adapter_mb * len(server.models[model])
-    return Victim(
+    return EvictionCandidate(
         model=model,
-        cost=state.losses[model] + BLOCK_COST * wait_ms / 1_000,
+        cost=cycle.eviction_costs[model] + UNLOAD_WAIT_COST_PER_S * wait_ms / 1_000,
         wait_ms=wait_ms,
         size_mb=size_mb,
     )
 
 
-def compute_loss(state: RoomPass, model: str) -> float:
-    """Return what one copy less of a model would cost, in requests that wait."""
-    pool = state.pool
-    copies = len(get_copies(state.index, model))
+def compute_eviction_cost(cycle: PlanningCycle, model: str) -> float:
+    """Return the cost of one copy less of a model, in requests that have to wait."""
+    pool = cycle.pool
+    copies = len(get_copies(cycle.index, model))
     cost = estimate_excess_requests(pool, model, copies - 1) - estimate_excess_requests(
         pool, model, copies
     )
-    cost += state.waiting[model] / max(1, copies)
+    cost += cycle.waiting[model] / max(1, copies)
     if copies <= 1:
-        cost += SOLE_COST
+        cost += LAST_COPY_COST
     return cost
 
 
-def choose_adapter_victim(
+def choose_adapter_to_evict(
     pool: PoolState, server: ServerState
 ) -> tuple[str, str] | None:
-    """Return the adapter that was used least recently and that nobody needs now.
+    """Return the least recently used adapter that no request uses or waits for.
+
+    Adapters with waiting requests stay: if there are more of them than adapter slots,
+    they would otherwise evict each other before any was used.
 
-    What a request waits for stays: if more adapters are waited for than there are
-    places, they would otherwise push each other out before any was used.
+    :return: model and adapter; ``None`` if none can be evicted.
     """
     in_use = {(run.need.model, run.need.adapter) for run in server.runs.values()}
     in_use |= {(one.need.model, one.need.adapter) for one in pool.waiting.values()}
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -1,52 +1,57 @@
-"""State of one service's model servers and of the requests that wait for them."""
+"""State of the model servers of one service and of the requests that wait for them."""
 
 import msgspec
 
 from arbutuspulley.admission.rate_limits import RateLimit, get_wait
 from arbutuspulley.clock import double_pause
 from arbutuspulley.data import State, Value
-from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
+from arbutuspulley.pool.duration import (
+    DurationState,
+    estimate_remaining_time,
+    record_run_time,
+)
 from arbutuspulley.pool.prefill_speed import (
     DEFAULT_SPEED,
-    SpeedState,
+    PrefillSpeedState,
     add_sample,
     get_speed,
 )
 from arbutuspulley.pool.stream_gaps import StreamGapState, record_stream
 from arbutuspulley.ports.fleet import AttemptOutcome, EngineSpec, ModelNeed, ServerEntry
 
-DEFAULT_ADAPTER_MS = 25
-"""First guess of how long an adapter takes to load, in ms: adapters of some ten MB
-take 5 to 15, and the order's way there. Corrected by refusals, see
+DEFAULT_ADAPTER_LOAD_MS = 25
+"""Initial estimate of an adapter's load time, in ms: adapters of some ten MB take 5 to
+15 ms, plus the network delay of the order. Refusals raise it, see
 :func:`record_not_run`."""
 
-SUSPECT_MS = 1_000
-"""How long a server that could not be reached gets no work, in ms; doubled at each
-further failure."""
+INITIAL_BACKOFF_MS = 1_000
+"""Backoff of a server that could not be reached, in ms; doubled at each further
+failure."""
 
-LONGEST_SUSPECT_MS = 4_000
-"""Most of that, in ms: crashed servers are back after 4 to 6 s."""
+MAX_BACKOFF_MS = 4_000
+"""Maximum backoff, in ms: crashed servers are back after 4 to 6 s."""
 
 
-FAILURE_MEMORY = 0.1
-"""Weight of the newest run in a server's share of failures: about the last ten."""
+FAILURE_SMOOTHING = 0.1
+"""Weight of the newest run in the moving average of a server's failures: about the last
+ten runs count."""
 
 
-TYPICAL_TOKENS = 1_200
-"""Prompt tokens of a request before any was seen: a page or two of text."""
+DEFAULT_PROMPT_TOKENS = 1_200
+"""Assumed prompt tokens of a request before the first one: a page or two of text."""
 
 
 class WaitingRequest(State):
     """A request that waits for a server.
 
-    :param origin: the instance that asked.
-    :param arrived_at: when it came, in ms.
-    :param late_at: after this it can hardly be on time any more.
-    :param give_up_at: after this it is refused.
+    :param origin: the instance that the request came from.
     :param priority: rank of its route; 0 is the most urgent.
-    :param avoid: incarnations that refused or failed it.
+    :param arrived_at: when it arrived, in ms.
+    :param late_at: after this time it can hardly meet its latency target, in ms.
+    :param give_up_at: after this time it is refused, in ms.
+    :param gap_target_ms: longest gap between its events that is on time; 0: any.
+    :param avoid: incarnations of servers that refused or failed it.
     :param is_repeat: whether a server has refused it before.
-    :param pause_ms: the longest pause between its events that is on time; 0: any.
     """
 
     key: str
@@ -65,12 +70,15 @@
 class Run(State):
     """A request that was granted a server and has not ended.
 
-    :param first_at: when the first part of its answer came, ``None`` before.
-    :param was_free: whether its server read nothing as it was granted.
+    :param origin: the instance that the request came from.
+    :param granted_at: when it was granted, in ms.
+    :param gap_target_ms: longest gap between its events that is on time; 0: any, also
+        for a request that is late already.
+    :param prefill_before_ms: total prefill time of its server at its first event.
+    :param first_at: when the first part of its answer came, in ms; ``None`` before.
+    :param was_prefill_idle: whether its server had no prefill in progress when it was
+        granted.
     :param is_repeat: whether a server has refused it before.
-    :param pause_ms: the longest pause between its events that is on time; 0: any, as of
-        one that is late already.
-    :param read_before_ms: what its server had read when its first event came.
     """
 
     origin: str
@@ -79,53 +87,63 @@
     gap_target_ms: int = 0
     prefill_before_ms: float = 0
     first_at: int | None = None
-    was_free: bool = False
+    was_prefill_idle: bool = False
     is_repeat: bool = False
 
 
-class LateLoad(Value, frozen=True):
-    """A load without an answer that the server's next start may still carry out.
+class UnansweredLoad(Value, frozen=True):
+    """An unanswered load that the server's next incarnation may still carry out.
 
-    :param expected: after so many accepted orders it is carried out, and only then.
-    :param until: when it has come at the latest, in ms.
+    :param expected_orders: number of accepted orders at which it is carried out, and
+        only then.
+    :param expires_at: latest time at which it may arrive, in ms.
     """
 
-    expected: int
-    until: int
+    expected_orders: int
+    expires_at: int
 
 
 class ServerState(State):
-    """One model server as its coordinator believes it.
-
-    :param server_id: the id under which it may start again.
-    :param models: what is ready, model to adapters.
-    :param orders: orders accepted since its start; ``None`` if a report is needed
-        before the next order.
-    :param loading: the model that is being loaded, empty if none.
-    :param loading_until: when that should be done, in ms.
-    :param planned: the model that is to be loaded once another has left.
-    :param planned_gain: what that load was worth, in requests; a model that is worth
-        more by far takes its place.
-    :param planned_until: until when that plan stands, in ms.
-    :param unconfirmed: the model whose load should be done but has not answered.
-    :param unloading: the model that leaves once its runs have ended.
-    :param adapters_due: adapters on their way and when they should be there.
-    :param adapters_leaving: adapters whose unload has not been seen done.
-    :param refusing_until: models whose requests it has just refused as not run, and
-        until when none is sent to it, in ms.
-    :param order_busy: whether an order's answer is awaited.
-    :param order_again_at: no order before this time, in ms.
-    :param conflicts: orders in a row that the server could not take.
-    :param unknowns: orders in a row that got no answer.
-    :param unanswered_loads: loads without an answer, by model.
-    :param late_loads: those of the start before, if it went by the same id.
-    :param unanswered_load: the model of a load without an answer; it was counted.
-    :param read_until: when the prompts granted so far should be read, in ms.
-    :param pauses: what it reads between events of its streams.
-    :param suspect_until: no new work before this time, in ms.
-    :param failures: failures in a row.
-    :param failure_share: moving share of requests that failed.
-    :param limit: the rate limit that it names, ``None`` if it names none.
+    """State of one model server as its coordinator knows it.
+
+    :param server_id: id of the server; it keeps it when it restarts.
+    :param models: loaded models, each with its loaded adapters.
+    :param accepted_orders: orders accepted since its start; ``None`` if a report is
+        needed before the next order.
+    :param loading: model that is being loaded; empty if none.
+    :param loading_until: expected end of that load, in ms.
+    :param planned: model that is to be loaded, perhaps after an unload; empty if none.
+    :param planned_until: when that plan expires, in ms.
+    :param planned_gain: net gain of that load, in requests; a model with a far higher
+        gain replaces it.
+    :param unconfirmed_load: model whose load should be complete, but that has not
+        answered a request yet.
+    :param unloading: model that is unloaded once its runs have ended; empty if none.
+    :param adapters_due: expected end of adapter loads in progress, in ms, by model and
+        adapter.
+    :param adapters_unloading: adapters whose unload is not confirmed yet.
+    :param model_backoff_until: until when no request for a model is sent to the server,
+        in ms, by model; set when it refuses one as not run.
+    :param is_order_in_flight: whether an order has not been answered yet.
+    :param next_order_at: earliest time of the next order, in ms.
+    :param conflicts: consecutive orders that the server rejected as conflicts.
+    :param unknowns: consecutive orders without an answer.
+    :param unanswered_model: model of the last unanswered load; that load counts against
+        the rate of the weight store.
+    :param unanswered_loads: unanswered loads by model.
+    :param previous_loads: unanswered loads of the previous incarnation with the same
+        server id, by model.
+    :param order_answered_at: when the last order was answered or timed out, in ms.
+    :param prefill_until: expected end of the prefill of all granted prompts, in ms.
+    :param stream_gaps: prefill between events of its streams.
+    :param backoff_until: no new requests or orders before this time, in ms.
+    :param failures: consecutive failures to connect.
+    :param failure_share: moving average of the share of requests that failed.
+    :param limit: rate limit that the server names; ``None`` if it names none.
+    :param in_memory: models whose weights are in the server's host memory.
+    :param on_disk: models whose weights are on the server's disk.
+    :param runs: requests in flight, by key.
+    :param adapter_used_at: last use of adapters, in ms, by model and adapter.
     """
 
     incarnation: str
@@ -135,28 +153,28 @@
     server_id: str = ""
     is_leaving: bool = False
     models: dict[str, set[str]] = msgspec.field(default_factory=dict)
-    orders: int | None = None
+    accepted_orders: int | None = None
     loading: str = ""
     loading_until: int = 0
     planned: str = ""
     planned_until: int = 0
     planned_gain: float = 0
-    unconfirmed: str = ""
+    unconfirmed_load: str = ""
     unloading: str = ""
     adapters_due: dict[tuple[str, str], int] = msgspec.field(default_factory=dict)
-    adapters_leaving: set[tuple[str, str]] = msgspec.field(default_factory=set)
-    refusing_until: dict[str, int] = msgspec.field(default_factory=dict)
-    order_busy: bool = False
-    order_again_at: int = 0
+    adapters_unloading: set[tuple[str, str]] = msgspec.field(default_factory=set)
+    model_backoff_until: dict[str, int] = msgspec.field(default_factory=dict)
+    is_order_in_flight: bool = False
+    next_order_at: int = 0
     conflicts: int = 0
     unknowns: int = 0
-    unanswered_load: str = ""
-    unanswered_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
-    late_loads: dict[str, LateLoad] = msgspec.field(default_factory=dict)
-    ordered_at: int = 0
+    unanswered_model: str = ""
+    unanswered_loads: dict[str, UnansweredLoad] = msgspec.field(default_factory=dict)
+    previous_loads: dict[str, UnansweredLoad] = msgspec.field(default_factory=dict)
+    order_answered_at: int = 0
     prefill_until: float = 0
     stream_gaps: StreamGapState = msgspec.field(default_factory=StreamGapState)
-    suspect_until: int = 0
+    backoff_until: int = 0
     failures: int = 0
     failure_share: float = 0
     limit: RateLimit | None = None
@@ -167,30 +185,33 @@
 
 
 class Demand(State):
-    """Prompt tokens a second asked for of a model, as moving means.
+    """Moving averages of the demand for a model, in prompt tokens a second.
 
-    :param steady: over the last seconds.
-    :param swift: over about the last one.
+    :param slow: average over the last seconds.
+    :param fast: average over about the last second.
     """
 
-    steady: float = 0
-    swift: float = 0
+    slow: float = 0
+    fast: float = 0
 
 
 class PoolState(State):
     """All model servers of a service.
 
-    :param demand: what each model was asked for.
-    :param demand_at: when ``demand`` was last brought up to date.
-    :param demand_since: since when it is counted, in ms; ``None``: not yet.
-    :param mean_tokens: moving mean of a request's prompt tokens.
-    :param missed_at: models without a copy, and since when one is waited for, in ms.
+    :param servers: by incarnation.
+    :param waiting: waiting requests by key.
+    :param demand: demand by model.
+    :param demand_at: time for which ``demand`` is valid, in ms.
+    :param demand_since: when demand was first recorded, in ms; ``None``: not yet.
+    :param mean_tokens: moving average of the cost of a request, in prompt tokens.
+    :param missing_since: since when requests wait for a model without a copy, in ms, by
+        model.
     :param loads: when loads from the weight store were ordered, in ms.
-    :param next_start: when the first of those that wait for a server to have read may
-        start, in ms; ``None`` if none does.
-    :param speeds: what is known of the servers' reading speed, by kind of model;
-        see :func:`get_kind`.
-    :param durations: what is known of how long runs last.
+    :param next_start_at: earliest time at which a request that waits for prefill on a
+        server may start, in ms; ``None`` if no request does.
+    :param adapter_load_ms: expected load time of an adapter.
+    :param speeds: estimated prefill speeds by size class, see :func:`get_size_class`.
+    :param durations: estimated run times.
     """
 
     service: str
@@ -200,35 +221,35 @@
     demand: dict[str, Demand] = msgspec.field(default_factory=dict)
     demand_at: int = 0
     demand_since: int | None = None
-    mean_tokens: float = TYPICAL_TOKENS
-    missed_at: dict[str, int] = msgspec.field(default_factory=dict)
+    mean_tokens: float = DEFAULT_PROMPT_TOKENS
+    missing_since: dict[str, int] = msgspec.field(default_factory=dict)
     loads: list[int] = msgspec.field(default_factory=list)
-    next_start: float | None = None
-    adapter_ms: float = DEFAULT_ADAPTER_MS
-    speeds: dict[str, SpeedState] = msgspec.field(default_factory=dict)
+    next_start_at: float | None = None
+    adapter_load_ms: float = DEFAULT_ADAPTER_LOAD_MS
+    speeds: dict[str, PrefillSpeedState] = msgspec.field(default_factory=dict)
     durations: DurationState = msgspec.field(default_factory=DurationState)
 
 
 def update_servers(pool: PoolState, entries: list[ServerEntry]) -> None:
-    """Bring the servers up to date with the registered entries.
+    """Add, update and remove servers according to the registered entries.
 
-    Holdings are taken from the entry only for a server that is new here: later
-    the own orders are known sooner and reports correct them.
+    The loaded models of an entry are used only for a new server: for known servers, the
+    coordinator's own orders are more recent, and reports correct them.
     """
     listed = {one.incarnation: one for one in entries if one.service == pool.service}
-    gone: dict[str, ServerState] = {}
+    removed_by_id: dict[str, ServerState] = {}
     for incarnation in [one for one in pool.servers if one not in listed]:
-        left = pool.servers.pop(incarnation)
-        gone[left.server_id] = left
+        removed = pool.servers.pop(incarnation)
+        removed_by_id[removed.server_id] = removed
     for incarnation, entry in listed.items():
         server = pool.servers.get(incarnation)
         if server is None:
             server = _build_server(entry)
             pool.servers[incarnation] = server
-            if entry.server_id in gone:
-                # All else that was believed belongs to the start before. An order
-                # names the id only, so one that is carried out late meets this start.
-                server.late_loads = gone[entry.server_id].unanswered_loads
+            if entry.server_id in removed_by_id:
+                # All other state belongs to the previous incarnation. An order names
+                # only the id, so a late one may be carried out by this incarnation.
+                server.previous_loads = removed_by_id[entry.server_id].unanswered_loads
         server.is_leaving = entry.is_leaving
         server.address = entry.address
 
@@ -245,21 +266,21 @@
 
 
 def is_usable(server: ServerState, *, now: int) -> bool:
-    """Tell whether a server may get new work."""
-    return not server.is_leaving and now >= server.suspect_until
+    """Tell whether a server may get new requests and orders."""
+    return not server.is_leaving and now >= server.backoff_until
 
 
-def get_limit_wait(server: ServerState, *, now: int) -> int:
-    """Return in how many ms a server's rate limit allows it a request; 0: now."""
+def get_rate_limit_wait(server: ServerState, *, now: int) -> int:
+    """Return in how many ms a server's rate limit allows a request; 0: now."""
     return 0 if server.limit is None else get_wait(server.limit, now=now)
 
 
-def holds(server: ServerState, need: ModelNeed, *, now: int) -> bool:
+def has_model(server: ServerState, need: ModelNeed, *, now: int) -> bool:
     """Tell whether a server has the model and the adapter that a request needs."""
     adapters = server.models.get(need.model)
     if adapters is None or server.unloading == need.model:
         return False
-    if now < server.refusing_until.get(need.model, 0):
+    if now < server.model_backoff_until.get(need.model, 0):
         return False
     if not need.adapter:
         return True
@@ -269,27 +290,27 @@
     return due is not None and now >= due
 
 
-def has_weights(server: ServerState, model: str) -> bool:
+def has_local_weights(server: ServerState, model: str) -> bool:
     """Tell whether a server can load a model without the weight store."""
     return model in server.in_memory or model in server.on_disk
 
 
-def settle_due(server: ServerState, *, now: int) -> None:
-    """Count loads as done whose time has come.
+def complete_due_loads(server: ServerState, *, now: int) -> None:
+    """Mark loads as complete once their expected time has passed.
 
-    A load that is late shows by a refusal of the first request that tries it; see
-    :func:`record_not_run`. Only one request tries, until it was answered.
+    If a load takes longer, the server refuses the first request for the model, see
+    :func:`record_not_run`. Only one request is sent until it is answered.
     """
     if server.loading and now >= server.loading_until:
         server.models.setdefault(server.loading, set())
-        server.unconfirmed = server.loading
-        # A load leaves copies of the weights in the server's memory and on its disk.
+        server.unconfirmed_load = server.loading
+        # A load also leaves the weights in the server's host memory and on its disk.
         server.in_memory |= {server.loading}
         server.on_disk |= {server.loading}
         server.loading = ""
-    for model, late in list(server.late_loads.items()):
-        if now >= late.until:
-            del server.late_loads[model]
+    for model, late in list(server.previous_loads.items()):
+        if now >= late.expires_at:
+            del server.previous_loads[model]
     for (model, adapter), due in list(server.adapters_due.items()):
         if now >= due:
             del server.adapters_due[model, adapter]
@@ -297,26 +318,26 @@
                 server.models[model].add(adapter)
 
 
-def forget_model(server: ServerState, model: str) -> None:
-    """A model has left a server, and its adapters with it."""
+def remove_model(server: ServerState, model: str) -> None:
+    """Remove an unloaded model and its adapters from a server's state."""
     server.models.pop(model, None)
     if server.unloading == model:
         server.unloading = ""
-    if server.unconfirmed == model:
-        server.unconfirmed = ""
+    if server.unconfirmed_load == model:
+        server.unconfirmed_load = ""
     for pair in [pair for pair in server.adapters_due if pair[0] == model]:
         del server.adapters_due[pair]
-    server.adapters_leaving = {
-        pair for pair in server.adapters_leaving if pair[0] != model
+    server.adapters_unloading = {
+        pair for pair in server.adapters_unloading if pair[0] != model
     }
 
 
 def record_first_event(
     pool: PoolState, key: str, incarnation: str, *, took_ms: int, now: int
 ) -> None:
-    """The first part of an answer came: the prompt is read, the load confirmed.
+    """Record the first part of an answer, which ends the prefill and confirms the load.
 
-    :param took_ms: since the request was sent to the server.
+    :param took_ms: time since the request was sent to the server.
     """
     server = pool.servers.get(incarnation)
     run = server.runs.get(key) if server else None
@@ -324,33 +345,34 @@
         return
     run.first_at = now
     run.prefill_before_ms = server.stream_gaps.prefill_ms
-    if run.was_free:
+    if run.was_prefill_idle:
         add_sample(
             _get_speed_state(pool, run.need.model),
             tokens=run.need.prompt_tokens,
             took_ms=took_ms,
         )
     server.failures = 0
-    server.suspect_until = 0
-    if server.unconfirmed == run.need.model:
-        server.unconfirmed = ""
+    server.backoff_until = 0
+    if server.unconfirmed_load == run.need.model:
+        server.unconfirmed_load = ""
 
 
-def get_kind(spec: EngineSpec, model: str) -> str:
-    """Name the models that are taken to be read equally fast: those of one size.
+def get_size_class(spec: EngineSpec, model: str) -> str:
+    """Return the size class of a model; all models of one class share a prefill speed.
 
-    Few requests come for a rarely used model; those for its like tell as much.
+    A rarely used model gets too few requests for an estimate of its own; those for
+    models of the same size serve as well.
     """
     found = spec.models.get(model)
     return f"{found.size_mb:g}/{found.adapter_mb:g}" if found else ""
 
 
 def get_prefill_speed(pool: PoolState, model: str) -> float:
-    """Return the prompt tokens of a model that a server reads in a ms.
+    """Return the prefill speed of a model, in tokens a ms.
 
-    Of a kind that was not seen yet, the slowest of the others is assumed.
+    A size class without requests is assumed to be as slow as the slowest known one.
     """
-    state = pool.speeds.get(get_kind(pool.spec, model))
+    state = pool.speeds.get(get_size_class(pool.spec, model))
     if state is not None:
         return get_speed(state)
     known = (get_speed(one) for one in pool.speeds.values())
@@ -358,21 +380,26 @@
 
 
 def list_prefill_speeds(pool: PoolState) -> dict[str, float]:
-    """Return the reading speeds by kind of model, for a successor."""
+    """Return the prefill speeds by size class in tokens a ms, for a successor."""
     return {kind: get_speed(one) for kind, one in pool.speeds.items()}
 
 
 def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
-    """Begin with what a predecessor has learnt."""
+    """Start with the prefill speeds that the previous coordinator has estimated.
+
+    :param speeds: tokens a ms by size class.
+    """
     for kind, speed in speeds.items():
-        pool.speeds.setdefault(kind, SpeedState(guess=speed))
+        pool.speeds.setdefault(kind, PrefillSpeedState(prior=speed))
 
 
-def _get_speed_state(pool: PoolState, model: str) -> SpeedState:
-    kind = get_kind(pool.spec, model)
+def _get_speed_state(pool: PoolState, model: str) -> PrefillSpeedState:
+    kind = get_size_class(pool.spec, model)
     state = pool.speeds.get(kind)
     if state is None:
-        state = pool.speeds[kind] = SpeedState(guess=get_prefill_speed(pool, model))
+        state = pool.speeds[kind] = PrefillSpeedState(
+            prior=get_prefill_speed(pool, model)
+        )
     return state
 
 
@@ -385,19 +412,19 @@
     now: int,
     events: int = 0,
 ) -> None:
-    """A run ended.
+    """Record the end of a run.
 
-    :param events: of its stream, as far as this server made them.
+    :param events: number of events of its stream that this server generated.
     """
     server = pool.servers.get(incarnation)
     if server is None:
         return
     run = server.runs.pop(key, None)
     is_failed = how is AttemptOutcome.FAILED
-    server.failure_share += FAILURE_MEMORY * (is_failed - server.failure_share)
+    server.failure_share += FAILURE_SMOOTHING * (is_failed - server.failure_share)
     if run is not None and run.first_at is not None and how is AttemptOutcome.DONE:
         took_ms = now - run.first_at
-        note_run_time(pool.durations, run.need, took_ms=took_ms)
+        record_run_time(pool.durations, run.need, took_ms=took_ms)
         record_stream(
             server.stream_gaps,
             events=events,
@@ -406,13 +433,15 @@
         )
 
 
-def estimate_unload(
+def estimate_unload_wait(
     pool: PoolState, server: ServerState, model: str, *, now: int
 ) -> float:
-    """Return how long the unload of a model will wait for its runs, in ms."""
+    """Return how long the unload of a model has to wait for its runs, in ms."""
     return max(
         (
-            estimate_left(pool.durations, run.need, ran_ms=now - run.granted_at)
+            estimate_remaining_time(
+                pool.durations, run.need, ran_ms=now - run.granted_at
+            )
             for run in server.runs.values()
             if run.need.model == model
         ),
@@ -423,23 +452,23 @@
 def record_unreachable(
     pool: PoolState, key: str, incarnation: str, *, now: int
 ) -> None:
-    """A server could not be connected to; it gets no work for a while."""
+    """Record that a server could not be connected to, and back off from it."""
     server = pool.servers.get(incarnation)
     if server is None:
         return
     server.runs.pop(key, None)
     server.failures += 1
-    server.suspect_until = now + double_pause(
-        SUSPECT_MS, longest_ms=LONGEST_SUSPECT_MS, count=server.failures
+    server.backoff_until = now + double_pause(
+        INITIAL_BACKOFF_MS, longest_ms=MAX_BACKOFF_MS, count=server.failures
     )
-    server.orders = None
+    server.accepted_orders = None
 
 
 def record_not_run(pool: PoolState, key: str, incarnation: str, *, now: int) -> None:
-    """A server refused a request as not run: it lacks something, or is full.
+    """Record that a server refused a request as not run.
 
-    What was thought to be there may still be on its way; it is tried again a
-    little later, and a report is asked for before the next order.
+    It lacks the model or adapter, or is full. A load may still be in progress, so the
+    server is tried again a little later, and a report is needed before the next order.
     """
     server = pool.servers.get(incarnation)
     if server is None:
@@ -450,31 +479,33 @@
     need = run.need
     if server.unloading == need.model:
         return
-    if server.unconfirmed == need.model:
-        # The load takes longer than usual, or others slow it down. The model stays on
-        # the books: its memory is taken.
-        server.refusing_until[need.model] = now + RETRY_LOAD_MS
-        server.order_again_at = now + RETRY_LOAD_MS
+    if server.unconfirmed_load == need.model:
+        # The load takes longer than usual, or other loads slow it down. The model is
+        # not removed, because its memory is in use.
+        server.model_backoff_until[need.model] = now + RETRY_LOAD_MS
+        server.next_order_at = now + RETRY_LOAD_MS
         return
-    server.orders = None
+    server.accepted_orders = None
     if need.adapter and not run.is_repeat:
         adapters = server.models.get(need.model, set())
         adapters.discard(need.adapter)
         server.adapters_due[need.model, need.adapter] = now + RETRY_ADAPTER_MS
-        pool.adapter_ms = min(MOST_ADAPTER_MS, pool.adapter_ms * 1.25)
+        pool.adapter_load_ms = min(MAX_ADAPTER_LOAD_MS, pool.adapter_load_ms * 1.25)
         return
-    server.refusing_until[need.model] = now + REFUSING_MS
+    server.model_backoff_until[need.model] = now + MODEL_BACKOFF_MS
 
 
 RETRY_LOAD_MS = 150
-"""When a load that took longer than expected is tried again, in ms."""
+"""Backoff before the next request for a model whose load takes longer than expected, in
+ms."""
 
-REFUSING_MS = 150
-"""How long a model's requests are kept from a server that refused one, in ms: it may
-be unloading the model once its runs have ended, or be full."""
+MODEL_BACKOFF_MS = 150
+"""Backoff before the next request for a model to a server that refused one, in ms: it
+may be unloading the model once its runs have ended, or be full."""
 
 RETRY_ADAPTER_MS = 20
-"""When an adapter that took longer than expected is tried again, in ms."""
+"""Backoff before the next request for an adapter whose load takes longer than expected,
+in ms."""
 
-MOST_ADAPTER_MS = 120
-"""Largest expected time of an adapter load, in ms: ten times the usual."""
+MAX_ADAPTER_LOAD_MS = 120
+"""Maximum expected load time of an adapter, in ms: ten times the usual one."""
--- a/src/arbutuspulley/pool/waits.py
+++ b/src/arbutuspulley/pool/waits.py
@@ -1,50 +1,55 @@
-"""How long a model's prompts will wait for its servers, those to come included."""
+"""Estimated waits for the copies of a model, including copies that are being loaded."""
 
 from arbutuspulley.admission.rate_limits import get_wait
 from arbutuspulley.pool.answers import NEVER, get_load_ms
 from arbutuspulley.pool.copies import CopyIndex, get_copies
 from arbutuspulley.pool.demand import get_copy_token_rate
-from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload
+from arbutuspulley.pool.state import PoolState, ServerState, estimate_unload_wait
 
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 4_000
-"""Bounds of when a refused caller is told to come back, in ms: sooner, it meets the
-same queue, and it waits no longer than a third of its time, which is 3 to 15 s."""
+MIN_RETRY_AFTER_MS = 200
+MAX_RETRY_AFTER_MS = 4_000
+"""Bounds of the retry-after time of a refused request, in ms. An earlier retry meets
+the same queue, and a caller waits at most a third of its timeout, which is 3 to 15
+s."""
 
 
-def list_copy_times(pool: PoolState, model: str, index: CopyIndex) -> list[float]:
-    """Return in how many ms each copy of a model can be used, the first one first.
+def list_copy_ready_times(pool: PoolState, model: str, index: CopyIndex) -> list[float]:
+    """Return in how many ms each copy of a model will be ready, earliest first.
 
-    A copy that is still being loaded, or waits for another model to leave, does not
-    start prompts yet. Counted like the others, callers that were refused came back to
-    the same queue; they come back once.
+    A copy that is being loaded, or waits for the unload of another model, does not
+    start prompts yet. If it counted as ready, refused callers would retry too early and
+    meet the same queue; they retry only once.
     """
     copies = get_copies(index, model)
-    return sorted(_estimate_ready(pool, one, model, now=index.now) for one in copies)
+    return sorted(
+        _estimate_ready_time(pool, one, model, now=index.now) for one in copies
+    )
 
 
 def estimate_wait(
-    pool: PoolState, model: str, tokens: float, copy_times: list[float]
+    pool: PoolState, model: str, tokens: float, ready_times: list[float]
 ) -> float:
-    """Return in how many ms so many prompt tokens will have been started.
+    """Return in how many ms the queued prompt tokens will have been started.
 
-    :param copy_times: as :func:`list_copy_times` returns them; not empty.
+    :param tokens: prompt tokens in the queue.
+    :param ready_times: as :func:`list_copy_ready_times` returns them; not empty.
     """
     rate = get_copy_token_rate(pool, model) / 1_000
-    left, at = float(tokens), copy_times[0]
-    for copies, next_at in enumerate(copy_times[1:], start=1):
-        taken = copies * rate * (next_at - at)
-        if taken >= left:
-            return at + left / (copies * rate)
-        left -= taken
-        at = next_at
-    return at + left / (len(copy_times) * rate)
+    remaining, elapsed_ms = float(tokens), ready_times[0]
+    for copies, next_at in enumerate(ready_times[1:], start=1):
+        started = copies * rate * (next_at - elapsed_ms)
+        if started >= remaining:
+            return elapsed_ms + remaining / (copies * rate)
+        remaining -= started
+        elapsed_ms = next_at
+    return elapsed_ms + remaining / (len(ready_times) * rate)
 
 
-def estimate_limited_wait(index: CopyIndex, model: str, requests: int) -> float:
-    """Return in how many ms servers' rate limits let a request through; 0: not known.
+def estimate_rate_limit_wait(index: CopyIndex, model: str, requests: int) -> float:
+    """Return in how many ms the rate limits of a model's servers allow a request.
 
-    :param requests: that wait for the model before it.
+    :param requests: number of requests that wait for the model before it.
+    :return: 0 if it is not known.
     """
     servers = index.limited.get(model, [])
     limits = [one.limit for one in servers if one.limit is not None]
@@ -54,28 +59,30 @@
     return min(get_wait(one, now=index.now) for one in limits) + requests / rate
 
 
-def estimate_retry(
+def estimate_retry_after(
     pool: PoolState,
     model: str,
     tokens: float,
-    copy_times: list[float],
+    ready_times: list[float],
     *,
     limited_ms: float = 0,
 ) -> int:
-    """Return when a refused request will probably get in, in ms.
+    """Return the retry-after time of a refused request, in ms.
 
-    :param tokens: of the prompts that wait for the model before it.
-    :param limited_ms: how long rate limits keep it from the servers that have the
-        model; 0: none do.
+    It is the estimated wait until the request would be granted, within bounds.
+
+    :param tokens: prompt tokens of the requests that wait for the model before it.
+    :param limited_ms: wait for the rate limits of the servers that have the model; 0:
+        there is none.
     """
-    if copy_times:
-        wait_ms = estimate_wait(pool, model, tokens, copy_times)
+    if ready_times:
+        wait_ms = estimate_wait(pool, model, tokens, ready_times)
     else:
         wait_ms = limited_ms or pool.spec.models[model].load_ms
-    return int(max(LEAST_RETRY_MS, min(MOST_RETRY_MS, wait_ms)))
+    return int(max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, wait_ms)))
 
 
-def _estimate_ready(
+def _estimate_ready_time(
     pool: PoolState, server: ServerState, model: str, *, now: int
 ) -> float:
     if model in server.models:
@@ -86,5 +93,5 @@
             return load_ms
         return max(0.0, float(server.loading_until - now))
     if server.unloading:
-        load_ms += estimate_unload(pool, server, server.unloading, now=now)
+        load_ms += estimate_unload_wait(pool, server, server.unloading, now=now)
     return load_ms
--- a/tests/pools.py
+++ b/tests/pools.py
@@ -1,4 +1,4 @@
-"""Builders of pools for tests of the coordinator's decisions."""
+"""Builders of pool states for tests of the coordinator's decisions."""
 
 from arbutuspulley.pool.state import PoolState, Run, ServerState, WaitingRequest
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
@@ -35,7 +35,7 @@
         "zone": "z1",
         "slots": 8,
         "models": {model: set() for model in models},
-        "orders": 0,
+        "accepted_orders": 0,
         **changes,
     }
     return ServerState(**values)
--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -1,9 +1,9 @@
-"""How much each model is asked for, as demand moves.
+"""Demand estimates while demand moves between models.
 
-The load: a busy model is asked for by 10 to 50 requests a second of 1,000 tokens each,
-and within 4 to 6 s others take its place. A load takes 1.2 to 2 s and waits for the
-streams of what it displaces, so each second in which the rise goes unseen is one in
-which a queue builds up at too few copies.
+Workload: a busy model gets 10 to 50 requests a second of 1,000 tokens each, and demand
+moves to other models within 4 to 6 s. A load takes 1.2 to 2 s and waits for the streams
+of the evicted models, so for each second that a rise is not detected, a queue builds up
+at too few copies.
 """
 
 import random
@@ -19,13 +19,13 @@
     list_demand,
     record_demand,
 )
-from arbutuspulley.pool.duration import estimate_run
+from arbutuspulley.pool.duration import estimate_run_time
 from arbutuspulley.pool.orders import plan_orders
 from arbutuspulley.ports.fleet import ModelNeed
 from tests.pools import add_run, build_pool, build_server, build_spec
 
 
-def ask(pool, *, per_s, begin, end, chance, model="m0"):
+def send_requests(pool, *, per_s, begin, end, chance, model="m0"):
     now = begin
     while True:
         now += chance.expovariate(per_s / 1_000)
@@ -34,44 +34,43 @@
         record_demand(pool, model, 1_000, now=int(now))
 
 
-def test_a_rise_is_seen_within_a_second():
-    """Demand for a model rises to five times within a moment. By a mean of 3 s it was
-    taken for twice as much after one second, and for less than the truth for nine."""
+def test_rising_demand_is_detected_within_a_second():
+    """Demand for a model suddenly rises fivefold. A moving average with a half-life of
+    3 s showed twice the former demand after one second, and was too low for nine."""
     chance = random.Random(3)
     pool = build_pool(mean_tokens=1_000.0)
-    ask(pool, per_s=10, begin=0, end=20_000, chance=chance)
+    send_requests(pool, per_s=10, begin=0, end=20_000, chance=chance)
     before = get_demand(pool, "m0")
-    ask(pool, per_s=50, begin=20_000, end=21_200, chance=chance)
+    send_requests(pool, per_s=50, begin=20_000, end=21_200, chance=chance)
     assert before < 16_000
     assert get_demand(pool, "m0") > 25_000
 
 
-def test_chance_is_not_taken_for_a_trend():
+def test_random_variation_does_not_change_the_estimate():
     chance = random.Random(5)
     pool = build_pool(mean_tokens=1_000.0)
-    ask(pool, per_s=20, begin=0, end=10_000, chance=chance)
+    send_requests(pool, per_s=20, begin=0, end=10_000, chance=chance)
     seen = []
     for second in range(10, 60):
         begin = second * 1_000
-        ask(pool, per_s=20, begin=begin, end=begin + 1_000, chance=chance)
+        send_requests(pool, per_s=20, begin=begin, end=begin + 1_000, chance=chance)
         seen.append(get_demand(pool, "m0"))
     off = [one for one in seen if not 10_000 < one < 30_000]
     assert len(off) <= 3
 
 
 @pytest.mark.parametrize("seconds", [1, 2, 4, 8])
-def test_a_start_does_not_look_like_little_demand(seconds):
-    """All instances start anew. Counted from nothing, a model that was asked for by 50
-    requests a second seemed to be asked for by 10 after a second and had no second copy
-    for three."""
+def test_demand_is_not_underestimated_after_a_start(seconds):
+    """All instances restart. Averages that started at zero showed 10 requests a second
+    after one second instead of 50, and the model had no second copy for three."""
     pool = build_pool(mean_tokens=1_000.0)
-    ask(pool, per_s=50, begin=0, end=seconds * 1_000, chance=random.Random(1))
+    send_requests(pool, per_s=50, begin=0, end=seconds * 1_000, chance=random.Random(1))
     assert get_demand(pool, "m0") == pytest.approx(50_000, rel=0.4)
 
 
-def test_a_successor_goes_on_with_what_was_known():
+def test_successor_inherits_the_demand_estimates():
     pool, successor = build_pool(), build_pool()
-    ask(pool, per_s=30, begin=0, end=9_000, chance=random.Random(2))
+    send_requests(pool, per_s=30, begin=0, end=9_000, chance=random.Random(2))
     inherit_demand(successor, list_demand(pool), now=77)
     known = get_demand(pool, "m0")
     assert get_demand(successor, "m0") == pytest.approx(known)
@@ -79,12 +78,14 @@
 
 @pytest.mark.parametrize(
     ("slots", "prompt", "expected", "binds"),
-    [(12, 800, 290, "slots"), (64, 1_460, 120, "reading"), (12, 2_400, 27, "reading")],
+    [(12, 800, 290, "slots"), (64, 1_460, 120, "prefill"), (12, 2_400, 27, "prefill")],
     ids=["few slots, long streams", "many slots", "short answers to long prompts"],
 )
-def test_a_request_takes_of_a_copy_what_is_scarcer(slots, prompt, expected, binds):
-    """Streams of two seconds on servers of twelve slots: six a second fit, while thirty
-    prompts a second could be read."""
+def test_token_cost_is_set_by_the_scarcer_of_slots_and_prefill(
+    slots, prompt, expected, binds
+):
+    """With streams of two seconds, twelve slots admit six requests a second, while the
+    prefill speed allows thirty prompts a second."""
     pool = build_pool(spec=build_spec(slots=slots))
     need = ModelNeed(
         model="m0",
@@ -96,13 +97,13 @@
     weight = estimate_token_cost(pool, need)
     assert (weight > prompt) == (binds == "slots")
     prefill_ms = weight * 1_000 / get_copy_token_rate(pool, "m0")
-    assert slots * prefill_ms >= estimate_run(pool.durations, need)
+    assert slots * prefill_ms >= estimate_run_time(pool.durations, need)
 
 
-def test_a_model_whose_slots_are_full_gets_another_copy():
-    """The only copy's twelve slots are full of long streams and ten requests a second
-    come. By what they read the copy was a third in use, and nobody loaded another:
-    35 requests waited, and a third of them were refused."""
+def test_model_with_full_slots_gets_another_copy():
+    """The twelve slots of the only copy are full of long streams, and ten requests a
+    second arrive. By prefill alone the copy was a third utilised, and no other copy was
+    loaded: 35 requests waited, and a third of them were refused."""
     busy = build_server("s0", "m0", slots=12)
     pool = build_pool(busy, build_server("s1"), spec=build_spec(slots=12))
     for number in range(12):
