--- a/src/arbutuspulley/admission/cost.py
+++ b/src/arbutuspulley/admission/cost.py
@@ -22,10 +22,10 @@
 DEFAULT_OUTPUT_TOKENS = 200.0
 """Assumed length of an answer to an item that has not yet answered."""
 
-LEARNING = 0.1
+EWMA_WEIGHT = 0.1
 """Weight of the newest answer in an item's mean length."""
 
-MOST_CHOICES = 16
+MAX_CHOICES = 16
 """Largest number of choices that is believed."""
 
 
@@ -61,33 +61,33 @@
     :param item: key of the item that is to answer.
     :param adapter: whether that is an adapter.
     """
-    known = state.output_tokens.get(item) if state is not None else None
-    expected = DEFAULT_OUTPUT_TOKENS if known is None else known
+    mean = state.output_tokens.get(item) if state is not None else None
+    expected = DEFAULT_OUTPUT_TOKENS if mean is None else mean
     try:
         parsed = _DECODER.decode(body)
     except msgspec.DecodeError:
-        return _sum(prompt_bytes=len(body), output=expected, adapter=adapter)
+        return _compute(prompt_bytes=len(body), output=expected, adapter=adapter)
     prompt_bytes = len(bytes(parsed.messages)) + len(bytes(parsed.prompt))
     bound = parsed.max_completion_tokens or parsed.max_tokens
     output = min(expected, bound) if bound and bound > 0 else expected
-    choices = min(max(parsed.n or 1, 1), MOST_CHOICES)
-    return _sum(prompt_bytes=prompt_bytes, output=output * choices, adapter=adapter)
+    choices = min(max(parsed.n or 1, 1), MAX_CHOICES)
+    return _compute(prompt_bytes=prompt_bytes, output=output * choices, adapter=adapter)
 
 
 def compute_cost(
     *, prompt_bytes: int, output_tokens: int, adapter: bool = False
 ) -> int:
     """Return the cost of a request whose answer is complete."""
-    return _sum(prompt_bytes=prompt_bytes, output=output_tokens, adapter=adapter)
+    return _compute(prompt_bytes=prompt_bytes, output=output_tokens, adapter=adapter)
 
 
 def record_output_length(state: CostState, *, item: str, tokens: int) -> None:
     """Learn from the length of an answer."""
-    known = state.output_tokens.get(item, DEFAULT_OUTPUT_TOKENS)
-    state.output_tokens[item] = known + LEARNING * (tokens - known)
+    mean = state.output_tokens.get(item, DEFAULT_OUTPUT_TOKENS)
+    state.output_tokens[item] = mean + EWMA_WEIGHT * (tokens - mean)
 
 
-def _sum(*, prompt_bytes: int, output: float, adapter: bool) -> int:
+def _compute(*, prompt_bytes: int, output: float, adapter: bool) -> int:
     prompt = prompt_bytes / BYTES_PER_TOKEN * PROMPT_TOKEN_COST
     factor = ADAPTER_COST if adapter else 1.0
     return max(1, math.ceil((prompt + output) * factor))
--- a/src/arbutuspulley/admission/decision.py
+++ b/src/arbutuspulley/admission/decision.py
@@ -7,19 +7,19 @@
 from arbutuspulley.admission.slot_limits import TOKENS_PER_SLOT
 from arbutuspulley.admission.state import (
     AdmissionState,
-    Running,
-    get_standing,
+    RunningRequest,
+    add_load,
+    get_usage_class,
     list_holders,
-    move_load,
 )
 from arbutuspulley.admission.tickets import Admit, Effect, Refuse, Ticket
 from arbutuspulley.results import Code
 
-MOST_WAITING = 256
+MAX_WAITING = 256
 """Requests that wait at one entry at most."""
 
 
-def decide(state: AdmissionState, *, now: int, fresh: str = "") -> tuple[Effect, ...]:
+def decide(state: AdmissionState, *, now: int, newest: str = "") -> tuple[Effect, ...]:
     """Admit who has room and refuse who cannot be in time, in order of admission.
 
     A request that certainly comes too late is refused before its deadline, so that
@@ -31,17 +31,17 @@
     """
     effects: list[Effect] = []
     ahead: dict[str, float] = {}
-    places = order_waiting(state.waiting.values(), state.accounts, now=now)
-    for place in places:
-        ticket = place.ticket
+    positions = order_waiting(state.waiting.values(), state.accounts, now=now)
+    for position in positions:
+        ticket = position.ticket
         holders = list_holders(state, ticket.item, now=now)
-        server = _find_room(state, ticket, holders)
+        server = _find_free_server(state, ticket, holders)
         if server:
             effects.append(_admit(state, ticket, server, now=now))
             continue
         wait_ms = _estimate_wait(state, ahead, holders)
-        expected_ms = wait_ms if ticket.request_id == fresh else 0.0
-        if _is_late(state, ticket, now + expected_ms):
+        expected_ms = wait_ms if ticket.request_id == newest else 0.0
+        if _would_miss_deadline(state, ticket, now + expected_ms):
             code = Code.DEADLINE_OUT_OF_REACH
             effects.append(_refuse(state, ticket, code, wait_ms=wait_ms, now=now))
             continue
@@ -50,23 +50,23 @@
     return tuple(effects)
 
 
-def refuse_surplus(state: AdmissionState, *, now: int) -> tuple[Effect, ...]:
+def refuse_overflow(state: AdmissionState, *, now: int) -> tuple[Effect, ...]:
     """Keep the queue within its bound at the cost of who takes most of it.
 
     If the newcomer were refused, a flood that fills the queue would shut out the
     callers that send little.
     """
-    if len(state.waiting) <= MOST_WAITING:
+    if len(state.waiting) <= MAX_WAITING:
         return ()
-    parts: dict[str, float] = {}
+    usage: dict[str, float] = {}
     for ticket in state.waiting.values():
-        part = ticket.cost / ticket.weight
-        parts[ticket.caller] = parts.get(ticket.caller, 0.0) + part
-    largest = max(parts, key=lambda caller: (parts[caller], caller))
-    places = order_waiting(state.waiting.values(), state.accounts, now=now)
-    last = [one.ticket for one in places if one.ticket.caller == largest][-1]
+        weighted_cost = ticket.cost / ticket.weight
+        usage[ticket.caller] = usage.get(ticket.caller, 0.0) + weighted_cost
+    largest = max(usage, key=lambda caller: (usage[caller], caller))
+    positions = order_waiting(state.waiting.values(), state.accounts, now=now)
+    last = [one.ticket for one in positions if one.ticket.caller == largest][-1]
     holders = list_holders(state, last.item, now=now)
-    ahead = dict.fromkeys(holders, float(MOST_WAITING))
+    ahead = dict.fromkeys(holders, float(MAX_WAITING))
     wait_ms = _estimate_wait(state, ahead, holders)
     return (_refuse(state, last, Code.OVERLOADED, wait_ms=wait_ms, now=now),)
 
@@ -77,14 +77,16 @@
     if limit is None:
         return False
     load = state.loads[server]
-    slots = limit.get(get_standing(state, ticket.caller))
+    slots = limit.get(get_usage_class(state, ticket.caller))
     if load.requests >= slots:
         return False
     # A request larger than the limit runs alone, it would otherwise never run.
     return load.tokens == 0 or load.tokens + ticket.cost <= slots * TOKENS_PER_SLOT
 
 
-def _find_room(state: AdmissionState, ticket: Ticket, holders: Sequence[str]) -> str:
+def _find_free_server(
+    state: AdmissionState, ticket: Ticket, holders: Sequence[str]
+) -> str:
     """Return the holder with most room for a request, or an empty name."""
     names = [name for name in holders if has_slot(state, name, ticket)]
     if not names:
@@ -97,15 +99,17 @@
 
 def _admit(state: AdmissionState, ticket: Ticket, server: str, *, now: int) -> Admit:
     del state.waiting[ticket.request_id]
-    state.running[ticket.request_id] = Running(
+    state.running[ticket.request_id] = RunningRequest(
         ticket=ticket, server=server, admitted_at=now
     )
-    move_load(state, server, requests=1, tokens=ticket.cost, now=now)
+    add_load(state, server, requests=1, tokens=ticket.cost, now=now)
     shares.charge(state.accounts, ticket.caller, cost=ticket.cost)
     return Admit(request_id=ticket.request_id)
 
 
-def _is_late(state: AdmissionState, ticket: Ticket, admitted_at: float) -> bool:
+def _would_miss_deadline(
+    state: AdmissionState, ticket: Ticket, admitted_at: float
+) -> bool:
     first_token_ms = drain_rate.predict_first_token(state.drain)
     return admitted_at + first_token_ms > ticket.deadline
 
@@ -116,15 +120,16 @@
     del state.waiting[ticket.request_id]
     share = state.accounts.callers[ticket.caller]
     share.refused_at = now
-    part = _measure_part(state, ticket.caller)
-    share.booked_until, retry_after_ms = drain_rate.book_return(
-        share.booked_until,
+    share_fraction = _compute_share(state, ticket.caller)
+    share.reserved_until, retry_after_ms = drain_rate.schedule_retry(
+        share.reserved_until,
         request_id=ticket.request_id,
         wait_ms=wait_ms,
-        rate=_measure_rate(state, list_holders(state, ticket.item, now=now)) * part,
+        rate=_estimate_rate(state, list_holders(state, ticket.item, now=now))
+        * share_fraction,
         now=now,
     )
-    if _is_above_share(state, ticket.caller, part):
+    if _is_above_share(state, ticket.caller, share_fraction):
         code = Code.SHARE_EXCEEDED
     return Refuse(
         request_id=ticket.request_id, code=code, retry_after_ms=retry_after_ms
@@ -141,14 +146,14 @@
     :param holders: servers that it may go to.
     """
     before = sum(ahead.get(name, 0.0) for name in holders)
-    rate = _measure_rate(state, holders)
-    return (1 + before) / rate if rate > 0 else float(drain_rate.MOST_RETRY_MS)
+    rate = _estimate_rate(state, holders)
+    return (1 + before) / rate if rate > 0 else float(drain_rate.MAX_RETRY_MS)
 
 
-def _measure_rate(state: AdmissionState, holders: Sequence[str]) -> float:
+def _estimate_rate(state: AdmissionState, holders: Sequence[str]) -> float:
     """Return how many requests a millisecond this entry's slots there finish."""
     return sum(
-        drain_rate.measure_rate(
+        drain_rate.estimate_rate(
             state.drain, server=name, slots=state.limits[name].ordinary
         )
         for name in holders
@@ -156,7 +161,7 @@
     )
 
 
-def _measure_part(state: AdmissionState, caller: str) -> float:
+def _compute_share(state: AdmissionState, caller: str) -> float:
     """Return a caller's part by weight among the callers that have work here."""
     active = {ticket.caller for ticket in state.waiting.values()}
     active.update(one.ticket.caller for one in state.running.values())
@@ -165,7 +170,7 @@
     return weights[caller] / sum(weights.values())
 
 
-def _is_above_share(state: AdmissionState, caller: str, part: float) -> bool:
+def _is_above_share(state: AdmissionState, caller: str, share_fraction: float) -> bool:
     in_flight = sum(one.ticket.cost for one in state.running.values())
     own = state.accounts.callers[caller].in_flight
-    return part < 1 and own > part * in_flight
+    return share_fraction < 1 and own > share_fraction * in_flight
--- a/src/arbutuspulley/admission/drain_rate.py
+++ b/src/arbutuspulley/admission/drain_rate.py
@@ -15,26 +15,26 @@
 DEFAULT_DURATION_MS = 5_000.0
 """Assumed duration of a request at a server that has not yet finished one."""
 
-LEARNING = 0.1
+EWMA_WEIGHT = 0.1
 """Weight of the newest request in the means."""
 
 DEFAULT_FIRST_TOKEN_MS = 150.0
 """Assumed time from admission to the first token."""
 
-DEVIATIONS = 2.0
+DEVIATION_FACTOR = 2.0
 """Mean deviations added to that time when a request must be in time."""
 
-LEAST_RETRY_MS = SECOND_MS
+MIN_RETRY_MS = SECOND_MS
 """Shortest time told to a refused caller."""
 
-MOST_RETRY_MS = 60 * SECOND_MS
+MAX_RETRY_MS = 60 * SECOND_MS
 """Longest time told to a refused caller."""
 
-SPREAD = 0.25
+MAX_JITTER = 0.25
 """Largest part added to the time told, so that callers do not return together."""
 
 
-class Pace(State):
+class DurationEstimate(State):
     """Requests finished lately at one server.
 
     :param finished: how many have been.
@@ -52,24 +52,24 @@
     :param deviation_ms: its mean deviation.
     """
 
-    paces: dict[str, Pace] = {}
+    durations: dict[str, DurationEstimate] = {}
     first_token_ms: float = DEFAULT_FIRST_TOKEN_MS
     deviation_ms: float = 0.0
 
 
-def note_finished(state: DrainState, *, server: str, duration_ms: int) -> None:
+def record_finished(state: DrainState, *, server: str, duration_ms: int) -> None:
     """Learn from a request that a server finished."""
-    pace = state.paces.setdefault(server, Pace())
-    pace.finished += 1
-    learning = max(LEARNING, 1 / pace.finished)
-    pace.duration_ms += learning * (max(1, duration_ms) - pace.duration_ms)
+    estimate = state.durations.setdefault(server, DurationEstimate())
+    estimate.finished += 1
+    weight = max(EWMA_WEIGHT, 1 / estimate.finished)
+    estimate.duration_ms += weight * (max(1, duration_ms) - estimate.duration_ms)
 
 
 def record_first_token(state: DrainState, *, elapsed_ms: int) -> None:
     """Learn from the time between an admission and its first token."""
     error = elapsed_ms - state.first_token_ms
-    state.first_token_ms += LEARNING * error
-    state.deviation_ms += LEARNING * (abs(error) - state.deviation_ms)
+    state.first_token_ms += EWMA_WEIGHT * error
+    state.deviation_ms += EWMA_WEIGHT * (abs(error) - state.deviation_ms)
 
 
 def predict_first_token(state: DrainState) -> float:
@@ -78,17 +78,17 @@
     The mean alone would admit requests that are late half of the time: under
     overload, most of them are admitted close to their deadline.
     """
-    return state.first_token_ms + DEVIATIONS * state.deviation_ms
+    return state.first_token_ms + DEVIATION_FACTOR * state.deviation_ms
 
 
-def measure_rate(state: DrainState, *, server: str, slots: int) -> float:
+def estimate_rate(state: DrainState, *, server: str, slots: int) -> float:
     """Return how many requests a millisecond a number of slots finishes."""
-    pace = state.paces.get(server)
-    return slots / (pace.duration_ms if pace else DEFAULT_DURATION_MS)
+    estimate = state.durations.get(server)
+    return slots / (estimate.duration_ms if estimate else DEFAULT_DURATION_MS)
 
 
-def book_return(
-    booked_until: float, *, request_id: str, wait_ms: float, rate: float, now: int
+def schedule_retry(
+    reserved_until: float, *, request_id: str, wait_ms: float, rate: float, now: int
 ) -> tuple[float, int]:
     """Return when a refused caller should come back.
 
@@ -101,9 +101,9 @@
     :param rate: requests a millisecond that are finished for its caller.
     :return: until when is booked now, and the milliseconds to tell.
     """
-    start = max(booked_until, now + wait_ms)
-    start = min(start, now + MOST_RETRY_MS)
-    drawn = xxhash.xxh32_intdigest(request_id.encode()) / 2**32
-    told = math.ceil((start - now) * (1 + SPREAD * drawn))
-    booked = start + (1 / rate if rate > 0 else MOST_RETRY_MS)
-    return booked, min(MOST_RETRY_MS, max(LEAST_RETRY_MS, told))
+    start = max(reserved_until, now + wait_ms)
+    start = min(start, now + MAX_RETRY_MS)
+    jitter = xxhash.xxh32_intdigest(request_id.encode()) / 2**32
+    retry_after_ms = math.ceil((start - now) * (1 + MAX_JITTER * jitter))
+    reserved = start + (1 / rate if rate > 0 else MAX_RETRY_MS)
+    return reserved, min(MAX_RETRY_MS, max(MIN_RETRY_MS, retry_after_ms))
--- a/src/arbutuspulley/admission/freshness.py
+++ b/src/arbutuspulley/admission/freshness.py
@@ -53,21 +53,21 @@
 class MessageTimes:
     """When the last messages of one link went or came, by their numbers."""
 
-    __slots__ = ("_marks",)
+    __slots__ = ("_times",)
 
     def __init__(self) -> None:
-        self._marks: deque[tuple[int, int]] = deque(maxlen=MAX_MESSAGE_TIMES)
+        self._times: deque[tuple[int, int]] = deque(maxlen=MAX_MESSAGE_TIMES)
 
     def record(self, number: int, *, at: int) -> None:
         """Note a message; numbers and times grow."""
-        self._marks.append((number, at))
+        self._times.append((number, at))
 
     def find_time(self, number: int) -> int | None:
         """Return when a message went or came, in ms; ``None`` if that is not kept."""
-        return next((at for one, at in self._marks if one == number), None)
+        return next((at for recorded, at in self._times if recorded == number), None)
 
     def find_number(self, until: int | None) -> int:
         """Return the number of the last message up to a moment; 0: none is kept."""
         if until is None:
             return 0
-        return max((one for one, at in self._marks if at <= until), default=0)
+        return max((recorded for recorded, at in self._times if at <= until), default=0)
--- a/src/arbutuspulley/admission/keys.py
+++ b/src/arbutuspulley/admission/keys.py
@@ -15,10 +15,10 @@
 DIGEST_BYTES = 16
 """Length of a digest, in bytes: two of a million keys do not share one."""
 
-SHOWN_DIGITS = 8
+REDACTED_DIGITS = 8
 """Hexadecimal digits of a digest that logs show: enough to tell two keys apart."""
 
-_SALTED = hashlib.blake2b(digest_size=DIGEST_BYTES, key=os.urandom(DIGEST_BYTES))
+_SALTED_HASH = hashlib.blake2b(digest_size=DIGEST_BYTES, key=os.urandom(DIGEST_BYTES))
 
 
 class KeyTable(Value, frozen=True):
@@ -40,21 +40,23 @@
     :param before: of the version before; most teams keep their keys.
     :raises ConfigurationError: if two teams hold the same key.
     """
-    known = previous.digests if previous is not None else {}
-    found: dict[bytes, Team] = {}
+    previous_digests = previous.digests if previous is not None else {}
+    teams_by_digest: dict[bytes, Team] = {}
     digests: dict[tuple[str, ...], list[bytes]] = {}
     for team in teams:
-        own = known.get(team.keys) or [_digest(key) for key in team.keys]
-        digests[team.keys] = own
-        for key, digest in zip(team.keys, own, strict=True):
-            other = found.setdefault(digest, team)
-            if other is not team and other.name != team.name:
+        team_digests = previous_digests.get(team.keys) or [
+            _digest(key) for key in team.keys
+        ]
+        digests[team.keys] = team_digests
+        for key, digest in zip(team.keys, team_digests, strict=True):
+            holder = teams_by_digest.setdefault(digest, team)
+            if holder is not team and holder.name != team.name:
                 raise ConfigurationError(
                     code=Code.BAD_TEAM,
-                    detail=f"teams {other.name!r} and {team.name!r} hold the same key"
+                    detail=f"teams {holder.name!r} and {team.name!r} hold the same key"
                     f" {redact_key(key)}",
                 )
-    return KeyTable(teams=found, digests=digests)
+    return KeyTable(teams=teams_by_digest, digests=digests)
 
 
 def find_team(table: KeyTable, key: str) -> Team | None:
@@ -64,12 +66,12 @@
 
 def redact_key(key: str) -> str:
     """Return what logs say of a key; the same from every process."""
-    return hashlib.sha256(_encode(key)).hexdigest()[:SHOWN_DIGITS]
+    return hashlib.sha256(_encode(key)).hexdigest()[:REDACTED_DIGITS]
 
 
 def _digest(key: str) -> bytes:
     # A copy takes half the time of a new one, and a configuration has many keys.
-    digest = _SALTED.copy()
+    digest = _SALTED_HASH.copy()
     digest.update(_encode(key))
     return digest.digest()
 
--- a/src/arbutuspulley/admission/queue.py
+++ b/src/arbutuspulley/admission/queue.py
@@ -8,11 +8,18 @@
 """
 
 from arbutuspulley.admission import drain_rate, shares
-from arbutuspulley.admission.decision import decide, has_slot, refuse_surplus
-from arbutuspulley.admission.slot_limits import ServerLimit, compute_limit, list_active
-from arbutuspulley.admission.state import AdmissionState, Running, move_load
+from arbutuspulley.admission.decision import decide, has_slot, refuse_overflow
+from arbutuspulley.admission.slot_limits import (
+    SlotLimit,
+    compute_limit,
+    list_active_entries,
+)
+from arbutuspulley.admission.state import AdmissionState, RunningRequest, add_load
 from arbutuspulley.admission.tickets import Admit, Effect, Refuse, Ticket
-from arbutuspulley.admission.usage_class import judge_standings, waits_elsewhere
+from arbutuspulley.admission.usage_class import (
+    classify_callers,
+    has_remote_modest_waiter,
+)
 from arbutuspulley.results import Code
 from arbutuspulley.routing.choice import is_usable
 from arbutuspulley.routing.load import ServerLoad, observe_report
@@ -38,18 +45,18 @@
 TICK_MS = 50
 """How often the shell should call :func:`tick` while requests wait."""
 
-LOAD_RETRY_MS = 3_000
+NOT_LOADED_RETRY_MS = 3_000
 """Told to a caller whose model is not loaded anywhere right now."""
 
 
 def apply_view(state: AdmissionState, *, view: View, now: int) -> tuple[Effect, ...]:
     """Take up a new view: servers, entries and what callers use elsewhere."""
-    shares.note_usage(state.accounts, usage=view.usage, now=now)
-    state.standings = judge_standings(state.accounts, now=now)
-    contended = waits_elsewhere(state.accounts, state.standings)
-    active = list_active(view.entries, own=state.own)
+    shares.set_remote_usage(state.accounts, usage=view.usage, now=now)
+    state.usage_classes = classify_callers(state.accounts, now=now)
+    contended = has_remote_modest_waiter(state.accounts, state.usage_classes)
+    active = list_active_entries(view.entries, own=state.own)
     holders: dict[str, list[str]] = {}
-    limits: dict[str, ServerLimit] = {}
+    limits: dict[str, SlotLimit] = {}
     for summary in view.servers:
         if summary.leaving or not summary.alive:
             continue
@@ -66,7 +73,7 @@
             holders.setdefault(item, []).append(summary.server)
     state.limits = limits
     state.holders = {item: tuple(names) for item, names in holders.items()}
-    _forget_servers(state, {summary.server for summary in view.servers})
+    _evict_servers(state, {summary.server for summary in view.servers})
     return decide(state, now=now)
 
 
@@ -80,15 +87,17 @@
             Refuse(
                 request_id=ticket.request_id,
                 code=Code.MODEL_NOT_LOADED,
-                retry_after_ms=LOAD_RETRY_MS,
+                retry_after_ms=NOT_LOADED_RETRY_MS,
             ),
         )
-    shares.open_share(state.accounts, ticket.caller, weight=ticket.weight, now=now)
-    if ticket.caller not in state.standings:
-        state.standings = judge_standings(state.accounts, now=now)
+    shares.get_or_create_share(
+        state.accounts, ticket.caller, weight=ticket.weight, now=now
+    )
+    if ticket.caller not in state.usage_classes:
+        state.usage_classes = classify_callers(state.accounts, now=now)
     state.waiting[ticket.request_id] = ticket
-    effects = decide(state, now=now, fresh=ticket.request_id)
-    return effects + refuse_surplus(state, now=now)
+    effects = decide(state, now=now, newest=ticket.request_id)
+    return effects + refuse_overflow(state, now=now)
 
 
 def assign(state: AdmissionState, request_id: str, *, server: str, now: int) -> None:
@@ -96,8 +105,8 @@
     running = state.running.get(request_id)
     if running is None or running.server == server:
         return
-    _leave_server(state, running, now=now)
-    move_load(state, server, requests=1, tokens=running.ticket.cost, now=now)
+    _release_server(state, running, now=now)
+    add_load(state, server, requests=1, tokens=running.ticket.cost, now=now)
     running.server = server
 
 
@@ -137,12 +146,12 @@
     if running is None:
         return ()
     ticket = running.ticket
-    _leave_server(state, running, now=now)
-    share = shares.open_share(
+    _release_server(state, running, now=now)
+    share = shares.get_or_create_share(
         state.accounts, ticket.caller, weight=ticket.weight, now=now
     )
     shares.settle(share, estimated=ticket.cost, actual=tokens)
-    drain_rate.note_finished(
+    drain_rate.record_finished(
         state.drain,
         server=running.server,
         duration_ms=now - running.admitted_at,
@@ -158,8 +167,8 @@
     if running is None:
         return ()
     ticket = running.ticket
-    _leave_server(state, running, now=now)
-    share = shares.open_share(
+    _release_server(state, running, now=now)
+    share = shares.get_or_create_share(
         state.accounts, ticket.caller, weight=ticket.weight, now=now
     )
     shares.settle(share, estimated=ticket.cost, actual=0)
@@ -169,9 +178,9 @@
 def tick(state: AdmissionState, *, now: int) -> tuple[Effect, ...]:
     """Charge remote usage, admit who can be, refuse who cannot be in time."""
     waiting = {ticket.caller for ticket in state.waiting.values()}
-    shares.charge_remote(state.accounts, waiting=waiting, now=now)
-    shares.forget_absent(state.accounts, now=now)
-    state.standings = judge_standings(state.accounts, now=now)
+    shares.charge_remote_usage(state.accounts, waiting=waiting, now=now)
+    shares.evict_idle(state.accounts, now=now)
+    state.usage_classes = classify_callers(state.accounts, now=now)
     return decide(state, now=now)
 
 
@@ -183,14 +192,16 @@
     return shares.list_usage(state.accounts, waiting=waiting)
 
 
-def _forget_servers(state: AdmissionState, known: set[str]) -> None:
+def _evict_servers(state: AdmissionState, known: set[str]) -> None:
     """Drop what was kept of servers that are gone and run nothing any more."""
     for name in [name for name in state.loads if name not in known]:
         if not state.loads[name].requests:
             del state.loads[name]
-            state.drain.paces.pop(name, None)
+            state.drain.durations.pop(name, None)
 
 
-def _leave_server(state: AdmissionState, running: Running, *, now: int) -> None:
+def _release_server(
+    state: AdmissionState, running: RunningRequest, *, now: int
+) -> None:
     cost = running.ticket.cost
-    move_load(state, running.server, requests=-1, tokens=-cost, now=now)
+    add_load(state, running.server, requests=-1, tokens=-cost, now=now)
--- a/src/arbutuspulley/admission/queue_order.py
+++ b/src/arbutuspulley/admission/queue_order.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from arbutuspulley.admission.shares import SharesState, find_start
+from arbutuspulley.admission.shares import SharesState, get_start_time
 from arbutuspulley.admission.tickets import Ticket
 from arbutuspulley.data import Value
 
@@ -10,7 +10,7 @@
 """A summary that has waited this long goes like a live request."""
 
 
-class Place(Value, frozen=True):
+class QueuePosition(Value, frozen=True):
     """A waiting request with what its order follows from.
 
     :param later: whether it lets live requests go first.
@@ -18,13 +18,13 @@
     """
 
     ticket: Ticket
-    later: bool
+    yields: bool
     start: float
 
 
 def order_waiting(
     tickets: Iterable[Ticket], accounts: SharesState, *, now: int
-) -> list[Place]:
+) -> list[QueuePosition]:
     """Return waiting requests in the order in which they will be admitted.
 
     Live requests go before summaries; among them, callers take turns by their
@@ -33,14 +33,16 @@
     by_caller: dict[str, list[Ticket]] = {}
     for ticket in tickets:
         by_caller.setdefault(ticket.caller, []).append(ticket)
-    places: list[Place] = []
-    for caller, own in by_caller.items():
-        places += _place(own, start=find_start(accounts, caller), now=now)
-    places.sort(key=_rank)
-    return places
+    positions: list[QueuePosition] = []
+    for caller, caller_tickets in by_caller.items():
+        positions += _build_positions(
+            caller_tickets, start=get_start_time(accounts, caller), now=now
+        )
+    positions.sort(key=_rank)
+    return positions
 
 
-def goes_later(ticket: Ticket, *, now: int) -> bool:
+def yields_to_live(ticket: Ticket, *, now: int) -> bool:
     """Return whether a request lets live ones go first.
 
     Without an end to that, summaries would never be admitted as long as live
@@ -49,16 +51,20 @@
     return not ticket.live and now - ticket.arrived_at < AGEING_MS
 
 
-def _place(own: list[Ticket], *, start: float, now: int) -> list[Place]:
-    own.sort(key=lambda one: (goes_later(one, now=now), one.deadline))
-    places = []
-    for ticket in own:
-        later = goes_later(ticket, now=now)
-        places.append(Place(ticket=ticket, later=later, start=start))
+def _build_positions(
+    caller_tickets: list[Ticket], *, start: float, now: int
+) -> list[QueuePosition]:
+    caller_tickets.sort(
+        key=lambda ticket: (yields_to_live(ticket, now=now), ticket.deadline)
+    )
+    positions = []
+    for ticket in caller_tickets:
+        yields = yields_to_live(ticket, now=now)
+        positions.append(QueuePosition(ticket=ticket, yields=yields, start=start))
         start += ticket.cost / ticket.weight
-    return places
+    return positions
 
 
-def _rank(place: Place) -> tuple[bool, float, int, str]:
-    ticket = place.ticket
-    return place.later, place.start, ticket.deadline, ticket.request_id
+def _rank(position: QueuePosition) -> tuple[bool, float, int, str]:
+    ticket = position.ticket
+    return position.yields, position.start, ticket.deadline, ticket.request_id
--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -103,8 +103,8 @@
     teams: Iterable[Team], tolerance: QuotaTolerance
 ) -> dict[str, QuotaLimit]:
     """Return the shapes of all buckets by team."""
-    found = ((team.name, build_limit(team, tolerance)) for team in teams)
-    return {name: limit for name, limit in found if limit is not None}
+    limits = ((team.name, build_limit(team, tolerance)) for team in teams)
+    return {name: limit for name, limit in limits if limit is not None}
 
 
 def refill(
@@ -130,12 +130,12 @@
     :return: 0 if it was taken; otherwise in how many ms it may be, those included who
         were told to come back before.
     """
-    need = min(cost, limit.capacity)
-    if bucket.balance >= need:
+    required = min(cost, limit.capacity)
+    if bucket.balance >= required:
         bucket.balance -= cost
         return 0
     refill_per_ms = max(limit.rate_per_ms * fraction, 1e-9)
-    missing = need - bucket.balance + bucket.reserved
+    missing = required - bucket.balance + bucket.reserved
     if bucket.reserved < MAX_RETRY_AFTER_MS * refill_per_ms:
         bucket.reserved += cost
     return int(min(missing / refill_per_ms, MAX_RETRY_AFTER_MS)) + 1
@@ -148,18 +148,18 @@
     :param part: of each rate that is refilled here.
     """
 
-    __slots__ = ("_buckets", "_has_begun", "limits", "refill_fraction")
+    __slots__ = ("_buckets", "_has_limits", "limits", "refill_fraction")
 
     def __init__(self) -> None:
         self.limits: dict[str, QuotaLimit] = {}
         self.refill_fraction = 1.0
         self._buckets: dict[str, TokenBucket] = {}
-        self._has_begun = False
+        self._has_limits = False
 
     def reset(self) -> None:
         """Begin without knowing what was spent before."""
         self._buckets.clear()
-        self._has_begun = False
+        self._has_limits = False
 
     def set_limits(self, limits: dict[str, QuotaLimit], *, now: int) -> None:
         """Take over the limits of a configuration.
@@ -170,12 +170,12 @@
         buckets: dict[str, TokenBucket] = {}
         for team, limit in limits.items():
             balance = limit.capacity
-            if not self._has_begun:
+            if not self._has_limits:
                 balance = min(balance, limit.tolerance)
             buckets[team] = self._buckets.get(team) or TokenBucket(
                 balance=balance, updated_at=now
             )
-        self._has_begun = True
+        self._has_limits = True
         self._buckets = buckets
         self.limits = limits
 
@@ -196,7 +196,10 @@
         if limit is None:
             return 0
         return try_consume(
-            self._find(team, limit, now), limit, cost, fraction=self.refill_fraction
+            self._get_refilled(team, limit, now),
+            limit,
+            cost,
+            fraction=self.refill_fraction,
         )
 
     def record_usage(self, team: str, cost: float, *, now: int) -> int:
@@ -207,7 +210,7 @@
         limit = self.limits.get(team)
         if limit is None:
             return 0
-        bucket = self._find(team, limit, now)
+        bucket = self._get_refilled(team, limit, now)
         bucket.balance = min(limit.capacity, bucket.balance - cost)
         if bucket.balance >= 0:
             return 0
@@ -219,9 +222,9 @@
     def get_balance(self, team: str, *, now: int) -> float | None:
         """Return what a team has left; ``None`` if it has no limit."""
         limit = self.limits.get(team)
-        return None if limit is None else self._find(team, limit, now).balance
+        return None if limit is None else self._get_refilled(team, limit, now).balance
 
-    def _find(self, team: str, limit: QuotaLimit, now: int) -> TokenBucket:
+    def _get_refilled(self, team: str, limit: QuotaLimit, now: int) -> TokenBucket:
         bucket = self._buckets[team]
         refill(bucket, limit, now=now, fraction=self.refill_fraction)
         return bucket
@@ -271,15 +274,18 @@
         bucket = self._buckets.get(team.name)
         if bucket is None:
             bucket = TokenBucket(
-                balance=self._draw_left(limit, cost, fraction), updated_at=now
+                balance=self._draw_initial_balance(limit, cost, fraction),
+                updated_at=now,
             )
             self._buckets[team.name] = bucket
         coordinated_ms = max(0, self._coordinated_at - bucket.updated_at)
         if coordinated_ms:
             # Only the tolerance comes back meanwhile, once in each window.
-            back = limit.capacity * coordinated_ms / self.tolerance.window_ms
-            balance = min(limit.capacity, bucket.balance + back)
-            bucket.balance = min(balance, self._draw_left(limit, cost, fraction))
+            recovered = limit.capacity * coordinated_ms / self.tolerance.window_ms
+            balance = min(limit.capacity, bucket.balance + recovered)
+            bucket.balance = min(
+                balance, self._draw_initial_balance(limit, cost, fraction)
+            )
             bucket.updated_at = self._coordinated_at
         refill(bucket, limit, now=now)
         return try_consume(bucket, limit, cost)
@@ -290,7 +296,9 @@
         if bucket is not None:
             bucket.balance += cost
 
-    def _draw_left(self, limit: QuotaLimit, cost: float, fraction: float) -> float:
+    def _draw_initial_balance(
+        self, limit: QuotaLimit, cost: float, fraction: float
+    ) -> float:
         """Return what is left as the instance begins to serve without a coordinator.
 
         An instance alone begins without a debt, as one bucket admits one such request.
--- a/src/arbutuspulley/admission/rate_limits.py
+++ b/src/arbutuspulley/admission/rate_limits.py
@@ -23,7 +23,7 @@
 OVERAGE = 0.5
 """Part of a limit by which the requests in a window may exceed it."""
 
-EXTRA = 5.0
+EXTRA_REQUESTS = 5.0
 """Requests by which they may exceed it beside that."""
 
 TOLERANCE_PARTS = 4
@@ -65,7 +65,7 @@
 
 def get_tolerance(per_s: float) -> float:
     """Return the requests of one part of what may exceed a limit in a window."""
-    excess = OVERAGE * per_s * WINDOW_MS / SECOND_MS + EXTRA
+    excess = OVERAGE * per_s * WINDOW_MS / SECOND_MS + EXTRA_REQUESTS
     return excess / TOLERANCE_PARTS
 
 
@@ -263,10 +263,10 @@
         :return: whether the limit has changed.
         """
         known = self._known.get(incarnation)
-        before = None if known is None else known.per_s
-        if per_s == before:
+        previous = None if known is None else known.per_s
+        if per_s == previous:
             return False
-        is_looser = before is not None and (per_s is None or per_s > before)
+        is_looser = previous is not None and (per_s is None or per_s > previous)
         if known is not None and is_looser and sent_at <= known.received_at:
             return False
         self._set(incarnation, per_s, now=now)
@@ -300,6 +300,8 @@
 
 
 def _evict_unlisted(by_server: dict[str, T], incarnations: Container[str]) -> None:
-    unlisted = [one for one in by_server if one not in incarnations]
+    unlisted = [
+        incarnation for incarnation in by_server if incarnation not in incarnations
+    ]
     for incarnation in unlisted[:-MAX_UNLISTED]:
         del by_server[incarnation]
--- a/src/arbutuspulley/admission/retry_budget.py
+++ b/src/arbutuspulley/admission/retry_budget.py
@@ -7,16 +7,16 @@
 
 from arbutuspulley.data import State
 
-RETRY = 100
+RETRY_COST = 100
 """What one retry costs; budgets are counted in hundredths of a retry."""
 
-EARNED = 10
+SUCCESS_CREDIT = 10
 """What a request earns that succeeded at its first attempt."""
 
-MOST = 10 * RETRY
+MAX_CREDIT = 10 * RETRY_COST
 """Largest budget; a long quiet time must not allow a burst of retries."""
 
-FLOOR = RETRY
+FLOOR_CREDIT = RETRY_COST
 """The budget refills to this by itself, so that a quiet system can retry once."""
 
 FLOOR_REFILL_MS = 10_000
@@ -30,8 +30,8 @@
     :param filled_at: when it was last filled up to the floor.
     """
 
-    credit: int = FLOOR
-    filled_at: int = 0
+    credit: int = FLOOR_CREDIT
+    refilled_at: int = 0
 
 
 def record_success(state: RetryBudget, *, retried: bool = False) -> None:
@@ -41,7 +41,7 @@
         retries would pay for more retries.
     """
     if not retried:
-        state.credit = min(MOST, state.credit + EARNED)
+        state.credit = min(MAX_CREDIT, state.credit + SUCCESS_CREDIT)
 
 
 def try_spend_retry(state: RetryBudget, *, now: int, retried: bool = False) -> bool:
@@ -49,10 +49,10 @@
 
     :param retried: whether this request has been retried already.
     """
-    if state.credit < FLOOR and now - state.filled_at >= FLOOR_REFILL_MS:
-        state.credit = FLOOR
-        state.filled_at = now
-    if retried or state.credit < RETRY:
+    if state.credit < FLOOR_CREDIT and now - state.refilled_at >= FLOOR_REFILL_MS:
+        state.credit = FLOOR_CREDIT
+        state.refilled_at = now
+    if retried or state.credit < RETRY_COST:
         return False
-    state.credit -= RETRY
+    state.credit -= RETRY_COST
     return True
--- a/src/arbutuspulley/admission/service_retry_budget.py
+++ b/src/arbutuspulley/admission/service_retry_budget.py
@@ -13,7 +13,7 @@
 from arbutuspulley.data import State
 from arbutuspulley.membership.limit_shares import get_instance_share
 
-SAFETY = 0.8
+USABLE_FRACTION = 0.8
 """Part of the budget that is used: windows slide, and a repeat arrives later than it
 was counted here."""
 
@@ -29,27 +29,27 @@
     extra: float
     window_ms: int
     requests: deque[int] = msgspec.field(default_factory=deque)
-    repeats: deque[int] = msgspec.field(default_factory=deque)
+    retries: deque[int] = msgspec.field(default_factory=deque)
 
 
 def record_request(budget: ServiceRetryBudget, *, now: int) -> None:
     """Count a caller's request."""
     budget.requests.append(now)
-    _forget(budget, now=now)
+    _evict_expired(budget, now=now)
 
 
 def try_spend_retry(budget: ServiceRetryBudget, *, instances: float, now: int) -> bool:
     """Return whether a request may be sent once more, and count it if so."""
-    _forget(budget, now=now)
+    _evict_expired(budget, now=now)
     extra = get_instance_share(budget.extra, instances=instances)
-    allowed = SAFETY * (budget.ratio * len(budget.requests) + extra)
-    if len(budget.repeats) + 1 > allowed:
+    allowed = USABLE_FRACTION * (budget.ratio * len(budget.requests) + extra)
+    if len(budget.retries) + 1 > allowed:
         return False
-    budget.repeats.append(now)
+    budget.retries.append(now)
     return True
 
 
-def _forget(budget: ServiceRetryBudget, *, now: int) -> None:
-    for times in (budget.requests, budget.repeats):
+def _evict_expired(budget: ServiceRetryBudget, *, now: int) -> None:
+    for times in (budget.requests, budget.retries):
         while times and times[0] <= now - budget.window_ms:
             times.popleft()
--- a/src/arbutuspulley/admission/shares.py
+++ b/src/arbutuspulley/admission/shares.py
@@ -13,10 +13,10 @@
 from arbutuspulley.data import State
 from arbutuspulley.rpc.messages import CallerUsage
 
-MOST_DEBT_S = 2.0
+MAX_DEBT_S = 2.0
 """How far remote usage may put a caller's clock ahead, in seconds of that usage."""
 
-FORGET_MS = 600_000
+IDLE_EVICTION_MS = 600_000
 """A caller not seen for this long is forgotten."""
 
 SMOOTHING_MS = 3_000
@@ -41,9 +41,9 @@
     remote_tokens_per_s: float = 0.0
     remote_waiting: int = 0
     tokens_per_s: float = 0.0
-    booked_until: float = 0.0
+    reserved_until: float = 0.0
     refused_at: int | None = None
-    seen_at: int = 0
+    last_seen_at: int = 0
 
 
 class SharesState(State):
@@ -58,17 +58,17 @@
     charged_at: int = 0
 
 
-def open_share(
+def get_or_create_share(
     state: SharesState, caller: str, *, weight: int, now: int
 ) -> CallerShare:
     """Return a caller's account, opened at the present if there is none."""
     share = state.callers.setdefault(caller, CallerShare(clock=state.clock))
     share.weight = max(1, weight)
-    share.seen_at = now
+    share.last_seen_at = now
     return share
 
 
-def find_start(state: SharesState, caller: str) -> float:
+def get_start_time(state: SharesState, caller: str) -> float:
     """Return the virtual time at which a caller's next request starts."""
     share = state.callers.get(caller)
     return max(state.clock, share.clock) if share else state.clock
@@ -77,7 +77,7 @@
 def charge(state: SharesState, caller: str, *, cost: int) -> None:
     """Account for a request that is admitted."""
     share = state.callers[caller]
-    state.clock = find_start(state, caller)
+    state.clock = get_start_time(state, caller)
     share.clock = state.clock + cost / share.weight
     share.in_flight += cost
     share.tokens_per_s += cost * SECOND_MS / SMOOTHING_MS
@@ -92,7 +92,9 @@
     share.clock += (actual - estimated) / share.weight
 
 
-def note_usage(state: SharesState, *, usage: Sequence[CallerUsage], now: int) -> None:
+def set_remote_usage(
+    state: SharesState, *, usage: Sequence[CallerUsage], now: int
+) -> None:
     """Take up what callers use through all other instances."""
     for share in state.callers.values():
         share.remote_tokens_per_s = 0.0
@@ -101,10 +103,12 @@
         share = state.callers.setdefault(one.caller, CallerShare(clock=state.clock))
         share.remote_tokens_per_s = one.tokens_per_s
         share.remote_waiting = one.waiting
-        share.seen_at = now
+        share.last_seen_at = now
 
 
-def charge_remote(state: SharesState, *, waiting: Iterable[str], now: int) -> None:
+def charge_remote_usage(
+    state: SharesState, *, waiting: Iterable[str], now: int
+) -> None:
     """Charge callers that wait here for what they use elsewhere meanwhile.
 
     Only what exceeds the least of them counts, so that the clocks of callers with
@@ -113,7 +117,7 @@
     """
     elapsed_s = max(0, now - state.charged_at) / SECOND_MS
     state.charged_at = now
-    _fade(state, elapsed_s)
+    _decay_usage(state, elapsed_s)
     names = [caller for caller in waiting if caller in state.callers]
     if not names:
         return
@@ -124,8 +128,8 @@
     least = min(rates.values())
     for name in names:
         excess = rates[name] - least
-        start = find_start(state, name)
-        room = max(0.0, excess * MOST_DEBT_S - (start - state.clock))
+        start = get_start_time(state, name)
+        room = max(0.0, excess * MAX_DEBT_S - (start - state.clock))
         debt = min(excess * elapsed_s, room)
         if debt > 0:
             state.callers[name].clock = start + debt
@@ -149,15 +153,15 @@
     )
 
 
-def forget_absent(state: SharesState, *, now: int) -> None:
+def evict_idle(state: SharesState, *, now: int) -> None:
     """Drop accounts of callers that have not been seen for long."""
     for name in list(state.callers):
         share = state.callers[name]
-        if now - share.seen_at > FORGET_MS and not share.in_flight:
+        if now - share.last_seen_at > IDLE_EVICTION_MS and not share.in_flight:
             del state.callers[name]
 
 
-def _fade(state: SharesState, elapsed_s: float) -> None:
+def _decay_usage(state: SharesState, elapsed_s: float) -> None:
     kept = math.exp(-elapsed_s * SECOND_MS / SMOOTHING_MS)
     for share in state.callers.values():
         share.tokens_per_s *= kept
--- a/src/arbutuspulley/admission/slot_limits.py
+++ b/src/arbutuspulley/admission/slot_limits.py
@@ -11,28 +11,28 @@
 
 import xxhash
 
-from arbutuspulley.admission.usage_class import Standing
+from arbutuspulley.admission.usage_class import UsageClass
 from arbutuspulley.data import Value
 from arbutuspulley.routing.load import ServerLoad
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
 
-FLOOR_SLOTS = 1
+MIN_SLOTS = 1
 """Slots of each server that an entry may always use."""
 
 TOKENS_PER_SLOT = 4_000
 """Token cost in flight that one slot stands for."""
 
-RESERVE_PART = 8
+RESERVE_DIVISOR = 8
 """One slot in so many is left free by callers that press beyond their share."""
 
-RESERVE_FROM = 4
+RESERVE_MIN_SLOTS = 4
 """A server with at least so many slots has one of them left free in any case."""
 
 ACTIVE_LOAD = 0.02
 """An entry with less load than this does not count as sharing the servers now."""
 
 
-class ServerLimit(Value, frozen=True):
+class SlotLimit(Value, frozen=True):
     """What this entry may have in flight at one server, by the caller's standing.
 
     :param ordinary: its own part and its part of what is free.
@@ -44,14 +44,16 @@
     modest: int
     pressing: int
 
-    def get(self, standing: Standing) -> int:
+    def get(self, usage_class: UsageClass) -> int:
         """Return the slots for a request of a caller of this standing."""
-        if standing is Standing.PRESSING:
+        if usage_class is UsageClass.PRESSING:
             return self.pressing
-        return self.modest if standing is Standing.MODEST else self.ordinary
+        return self.modest if usage_class is UsageClass.MODEST else self.ordinary
 
 
-def list_active(entries: Sequence[EntryAddress], *, own: str) -> tuple[str, ...]:
+def list_active_entries(
+    entries: Sequence[EntryAddress], *, own: str
+) -> tuple[str, ...]:
     """Return the addresses of the entries that share the servers now.
 
     :param own: address of this entry, which always counts.
@@ -67,7 +69,7 @@
     own: str,
     active: Sequence[str],
     contended: bool = False,
-) -> ServerLimit:
+) -> SlotLimit:
     """Return what this entry may have in flight at a server.
 
     :param load: this entry's account of the server, with the same report.
@@ -80,39 +82,45 @@
     # limits add up to the slots as long as none is below its part. With what each
     # has begun since, they would not. The key has the entries agree on who gets
     # the odd slot, and changes with the report, so that it is not always the same.
-    before = load.requests_at_report
+    own_in_flight = load.requests_at_report
     reported = report.running + report.waiting
     key = f"{report.server}|{reported}|{report.waiting_tokens}"
-    part = max(FLOOR_SLOTS, _divide(report.slots, own=own, active=active, key=key))
+    guaranteed = max(
+        MIN_SLOTS, _compute_own_share(report.slots, own=own, active=active, key=key)
+    )
 
-    def share_out(slots: int) -> int:
+    def allocate(slots: int) -> int:
         free = slots - reported
         if free < 0:
-            return before + free
-        return before + _divide(free, own=own, active=active, key=key)
+            return own_in_flight + free
+        return own_in_flight + _compute_own_share(free, own=own, active=active, key=key)
 
-    ordinary = max(part, share_out(report.slots))
+    ordinary = max(guaranteed, allocate(report.slots))
     # Several entries may let modest callers have the same free slot. That is kept
     # small by their being modest, and ends with the next report.
-    modest = ordinary if contended else max(ordinary, before + report.slots - reported)
-    pressing = share_out(report.slots - _compute_reserve(report.slots))
-    return ServerLimit(
+    modest = (
+        ordinary
+        if contended
+        else max(ordinary, own_in_flight + report.slots - reported)
+    )
+    pressing = allocate(report.slots - _compute_reserve(report.slots))
+    return SlotLimit(
         ordinary=ordinary, modest=modest, pressing=max(0, min(pressing, ordinary))
     )
 
 
 def _compute_reserve(slots: int) -> int:
-    if slots < RESERVE_FROM:
+    if slots < RESERVE_MIN_SLOTS:
         return 0
-    return max(1, slots // RESERVE_PART)
+    return max(1, slots // RESERVE_DIVISOR)
 
 
-def _divide(slots: int, *, own: str, active: Sequence[str], key: str) -> int:
+def _compute_own_share(slots: int, *, own: str, active: Sequence[str], key: str) -> int:
     """Return this entry's part of some slots; all parts add up to the whole."""
     whole, rest = divmod(slots, len(active))
     if not rest:
         return whole
     ranked = sorted(
-        active, key=lambda one: xxhash.xxh64_intdigest(f"{key}|{one}".encode())
+        active, key=lambda address: xxhash.xxh64_intdigest(f"{key}|{address}".encode())
     )
     return whole + (ranked.index(own) < rest)
--- a/src/arbutuspulley/admission/state.py
+++ b/src/arbutuspulley/admission/state.py
@@ -4,15 +4,15 @@
 
 from arbutuspulley.admission.drain_rate import DrainState
 from arbutuspulley.admission.shares import SharesState
-from arbutuspulley.admission.slot_limits import ServerLimit
+from arbutuspulley.admission.slot_limits import SlotLimit
 from arbutuspulley.admission.tickets import Ticket
-from arbutuspulley.admission.usage_class import Standing
+from arbutuspulley.admission.usage_class import UsageClass
 from arbutuspulley.data import State
 from arbutuspulley.routing.choice import RoutingState, is_usable
 from arbutuspulley.routing.load import ServerLoad, add_change
 
 
-class Running(State):
+class RunningRequest(State):
     """An admitted request.
 
     :param server: the server that it counts at; until ``queue.assign`` the one that
@@ -40,18 +40,18 @@
     own: str = ""
     routing: RoutingState = msgspec.field(default_factory=RoutingState)
     holders: dict[str, tuple[str, ...]] = {}
-    limits: dict[str, ServerLimit] = {}
+    limits: dict[str, SlotLimit] = {}
     loads: dict[str, ServerLoad] = {}
-    standings: dict[str, Standing] = {}
+    usage_classes: dict[str, UsageClass] = {}
     waiting: dict[str, Ticket] = {}
-    running: dict[str, Running] = {}
+    running: dict[str, RunningRequest] = {}
     accounts: SharesState = msgspec.field(default_factory=SharesState)
     drain: DrainState = msgspec.field(default_factory=DrainState)
 
 
-def get_standing(state: AdmissionState, caller: str) -> Standing:
+def get_usage_class(state: AdmissionState, caller: str) -> UsageClass:
     """Return how a caller stands to its share."""
-    return state.standings.get(caller, Standing.ORDINARY)
+    return state.usage_classes.get(caller, UsageClass.ORDINARY)
 
 
 def list_holders(state: AdmissionState, item: str, *, now: int) -> tuple[str, ...]:
@@ -64,7 +64,7 @@
     return usable or names
 
 
-def move_load(
+def add_load(
     state: AdmissionState, server: str, *, requests: int, tokens: int, now: int
 ) -> None:
     """Account for requests that begin (positive) or end (negative) at a server."""
--- a/src/arbutuspulley/admission/usage_class.py
+++ b/src/arbutuspulley/admission/usage_class.py
@@ -16,7 +16,7 @@
 """How long after a refusal a caller counts as pressing."""
 
 
-class Standing(enum.Enum):
+class UsageClass(enum.Enum):
     """How a caller stands to its share.
 
     ``PRESSING``: it uses more than its share and has lately been refused yet more.
@@ -29,38 +29,40 @@
     PRESSING = enum.auto()
 
 
-def judge_standings(accounts: SharesState, *, now: int) -> dict[str, Standing]:
+def classify_callers(accounts: SharesState, *, now: int) -> dict[str, UsageClass]:
     """Return how each known caller stands.
 
     A share is a caller's part by weight of what all together use now.
     """
     shares = accounts.callers
-    level = _measure_level(shares)
+    mean = _compute_mean_usage(shares)
     pressing = {
         name
         for name, share in shares.items()
-        if _measure(share) > level and _presses(share, now=now)
+        if _compute_usage(share) > mean and _has_unmet_demand(share, now=now)
     }
-    standings = dict.fromkeys(shares, Standing.ORDINARY)
+    usage_classes = dict.fromkeys(shares, UsageClass.ORDINARY)
     if not pressing:
-        return standings
+        return usage_classes
     for name, share in shares.items():
         if name in pressing:
-            standings[name] = Standing.PRESSING
-        elif _measure(share) < level:
-            standings[name] = Standing.MODEST
-    return standings
+            usage_classes[name] = UsageClass.PRESSING
+        elif _compute_usage(share) < mean:
+            usage_classes[name] = UsageClass.MODEST
+    return usage_classes
 
 
-def waits_elsewhere(accounts: SharesState, standings: Mapping[str, Standing]) -> bool:
+def has_remote_modest_waiter(
+    accounts: SharesState, usage_classes: Mapping[str, UsageClass]
+) -> bool:
     """Return whether a modest caller waits at another instance."""
     return any(
-        standing is Standing.MODEST and accounts.callers[name].remote_waiting > 0
-        for name, standing in standings.items()
+        usage_class is UsageClass.MODEST and accounts.callers[name].remote_waiting > 0
+        for name, usage_class in usage_classes.items()
     )
 
 
-def _measure_level(shares: Mapping[str, CallerShare]) -> float:
+def _compute_mean_usage(shares: Mapping[str, CallerShare]) -> float:
     """Return what each unit of weight uses on average."""
     weight = sum(share.weight for share in shares.values())
     used = sum(
@@ -69,11 +71,11 @@
     return used / weight if weight else 0.0
 
 
-def _measure(share: CallerShare) -> float:
+def _compute_usage(share: CallerShare) -> float:
     return (share.tokens_per_s + share.remote_tokens_per_s) / share.weight
 
 
-def _presses(share: CallerShare, *, now: int) -> bool:
+def _has_unmet_demand(share: CallerShare, *, now: int) -> bool:
     if share.remote_waiting > 0:
         return True
     return share.refused_at is not None and now - share.refused_at < PRESSING_MS
--- a/src/arbutuspulley/routing/addresses.py
+++ b/src/arbutuspulley/routing/addresses.py
@@ -13,19 +13,19 @@
 
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
 
-ADDRESSES = 3
+MAX_ADDRESSES = 3
 """Addresses in an answer, if there are as many."""
 
-LEAST_WIDTH = 2
+MIN_ENTRIES_PER_MODEL = 2
 """Fewest entries that share the callers of one model."""
 
-ENTRY_STREAMS = 100
+STREAMS_PER_ENTRY = 100
 """Requests in flight of one model that one entry should carry."""
 
 LOAD_STEPS = 4
 """Steps in which an entry's load counts; small changes must not move callers."""
 
-LEAST_WEIGHT = 0.1
+MIN_WEIGHT = 0.1
 """Weight of an entry at or above its limit."""
 
 
@@ -42,8 +42,8 @@
         for summary in servers
         if item in summary.items
     )
-    wanted = math.ceil(in_flight / ENTRY_STREAMS)
-    return max(1, min(entries, max(LEAST_WIDTH, wanted)))
+    wanted = math.ceil(in_flight / STREAMS_PER_ENTRY)
+    return max(1, min(entries, max(MIN_ENTRIES_PER_MODEL, wanted)))
 
 
 def rank_entries(
@@ -52,8 +52,8 @@
     model: str,
     answering_address: str = "",
     spread_key: str = "",
-    entry_count: int = LEAST_WIDTH,
-    max_addresses: int = ADDRESSES,
+    entry_count: int = MIN_ENTRIES_PER_MODEL,
+    max_addresses: int = MAX_ADDRESSES,
 ) -> tuple[EntryAddress, ...]:
     """Return the entries to tell a caller, best first.
 
@@ -74,37 +74,43 @@
         ]
     ranked = sorted(usable, key=lambda entry: _rank(entry, model, weight=1.0))
     shared = ranked[:entry_count]
-    shared.sort(key=lambda entry: _rank(entry, f"{model}/{spread_key}", _weigh(entry)))
+    shared.sort(
+        key=lambda entry: _rank(entry, f"{model}/{spread_key}", _compute_weight(entry))
+    )
     ordered = shared + ranked[entry_count:]
     return tuple(
-        _cover(
+        _truncate(
             ordered, answering_address=answering_address, max_addresses=max_addresses
         )
     )
 
 
-def _cover(
+def _truncate(
     ordered: list[EntryAddress], *, answering_address: str, max_addresses: int
 ) -> list[EntryAddress]:
     """Cut the list to length, keeping another entry and another site in it."""
-    told = ordered[:max_addresses]
+    selected = ordered[:max_addresses]
     # The asked entry or a whole data centre may fail while the caller keeps the
     # answer; one address that fails with neither is always told, if there is one.
-    if len(told) == max_addresses > 1 and all(one.site == told[0].site for one in told):
-        elsewhere = [one for one in ordered if one.site != told[0].site]
-        told[-1:] = elsewhere[:1] or told[-1:]
-    if all(one.address == answering_address for one in told):
-        told += [one for one in ordered if one.address != answering_address][:1]
-    return told
+    if len(selected) == max_addresses > 1 and all(
+        entry.site == selected[0].site for entry in selected
+    ):
+        elsewhere = [entry for entry in ordered if entry.site != selected[0].site]
+        selected[-1:] = elsewhere[:1] or selected[-1:]
+    if all(entry.address == answering_address for entry in selected):
+        selected += [entry for entry in ordered if entry.address != answering_address][
+            :1
+        ]
+    return selected
 
 
-def _weigh(entry: EntryAddress) -> float:
+def _compute_weight(entry: EntryAddress) -> float:
     step = math.floor(min(max(entry.load, 0.0), 1.0) * LOAD_STEPS) / LOAD_STEPS
-    return max(LEAST_WEIGHT, 1.0 - step)
+    return max(MIN_WEIGHT, 1.0 - step)
 
 
 def _rank(entry: EntryAddress, key: str, weight: float) -> float:
     """Return the entry's rendezvous rank for a key; the smallest comes first."""
     digest = xxhash.xxh64_intdigest(f"{key}|{entry.address}".encode())
-    drawn = (digest + 1) / (2**64 + 1)
-    return -math.log(drawn) / weight
+    uniform = (digest + 1) / (2**64 + 1)
+    return -math.log(uniform) / weight
--- a/src/arbutuspulley/routing/choice.py
+++ b/src/arbutuspulley/routing/choice.py
@@ -25,16 +25,16 @@
 )
 from arbutuspulley.rpc.messages import ServerSummary
 
-DRAWN = 2
+SAMPLE_SIZE = 2
 """Servers drawn at random, of which the better one is taken."""
 
-SUSPECT_MS = 1_000
+BACKOFF_MS = 1_000
 """How long a server is left out after its first failure; doubles with each more."""
 
-SUSPECT_MOST_MS = 30_000
+MAX_BACKOFF_MS = 30_000
 """Longest time that a failing server is left out before it is probed again."""
 
-LEAVING_MS = 15_000
+LEAVING_TTL_MS = 15_000
 """How long a server's own word that it is leaving outweighs lagging reports."""
 
 OTHER_SITE_PENALTY = 0.02
@@ -55,9 +55,9 @@
     load: ServerLoad = msgspec.field(default_factory=ServerLoad)
     failures: int = 0
     failed_at: int = 0
-    suspect_until: int = 0
+    backoff_until: int = 0
     probing: bool = False
-    left_at: int | None = None
+    leaving_since: int | None = None
     boot_id: str = ""
 
 
@@ -113,20 +113,30 @@
     candidates = [
         summary
         for summary in servers
-        if item in summary.items and _may_take(state, summary, avoid, now)
+        if item in summary.items and _is_eligible(state, summary, avoid, now)
     ]
     if not candidates:
         return None
-    sound = [summary for summary in candidates if _is_sound(_find(state, summary), now)]
-    if not sound:
+    available = [
+        summary
+        for summary in candidates
+        if _is_available(_get_health(state, summary), now)
+    ]
+    if not available:
         # Every holder has failed lately. Leaving all of them out would make a
         # model unreachable over a passing fault, so the one whose time is up
         # first is tried.
-        return min(candidates, key=lambda one: _find(state, one).suspect_until).server
+        return min(
+            candidates, key=lambda summary: _get_health(state, summary).backoff_until
+        ).server
     # The least loaded of all by a report would be the same server for every entry
     # until the next report: all would send there at once and its queue would swing.
-    drawn = chance.sample(sound, DRAWN) if len(sound) > DRAWN else sound
-    return min(drawn, key=lambda one: _score(state, one, cost=cost)).server
+    sampled = (
+        chance.sample(available, SAMPLE_SIZE)
+        if len(available) > SAMPLE_SIZE
+        else available
+    )
+    return min(sampled, key=lambda summary: _score(state, summary, cost=cost)).server
 
 
 def begin_attempt(state: RoutingState, server: str, cost: int, *, now: int) -> None:
@@ -136,7 +146,7 @@
     if health.failures:
         # This attempt is the probe; the next one waits for its outcome or for
         # another pause, so that a server that still fails costs one request each.
-        health.suspect_until = now + _compute_pause(health.failures)
+        health.backoff_until = now + _compute_backoff(health.failures)
         health.probing = True
 
 
@@ -173,24 +183,24 @@
     if began_at is not None and began_at < health.failed_at:
         return
     health.failures = 0
-    health.suspect_until = 0
+    health.backoff_until = 0
     health.probing = False
 
 
 def record_failure(state: RoutingState, server: str, now: int) -> None:
     """Leave a server out for a short while, longer with each failure in a row."""
     health = state.servers.setdefault(server, ServerHealth())
-    if health.probing or now >= health.suspect_until:
+    if health.probing or now >= health.backoff_until:
         # Requests that fail together, as their server dies, are one failure.
         health.failures += 1
     health.probing = False
     health.failed_at = now
-    health.suspect_until = now + _compute_pause(health.failures)
+    health.backoff_until = now + _compute_backoff(health.failures)
 
 
 def record_leaving(state: RoutingState, server: str, now: int) -> None:
     """Record that the server itself refused a request because it is leaving."""
-    state.servers.setdefault(server, ServerHealth()).left_at = now
+    state.servers.setdefault(server, ServerHealth()).leaving_since = now
 
 
 def is_usable(state: RoutingState, server: str, *, now: int) -> bool:
@@ -201,19 +211,19 @@
     other server has room for.
     """
     health = state.servers.get(server)
-    return health is None or (_is_sound(health, now) and _may_stay(health, now))
+    return health is None or (_is_available(health, now) and _is_staying(health, now))
 
 
-def _compute_pause(failures: int) -> int:
-    return min(SUSPECT_MS << min(max(failures, 1) - 1, 10), SUSPECT_MOST_MS)
+def _compute_backoff(failures: int) -> int:
+    return min(BACKOFF_MS << min(max(failures, 1) - 1, 10), MAX_BACKOFF_MS)
 
 
-def _find(state: RoutingState, summary: ServerSummary) -> ServerHealth:
+def _get_health(state: RoutingState, summary: ServerSummary) -> ServerHealth:
     return state.servers.setdefault(summary.server, ServerHealth())
 
 
 def _observe(state: RoutingState, summary: ServerSummary, now: int) -> None:
-    health = _find(state, summary)
+    health = _get_health(state, summary)
     if summary is health.load.report:
         return
     observe_report(health.load, report=summary, now=now)
@@ -221,36 +231,36 @@
         # It has restarted: what was seen of its earlier start is over, but the
         # next request is still a probe.
         health.boot_id = summary.boot_id
-        health.left_at = None
-        health.suspect_until = min(health.suspect_until, now)
+        health.leaving_since = None
+        health.backoff_until = min(health.backoff_until, now)
 
 
-def _may_take(
+def _is_eligible(
     state: RoutingState, summary: ServerSummary, avoid: frozenset[str], now: int
 ) -> bool:
     if summary.server in avoid or summary.leaving or not summary.alive:
         return False
     _observe(state, summary, now)
-    return _may_stay(_find(state, summary), now)
+    return _is_staying(_get_health(state, summary), now)
 
 
-def _may_stay(health: ServerHealth, now: int) -> bool:
+def _is_staying(health: ServerHealth, now: int) -> bool:
     # The instance list and the reports lag: they still call a server live for
     # seconds after it began to leave. Its own refusal is newer.
-    return health.left_at is None or now - health.left_at >= LEAVING_MS
+    return health.leaving_since is None or now - health.leaving_since >= LEAVING_TTL_MS
 
 
-def _is_sound(health: ServerHealth, now: int) -> bool:
+def _is_available(health: ServerHealth, now: int) -> bool:
     # A server that fails fast looks idle and would draw ever more requests. After
     # the pause a single probe decides, see begin_attempt.
-    return health.failures == 0 or now >= health.suspect_until
+    return health.failures == 0 or now >= health.backoff_until
 
 
 def _score(
     state: RoutingState, summary: ServerSummary, *, cost: int
 ) -> tuple[float, int, str]:
     """Return how busy the server would be with the request; lower is better."""
-    load = _find(state, summary).load
-    filled = (estimate_requests(load) + 1) / summary.slots
+    load = _get_health(state, summary).load
+    utilisation = (estimate_requests(load) + 1) / summary.slots
     penalty = 0.0 if summary.site == state.site else OTHER_SITE_PENALTY
-    return filled + penalty, estimate_tokens(load) + cost, summary.server
+    return utilisation + penalty, estimate_tokens(load) + cost, summary.server
--- a/src/arbutuspulley/routing/load.py
+++ b/src/arbutuspulley/routing/load.py
@@ -16,7 +16,7 @@
 """How long begun and ended attempts are remembered; no usable report is older."""
 
 
-class Change(Value, frozen=True):
+class LoadChange(Value, frozen=True):
     """Attempts begun (positive) or ended (negative) at one moment."""
 
     at: int
@@ -37,7 +37,7 @@
 
     requests: int = 0
     tokens: int = 0
-    changes: deque[Change] = msgspec.field(default_factory=deque)
+    changes: deque[LoadChange] = msgspec.field(default_factory=deque)
     report: ServerSummary | None = None
     measured_at: int = 0
     requests_at_report: int = 0
@@ -48,7 +48,7 @@
     """Account for attempts that begin (positive) or end (negative)."""
     load.requests = max(0, load.requests + requests)
     load.tokens = max(0, load.tokens + tokens)
-    load.changes.append(Change(at=now, requests=requests, tokens=tokens))
+    load.changes.append(LoadChange(at=now, requests=requests, tokens=tokens))
     while load.changes and load.changes[0].at < now - HISTORY_MS:
         load.changes.popleft()
 
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -28,13 +28,15 @@
 
 
 @pytest.mark.parametrize(
-    ("draining", "asked", "told"),
+    ("draining", "asked", "returned"),
     [((), 0, None), ((1,), 0, [0]), ((0,), 0, [1]), ((0, 1), 0, [0]), ((0, 1), 7, [])],
 )
-def test_a_draining_entry_is_told_only_if_none_is_left(draining, asked, told):
+def test_draining_entries_are_returned_only_if_no_other_is_left(
+    draining, asked, returned
+):
     entries = [build_entry(n, draining=n in draining) for n in (0, 1)]
     answer = rank_entries(entries, model="m", answering_address=f"10.0.0.{asked}:1")
-    expected = entries if told is None else [entries[number] for number in told]
+    expected = entries if returned is None else [entries[number] for number in returned]
     assert {one.address for one in answer} == {one.address for one in expected}
 
 
@@ -46,7 +48,7 @@
     count=st.integers(min_value=1, max_value=4),
     model=st.text(max_size=5),
 )
-def test_the_answer_outlives_the_asked_entry_and_a_site(
+def test_answer_survives_loss_of_the_answering_entry_or_a_data_centre(
     loads, sites, draining, asked, count, model
 ):
     """The entry or the data centre a caller was told fails a second later.
@@ -59,18 +61,21 @@
         for n, load in enumerate(loads)
     ]
     address = f"10.0.0.{asked}:1"
-    told = rank_entries(
+    returned = rank_entries(
         entries, model=model, answering_address=address, max_addresses=count
     )
     usable = [one for one in entries if not one.draining]
-    assert len({one.address for one in told}) == len(told) <= count + 1
-    assert told[:1] == rank_entries(entries, model=model, answering_address=address)[:1]
+    assert len({one.address for one in returned}) == len(returned) <= count + 1
+    assert (
+        returned[:1]
+        == rank_entries(entries, model=model, answering_address=address)[:1]
+    )
     if usable:
-        assert all(not one.draining for one in told)
+        assert all(not one.draining for one in returned)
     if any(one.address != address for one in usable):
-        assert any(one.address != address for one in told)
+        assert any(one.address != address for one in returned)
     if count > 1 and len({one.site for one in usable}) > 1:
-        assert len({one.site for one in told}) > 1
+        assert len({one.site for one in returned}) > 1
 
 
 def test_models_spread_evenly_and_move_only_with_their_entry():
@@ -84,7 +89,7 @@
         assert left == firsts[model] or firsts[model] == SIX[0]
 
 
-def test_callers_of_one_model_stay_within_its_width():
+def test_callers_of_one_model_use_its_number_of_entries():
     spreads = [f"caller-{number}" for number in range(300)]
     for width in (1, 2, 4):
         counts = count_firsts(SIX, models=["m"], spreads=spreads, entry_count=width)
@@ -92,7 +97,7 @@
         assert min(counts.values()) > 0.7 * 300 / width
 
 
-def test_a_full_entry_is_told_first_less_often():
+def test_a_full_entry_is_ranked_first_less_often():
     """One entry has all its requests in flight and refuses.
 
     Callers are still sent there first and each loses a round trip.
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_quiet_system_may_retry_its_first_failure_only():
+def test_an_idle_system_may_retry_only_its_first_failure():
     state = RetryBudget()
     assert try_spend_retry(state, now=5)
     assert not try_spend_retry(state, now=6)
@@ -29,11 +29,11 @@
         record_success(state)
     assert (
         sum(try_spend_retry(state, now=0) for _ in range(1_000))
-        == retry_budget.MOST // retry_budget.RETRY
+        == retry_budget.MAX_CREDIT // retry_budget.RETRY_COST
     )
 
 
-def test_a_retry_is_not_retried_and_earns_nothing():
+def test_a_retry_is_not_retried_and_earns_no_credit():
     state = RetryBudget(credit=500)
     assert not try_spend_retry(state, now=0, retried=True)
     record_success(state, retried=True)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -42,7 +42,7 @@
         ([build_server("s1", waiting_tokens=9), build_server("s2")], (), "s2"),
     ],
 )
-def test_chooses_the_least_busy_server_that_may_take_it(servers, avoid, chosen):
+def test_chooses_the_least_loaded_eligible_server(servers, avoid, chosen):
     assert choose(RoutingState(site="a"), servers, avoid=frozenset(avoid)) == chosen
 
 
@@ -68,7 +68,7 @@
     assert choose(state, servers, now=1_000) == chosen
 
 
-def test_a_failing_server_is_left_out_then_probed_once():
+def test_a_failing_server_backs_off_and_is_then_probed_once():
     """A server that refuses every connection at once looks idle.
 
     It would draw all requests. It is left out, then gets a single probe; as that
@@ -82,17 +82,17 @@
     choice.record_failure(state, "s1", 0)
     for _ in range(2):
         choice.end_attempt(state, "s1", 100, now=0)
-    assert choose(state, servers, now=choice.SUSPECT_MS - 1) == "s2"
-    assert choose(state, servers, now=choice.SUSPECT_MS) == "s1"
-    choice.begin_attempt(state, "s1", 100, now=choice.SUSPECT_MS)
-    assert choose(state, servers, now=choice.SUSPECT_MS) == "s2"
-    choice.record_failure(state, "s1", choice.SUSPECT_MS)
-    choice.end_attempt(state, "s1", 100, now=choice.SUSPECT_MS)
-    assert choose(state, servers, now=3 * choice.SUSPECT_MS - 1) == "s2"
-    assert choose(state, servers, now=3 * choice.SUSPECT_MS) == "s1"
+    assert choose(state, servers, now=choice.BACKOFF_MS - 1) == "s2"
+    assert choose(state, servers, now=choice.BACKOFF_MS) == "s1"
+    choice.begin_attempt(state, "s1", 100, now=choice.BACKOFF_MS)
+    assert choose(state, servers, now=choice.BACKOFF_MS) == "s2"
+    choice.record_failure(state, "s1", choice.BACKOFF_MS)
+    choice.end_attempt(state, "s1", 100, now=choice.BACKOFF_MS)
+    assert choose(state, servers, now=3 * choice.BACKOFF_MS - 1) == "s2"
+    assert choose(state, servers, now=3 * choice.BACKOFF_MS) == "s1"
 
 
-def test_a_stream_older_than_the_failure_clears_nothing():
+def test_a_stream_older_than_the_failure_does_not_end_the_backoff():
     state = RoutingState(site="a")
     servers = [build_server("s1"), build_server("s2", running=3)]
     choice.begin_attempt(state, "s1", 100, now=0)
@@ -103,7 +103,7 @@
     assert choose(state, servers, now=600) == "s1"
 
 
-def test_suspicion_never_leaves_a_model_without_a_server():
+def test_backoff_never_leaves_a_model_without_a_server():
     """A switch fails for a moment and every holder of a model breaks off.
 
     If all were left out, the model would be unreachable for seconds after the
@@ -116,7 +116,7 @@
     assert choose(state, servers, now=20) == "s2"
 
 
-def test_its_own_word_that_it_leaves_outweighs_lagging_reports():
+def test_a_refusal_as_leaving_overrides_stale_reports():
     """A server that is stopping refuses, but reports still call it live.
 
     Each request would be sent there first and be refused.
@@ -130,7 +130,7 @@
     assert choose(state, back, now=2_000) == "s1"
 
 
-def test_servers_that_are_gone_are_forgotten():
+def test_unlisted_servers_are_evicted():
     state = RoutingState(site="a")
     choice.apply_reports(state, servers=[build_server("s1")], now=0)
     choice.apply_reports(state, servers=[build_server("s2")], now=1)
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize(("entries", "most"), [(2, 0.05), (6, 0.11), (20, 0.14)])
-def test_entries_with_the_same_old_report_do_not_herd(entries, most):
+def test_entries_with_the_same_stale_report_do_not_herd(entries, most):
     """At 0.7 of capacity, some servers queue while others idle.
 
     All entries read the same report, two seconds old, and all pick the server that
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -23,13 +23,13 @@
         (build_body(prompt="", max_tokens=10_000), DEFAULT + 1),
         (build_body(prompt="", max_tokens=-5), DEFAULT + 1),
         (build_body(prompt="", max_tokens=50, n=3), 151),
-        (build_body(prompt="", max_tokens=50, n=10**9), 50 * cost.MOST_CHOICES + 1),
+        (build_body(prompt="", max_tokens=50, n=10**9), 50 * cost.MAX_CHOICES + 1),
         (build_body(prompt="", max_tokens="many"), DEFAULT + 1),
         (b"not json", DEFAULT + 1),
         (b"", DEFAULT),
     ],
 )
-def test_estimates_from_prompt_and_bound(body, expected):
+def test_estimates_from_prompt_and_token_limit(body, expected):
     assert estimate_cost(body) == expected
 
 
@@ -38,7 +38,7 @@
     assert estimate_cost(body, adapter=True) > estimate_cost(body)
 
 
-def test_the_length_of_answers_is_learned_for_each_item():
+def test_answer_length_is_averaged_for_each_item():
     """A caller sets a bound of 4,096 tokens and gets answers of 20.
 
     By the bound it would pay for its share two hundred times over, and one that
@@ -55,6 +55,6 @@
     assert estimate_cost(body, state=state, item="new@1") == DEFAULT + 1
 
 
-def test_the_known_cost_counts_what_was_produced():
+def test_final_cost_counts_generated_tokens():
     assert compute_cost(prompt_bytes=400, output_tokens=30) == 40
     assert compute_cost(prompt_bytes=0, output_tokens=0) == 1
--- a/tests/test_local_choice.py
+++ b/tests/test_local_choice.py
@@ -36,9 +36,9 @@
 A, B = build_entry("a"), build_entry("b")
 
 
-def choose(records, entries, *, need=None, avoid=(), max_in_flight=100, now=0):
+def choose(stats, entries, *, need=None, avoid=(), max_in_flight=100, now=0):
     entry = choose_server(
-        records,
+        stats,
         entries,
         zone="z1",
         need=need,
@@ -50,9 +50,9 @@
 
 
 def test_fewest_in_flight_wins():
-    records = LocalServerStats()
-    record_sent(records, A)
-    assert choose(records, [A, B]) == "b"
+    stats = LocalServerStats()
+    record_sent(stats, A)
+    assert choose(stats, [A, B]) == "b"
 
 
 def test_a_leaving_or_avoided_server_is_never_chosen():
@@ -66,138 +66,140 @@
     assert choose(LocalServerStats(), entries, need=need) == "c"
 
 
-def test_a_server_that_fails_requests_with_good_health_gets_fewer():
+def test_a_server_that_fails_requests_but_passes_health_checks_gets_fewer():
     """One of two servers answers a third of its requests with an error while its
     health check is good. Spread evenly, a sixth of all callers fail."""
-    records = LocalServerStats()
+    stats = LocalServerStats()
     for _ in range(20):
-        record_done(records, A, took_ms=10, failed=True)
-        record_done(records, B, took_ms=10, failed=False)
-    record_sent(records, B)
-    record_sent(records, B)
-    assert choose(records, [A, B]) == "b"
+        record_done(stats, A, took_ms=10, failed=True)
+        record_done(stats, B, took_ms=10, failed=False)
+    record_sent(stats, B)
+    record_sent(stats, B)
+    assert choose(stats, [A, B]) == "b"
 
 
 def test_a_slow_server_gets_fewer():
-    records = LocalServerStats()
+    stats = LocalServerStats()
     for _ in range(20):
-        record_done(records, A, took_ms=100, failed=False)
-        record_done(records, B, took_ms=20, failed=False)
-    record_sent(records, B)
-    assert choose(records, [A, B]) == "b"
+        record_done(stats, A, took_ms=100, failed=False)
+        record_done(stats, B, took_ms=20, failed=False)
+    record_sent(stats, B)
+    assert choose(stats, [A, B]) == "b"
 
 
-def test_an_unreachable_server_rests_unless_there_is_no_other():
-    records = LocalServerStats()
-    record_unreachable(records, A, now=0)
-    assert choose(records, [A, B], now=100) == "b"
-    assert choose(records, [A], now=100) == "a"
-    record_unreachable(records, A, now=600)
-    assert get_stats(records, A).backoff_until == 1_600
+def test_an_unreachable_server_backs_off_unless_it_is_the_only_one():
+    stats = LocalServerStats()
+    record_unreachable(stats, A, now=0)
+    assert choose(stats, [A, B], now=100) == "b"
+    assert choose(stats, [A], now=100) == "a"
+    record_unreachable(stats, A, now=600)
+    assert get_stats(stats, A).backoff_until == 1_600
 
 
-def test_a_full_server_rests_though_it_seems_idle():
+def test_a_full_server_backs_off_although_it_looks_idle():
     """A server with a full queue refuses at once what others would have run.
 
     Nothing of what it refused is in flight there, so it seems the least busy. Asked
     again each time, it refused one request in three of its service for seconds.
     """
-    records = LocalServerStats()
-    record_sent(records, B)
-    record_refused(records, A, now=0)
-    assert choose(records, [A, B], now=99) == "b"
-    assert choose(records, [A], now=99) == "a"
-    assert choose(records, [A, B], now=100) == "a"
+    stats = LocalServerStats()
+    record_sent(stats, B)
+    record_refused(stats, A, now=0)
+    assert choose(stats, [A, B], now=99) == "b"
+    assert choose(stats, [A], now=99) == "a"
+    assert choose(stats, [A, B], now=100) == "a"
 
 
-def test_a_full_server_rests_longer_at_each_refusal_until_it_answers():
-    records = LocalServerStats()
+def test_backoff_of_a_full_server_doubles_until_it_answers():
+    stats = LocalServerStats()
     now = 0
     for expected in (100, 200, 400, 800, 800):
         for _ in range(3):
-            record_refused(records, A, now=now)
-        assert get_stats(records, A).backoff_until == now + expected
+            record_refused(stats, A, now=now)
+        assert get_stats(stats, A).backoff_until == now + expected
         now += expected
-    record_done(records, A, took_ms=10, failed=False)
-    record_refused(records, A, now=now)
-    assert get_stats(records, A).backoff_until == now + 100
+    record_done(stats, A, took_ms=10, failed=False)
+    record_refused(stats, A, now=now)
+    assert get_stats(stats, A).backoff_until == now + 100
 
 
-def test_records_of_servers_that_are_gone_go_too():
-    records = LocalServerStats()
-    record_sent(records, A)
-    record_sent(records, B)
-    evict_unlisted(records, [B])
-    assert set(records.servers) == {"b"}
+def test_stats_of_unlisted_servers_are_evicted():
+    stats = LocalServerStats()
+    record_sent(stats, A)
+    record_sent(stats, B)
+    evict_unlisted(stats, [B])
+    assert set(stats.servers) == {"b"}
 
 
-def test_a_server_gets_no_more_than_its_connections_take():
+def test_requests_in_flight_stay_within_the_connection_limit():
     """A server resets the connections beyond its bound. The requests on them may have
     run, so that those that may run only once were lost; refused before, they come
     again."""
-    records = LocalServerStats()
-    record_sent(records, A)
-    assert choose(records, [A], max_in_flight=2) == "a"
-    record_sent(records, A)
-    assert choose(records, [A], max_in_flight=2) is None
-    assert choose(records, [A, B], max_in_flight=2) == "b"
+    stats = LocalServerStats()
+    record_sent(stats, A)
+    assert choose(stats, [A], max_in_flight=2) == "a"
+    record_sent(stats, A)
+    assert choose(stats, [A], max_in_flight=2) is None
+    assert choose(stats, [A, B], max_in_flight=2) == "b"
 
 
 @pytest.mark.parametrize(
     ("connections", "instances", "expected"),
     [(96, 6, 12), (96, 3, 12), (96, 24, 3), (4, 6, 1), (360, 360, 1)],
 )
-def test_the_connections_are_split_by_all_instances(connections, instances, expected):
+def test_connections_are_divided_among_all_instances(connections, instances, expected):
     assert get_max_in_flight(connections, instances=instances) == expected
 
 
-def test_connections_that_are_not_told_are_no_bound():
+def test_an_unknown_connection_limit_does_not_limit():
     assert get_max_in_flight(0, instances=6) > 1_000_000
 
 
-def answer(records, *, took_ms, count, now, running=0):
+def complete_requests(stats, *, took_ms, count, now, running=0):
     """Let a server answer some requests against an aim of 300 ms."""
     for _ in range(running):
-        record_sent(records, A)
+        record_sent(stats, A)
     for number in range(count):
-        record_sent(records, A)
-        record_done(records, A, took_ms=took_ms, failed=False)
+        record_sent(stats, A)
+        record_done(stats, A, took_ms=took_ms, failed=False)
         adjust_concurrency_limit(
-            records, A, latency_target_ms=300, now=now + number * DECREASE_INTERVAL_MS
+            stats, A, latency_target_ms=300, now=now + number * DECREASE_INTERVAL_MS
         )
 
 
-def test_a_server_with_late_answers_gets_fewer_at_once():
+def test_late_answers_lower_the_concurrency_limit():
     """Callers press beyond what a service takes. Its queues were kept full, and what it
     worked off was late without exception, at the pace at which it would have served as
     many in time."""
-    records = LocalServerStats()
-    answer(records, took_ms=90, count=20, now=0, running=11)
-    assert get_stats(records, A).concurrency_limit == UNLIMITED
-    answer(records, took_ms=400, count=20, now=10_000)
-    assert choose(records, [A]) is None
-    assert choose(records, [A, B]) == "b"
+    stats = LocalServerStats()
+    complete_requests(stats, took_ms=90, count=20, now=0, running=11)
+    assert get_stats(stats, A).concurrency_limit == UNLIMITED
+    complete_requests(stats, took_ms=400, count=20, now=10_000)
+    assert choose(stats, [A]) is None
+    assert choose(stats, [A, B]) == "b"
 
 
-def test_it_gets_more_again_as_its_answers_come_in_time():
-    records = LocalServerStats()
-    answer(records, took_ms=400, count=20, now=0, running=3)
-    assert choose(records, [A]) is None
-    answer(records, took_ms=90, count=40, now=10_000)
-    assert choose(records, [A]) == "a"
+def test_timely_answers_raise_the_concurrency_limit_again():
+    stats = LocalServerStats()
+    complete_requests(stats, took_ms=400, count=20, now=0, running=3)
+    assert choose(stats, [A]) is None
+    complete_requests(stats, took_ms=90, count=40, now=10_000)
+    assert choose(stats, [A]) == "a"
 
 
 @pytest.mark.parametrize(
     ("running", "sharers", "expected"),
     [(0, 72, "a"), (1, 72, None), (1, 2, "a"), (2, 2, None), (1, 6, "a"), (2, 6, None)],
 )
-def test_twice_its_slots_are_always_used(running, sharers, expected):
+def test_the_concurrency_limit_stays_above_the_share_of_twice_the_slots(
+    running, sharers, expected
+):
     """No instance knows what the others send; a server that works at half its pace
     because all of them hold back serves nobody better."""
-    records = LocalServerStats()
-    answer(records, took_ms=900, count=20, now=0, running=running)
+    stats = LocalServerStats()
+    complete_requests(stats, took_ms=900, count=20, now=0, running=running)
     entry = choose_server(
-        records,
+        stats,
         [A],
         zone="z1",
         need=None,
@@ -209,8 +211,8 @@
     assert (entry.incarnation if entry else None) == expected
 
 
-def test_what_a_model_server_gets_the_coordinator_decides():
-    records = LocalServerStats()
-    answer(records, took_ms=900, count=20, now=0, running=9)
+def test_the_concurrency_limit_does_not_apply_to_model_servers():
+    stats = LocalServerStats()
+    complete_requests(stats, took_ms=900, count=20, now=0, running=9)
     need = ModelNeed(model="m1", adapter="", prompt_tokens=1, output_tokens=1)
-    assert choose(records, [build_entry("a", models=("m1",))], need=need) == "a"
+    assert choose(stats, [build_entry("a", models=("m1",))], need=need) == "a"
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -42,8 +42,8 @@
     state = AdmissionState(own="e")
     queue.apply_view(state, view=build_view(*servers), now=0)
     for server in state.limits:
-        pace = drain_rate.Pace(duration_ms=duration_ms, finished=100)
-        state.drain.paces[server] = pace
+        estimate = drain_rate.DurationEstimate(duration_ms=duration_ms, finished=100)
+        state.drain.durations[server] = estimate
     for number in range(filled):
         queue.submit(state, build_ticket(f"r{number}", **ticket), now=0)
     assert len(state.running) == filled
@@ -54,7 +54,7 @@
     return queue.submit(state, build_ticket(name, now=now, **fields), now=now)
 
 
-def name_outcomes(effects):
+def list_outcomes(effects):
     return [
         (one.request_id, "admit" if isinstance(one, Admit) else one.code.name)
         for one in effects
@@ -81,11 +81,11 @@
     queue.apply_view(state, view=build_view(build_server(**server)), now=0)
     effects = submit(state, "x", **fields)
     expected = [] if outcome == "wait" else [("x", outcome)]
-    assert name_outcomes(effects) == expected
+    assert list_outcomes(effects) == expected
     assert ("x" in state.waiting) is (outcome == "wait")
 
 
-def test_a_long_queue_ahead_is_refused_at_once():
+def test_a_request_behind_a_long_queue_is_refused_at_once():
     """Forty requests wait for four slots of a second each; another one arrives.
 
     Its first token is due in 1.1 s and cannot come before ten: kept waiting, its
@@ -97,7 +97,7 @@
     assert outcomes[5][0].code is Code.DEADLINE_OUT_OF_REACH
 
 
-def test_who_waits_is_answered_before_its_deadline():
+def test_a_waiting_request_is_refused_before_its_deadline():
     """A server stalls while requests wait for it.
 
     Held back until it recovers, they would be sent on late, and their callers would
@@ -108,7 +108,7 @@
     first_token_ms = drain_rate.predict_first_token(state.drain)
     last = int(1_100 - first_token_ms)
     assert queue.tick(state, now=last) == ()
-    assert name_outcomes(queue.tick(state, now=last + 1)) == [
+    assert list_outcomes(queue.tick(state, now=last + 1)) == [
         ("w", "DEADLINE_OUT_OF_REACH")
     ]
 
@@ -128,15 +128,15 @@
     assert 500 < drain_rate.predict_first_token(state.drain) < 900
 
 
-def test_a_free_slot_goes_to_who_waits():
+def test_a_freed_slot_goes_to_a_waiting_request():
     state = build_state(filled=SLOTS)
     for name in ("w1", "w2"):
         submit(state, name)
     effects = queue.finish(state, "r0", tokens=100, now=10)
-    assert name_outcomes(effects) == [("w1", "admit")]
+    assert list_outcomes(effects) == [("w1", "admit")]
     assert queue.cancel(state, "w2", now=11) == ()
     assert queue.cancel(state, "r1", now=12) == ()
-    assert name_outcomes(submit(state, "w3", now=13)) == [("w3", "admit")]
+    assert list_outcomes(submit(state, "w3", now=13)) == [("w3", "admit")]
     assert queue.finish(state, "gone", tokens=1, now=14) == ()
 
 
@@ -165,7 +165,7 @@
     assert submit(state, "w") == ()
     assert queue.list_full_servers(state, "r0", now=0) == {"s2"}
     choice.record_failure(state.routing, "s1", 0)
-    assert name_outcomes(queue.tick(state, now=1)) == [("w", "admit")]
+    assert list_outcomes(queue.tick(state, now=1)) == [("w", "admit")]
     assert state.running["w"].server == "s2"
 
 
@@ -174,18 +174,18 @@
     submit(state, "s", live=False, deadline=60_000, caller="recap")
     submit(state, "w1")
     effects = queue.finish(state, "r0", tokens=1, now=1)
-    assert name_outcomes(effects) == [("w1", "admit")]
+    assert list_outcomes(effects) == [("w1", "admit")]
     assert submit(state, "w2", now=AGEING_MS) == ()
     effects = queue.finish(state, "r1", tokens=1, now=AGEING_MS)
-    assert name_outcomes(effects) == [("s", "admit")]
+    assert list_outcomes(effects) == [("s", "admit")]
 
 
-def test_a_full_queue_is_kept_at_the_cost_of_who_fills_it(monkeypatch):
+def test_a_full_queue_refuses_the_caller_that_fills_it(monkeypatch):
     """A flood has filled the queue as another caller sends its first request.
 
     If the newcomer were refused, the flood would shut out everyone else.
     """
-    monkeypatch.setattr(decision, "MOST_WAITING", 3)
+    monkeypatch.setattr(decision, "MAX_WAITING", 3)
     state = build_state(filled=SLOTS, caller="flood", duration_ms=10)
     for name in ("w1", "w2", "w3"):
         assert submit(state, name, caller="flood") == ()
@@ -195,26 +195,33 @@
 
 
 @pytest.mark.parametrize("duration_ms", [2_000, 8_000])
-def test_refused_callers_are_told_to_return_one_by_one(duration_ms):
+def test_refused_callers_get_staggered_retry_times(duration_ms):
     """Forty callers are refused in the same moment and obey what they are told.
 
     Told the same time, they would all come back in the same moment again. Spread
     by the measured rate, each finds a slot.
     """
     state = build_state(filled=SLOTS, duration_ms=duration_ms)
-    told = []
+    retry_times = []
     for number in range(40):
         effects = submit(state, f"w{number}", caller=f"c{number % 2}")
-        told += [one.retry_after_ms for one in effects if isinstance(one, Refuse)]
-    assert len(told) >= 35
-    by_rate = len(told) * duration_ms / SLOTS
-    assert 0.8 * by_rate < max(told) < 2.2 * by_rate or max(told) == 60_000
-    halves = sorted(told)[: len(told) // 2], sorted(told)[len(told) // 2 :]
+        retry_times += [
+            one.retry_after_ms for one in effects if isinstance(one, Refuse)
+        ]
+    assert len(retry_times) >= 35
+    by_rate = len(retry_times) * duration_ms / SLOTS
+    assert (
+        0.8 * by_rate < max(retry_times) < 2.2 * by_rate or max(retry_times) == 60_000
+    )
+    halves = (
+        sorted(retry_times)[: len(retry_times) // 2],
+        sorted(retry_times)[len(retry_times) // 2 :],
+    )
     assert sum(halves[1]) > 2 * sum(halves[0])
-    assert min(told) >= drain_rate.LEAST_RETRY_MS
+    assert min(retry_times) >= drain_rate.MIN_RETRY_MS
 
 
-def test_use_elsewhere_counts_at_this_entry():
+def test_remote_usage_counts_at_this_entry():
     """A caller floods five other entries; here, it takes turns with a modest one."""
     state = build_state(filled=SLOTS, caller="flood")
     usage = (CallerUsage(caller="flood", tokens_per_s=1_000.0),)
@@ -225,21 +232,21 @@
     queue.tick(state, now=200)
     for name, expected in (("r0", "m0"), ("r1", "m1")):
         effects = queue.finish(state, name, tokens=100, now=201)
-        assert name_outcomes(effects) == [(expected, "admit")]
+        assert list_outcomes(effects) == [(expected, "admit")]
 
 
-def test_servers_that_are_gone_are_forgotten_once_they_run_nothing():
+def test_unlisted_servers_are_evicted_once_they_are_idle():
     state = build_state(filled=1)
     queue.apply_view(state, view=build_view(build_server("s2")), now=1)
     assert "s1" in state.loads
     queue.finish(state, "r0", tokens=1, now=2)
     queue.apply_view(state, view=build_view(build_server("s2")), now=3)
     assert set(state.loads) == {"s2"}
-    assert "s1" not in state.drain.paces
+    assert "s1" not in state.drain.durations
 
 
 @pytest.mark.parametrize("entries", [2, 6])
-def test_twice_the_capacity_is_answered_as_well_as_once(entries):
+def test_goodput_at_twice_the_capacity_equals_goodput_at_capacity(entries):
     """Twice as many requests arrive as the servers can run.
 
     Queued in order of arrival, each waits a little longer than the one before until
@@ -256,7 +263,7 @@
     assert measure(2.0) >= 0.95 * measure(1.0)
 
 
-def test_summaries_arrive_whole_while_live_requests_fill_the_servers():
+def test_summaries_complete_while_live_requests_fill_the_servers():
     """Sponsors' recaps come in during a race that fills all servers.
 
     If live requests always went first, no recap would be written before it ends.
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -43,7 +43,7 @@
     return ledger
 
 
-def build_full(team, tolerance=EXACT):
+def build_full_ledger(team, tolerance=EXACT):
     """Build a ledger that has counted for long, as of the time 0."""
     return build_ledger(team, tolerance, now=-60_000)
 
@@ -54,7 +54,7 @@
     return base * (1 + tolerance.overage) + tolerance.extra
 
 
-def find_most_spent(spent, window_ms=8_000):
+def find_max_spent(spent, window_ms=8_000):
     """Return the most that was spent in any window."""
     return max(
         sum(cost for at, cost in spent if begin <= at < begin + window_ms)
@@ -72,7 +72,7 @@
     ],
     ids=["tokens", "plain", "none", "requests"],
 )
-def test_a_request_costs_what_it_says_or_the_plain_cost(changes, usage, cost):
+def test_a_request_costs_its_declared_usage_or_the_default(changes, usage, cost):
     team = Team(
         name="t", keys=(), **{"counts_tokens": True, "default_tokens": 200, **changes}
     )
@@ -85,17 +85,17 @@
     assert build_ledger(team).charge("t", 1e9, now=0) == 0
 
 
-def test_rate_and_burst_are_given_out_and_no_more():
-    ledger = build_full(build_team())
+def test_no_more_than_rate_and_burst_is_granted():
+    ledger = build_full_ledger(build_team())
     assert [ledger.charge("t", 500, now=0) for _ in range(5)] == [0, 0, 0, 0, 501]
     assert ledger.charge("t", 500, now=500) == 0
     assert ledger.charge("t", 500, now=600) > 0
 
 
-def test_refused_callers_are_told_to_come_back_one_after_another():
+def test_refused_callers_get_staggered_retry_times():
     """A team sends many times its usual. Told the same moment, all whom it refuses
     would come back together and be refused again."""
-    ledger = build_full(build_team())
+    ledger = build_full_ledger(build_team())
     ledger.charge("t", 2_000, now=0)
     waits = [ledger.charge("t", 500, now=0) for _ in range(20)]
     assert waits[:3] == [501, 1_001, 1_501]
@@ -104,14 +104,14 @@
 
 
 def test_a_request_larger_than_the_burst_is_served_from_a_full_bucket():
-    ledger = build_full(build_team())
+    ledger = build_full_ledger(build_team())
     assert ledger.charge("t", 5_000, now=0) == 0
     assert ledger.charge("t", 500, now=3_000) > 0
     assert ledger.charge("t", 500, now=3_500) == 0
 
 
-def test_a_lowered_limit_holds_from_the_change_on():
-    ledger = build_full(build_team(rate=100_000, burst=100_000))
+def test_a_lowered_limit_applies_at_once():
+    ledger = build_full_ledger(build_team(rate=100_000, burst=100_000))
     lowered = build_limits([build_team(rate=1_000, burst=1_000)], EXACT)
     ledger.set_limits(lowered, now=0)
     assert ledger.charge("t", 1_000, now=0) == 0
@@ -120,8 +120,8 @@
     assert ledger.charge("t", 1e9, now=500) == 0
 
 
-def test_what_did_not_run_is_given_back_and_never_beyond_the_burst():
-    ledger = build_full(build_team())
+def test_refunds_never_exceed_the_burst():
+    ledger = build_full_ledger(build_team())
     ledger.charge("t", 2_000, now=0)
     assert ledger.record_usage("t", -2_000, now=0) == 0
     assert ledger.get_balance("t", now=0) == 2_000
@@ -129,25 +129,25 @@
     assert ledger.get_balance("t", now=0) == 2_001 - 1
 
 
-def test_what_was_spent_unasked_is_paid_back_before_more_is_granted():
-    ledger = build_full(build_team())
+def test_debt_is_repaid_before_more_is_granted():
+    ledger = build_full_ledger(build_team())
     assert ledger.record_usage("t", 2_000, now=0) == 0
     assert ledger.record_usage("t", 3_000, now=0) == 3_001
     assert ledger.charge("t", 500, now=3_000) > 0
     assert ledger.charge("t", 500, now=3_501) == 0
 
 
-def test_a_new_coordinator_does_not_give_out_the_burst_again():
+def test_a_new_coordinator_does_not_grant_the_burst_again():
     """The coordinator dies again and again beside a team that takes what it gets."""
     team = build_team(rate=20_000, burst=20_000)
     spent = []
-    ledger = build_full(team, TOLERANCE)
+    ledger = build_full_ledger(team, TOLERANCE)
     for now in range(0, 16_000, 10):
         if now in (4_000, 7_000):
             ledger = build_ledger(team, TOLERANCE, now=now)
         while ledger.charge("t", 1_500, now=now) == 0:
             spent.append((now, 1_500))
-    assert find_most_spent(spent) <= get_allowed(team)
+    assert find_max_spent(spent) <= get_allowed(team)
 
 
 def test_a_new_team_has_its_whole_quota_at_once():
@@ -160,7 +160,7 @@
     assert ledger.get_balance("t", now=1_000) == 1_000
 
 
-def test_a_new_coordinator_serves_a_usual_load_at_once():
+def test_a_new_coordinator_serves_normal_load_at_once():
     """What it can't know counts as spent; what is refused for that would be lost."""
     team = build_team(rate=18_000, burst=18_000)
     ledger = build_ledger(team, TOLERANCE)
@@ -178,27 +178,29 @@
         max_size=200,
     ),
 )
-def test_no_cut_lets_a_team_spend_more_in_a_window_than_is_tolerated(parts, cut, asks):
+def test_disconnected_instances_keep_a_team_within_the_tolerance(parts, cut, asks):
     """Some instances are cut off and count by themselves, the others together."""
     team = build_team(rate=10_000, burst=10_000)
     whole = sum(parts)
     parts = [part / whole for part in parts]
     chance = random.Random(1)
-    alone = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in parts]
-    ledger = build_full(team, TOLERANCE)
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in parts]
+    ledger = build_full_ledger(team, TOLERANCE)
     ledger.set_refill_fraction(sum(parts[cut:]), now=0)
     spent, now = [], 0
     for which, pause, cost in asks:
         now += pause
         index = which % len(parts)
         if index < cut:
-            wait = alone[index].charge(team, cost, fraction=parts[index], now=now)
+            wait = local_quotas[index].charge(
+                team, cost, fraction=parts[index], now=now
+            )
         else:
             wait = ledger.charge("t", cost, now=now)
         if not wait:
             spent.append((now, cost))
     if spent:
-        assert find_most_spent(spent) <= get_allowed(team)
+        assert find_max_spent(spent) <= get_allowed(team)
 
 
 @given(
@@ -207,9 +209,9 @@
         max_size=60,
     )
 )
-def test_a_ledger_agrees_with_a_plain_model(steps):
+def test_ledger_agrees_with_a_reference_model(steps):
     team = build_team()
-    ledger = build_full(team)
+    ledger = build_full_ledger(team)
     left, now = 2_000.0, 0
     for pause, cost, runs in steps:
         now += pause
@@ -223,7 +225,7 @@
     assert ledger.get_balance("t", now=now) == pytest.approx(left)
 
 
-def test_an_instance_alone_serves_by_its_own_part():
+def test_an_uncoordinated_instance_serves_its_own_fraction():
     local, team = LocalQuota(tolerance=EXACT), build_team(rate=8_000, burst=8_000)
     served = sum(
         local.charge(team, 100, fraction=0.25, now=now) == 0
@@ -232,7 +234,7 @@
     assert served == pytest.approx(200, abs=2)
 
 
-def test_links_that_come_and_go_give_an_instance_no_second_quota():
+def test_flapping_links_give_an_instance_no_second_quota():
     """Each time its link is lost, an instance would begin with a full bucket."""
     local, team = LocalQuota(tolerance=TOLERANCE), build_team(rate=8_000, burst=8_000)
     spent = 0
@@ -245,7 +247,7 @@
     assert spent <= 4_000 * 8 * 0.5 + 2 * tolerance + 100
 
 
-def test_what_an_instance_alone_did_not_run_is_given_back():
+def test_an_uncoordinated_instance_refunds_requests_that_did_not_run():
     chance = random.Random(NO_DEBT_SEED)
     local, team = LocalQuota(tolerance=EXACT, chance=chance), build_team()
     local.refund("t", 50)
@@ -259,46 +261,46 @@
     ("lost_ms", "ends_ms", "part"),
     [(0, 5_000, 1), (2_500, 5_000, 0.5), (9_000, 5_000, 0), (9_000, None, 1)],
 )
-def test_the_part_of_an_instance_that_is_cut_off_runs_out(lost_ms, ends_ms, part):
+def test_the_fraction_of_a_disconnected_instance_decays(lost_ms, ends_ms, part):
     assert get_disconnected_fraction(lost_ms, decay_ms=ends_ms) == part
 
 
-def test_many_small_instances_cut_off_at_once_stay_within_the_tolerance():
+def test_many_disconnected_small_instances_stay_within_the_tolerance():
     """Each served a whole request out of a part that holds far less."""
     team = build_team(rate=78_000, burst=78_000)
-    alone = [LocalQuota(tolerance=TOLERANCE) for _ in range(80)]
+    local_quotas = [LocalQuota(tolerance=TOLERANCE) for _ in range(80)]
     spent = sum(
         1_500
-        for local in alone
+        for local in local_quotas
         if local.charge(team, 1_500, fraction=0.15 / 80, now=0) == 0
     )
     assert spent <= build_limit(team, TOLERANCE).tolerance
 
 
-def test_small_instances_cut_off_at_once_serve_what_their_parts_add_up_to():
+def test_disconnected_small_instances_serve_the_sum_of_their_fractions():
     """Guards against fleets of small instances that refuse all as they are alone."""
     team = build_team(rate=78_000, burst=78_000)
     chance = random.Random(1)
-    alone = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
     spent = [
         (now, 1_500)
         for now in range(0, 8_000, 100)
-        for local in alone
+        for local in local_quotas
         if local.charge(team, 1_500, fraction=1 / 80, now=now) == 0
     ]
     usual = team.rate_per_s * 8
-    assert 0.9 * usual <= find_most_spent(spent) <= get_allowed(team)
+    assert 0.9 * usual <= find_max_spent(spent) <= get_allowed(team)
 
 
-def test_links_lost_again_and_again_let_small_instances_serve_no_more():
+def test_flapping_links_let_small_instances_serve_no_more():
     """Guards against instances that all begin with a request larger than their bucket,
     each time that the coordinator is lost."""
     team = build_team(rate=78_000, burst=78_000)
     chance = random.Random(1)
-    alone = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
     spent = []
     for now in range(0, 24_000, 100):
-        for local in alone:
+        for local in local_quotas:
             if now % 6_000 < 5_000:
                 local.record_coordinated(now)
             elif local.charge(team, 1_500, fraction=1 / 80, now=now) == 0:
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -17,14 +17,14 @@
 from arbutuspulley.platform.requests import read_server_limit
 
 
-def test_an_answer_names_a_limit_or_none():
+def test_reads_the_limit_that_an_answer_states():
     assert read_server_limit({}) is None
     assert read_server_limit({names.SERVER_LIMIT: "1.25"}) == 1.25
     assert read_server_limit({names.SERVER_LIMIT: "0"}) == 0
 
 
 @pytest.mark.parametrize("text", ["", "many", "-1", "nan", "inf"])
-def test_a_limit_that_is_no_number_is_refused(text):
+def test_a_limit_that_is_not_a_valid_number_is_refused(text):
     with pytest.raises(ValueError):
         read_server_limit({names.SERVER_LIMIT: text})
 
@@ -37,7 +37,7 @@
     assert table.get("s0") is None
 
 
-def test_an_answer_from_before_a_limit_does_not_lift_it():
+def test_a_stale_answer_does_not_lift_a_limit():
     """An answer that was made before the server was in need comes after one that names
     its limit, by another connection."""
     table = KnownRateLimits()
@@ -47,14 +47,14 @@
     assert table.get("s0") == 2.0
 
 
-def test_a_lower_limit_counts_at_once():
+def test_a_lower_limit_applies_at_once():
     table = KnownRateLimits()
     table.update_from_answer("s0", 2.0, sent_at=0, now=100)
     assert table.update_from_answer("s0", 1.0, sent_at=90, now=110)
     assert table.get("s0") == 1.0
 
 
-def test_a_limit_outlasts_an_entry_that_lapses():
+def test_a_limit_survives_the_lapse_of_its_server_entry():
     """Guards against a server in need that is sent all again as its entry is back."""
     table = KnownRateLimits()
     table.update_from_answer("s0", 2.0, sent_at=0, now=100)
@@ -62,7 +62,7 @@
     assert table.get("s0") == 2.0
 
 
-def test_the_limits_of_servers_long_gone_are_forgotten():
+def test_the_oldest_limits_of_unlisted_servers_are_evicted():
     table = KnownRateLimits()
     for number in range(MAX_UNLISTED + 2):
         table.update_from_answer(f"s{number}", 2.0, sent_at=0, now=100)
@@ -72,7 +72,7 @@
     assert len(table.list_limits()) == MAX_UNLISTED + 1
 
 
-def find_most_sent(sent):
+def find_max_sent(sent):
     """Return the most requests that were sent in any window."""
     return max(
         (sum(begin <= at < begin + WINDOW_MS for at in sent) for begin in sent),
@@ -84,7 +84,7 @@
     return 1.5 * per_s * WINDOW_MS / 1_000 + 5
 
 
-def test_a_ledger_gives_out_what_the_server_takes_and_little_at_once():
+def test_ledger_grants_the_rate_and_a_small_burst():
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 2.0, now=0)
     assert ledger.charge("s0", now=0) == 500
@@ -94,7 +94,7 @@
     assert len(burst) == int(get_tolerance(2.0))
 
 
-def test_what_instances_without_a_coordinator_may_use_is_not_given_out():
+def test_ledger_does_not_grant_the_fraction_of_uncoordinated_instances():
     """Guards against a limit that is used twice while some instances are cut off."""
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 4.0, now=0)
@@ -104,7 +104,7 @@
     assert 19 <= len(sent) <= 20
 
 
-def test_a_server_that_names_no_limit_gets_all():
+def test_a_server_that_states_no_limit_is_not_limited():
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 1.0, now=0)
     assert ledger.set_limit("s0", None, now=10)
@@ -112,16 +112,16 @@
     assert [ledger.charge("s0", now=10) for _ in range(50)] == [0] * 50
 
 
-def test_a_server_that_takes_nothing_is_still_asked_now_and_then():
+def test_a_server_with_a_limit_of_zero_is_still_probed():
     """Guards against a limit that is never lifted, as only an answer can lift it."""
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 0.0, now=0)
     sent = [now for now in range(0, 20_000, 10) if not ledger.charge("s0", now=now)]
     assert 4 <= len(sent) <= 5
-    assert find_most_sent(sent) <= get_allowed(0)
+    assert find_max_sent(sent) <= get_allowed(0)
 
 
-def test_a_lowered_limit_takes_away_what_had_been_saved():
+def test_a_lowered_limit_caps_the_accumulated_balance():
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 20.0, now=0)
     ledger.set_limit("s0", 1.0, now=10_000)
@@ -129,17 +129,19 @@
     assert len(sent) <= 4 + get_tolerance(1.0)
 
 
-def test_a_part_of_a_bucket_that_holds_no_request_lets_none_through():
+def test_a_bucket_fraction_below_one_request_grants_none():
     """Guards against many instances without a coordinator that each round up."""
-    rates = [LocalRateLimits() for _ in range(60)]
+    local_limits = [LocalRateLimits() for _ in range(60)]
     sent = [
         now
         for now in range(0, 8_000, 50)
-        for one in rates
+        for one in local_limits
         if not one.charge("s0", 1.0, fraction=1 / 60, now=now)
     ]
     assert sent == []
-    assert rates[0].charge("s0", 1.0, fraction=1 / 60, now=8_000) == MAX_RECHECK_MS
+    assert (
+        local_limits[0].charge("s0", 1.0, fraction=1 / 60, now=8_000) == MAX_RECHECK_MS
+    )
 
 
 @settings(deadline=None, max_examples=60)
@@ -155,7 +157,7 @@
     ),
     every_ms=st.integers(50, 400),
 )
-def test_all_together_stay_within_a_limit_as_coordinators_come_and_go(
+def test_instances_stay_within_a_limit_across_coordinator_changes(
     per_s, instances, changes, every_ms
 ):
     """Guards against a limit that is exceeded as the coordinator changes or is lost.
@@ -166,7 +168,7 @@
     """
     ledger = RateLimitLedger()
     ledger.set_limit("s0", per_s, now=0)
-    local = [LocalRateLimits() for _ in range(instances)]
+    local_limits = [LocalRateLimits() for _ in range(instances)]
     linked = set(range(instances))
     steps = sorted(changes)
     sent = []
@@ -184,7 +186,9 @@
                 wait_ms = ledger.charge("s0", now=now)
             else:
                 part = 1 / instances
-                wait_ms = local[number].charge("s0", per_s, fraction=part, now=now)
+                wait_ms = local_limits[number].charge(
+                    "s0", per_s, fraction=part, now=now
+                )
             if not wait_ms:
                 sent.append(now)
-    assert find_most_sent(sent) <= get_allowed(per_s)
+    assert find_max_sent(sent) <= get_allowed(per_s)
