--- a/src/arbutuspulley/admission/__init__.py
+++ b/src/arbutuspulley/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission: fair shares, waiting and refusal of requests."""
+"""Admission control: fair shares, queueing and refusal of requests."""
--- a/src/arbutuspulley/admission/cost.py
+++ b/src/arbutuspulley/admission/cost.py
@@ -1,7 +1,7 @@
-"""Token cost of a request: estimated before it runs, corrected when it is known.
+"""Token cost of a request: estimated before it runs, corrected afterwards.
 
-The unit is one generated token. A prompt token is read in far faster than a token
-is generated, so it counts as a fraction.
+The unit is one generated token. Prefill of a prompt token is far faster than decoding
+a token, so a prompt token costs a fraction of that.
 """
 
 import math
@@ -11,26 +11,26 @@
 from arbutuspulley.data import Message, State
 
 BYTES_PER_TOKEN = 4
-"""Bytes of prompt to a token, roughly, for the languages in use."""
+"""Approximate prompt bytes per token for the languages in use."""
 
 PROMPT_TOKEN_COST = 0.1
 """Cost of a prompt token, in generated tokens."""
 
 ADAPTER_COST = 1.1
-"""Factor for a request to an adapter, whose batch is less uniform."""
+"""Factor for a request to an adapter, which makes batches less uniform."""
 
 DEFAULT_OUTPUT_TOKENS = 200.0
-"""Assumed length of an answer to an item that has not yet answered."""
+"""Assumed answer length for an item without any answers yet, in tokens."""
 
 EWMA_WEIGHT = 0.1
-"""Weight of the newest answer in an item's mean length."""
+"""Weight of the newest answer in the moving average of an item's answer length."""
 
 MAX_CHOICES = 16
-"""Largest number of choices that is believed."""
+"""Upper bound on the number of choices assumed for a request."""
 
 
 class CostState(State):
-    """Mean length of the answers of each item, in tokens."""
+    """Moving average of the answer length of each item, in tokens."""
 
     output_tokens: dict[str, float] = {}
 
@@ -53,13 +53,13 @@
     item: str = "",
     adapter: bool = False,
 ) -> int:
-    """Return the estimated cost of a request; at least 1.
+    """Return the estimated cost of a request in generated tokens; at least 1.
 
-    :param body: the request's JSON; one that has other types than the protocol's
-        is costed by its length.
-    :param state: what was learned from earlier answers.
-    :param item: key of the item that is to answer.
-    :param adapter: whether that is an adapter.
+    :param body: JSON body of the request; if its types differ from the protocol, the
+        cost is estimated from its length.
+    :param state: average answer lengths so far.
+    :param item: key of the requested item.
+    :param adapter: whether the item is an adapter.
     """
     mean = state.output_tokens.get(item) if state is not None else None
     expected = DEFAULT_OUTPUT_TOKENS if mean is None else mean
@@ -77,12 +77,15 @@
 def compute_cost(
     *, prompt_bytes: int, output_tokens: int, adapter: bool = False
 ) -> int:
-    """Return the cost of a request whose answer is complete."""
+    """Return the actual cost of a request whose answer is complete."""
     return _compute(prompt_bytes=prompt_bytes, output=output_tokens, adapter=adapter)
 
 
 def record_output_length(state: CostState, *, item: str, tokens: int) -> None:
-    """Learn from the length of an answer."""
+    """Update the average answer length of an item.
+
+    :param tokens: length of the new answer.
+    """
     mean = state.output_tokens.get(item, DEFAULT_OUTPUT_TOKENS)
     state.output_tokens[item] = mean + EWMA_WEIGHT * (tokens - mean)
 
--- a/src/arbutuspulley/admission/decision.py
+++ b/src/arbutuspulley/admission/decision.py
@@ -1,4 +1,4 @@
-"""The decision on all waiting requests of an entry: admit, wait or refuse."""
+"""Decides which waiting requests of an entry are admitted, kept waiting or refused."""
 
 from collections.abc import Mapping, Sequence
 
@@ -16,18 +16,20 @@
 from arbutuspulley.results import Code
 
 MAX_WAITING = 256
-"""Requests that wait at one entry at most."""
+"""Largest number of requests waiting at one entry."""
 
 
 def decide(state: AdmissionState, *, now: int, newest: str = "") -> tuple[Effect, ...]:
-    """Admit who has room and refuse who cannot be in time, in order of admission.
+    """Admit requests that have a free slot and refuse those that miss their deadline.
 
-    A request that certainly comes too late is refused before its deadline, so that
-    its caller is answered at once and no server works for nothing.
+    Requests are taken in queue order. One that is certain to miss its deadline is
+    refused before that, so that its caller can be answered at once and no server
+    does useless work.
 
-    :param fresh: a request that has just arrived, which is refused already if its
-        wait is likely too long. One that has waited is refused only once it is
-        sure: the estimate varies, and would sooner or later refuse most of them.
+    :param newest: id of a request that has just arrived, which is refused if its
+        estimated wait is too long. A request that already waits is refused only when
+        it is certain to be late: the estimate fluctuates, and would sooner or later
+        refuse most of them.
     """
     effects: list[Effect] = []
     ahead: dict[str, float] = {}
@@ -51,10 +53,10 @@
 
 
 def refuse_overflow(state: AdmissionState, *, now: int) -> tuple[Effect, ...]:
-    """Keep the queue within its bound at the cost of who takes most of it.
+    """Refuse a request of the caller with the most queued cost if the queue is full.
 
-    If the newcomer were refused, a flood that fills the queue would shut out the
-    callers that send little.
+    If the newest request were refused instead, a flood that fills the queue would
+    starve the callers that send little.
     """
     if len(state.waiting) <= MAX_WAITING:
         return ()
@@ -72,7 +74,7 @@
 
 
 def has_slot(state: AdmissionState, server: str, ticket: Ticket) -> bool:
-    """Return whether this entry may use one more slot of a server for a request."""
+    """Return whether this entry may send a request to a server now."""
     limit = state.limits.get(server)
     if limit is None:
         return False
@@ -80,14 +82,14 @@
     slots = limit.get(get_usage_class(state, ticket.caller))
     if load.requests >= slots:
         return False
-    # A request larger than the limit runs alone, it would otherwise never run.
+    # A request larger than the limit runs alone; it would otherwise never run.
     return load.tokens == 0 or load.tokens + ticket.cost <= slots * TOKENS_PER_SLOT
 
 
 def _find_free_server(
     state: AdmissionState, ticket: Ticket, holders: Sequence[str]
 ) -> str:
-    """Return the holder with most room for a request, or an empty name."""
+    """Return the least used holder with a free slot, or an empty name."""
     names = [name for name in holders if has_slot(state, name, ticket)]
     if not names:
         return ""
@@ -139,11 +141,11 @@
 def _estimate_wait(
     state: AdmissionState, ahead: Mapping[str, float], holders: Sequence[str]
 ) -> float:
-    """Return how long a request waits for its slot, in milliseconds.
+    """Return how long a request waits for a slot, in ms.
 
-    :param ahead: requests that go before it, by server; one that may go to several
-        counts in parts.
-    :param holders: servers that it may go to.
+    :param ahead: requests queued before it, by server; a request that may go to
+        several servers is divided among them.
+    :param holders: servers that the request may go to.
     """
     before = sum(ahead.get(name, 0.0) for name in holders)
     rate = _estimate_rate(state, holders)
@@ -151,7 +153,7 @@
 
 
 def _estimate_rate(state: AdmissionState, holders: Sequence[str]) -> float:
-    """Return how many requests a millisecond this entry's slots there finish."""
+    """Return the requests per ms that this entry's slots at the holders complete."""
     return sum(
         drain_rate.estimate_rate(
             state.drain, server=name, slots=state.limits[name].ordinary
@@ -162,7 +164,7 @@
 
 
 def _compute_share(state: AdmissionState, caller: str) -> float:
-    """Return a caller's part by weight among the callers that have work here."""
+    """Return a caller's weight as a fraction of that of all callers active here."""
     active = {ticket.caller for ticket in state.waiting.values()}
     active.update(one.ticket.caller for one in state.running.values())
     active.add(caller)
--- a/src/arbutuspulley/admission/drain_rate.py
+++ b/src/arbutuspulley/admission/drain_rate.py
@@ -1,8 +1,7 @@
-"""How fast servers finish this entry's requests, and what follows for those that
-wait: how long they will, and when a refused caller should come back.
+"""Estimates how fast servers complete requests, and derives waits and retry times.
 
-A waiting request needs a slot, so what counts is how often slots become free: the
-slots in use over the mean duration of the requests that finished lately.
+A waiting request needs a slot, so the relevant rate is how often slots become free:
+slots in use divided by the mean duration of recently completed requests.
 """
 
 import math
@@ -13,31 +12,31 @@
 from arbutuspulley.data import State
 
 DEFAULT_DURATION_MS = 5_000.0
-"""Assumed duration of a request at a server that has not yet finished one."""
+"""Assumed request duration at a server that has not completed a request yet."""
 
 EWMA_WEIGHT = 0.1
-"""Weight of the newest request in the means."""
+"""Weight of the newest sample in the moving averages."""
 
 DEFAULT_FIRST_TOKEN_MS = 150.0
 """Assumed time from admission to the first token."""
 
 DEVIATION_FACTOR = 2.0
-"""Mean deviations added to that time when a request must be in time."""
+"""Mean deviations added to the mean time to first token in the prediction."""
 
 MIN_RETRY_MS = SECOND_MS
-"""Shortest time told to a refused caller."""
+"""Shortest retry time sent to a refused caller."""
 
 MAX_RETRY_MS = 60 * SECOND_MS
-"""Longest time told to a refused caller."""
+"""Longest retry time sent to a refused caller."""
 
 MAX_JITTER = 0.25
-"""Largest part added to the time told, so that callers do not return together."""
+"""Largest jitter, as a fraction of the retry time; it desynchronises retries."""
 
 
 class DurationEstimate(State):
-    """Requests finished lately at one server.
+    """Moving average of the request duration at one server.
 
-    :param finished: how many have been.
+    :param finished: number of completed requests.
     """
 
     duration_ms: float = DEFAULT_DURATION_MS
@@ -45,11 +44,11 @@
 
 
 class DrainState(State):
-    """What this entry has measured.
+    """Measurements of one entry.
 
-    :param paces: by server.
+    :param durations: request durations by server.
     :param first_token_ms: mean time from admission to the first token.
-    :param deviation_ms: its mean deviation.
+    :param deviation_ms: mean deviation of that time.
     """
 
     durations: dict[str, DurationEstimate] = {}
@@ -58,7 +57,7 @@
 
 
 def record_finished(state: DrainState, *, server: str, duration_ms: int) -> None:
-    """Learn from a request that a server finished."""
+    """Update a server's mean request duration."""
     estimate = state.durations.setdefault(server, DurationEstimate())
     estimate.finished += 1
     weight = max(EWMA_WEIGHT, 1 / estimate.finished)
@@ -66,23 +65,26 @@
 
 
 def record_first_token(state: DrainState, *, elapsed_ms: int) -> None:
-    """Learn from the time between an admission and its first token."""
+    """Update the mean and the deviation of the time to first token.
+
+    :param elapsed_ms: time from admission to the first token.
+    """
     error = elapsed_ms - state.first_token_ms
     state.first_token_ms += EWMA_WEIGHT * error
     state.deviation_ms += EWMA_WEIGHT * (abs(error) - state.deviation_ms)
 
 
 def predict_first_token(state: DrainState) -> float:
-    """Return how long after its admission a request's first token comes at most.
+    """Return a conservative time from admission to the first token, in ms.
 
-    The mean alone would admit requests that are late half of the time: under
-    overload, most of them are admitted close to their deadline.
+    With the mean alone, half of the requests that are admitted close to their
+    deadline would be late, and under overload most are admitted close to it.
     """
     return state.first_token_ms + DEVIATION_FACTOR * state.deviation_ms
 
 
 def estimate_rate(state: DrainState, *, server: str, slots: int) -> float:
-    """Return how many requests a millisecond a number of slots finishes."""
+    """Return the requests per ms that a number of slots completes."""
     estimate = state.durations.get(server)
     return slots / (estimate.duration_ms if estimate else DEFAULT_DURATION_MS)
 
@@ -90,16 +92,16 @@
 def schedule_retry(
     reserved_until: float, *, request_id: str, wait_ms: float, rate: float, now: int
 ) -> tuple[float, int]:
-    """Return when a refused caller should come back.
+    """Return when a refused request should be retried.
 
-    Each refused request books a slot after those refused before it. Without that,
-    all that are refused in one overload would be told the same time and would
-    overload the entry again when it comes.
+    Each refused request reserves a slot after those refused before it. Otherwise all
+    requests that are refused in one overload would get the same retry time and
+    overload the entry again at that time.
 
-    :param booked_until: until when earlier refused requests have booked.
-    :param wait_ms: when the first slot would be free for it.
-    :param rate: requests a millisecond that are finished for its caller.
-    :return: until when is booked now, and the milliseconds to tell.
+    :param reserved_until: end of the reservations of earlier refused requests, in ms.
+    :param wait_ms: estimated time until a slot is free.
+    :param rate: requests per ms that are completed for the caller.
+    :return: the new end of the reservations, and the retry time to send in ms.
     """
     start = max(reserved_until, now + wait_ms)
     start = min(start, now + MAX_RETRY_MS)
--- a/src/arbutuspulley/admission/freshness.py
+++ b/src/arbutuspulley/admission/freshness.py
@@ -1,28 +1,32 @@
-"""How old the word is that no newer configuration than the one in force exists.
+"""Age of the confirmation that the active configuration is the newest one.
 
-A key that a newer configuration withdraws must stop working everywhere within a bound,
-also at an instance that can't hear of it. So each instance keeps the latest moment, on
-its own clock, *before* which it asked for the confirmation that it last got. When the
-answer came does not count: it may have waited in a socket or a frozen process.
+A key that a newer configuration revokes must stop working everywhere within a bound,
+also at an instance that cannot receive that configuration. So each instance keeps the
+time, on its own clock, at which it asked for the latest confirmation that it got. The
+time of the answer does not count: it may have waited in a socket or a frozen process.
 
-Instances confirm to each other without comparing clocks. A says when it has heard B's
-message number n; whatever A asks the store after that is newer than the sending of n.
+Instances confirm to each other without comparing clocks. A reports that it has
+received B's message number n; whatever A asks the store after that is newer than the
+sending of n.
 """
 
 from collections import deque
 
 MAX_MESSAGE_TIMES = 40
-"""Messages whose times are kept, per link: those of 10 s, longer than any bound."""
+"""Messages per link whose times are kept: those of 10 s, longer than any bound."""
 
 CLOCK_DRIFT_MARGIN_MS = 100
-"""Kept back from the bound of a withdrawal, in ms: clocks of two machines drift apart
-by less within some seconds."""
+"""Safety margin subtracted from the revocation bound, in ms: the clocks of two machines
+drift apart by less than this within a few seconds."""
 
 
 class Freshness:
-    """The word on which the present configuration is believed to be the newest.
+    """Latest confirmation that the active configuration is the newest.
 
-    :param source: who gave the newest one: ``store`` or ``coordinator``.
+    :param confirmed_at: time as of which it is confirmed, in ms of the own clock;
+        ``None`` before the first confirmation.
+    :param source: origin of the confirmation: ``store``, ``coordinator`` or
+        ``follower``.
     """
 
     __slots__ = ("confirmed_at", "source")
@@ -32,26 +36,27 @@
         self.source = ""
 
     def confirm(self, asked_at: int, *, source: str) -> None:
-        """Take in that the configuration in force was the newest at a moment.
+        """Record that the active configuration was the newest at a given time.
 
-        :param asked_at: that moment, in ms of the own clock; the latest one counts.
+        :param asked_at: that time, in ms of the own clock; the latest one counts.
+        :param source: origin of the confirmation.
         """
         if self.confirmed_at is None or asked_at > self.confirmed_at:
             self.confirmed_at = asked_at
             self.source = source
 
     def get_age(self, now: int) -> int | None:
-        """Return the age of the word, in ms; ``None`` if there is none."""
+        """Return the age of the confirmation, in ms; ``None`` if there is none."""
         return None if self.confirmed_at is None else now - self.confirmed_at
 
     def is_within(self, limit_ms: int, *, now: int) -> bool:
-        """Tell whether the word is younger than a limit, in ms."""
+        """Return whether the confirmation is younger than a limit, in ms."""
         age = self.get_age(now)
         return age is not None and age < limit_ms
 
 
 class MessageTimes:
-    """When the last messages of one link went or came, by their numbers."""
+    """Times at which the last messages of one link were sent or received, by number."""
 
     __slots__ = ("_times",)
 
@@ -59,15 +64,18 @@
         self._times: deque[tuple[int, int]] = deque(maxlen=MAX_MESSAGE_TIMES)
 
     def record(self, number: int, *, at: int) -> None:
-        """Note a message; numbers and times grow."""
+        """Record the time of a message, in ms; numbers and times increase."""
         self._times.append((number, at))
 
     def find_time(self, number: int) -> int | None:
-        """Return when a message went or came, in ms; ``None`` if that is not kept."""
+        """Return the time of a message, in ms; ``None`` if it is no longer kept."""
         return next((at for recorded, at in self._times if recorded == number), None)
 
     def find_number(self, until: int | None) -> int:
-        """Return the number of the last message up to a moment; 0: none is kept."""
+        """Return the number of the last message up to a time; 0 if none is kept.
+
+        :param until: time in ms; ``None`` gives 0.
+        """
         if until is None:
             return 0
         return max((recorded for recorded, at in self._times if at <= until), default=0)
--- a/src/arbutuspulley/admission/keys.py
+++ b/src/arbutuspulley/admission/keys.py
@@ -1,7 +1,7 @@
-"""Which team a caller's key belongs to.
+"""Finds the team that an API key belongs to.
 
-Keys are looked up by a digest that is salted for each process: how long a lookup takes
-says nothing about how much of a key was guessed right.
+Keys are looked up by a digest with a salt for each process, so the duration of a lookup
+does not reveal how much of a guessed key is right.
 """
 
 import hashlib
@@ -13,19 +13,19 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 DIGEST_BYTES = 16
-"""Length of a digest, in bytes: two of a million keys do not share one."""
+"""Length of a digest, in bytes: a million keys have no collision."""
 
 REDACTED_DIGITS = 8
-"""Hexadecimal digits of a digest that logs show: enough to tell two keys apart."""
+"""Hexadecimal digits of a digest in logs: enough to distinguish two keys."""
 
 _SALTED_HASH = hashlib.blake2b(digest_size=DIGEST_BYTES, key=os.urandom(DIGEST_BYTES))
 
 
 class KeyTable(Value, frozen=True):
-    """The keys of one configuration.
+    """Index of the API keys of one configuration.
 
     :param teams: teams by the digests of their keys.
-    :param digests: the digests of each team's keys, by these keys.
+    :param digests: digests of each team's keys, by the tuple of these keys.
     """
 
     teams: dict[bytes, Team]
@@ -35,9 +35,10 @@
 def build_key_table(
     teams: Iterable[Team], *, previous: KeyTable | None = None
 ) -> KeyTable:
-    """Index the keys of teams.
+    """Index the keys of all teams.
 
-    :param before: of the version before; most teams keep their keys.
+    :param previous: table of the previous configuration, whose digests are reused:
+        most teams keep their keys.
     :raises ConfigurationError: if two teams hold the same key.
     """
     previous_digests = previous.digests if previous is not None else {}
@@ -65,12 +66,13 @@
 
 
 def redact_key(key: str) -> str:
-    """Return what logs say of a key; the same from every process."""
+    """Return the form of a key that is logged; it is the same in every process."""
     return hashlib.sha256(_encode(key)).hexdigest()[:REDACTED_DIGITS]
 
 
 def _digest(key: str) -> bytes:
-    # A copy takes half the time of a new one, and a configuration has many keys.
+    # Copying the hash object takes half the time of creating one; a configuration
+    # has many keys.
     digest = _SALTED_HASH.copy()
     digest.update(_encode(key))
     return digest.digest()
--- a/src/arbutuspulley/admission/queue.py
+++ b/src/arbutuspulley/admission/queue.py
@@ -1,6 +1,6 @@
-"""Admission: which request may go to a server now, which waits, which is refused.
+"""Admission queue of one entry: admits, queues and refuses requests.
 
-All functions take the state of one entry and return effects; the shell calls
+All functions take the state of one entry and return effects. The caller calls
 :func:`apply_view` with each view, :func:`submit` for each request,
 :func:`assign` once the server is chosen, :func:`record_first_token`,
 :func:`finish` or :func:`cancel` as the request goes on, and :func:`tick` every
@@ -43,14 +43,17 @@
 ]
 
 TICK_MS = 50
-"""How often the shell should call :func:`tick` while requests wait."""
+"""Interval between calls of :func:`tick` while requests wait."""
 
 NOT_LOADED_RETRY_MS = 3_000
-"""Told to a caller whose model is not loaded anywhere right now."""
+"""Retry time sent to a caller whose model is not loaded on any server."""
 
 
 def apply_view(state: AdmissionState, *, view: View, now: int) -> tuple[Effect, ...]:
-    """Take up a new view: servers, entries and what callers use elsewhere."""
+    """Apply a new view: servers, entries and the callers' remote usage.
+
+    :return: decisions on waiting requests.
+    """
     shares.set_remote_usage(state.accounts, usage=view.usage, now=now)
     state.usage_classes = classify_callers(state.accounts, now=now)
     contended = has_remote_modest_waiter(state.accounts, state.usage_classes)
@@ -78,9 +81,9 @@
 
 
 def submit(state: AdmissionState, ticket: Ticket, *, now: int) -> tuple[Effect, ...]:
-    """Take a request: it is admitted, waits or is refused.
+    """Queue a request; it is admitted, waits or is refused.
 
-    :return: what to do now, for this request and for others.
+    :return: decisions on this and on other requests.
     """
     if not state.holders.get(ticket.item):
         return (
@@ -101,7 +104,7 @@
 
 
 def assign(state: AdmissionState, request_id: str, *, server: str, now: int) -> None:
-    """Count an admitted request at the server that was chosen for it."""
+    """Count an admitted request at the server chosen for it."""
     running = state.running.get(request_id)
     if running is None or running.server == server:
         return
@@ -113,9 +116,9 @@
 def list_full_servers(
     state: AdmissionState, request_id: str, *, now: int | None = None
 ) -> frozenset[str]:
-    """Return servers that this entry should not use more of for a request now.
+    """Return the servers that have no free slot for an admitted request.
 
-    :param now: if given, suspects and leaving servers count as full too.
+    :param now: if given, servers in backoff and leaving servers count as full too.
     """
     running = state.running.get(request_id)
     if running is None:
@@ -129,7 +132,7 @@
 
 
 def record_first_token(state: AdmissionState, request_id: str, *, now: int) -> None:
-    """Learn how long after its admission a request's first token came."""
+    """Record the time from a request's admission to its first token."""
     running = state.running.get(request_id)
     if running is not None:
         drain_rate.record_first_token(state.drain, elapsed_ms=now - running.admitted_at)
@@ -138,9 +141,9 @@
 def finish(
     state: AdmissionState, request_id: str, *, tokens: int, now: int
 ) -> tuple[Effect, ...]:
-    """Account for a request that is over and admit who is next.
+    """Account for a completed request and admit waiting ones.
 
-    :param tokens: its cost as it is known now.
+    :param tokens: actual token cost of the request.
     """
     running = state.running.pop(request_id, None)
     if running is None:
@@ -160,7 +163,7 @@
 
 
 def cancel(state: AdmissionState, request_id: str, *, now: int) -> tuple[Effect, ...]:
-    """Forget a request whose caller has left or that was not run."""
+    """Remove a request whose caller has disconnected or that did not run."""
     if state.waiting.pop(request_id, None) is not None:
         return ()
     running = state.running.pop(request_id, None)
@@ -176,7 +179,7 @@
 
 
 def tick(state: AdmissionState, *, now: int) -> tuple[Effect, ...]:
-    """Charge remote usage, admit who can be, refuse who cannot be in time."""
+    """Charge remote usage, then admit requests and refuse those that would be late."""
     waiting = {ticket.caller for ticket in state.waiting.values()}
     shares.charge_remote_usage(state.accounts, waiting=waiting, now=now)
     shares.evict_idle(state.accounts, now=now)
@@ -185,7 +188,7 @@
 
 
 def list_usage(state: AdmissionState) -> tuple[CallerUsage, ...]:
-    """Return what callers use here, for the report to the controller."""
+    """Return the callers' usage at this entry, for the report to the controller."""
     waiting: dict[str, int] = {}
     for ticket in state.waiting.values():
         waiting[ticket.caller] = waiting.get(ticket.caller, 0) + 1
@@ -193,7 +196,7 @@
 
 
 def _evict_servers(state: AdmissionState, known: set[str]) -> None:
-    """Drop what was kept of servers that are gone and run nothing any more."""
+    """Remove the state of unlisted servers that have no requests in flight."""
     for name in [name for name in state.loads if name not in known]:
         if not state.loads[name].requests:
             del state.loads[name]
--- a/src/arbutuspulley/admission/queue_order.py
+++ b/src/arbutuspulley/admission/queue_order.py
@@ -1,4 +1,4 @@
-"""The order in which waiting requests will be admitted."""
+"""Order in which waiting requests are admitted."""
 
 from collections.abc import Iterable
 
@@ -7,14 +7,14 @@
 from arbutuspulley.data import Value
 
 AGEING_MS = 10_000
-"""A summary that has waited this long goes like a live request."""
+"""Wait after which a summary request is treated like a live request."""
 
 
 class QueuePosition(Value, frozen=True):
-    """A waiting request with what its order follows from.
+    """A waiting request with its sort keys.
 
-    :param later: whether it lets live requests go first.
-    :param start: virtual time at which its caller's turn for it comes.
+    :param yields: whether live requests go before it.
+    :param start: virtual start time in weighted fair queueing.
     """
 
     ticket: Ticket
@@ -27,8 +27,8 @@
 ) -> list[QueuePosition]:
     """Return waiting requests in the order in which they will be admitted.
 
-    Live requests go before summaries; among them, callers take turns by their
-    shares; among one caller's, the earliest deadline goes first.
+    Live requests go before summaries. Within each group, callers take turns by
+    their shares; requests of one caller go by earliest deadline.
     """
     by_caller: dict[str, list[Ticket]] = {}
     for ticket in tickets:
@@ -43,10 +43,10 @@
 
 
 def yields_to_live(ticket: Ticket, *, now: int) -> bool:
-    """Return whether a request lets live ones go first.
+    """Return whether live requests go before a request.
 
-    Without an end to that, summaries would never be admitted as long as live
-    requests fill the servers; once old enough, they take their caller's turns.
+    Without ageing, summaries would starve while live requests fill the servers. After
+    :data:`AGEING_MS` they take part in their caller's turns like live requests.
     """
     return not ticket.live and now - ticket.arrived_at < AGEING_MS
 
--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -1,12 +1,13 @@
 """Token buckets for teams' quotas.
 
-The coordinator keeps one bucket for each team. Instances that it does not hear of serve
-on by buckets of their own, each of which refills at the instance's part of the rate;
-the coordinator's refills at the parts of the linked instances alone. So all together
-never refill faster than the quota allows, whoever is cut off from whom.
-
-A quota tolerates some excess over a window. It is split into equal parts for what
-distribution costs: see :data:`TOLERANCE_PARTS`.
+The coordinator keeps one bucket for each team. Instances without a link to it continue
+with buckets of their own, each of which refills at the instance's fraction of the rate;
+the coordinator's bucket refills at the fractions of the linked instances alone. So all
+buckets together never refill faster than the quota allows, however the network is
+partitioned.
+
+A quota tolerates some excess over a window. The excess is split into equal parts, one
+for each source of error of the distributed accounting: see :data:`TOLERANCE_PARTS`.
 """
 
 import random
@@ -17,22 +18,25 @@
 from arbutuspulley.ports.fleet import Team
 
 TOLERANCE_PARTS = 4
-"""Parts of the tolerated excess: callers' requests that arrive closer together than
-they were sent, a coordinator that does not know what its predecessor granted, instances
-without a coordinator, and what is spent before it is told."""
+"""Parts of the tolerated excess: requests that arrive closer together than they were
+sent, a coordinator that does not know what its predecessor granted, instances without a
+coordinator, and usage that is spent before it is reported."""
 
 MAX_RETRY_AFTER_MS = 5 * SECOND_MS
-"""For how long ahead tokens are promised to refused callers, in ms: callers who are to
-wait longer mostly give up."""
+"""Longest retry time sent to refused callers, and how far ahead tokens are reserved for
+them, in ms: callers that have to wait longer mostly give up."""
 
 
 def get_disconnected_fraction(disconnected_ms: int, *, decay_ms: int | None) -> float:
-    """Return which part of its own part an instance may use after its link was lost.
+    """Return how much of its fraction an instance may use after it has lost its link.
 
-    Its callers go over to others meanwhile, and it is not needed to keep it for longer
-    than it may serve. Both sides of the link go by this.
+    The fraction decays because the instance's callers move to other instances, and
+    it need not be reserved for longer than the instance may serve. Both sides of the
+    link apply this.
 
-    :param ends_ms: after which nothing of it is left; ``None``: it stays whole.
+    :param disconnected_ms: time since the link was lost.
+    :param decay_ms: time after which nothing is left; ``None``: no decay.
+    :return: a factor from 0 to 1.
     """
     if decay_ms is None:
         return 1.0
@@ -40,10 +44,10 @@
 
 
 class QuotaTolerance(Value, frozen=True):
-    """What all instances together may spend beyond a quota in a window.
+    """Usage beyond a quota that is tolerated in a window, for all instances together.
 
-    :param overage: part of what the quota allows in the window.
-    :param extra: beside that, in the quota's unit.
+    :param overage: fraction of what the quota allows in the window.
+    :param extra: allowance in addition to that, in the quota's unit.
     """
 
     window_ms: int
@@ -52,11 +56,11 @@
 
 
 class QuotaLimit(Value, frozen=True):
-    """A bucket's shape.
+    """Parameters of a team's token bucket.
 
-    :param per_ms: units that come back in a ms.
-    :param most: units that it holds.
-    :param tolerance: units of one part of the tolerated excess.
+    :param rate_per_ms: units refilled per ms.
+    :param capacity: largest balance, in units.
+    :param tolerance: one part of the tolerated excess, in units.
     """
 
     rate_per_ms: float
@@ -65,11 +69,12 @@
 
 
 class TokenBucket(State):
-    """What a team has left.
+    """Token bucket of a team.
 
-    :param left: may be negative: a larger request is taken from a full bucket.
-    :param promised: units for which refused callers were told to come back.
-    :param at: as of when, in ms.
+    :param balance: units left; negative after a request larger than the capacity, which
+        is taken from a full bucket.
+    :param updated_at: time as of which the balance holds, in ms.
+    :param reserved: units reserved for retries of refused callers.
     """
 
     balance: float
@@ -78,9 +83,9 @@
 
 
 def get_cost(team: Team, usage_tokens: int | None) -> int:
-    """Return what a request costs its team, in the quota's unit.
+    """Return the cost of a request to its team, in the quota's unit.
 
-    :param usage_tokens: as the caller said; ``None``: it did not.
+    :param usage_tokens: tokens that the caller declared; ``None`` if it did not.
     """
     if not team.counts_tokens:
         return 1
@@ -88,7 +93,7 @@
 
 
 def build_limit(team: Team, tolerance: QuotaTolerance) -> QuotaLimit | None:
-    """Return the shape of a team's bucket; ``None`` if it has no quota."""
+    """Return the limit of a team's bucket; ``None`` if it has no quota."""
     if not team.rate_per_s:
         return None
     rate_per_ms = team.rate_per_s / SECOND_MS
@@ -102,7 +107,7 @@
 def build_limits(
     teams: Iterable[Team], tolerance: QuotaTolerance
 ) -> dict[str, QuotaLimit]:
-    """Return the shapes of all buckets by team."""
+    """Return the limits of all buckets, by team."""
     limits = ((team.name, build_limit(team, tolerance)) for team in teams)
     return {name: limit for name, limit in limits if limit is not None}
 
@@ -110,9 +115,9 @@
 def refill(
     bucket: TokenBucket, limit: QuotaLimit, *, now: int, fraction: float = 1.0
 ) -> None:
-    """Put in what has come back since the bucket was last looked at.
+    """Refill a bucket for the time since its last update.
 
-    :param part: of the rate that this bucket gets.
+    :param fraction: fraction of the rate that this bucket gets.
     """
     units = limit.rate_per_ms * fraction * max(0, now - bucket.updated_at)
     bucket.balance = min(limit.capacity, bucket.balance + units)
@@ -123,12 +128,13 @@
 def try_consume(
     bucket: TokenBucket, limit: QuotaLimit, cost: float, *, fraction: float = 1.0
 ) -> int:
-    """Take a request's cost out of a bucket that was just refilled.
+    """Charge a request to a bucket that was just refilled, if its balance suffices.
 
-    A request that costs more than the bucket holds is taken from a full one.
+    A request that costs more than the capacity is charged to a full bucket.
 
-    :return: 0 if it was taken; otherwise in how many ms it may be, those included who
-        were told to come back before.
+    :param fraction: fraction of the rate that this bucket gets.
+    :return: 0 if it was charged; otherwise the ms until it can be, after the retries of
+        earlier refused requests.
     """
     required = min(cost, limit.capacity)
     if bucket.balance >= required:
@@ -142,10 +148,10 @@
 
 
 class QuotaLedger:
-    """The coordinator's buckets.
+    """The coordinator's token buckets.
 
-    :param limits: by team; one without a limit may spend what it likes.
-    :param part: of each rate that is refilled here.
+    :param limits: limits by team; the usage of teams without one is not limited.
+    :param refill_fraction: fraction of each rate that is refilled here.
     """
 
     __slots__ = ("_buckets", "_has_limits", "limits", "refill_fraction")
@@ -157,15 +163,15 @@
         self._has_limits = False
 
     def reset(self) -> None:
-        """Begin without knowing what was spent before."""
+        """Drop all buckets; the earlier usage is unknown from now on."""
         self._buckets.clear()
         self._has_limits = False
 
     def set_limits(self, limits: dict[str, QuotaLimit], *, now: int) -> None:
-        """Take over the limits of a configuration.
+        """Apply the limits of a configuration.
 
-        What was left under those that hold as this begins is not known here. It counts
-        as spent, but for the part of the tolerance that is kept for this.
+        The balances under the first limits after a reset are unknown. They count as
+        spent, except for the part of the tolerance that is intended for this case.
         """
         buckets: dict[str, TokenBucket] = {}
         for team, limit in limits.items():
@@ -180,7 +186,7 @@
         self.limits = limits
 
     def set_refill_fraction(self, fraction: float, *, now: int) -> None:
-        """Change the part of each rate that is refilled from now on."""
+        """Set the fraction of each rate that is refilled from now on."""
         if fraction == self.refill_fraction:
             return
         for team, bucket in self._buckets.items():
@@ -188,9 +194,9 @@
         self.refill_fraction = fraction
 
     def charge(self, team: str, cost: float, *, now: int) -> int:
-        """Take a request's cost from its team.
+        """Charge a request to its team.
 
-        :return: 0, or in how many ms the team has enough.
+        :return: 0 if it was charged; otherwise the ms until the balance suffices.
         """
         limit = self.limits.get(team)
         if limit is None:
@@ -203,9 +209,9 @@
         )
 
     def record_usage(self, team: str, cost: float, *, now: int) -> int:
-        """Take in what an instance has spent or, if negative, gives back.
+        """Record usage that an instance has charged, or a refund if negative.
 
-        :return: 0, or in how many ms the team's debt is paid.
+        :return: 0, or the ms until the team's debt is repaid.
         """
         limit = self.limits.get(team)
         if limit is None:
@@ -220,7 +226,7 @@
         )
 
     def get_balance(self, team: str, *, now: int) -> float | None:
-        """Return what a team has left; ``None`` if it has no limit."""
+        """Return a team's balance in units; ``None`` if it has no limit."""
         limit = self.limits.get(team)
         return None if limit is None else self._get_refilled(team, limit, now).balance
 
@@ -231,13 +237,14 @@
 
 
 class LocalQuota:
-    """The buckets by which an instance serves without a coordinator.
+    """Token buckets of an instance that serves without a coordinator.
 
-    A request that is larger than its bucket leaves a debt. Instances that were cut off
-    together would all admit one at once, so each begins with a part of such a debt that
-    is drawn by chance: on average, all together admit what their buckets hold.
+    A request that is larger than its bucket leaves a debt. Instances that were
+    disconnected together would all admit such a request at once, so each begins with a
+    random fraction of such a debt: on average, all together admit what their buckets
+    hold.
 
-    :param tolerance: of all instances together; settings may change it.
+    :param tolerance: tolerance of all instances together; settings may change it.
     """
 
     __slots__ = ("_buckets", "_chance", "_coordinated_at", "tolerance")
@@ -255,18 +262,18 @@
         self._coordinated_at = now
 
     def record_coordinated(self, now: int) -> None:
-        """Note that a coordinator counts at present; its bucket is refilled instead."""
+        """Record that a coordinator counts now; its buckets refill instead of these."""
         self._coordinated_at = now
 
     def get_uncoordinated_ms(self, now: int) -> int:
-        """Return for how long no coordinator has counted, in ms."""
+        """Return the time without a coordinator, in ms."""
         return max(0, now - self._coordinated_at)
 
     def charge(self, team: Team, cost: float, *, fraction: float, now: int) -> int:
-        """Take a request's cost from its team.
+        """Charge a request to its team.
 
-        :param part: of the quota that this instance may use by itself.
-        :return: 0, or in how many ms the team has enough here.
+        :param fraction: fraction of the quota that this instance may use by itself.
+        :return: 0 if it was charged; otherwise the ms until the balance suffices.
         """
         limit = self._build_limit(team, fraction)
         if limit is None:
@@ -280,7 +287,7 @@
             self._buckets[team.name] = bucket
         coordinated_ms = max(0, self._coordinated_at - bucket.updated_at)
         if coordinated_ms:
-            # Only the tolerance comes back meanwhile, once in each window.
+            # While a coordinator counts, only the tolerance refills, once per window.
             recovered = limit.capacity * coordinated_ms / self.tolerance.window_ms
             balance = min(limit.capacity, bucket.balance + recovered)
             bucket.balance = min(
@@ -291,7 +298,7 @@
         return try_consume(bucket, limit, cost)
 
     def refund(self, team: str, cost: float) -> None:
-        """Return the cost of a request that did not run."""
+        """Refund the cost of a request that did not run."""
         bucket = self._buckets.get(team)
         if bucket is not None:
             bucket.balance += cost
@@ -299,9 +306,10 @@
     def _draw_initial_balance(
         self, limit: QuotaLimit, cost: float, fraction: float
     ) -> float:
-        """Return what is left as the instance begins to serve without a coordinator.
+        """Return the balance with which the instance begins without a coordinator.
 
-        An instance alone begins without a debt, as one bucket admits one such request.
+        A single instance, whose fraction is 1, begins without a debt, since one bucket
+        may admit one such request.
         """
         if cost <= limit.capacity:
             return limit.capacity
--- a/src/arbutuspulley/admission/rate_limits.py
+++ b/src/arbutuspulley/admission/rate_limits.py
@@ -1,11 +1,11 @@
-"""Rate limits that backend servers name in their answers.
+"""Rate limits that backend servers state in their answers.
 
-A server in need names the requests a second that it takes from all instances together,
-in each answer for as long as it holds.
+An overloaded server states the requests/s that it accepts from all instances together,
+in each answer for as long as the limit holds.
 
 The coordinator keeps one token bucket for each limited server. Instances without a
-coordinator have buckets of their own, each with an equal part of the limit. All buckets
-begin empty: what others have sent before is not known where they begin.
+coordinator have buckets of their own, each with an equal fraction of the limit. All
+buckets begin empty, since the requests that others have sent before are unknown.
 """
 
 import math
@@ -18,42 +18,43 @@
 T = TypeVar("T")
 
 WINDOW_MS = 4 * SECOND_MS
-"""Window in which a server's requests are counted against its limit, in ms."""
+"""Window in which a server's requests are compared with its limit, in ms."""
 
 OVERAGE = 0.5
-"""Part of a limit by which the requests in a window may exceed it."""
+"""Tolerated excess in a window, as a fraction of the limit."""
 
 EXTRA_REQUESTS = 5.0
-"""Requests by which they may exceed it beside that."""
+"""Tolerated excess in a window in addition to that, in requests."""
 
 TOLERANCE_PARTS = 4
-"""Equal parts of that excess: the coordinator's bucket, those of instances without one,
-a coordinator that others have left, and requests that come closer together than they
-were sent."""
+"""Equal parts of that excess: the coordinator's bucket, the buckets of instances
+without a coordinator, a coordinator that other instances have left, and requests that
+arrive closer together than they were sent."""
 
 MIN_PER_S = 0.25
-"""Requests a second to a server that takes fewer: only an answer tells when its limit
-is over."""
+"""Least requests/s sent to a server, even if its limit is lower: only an answer shows
+that the limit has been lifted."""
 
 MAX_WAIT_MS = WINDOW_MS
-"""Longest wait that is told for a request to a limited server, in ms."""
+"""Longest wait that is returned for a request to a limited server, in ms."""
 
 MAX_RECHECK_MS = 500
-"""Longest wait until an instance without a coordinator asks again, in ms: there may be
-one by then."""
+"""Longest wait until an instance without a coordinator checks again, in ms: there may
+be a coordinator by then."""
 
 MAX_UNLISTED = 50
-"""Servers without an entry whose limits are kept: an entry may lapse while its server
-lives."""
+"""Largest number of servers without an entry whose limits are kept: an entry may lapse
+while its server is alive."""
 
 
 class RateLimit(State):
-    """A server's token bucket.
+    """Token bucket of a server.
 
-    :param per_s: requests a second that the server takes.
-    :param rate_per_ms: requests that come back in a ms.
-    :param depth: requests that may be sent at once.
-    :param left: requests that may be sent, as of ``at``, in ms.
+    :param per_s: requests/s that the server accepts.
+    :param rate_per_ms: requests refilled per ms.
+    :param capacity: largest burst, in requests.
+    :param updated_at: time as of which the balance holds, in ms.
+    :param balance: requests that may be sent.
     """
 
     per_s: float
@@ -64,13 +65,16 @@
 
 
 def get_tolerance(per_s: float) -> float:
-    """Return the requests of one part of what may exceed a limit in a window."""
+    """Return one part of the tolerated excess in a window, in requests.
+
+    :param per_s: limit in requests/s.
+    """
     excess = OVERAGE * per_s * WINDOW_MS / SECOND_MS + EXTRA_REQUESTS
     return excess / TOLERANCE_PARTS
 
 
 def refill(limit: RateLimit, *, now: int) -> None:
-    """Put in what has come back since the bucket was last looked at."""
+    """Refill a bucket for the time since its last update."""
     units = limit.rate_per_ms * max(0, now - limit.updated_at)
     limit.balance = min(limit.capacity, limit.balance + units)
     limit.updated_at = max(limit.updated_at, now)
@@ -79,9 +83,11 @@
 def reshape(
     limit: RateLimit, per_s: float, *, fraction: float, capacity: float, now: int
 ) -> None:
-    """Let a bucket follow another limit from now on.
+    """Change the limit of a bucket from now on.
 
-    :param part: of the limit that comes back here.
+    :param per_s: new limit in requests/s.
+    :param fraction: fraction of the limit that is refilled here.
+    :param capacity: largest burst, in requests.
     """
     refill(limit, now=now)
     limit.per_s = per_s
@@ -91,7 +97,7 @@
 
 
 def get_wait(limit: RateLimit, *, now: int) -> int:
-    """Return in how many ms a request may be sent; 0: now."""
+    """Return the ms until a request may be sent; 0: now."""
     refill(limit, now=now)
     missing = 1 - limit.balance
     if missing <= 0:
@@ -102,12 +108,12 @@
 
 
 def consume(limit: RateLimit) -> None:
-    """Take a request out of a bucket that was just found to have one."""
+    """Charge a request to a bucket for which :func:`get_wait` has returned 0."""
     limit.balance -= 1
 
 
 class RateLimitLedger:
-    """The coordinator's buckets, by server."""
+    """The coordinator's token buckets, by server."""
 
     __slots__ = ("_limits", "_refill_fraction")
 
@@ -116,21 +122,24 @@
         self._refill_fraction = 1.0
 
     def reset(self, known: Mapping[str, float], *, now: int) -> None:
-        """Begin with the limits that this instance knows."""
+        """Replace all buckets by empty ones.
+
+        :param known: limits that this instance knows, in requests/s by server.
+        """
         self._limits.clear()
         self._refill_fraction = 1.0
         for incarnation, per_s in known.items():
             self.set_limit(incarnation, per_s, now=now)
 
     def get(self, incarnation: str) -> RateLimit | None:
-        """Return a server's bucket; ``None`` if it names no limit."""
+        """Return a server's bucket; ``None`` if it has no limit."""
         return self._limits.get(incarnation)
 
     def set_limit(self, incarnation: str, per_s: float | None, *, now: int) -> bool:
-        """Take over what a server names.
+        """Set the limit of a server.
 
-        :param per_s: ``None``: it names no limit any more.
-        :return: whether that is new.
+        :param per_s: limit in requests/s; ``None``: the limit is lifted.
+        :return: whether the limit has changed.
         """
         limit = self._limits.get(incarnation)
         if per_s is None:
@@ -152,9 +161,9 @@
         return True
 
     def charge(self, incarnation: str, *, now: int) -> int:
-        """Take a request out of a server's bucket.
+        """Charge a request to a server's bucket.
 
-        :return: 0, or in how many ms there will be one.
+        :return: 0 if it was charged; otherwise the ms until it can be.
         """
         limit = self._limits.get(incarnation)
         if limit is None:
@@ -165,7 +174,7 @@
         return wait_ms
 
     def set_refill_fraction(self, fraction: float, *, now: int) -> None:
-        """Change the part of each limit that comes back here from now on."""
+        """Set the fraction of each limit that is refilled here from now on."""
         if fraction == self._refill_fraction:
             return
         self._refill_fraction = fraction
@@ -175,19 +184,22 @@
             )
 
     def list_limits(self) -> dict[str, float]:
-        """Return what each limited server names."""
+        """Return the limits in requests/s, by server."""
         return {server: limit.per_s for server, limit in self._limits.items()}
 
     def evict_unlisted(self, incarnations: Container[str]) -> None:
-        """Forget the oldest of all servers but these."""
+        """Evict the oldest limits of servers that are not listed.
+
+        :param incarnations: listed servers, whose limits are kept.
+        """
         _evict_unlisted(self._limits, incarnations)
 
 
 class LocalRateLimits:
-    """The buckets by which an instance sends without a coordinator.
+    """Token buckets of an instance without a coordinator.
 
-    A part of a bucket that holds no whole request lets none through. Rounded up, the
-    parts of many instances would add up to many times the limit.
+    A bucket whose capacity is less than one request grants none. If capacities were
+    rounded up, those of many instances would add up to many times the limit.
     """
 
     __slots__ = ("_limits",)
@@ -198,10 +210,11 @@
     def charge(
         self, incarnation: str, per_s: float, *, fraction: float, now: int
     ) -> int:
-        """Take a request out of a server's bucket.
+        """Charge a request to a server's bucket.
 
-        :param part: of the limit that this instance may use.
-        :return: 0, or in how many ms there will be one.
+        :param per_s: limit of the server in requests/s.
+        :param fraction: fraction of the limit that this instance may use.
+        :return: 0 if it was charged; otherwise the ms until the next check.
         """
         limit = self._limits.get(incarnation)
         if limit is None:
@@ -222,15 +235,18 @@
         return min(MAX_RECHECK_MS, wait_ms)
 
     def evict_unlisted(self, incarnations: Container[str]) -> None:
-        """Forget the oldest of all servers but these."""
+        """Evict the oldest limits of servers that are not listed.
+
+        :param incarnations: listed servers, whose limits are kept.
+        """
         _evict_unlisted(self._limits, incarnations)
 
 
 class KnownRateLimit(State):
-    """A limit as one instance knows it.
+    """A server's limit as known by one instance.
 
-    :param per_s: requests a second that the server takes.
-    :param learnt_at: when this instance learnt of it, in ms.
+    :param per_s: requests/s that the server accepts.
+    :param received_at: time at which this instance received the limit, in ms.
     """
 
     per_s: float
@@ -238,7 +254,7 @@
 
 
 class KnownRateLimits:
-    """The limits that one instance knows, by server."""
+    """Rate limits known by one instance, by server."""
 
     __slots__ = ("_known",)
 
@@ -246,20 +262,20 @@
         self._known: dict[str, KnownRateLimit] = {}
 
     def get(self, incarnation: str) -> float | None:
-        """Return a server's limit in requests a second; ``None`` if it names none."""
+        """Return a server's limit in requests/s; ``None`` if it has none."""
         known = self._known.get(incarnation)
         return None if known is None else known.per_s
 
     def update_from_answer(
         self, incarnation: str, per_s: float | None, *, sent_at: int, now: int
     ) -> bool:
-        """Take in what an answer names.
+        """Apply the limit that an answer states.
 
         An answer that lifts or raises a limit counts only if its request was sent after
-        the limit was learnt of. Otherwise the server may have made it before.
+        the limit was received. Otherwise the answer may be older than the limit.
 
-        :param per_s: ``None``: it names no limit.
-        :param sent_at: when its request was sent, in ms.
+        :param per_s: limit in requests/s; ``None``: the answer states no limit.
+        :param sent_at: time at which the request was sent, in ms.
         :return: whether the limit has changed.
         """
         known = self._known.get(incarnation)
@@ -275,8 +291,9 @@
     def update_from_coordinator(
         self, incarnation: str, per_s: float | None, *, now: int
     ) -> bool:
-        """Take in what the coordinator tells.
+        """Apply a limit that the coordinator has sent.
 
+        :param per_s: limit in requests/s; ``None``: the limit is lifted.
         :return: whether the limit has changed.
         """
         if self.get(incarnation) == per_s:
@@ -285,11 +302,14 @@
         return True
 
     def list_limits(self) -> dict[str, float]:
-        """Return the limits by server."""
+        """Return the limits in requests/s by server."""
         return {server: known.per_s for server, known in self._known.items()}
 
     def evict_unlisted(self, incarnations: Container[str]) -> None:
-        """Forget the oldest of all servers but these."""
+        """Evict the oldest limits of servers that are not listed.
+
+        :param incarnations: listed servers, whose limits are kept.
+        """
         _evict_unlisted(self._known, incarnations)
 
     def _set(self, incarnation: str, per_s: float | None, *, now: int) -> None:
--- a/src/arbutuspulley/admission/retry_budget.py
+++ b/src/arbutuspulley/admission/retry_budget.py
@@ -1,33 +1,33 @@
-"""Retry budget: retries are a share of successes, never a count for each request.
+"""Retry budget: retries are limited to a fraction of the successful requests.
 
-With a fixed count for each request, a fault that fails many requests multiplies
-the load at the moment when there is the least room for it. With a budget, the
-attempts at servers stay below 1.1 for each request admitted.
+With a fixed number of retries per request, a fault that fails many requests
+multiplies the load when there is the least capacity for it. With a budget, servers
+see fewer than 1.1 attempts per admitted request.
 """
 
 from arbutuspulley.data import State
 
 RETRY_COST = 100
-"""What one retry costs; budgets are counted in hundredths of a retry."""
+"""Cost of one retry; budgets are counted in hundredths of a retry."""
 
 SUCCESS_CREDIT = 10
-"""What a request earns that succeeded at its first attempt."""
+"""Credit earned by a request that succeeds at its first attempt."""
 
 MAX_CREDIT = 10 * RETRY_COST
-"""Largest budget; a long quiet time must not allow a burst of retries."""
+"""Largest budget; a long fault-free period must not allow a burst of retries."""
 
 FLOOR_CREDIT = RETRY_COST
-"""The budget refills to this by itself, so that a quiet system can retry once."""
+"""Level to which the budget refills by itself: an idle system can retry once."""
 
 FLOOR_REFILL_MS = 10_000
-"""How long it takes to refill up to the floor."""
+"""Least time between two refills to the floor."""
 
 
 class RetryBudget(State):
-    """What may be spent on retries now.
+    """Retries that may be made now.
 
-    :param credit: hundredths of a retry.
-    :param filled_at: when it was last filled up to the floor.
+    :param credit: remaining budget, in hundredths of a retry.
+    :param refilled_at: time of the last refill to the floor, in ms.
     """
 
     credit: int = FLOOR_CREDIT
@@ -35,19 +35,20 @@
 
 
 def record_success(state: RetryBudget, *, retried: bool = False) -> None:
-    """Count a success.
+    """Credit the budget for a successful request.
 
-    :param retried: whether it took a retry; such a success earns nothing, else
-        retries would pay for more retries.
+    :param retried: whether the request was retried; it then earns nothing, as
+        retries would otherwise pay for further retries.
     """
     if not retried:
         state.credit = min(MAX_CREDIT, state.credit + SUCCESS_CREDIT)
 
 
 def try_spend_retry(state: RetryBudget, *, now: int, retried: bool = False) -> bool:
-    """Return whether a request may be tried once more, and spend one if so.
+    """Spend one retry if the budget allows it.
 
     :param retried: whether this request has been retried already.
+    :return: whether the request may be retried.
     """
     if state.credit < FLOOR_CREDIT and now - state.refilled_at >= FLOOR_REFILL_MS:
         state.credit = FLOOR_CREDIT
--- a/src/arbutuspulley/admission/service_retry_budget.py
+++ b/src/arbutuspulley/admission/service_retry_budget.py
@@ -1,9 +1,9 @@
-"""The budget of repeats that all instances share.
+"""Retry budget of a service, shared by all instances.
 
-Servers count what arrives beyond the first time; more than a share of the requests
-and a fixed allowance, over all instances, would let a fault multiply the load.
-Each instance spends its part of both, so the sum holds without a word exchanged,
-also when an instance hears nothing of the others.
+Servers count the requests that arrive more than once. If all instances together sent
+more of these than a ratio of the requests plus a fixed allowance, a fault would
+multiply the load. Each instance spends its own share of both, so the total holds
+without communication, also when an instance is cut off from the others.
 """
 
 from collections import deque
@@ -14,15 +14,17 @@
 from arbutuspulley.membership.limit_shares import get_instance_share
 
 USABLE_FRACTION = 0.8
-"""Part of the budget that is used: windows slide, and a repeat arrives later than it
-was counted here."""
+"""Fraction of the budget that is used: windows slide, and a retry arrives at the server
+later than it is counted here."""
 
 
 class ServiceRetryBudget(State):
-    """Requests and repeats of one service within the window.
+    """Requests and retries of one service within a sliding window.
 
-    :param ratio: repeats allowed for each request.
-    :param extra: repeats allowed besides, by all instances.
+    :param ratio: retries allowed per request.
+    :param extra: retries allowed beyond that, for all instances together.
+    :param requests: times of the requests in the window, in ms.
+    :param retries: times of the retries in the window, in ms.
     """
 
     ratio: float
@@ -33,13 +35,17 @@
 
 
 def record_request(budget: ServiceRetryBudget, *, now: int) -> None:
-    """Count a caller's request."""
+    """Count a request of a caller."""
     budget.requests.append(now)
     _evict_expired(budget, now=now)
 
 
 def try_spend_retry(budget: ServiceRetryBudget, *, instances: float, now: int) -> bool:
-    """Return whether a request may be sent once more, and count it if so."""
+    """Count a retry if the budget allows it.
+
+    :param instances: number of instances that share the budget.
+    :return: whether the request may be retried.
+    """
     _evict_expired(budget, now=now)
     extra = get_instance_share(budget.extra, instances=instances)
     allowed = USABLE_FRACTION * (budget.ratio * len(budget.requests) + extra)
--- a/src/arbutuspulley/admission/shares.py
+++ b/src/arbutuspulley/admission/shares.py
@@ -1,9 +1,9 @@
 """Fair shares of callers: weighted fair queueing over token cost.
 
-Each caller has a clock that advances by cost over weight with each of its
-requests; the waiting caller whose clock is furthest behind goes next. A caller
-that was away starts at the present: it has saved up nothing, and it owes nothing
-for the share that it was lent while the others were away.
+Each caller has a virtual clock that advances by cost over weight with each of its
+requests; the waiting caller with the lowest clock goes next. The clock of a caller
+that was idle starts at the current virtual time: it accumulates no credit while it is
+idle, and no debt for capacity that it borrowed while the others were idle.
 """
 
 import math
@@ -14,25 +14,27 @@
 from arbutuspulley.rpc.messages import CallerUsage
 
 MAX_DEBT_S = 2.0
-"""How far remote usage may put a caller's clock ahead, in seconds of that usage."""
+"""How far remote usage may advance a caller's clock, in seconds of that usage."""
 
 IDLE_EVICTION_MS = 600_000
-"""A caller not seen for this long is forgotten."""
+"""Idle time after which a caller's account is removed."""
 
 SMOOTHING_MS = 3_000
-"""Time constant of the usage by which callers are compared."""
+"""Time constant of the moving average of a caller's usage."""
 
 
 class CallerShare(State):
-    """One caller's account.
+    """Account of one caller.
 
-    :param clock: virtual time up to which it has been served.
+    :param clock: virtual time up to which the caller has been served.
     :param in_flight: estimated cost of its admitted requests.
-    :param remote_tokens_per_s: what it uses through other instances.
-    :param remote_waiting: its requests waiting there.
-    :param tokens_per_s: what it uses here, smoothed.
-    :param booked_until: until when its refused requests have been told to wait.
-    :param refused_at: when one was last refused, or ``None``.
+    :param remote_tokens_per_s: usage through other instances.
+    :param remote_waiting: requests waiting at other instances.
+    :param tokens_per_s: moving average of the usage at this entry.
+    :param reserved_until: end of the slots reserved for retries of its refused
+        requests, in ms.
+    :param refused_at: time of the last refusal in ms, or ``None``.
+    :param last_seen_at: time of the last activity in ms.
     """
 
     weight: int = 1
@@ -47,10 +49,10 @@
 
 
 class SharesState(State):
-    """All callers' accounts.
+    """Accounts of all callers.
 
-    :param clock: virtual time at which the latest admitted request started.
-    :param charged_at: up to when remote usage has been charged.
+    :param clock: virtual start time of the latest admitted request.
+    :param charged_at: time up to which remote usage has been charged, in ms.
     """
 
     callers: dict[str, CallerShare] = {}
@@ -61,7 +63,7 @@
 def get_or_create_share(
     state: SharesState, caller: str, *, weight: int, now: int
 ) -> CallerShare:
-    """Return a caller's account, opened at the present if there is none."""
+    """Return a caller's account; a new one starts at the current virtual time."""
     share = state.callers.setdefault(caller, CallerShare(clock=state.clock))
     share.weight = max(1, weight)
     share.last_seen_at = now
@@ -69,13 +71,16 @@
 
 
 def get_start_time(state: SharesState, caller: str) -> float:
-    """Return the virtual time at which a caller's next request starts."""
+    """Return the virtual start time of a caller's next request."""
     share = state.callers.get(caller)
     return max(state.clock, share.clock) if share else state.clock
 
 
 def charge(state: SharesState, caller: str, *, cost: int) -> None:
-    """Account for a request that is admitted."""
+    """Charge a caller for an admitted request.
+
+    :param cost: estimated token cost of the request.
+    """
     share = state.callers[caller]
     state.clock = get_start_time(state, caller)
     share.clock = state.clock + cost / share.weight
@@ -84,9 +89,10 @@
 
 
 def settle(share: CallerShare, *, estimated: int, actual: int) -> None:
-    """Correct the account of a request that is over.
+    """Correct a caller's account once a request is over.
 
-    :param actual: its cost as it is known now.
+    :param estimated: token cost that was charged at admission.
+    :param actual: actual token cost.
     """
     share.in_flight = max(0, share.in_flight - estimated)
     share.clock += (actual - estimated) / share.weight
@@ -95,7 +101,7 @@
 def set_remote_usage(
     state: SharesState, *, usage: Sequence[CallerUsage], now: int
 ) -> None:
-    """Take up what callers use through all other instances."""
+    """Replace the callers' usage through all other instances."""
     for share in state.callers.values():
         share.remote_tokens_per_s = 0.0
         share.remote_waiting = 0
@@ -109,11 +115,13 @@
 def charge_remote_usage(
     state: SharesState, *, waiting: Iterable[str], now: int
 ) -> None:
-    """Charge callers that wait here for what they use elsewhere meanwhile.
+    """Charge callers that wait here for their usage through other instances.
+
+    Only usage above that of the waiting caller with the least remote usage is charged,
+    so that clocks of callers with equal usage stay together. The debt of a caller is
+    bounded: it must be served again within seconds after its usage falls.
 
-    Only what exceeds the least of them counts, so that the clocks of callers with
-    equal use stay together. A caller's debt is bounded: it must be served again
-    within seconds after it has become modest.
+    :param waiting: callers with requests waiting here.
     """
     elapsed_s = max(0, now - state.charged_at) / SECOND_MS
     state.charged_at = now
@@ -138,9 +146,9 @@
 def list_usage(
     state: SharesState, *, waiting: dict[str, int]
 ) -> tuple[CallerUsage, ...]:
-    """Return what callers use here, to tell the other instances.
+    """Return the callers' usage at this entry, for the other instances.
 
-    :param waiting: requests waiting here, by caller.
+    :param waiting: number of requests waiting here, by caller.
     """
     return tuple(
         CallerUsage(
@@ -154,7 +162,7 @@
 
 
 def evict_idle(state: SharesState, *, now: int) -> None:
-    """Drop accounts of callers that have not been seen for long."""
+    """Remove the accounts of idle callers without requests in flight."""
     for name in list(state.callers):
         share = state.callers[name]
         if now - share.last_seen_at > IDLE_EVICTION_MS and not share.in_flight:
--- a/src/arbutuspulley/admission/slot_limits.py
+++ b/src/arbutuspulley/admission/slot_limits.py
@@ -1,10 +1,9 @@
-"""How much of each server this entry may use.
+"""Limits how many slots of each server this entry uses.
 
-The entries of a group share the servers without asking each other for each
-request. Each has a part of a server's slots that is always its own. What the
-others leave free, seen in the server's reports, is lent in equal parts; what is
-used above the own part is given back as soon as a report shows the server above
-its slots.
+The entries of a group share the servers without coordinating each request. Each
+entry is guaranteed a share of a server's slots. Slots that the server's reports show
+as free are lent to the entries in equal shares; an entry returns what it uses above
+its guaranteed share as soon as a report shows the server above its slots.
 """
 
 from collections.abc import Sequence
@@ -17,27 +16,27 @@
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
 
 MIN_SLOTS = 1
-"""Slots of each server that an entry may always use."""
+"""Slots of each server that an entry may always use, however many entries there are."""
 
 TOKENS_PER_SLOT = 4_000
-"""Token cost in flight that one slot stands for."""
+"""Token cost in flight that one slot allows."""
 
 RESERVE_DIVISOR = 8
-"""One slot in so many is left free by callers that press beyond their share."""
+"""Pressing callers leave one slot in this many free."""
 
 RESERVE_MIN_SLOTS = 4
-"""A server with at least so many slots has one of them left free in any case."""
+"""Fewest slots of a server at which pressing callers leave at least one free."""
 
 ACTIVE_LOAD = 0.02
-"""An entry with less load than this does not count as sharing the servers now."""
+"""An entry with a load below this does not count as sharing the servers."""
 
 
 class SlotLimit(Value, frozen=True):
-    """What this entry may have in flight at one server, by the caller's standing.
+    """Slots that this entry may use at one server, by the caller's usage class.
 
-    :param ordinary: its own part and its part of what is free.
-    :param modest: its own part and all that is free.
-    :param pressing: the same as ordinary, with the reserve taken off.
+    :param ordinary: the guaranteed share and a share of the free slots.
+    :param modest: the guaranteed share and all free slots.
+    :param pressing: as ordinary, less the reserve.
     """
 
     ordinary: int
@@ -45,7 +44,7 @@
     pressing: int
 
     def get(self, usage_class: UsageClass) -> int:
-        """Return the slots for a request of a caller of this standing."""
+        """Return the slots for requests of callers in a usage class."""
         if usage_class is UsageClass.PRESSING:
             return self.pressing
         return self.modest if usage_class is UsageClass.MODEST else self.ordinary
@@ -56,7 +55,7 @@
 ) -> tuple[str, ...]:
     """Return the addresses of the entries that share the servers now.
 
-    :param own: address of this entry, which always counts.
+    :param own: address of this entry, which always counts as active.
     """
     active = {entry.address for entry in entries if entry.load >= ACTIVE_LOAD}
     return tuple(sorted(active | {own}))
@@ -70,18 +69,20 @@
     active: Sequence[str],
     contended: bool = False,
 ) -> SlotLimit:
-    """Return what this entry may have in flight at a server.
+    """Return how many slots of a server this entry may use.
 
-    :param load: this entry's account of the server, with the same report.
+    :param load: this entry's load on the server, corrected by the same report.
+    :param report: latest report of the server.
     :param own: address of this entry.
     :param active: addresses of the entries that share the server.
     :param contended: whether a modest caller waits at another instance.
     """
 
-    # Counted from the moment of the report, which all entries read alike, their
-    # limits add up to the slots as long as none is below its part. With what each
-    # has begun since, they would not. The key has the entries agree on who gets
-    # the odd slot, and changes with the report, so that it is not always the same.
+    # All entries compute their limits from the same report, so the limits add up to
+    # the slots as long as no entry is below its guaranteed share. If each added the
+    # requests that it has begun since, they would not. The key makes the entries
+    # agree on which of them get the remaining slots; it changes with the report, so
+    # that these are not always the same entries.
     own_in_flight = load.requests_at_report
     reported = report.running + report.waiting
     key = f"{report.server}|{reported}|{report.waiting_tokens}"
@@ -96,8 +97,8 @@
         return own_in_flight + _compute_own_share(free, own=own, active=active, key=key)
 
     ordinary = max(guaranteed, allocate(report.slots))
-    # Several entries may let modest callers have the same free slot. That is kept
-    # small by their being modest, and ends with the next report.
+    # Several entries may give the same free slot to modest callers. The excess is
+    # small because these callers use little, and ends with the next report.
     modest = (
         ordinary
         if contended
@@ -116,7 +117,7 @@
 
 
 def _compute_own_share(slots: int, *, own: str, active: Sequence[str], key: str) -> int:
-    """Return this entry's part of some slots; all parts add up to the whole."""
+    """Return this entry's share of some slots; the shares add up to the slots."""
     whole, rest = divmod(slots, len(active))
     if not rest:
         return whole
--- a/src/arbutuspulley/admission/state.py
+++ b/src/arbutuspulley/admission/state.py
@@ -1,4 +1,4 @@
-"""What one entry knows about waiting and running requests."""
+"""State of the admission queue of one entry."""
 
 import msgspec
 
@@ -15,8 +15,9 @@
 class RunningRequest(State):
     """An admitted request.
 
-    :param server: the server that it counts at; until ``queue.assign`` the one that
-        had room for it.
+    :param server: server whose load includes it; before ``queue.assign`` this is the
+        server that had a free slot for it.
+    :param admitted_at: time of admission, in ms.
     """
 
     ticket: Ticket
@@ -25,16 +26,19 @@
 
 
 class AdmissionState(State):
-    """State of the aggregate; see :mod:`.queue` for what changes it.
+    """Admission state of one entry; only :mod:`.queue` changes it.
 
     :param own: address of this entry.
-    :param routing: what the entry's choices remember of servers; only read here.
-    :param holders: servers that may take an item, by item; see :func:`list_holders`.
-    :param limits: what this entry may use of each server.
-    :param loads: what it uses of each server.
-    :param standings: how callers stand to their shares.
-    :param waiting: by request id, in order of arrival.
-    :param running: by request id.
+    :param routing: routing state of this entry; only read here.
+    :param holders: servers that have an item loaded, by item; see
+        :func:`list_holders`.
+    :param limits: slots of each server that this entry may use.
+    :param loads: load of this entry on each server.
+    :param usage_classes: usage classes of the callers.
+    :param waiting: waiting requests by id, in order of arrival.
+    :param running: admitted requests by id.
+    :param accounts: the callers' shares.
+    :param drain: measured request durations.
     """
 
     own: str = ""
@@ -50,14 +54,14 @@
 
 
 def get_usage_class(state: AdmissionState, caller: str) -> UsageClass:
-    """Return how a caller stands to its share."""
+    """Return the usage class of a caller."""
     return state.usage_classes.get(caller, UsageClass.ORDINARY)
 
 
 def list_holders(state: AdmissionState, item: str, *, now: int) -> tuple[str, ...]:
     """Return the servers that a request for an item may go to now.
 
-    Suspects and leaving servers are left out, unless all are.
+    Servers in backoff and leaving servers are excluded, unless there are no others.
     """
     names = state.holders.get(item, ())
     usable = tuple(name for name in names if is_usable(state.routing, name, now=now))
@@ -67,6 +71,6 @@
 def add_load(
     state: AdmissionState, server: str, *, requests: int, tokens: int, now: int
 ) -> None:
-    """Account for requests that begin (positive) or end (negative) at a server."""
+    """Add requests that begin (positive) or end (negative) to the load on a server."""
     load = state.loads.setdefault(server, ServerLoad())
     add_change(load, requests=requests, tokens=tokens, now=now)
--- a/src/arbutuspulley/admission/tickets.py
+++ b/src/arbutuspulley/admission/tickets.py
@@ -1,18 +1,18 @@
-"""What is asked of admission, and what it answers."""
+"""Inputs and decisions of admission."""
 
 from arbutuspulley.data import Value
 from arbutuspulley.results import Code
 
 
 class Ticket(Value, frozen=True):
-    """A request that asks to be admitted.
+    """A request for admission.
 
-    :param weight: the caller's part of shared hardware, relative to others.
-    :param item: key of the item that must answer.
+    :param weight: weight of the caller's share, relative to other callers.
+    :param item: key of the requested item.
     :param cost: estimated token cost.
-    :param live: whether it goes before summaries.
-    :param arrived_at: when it arrived here.
-    :param deadline: when its first token is due at the latest.
+    :param live: whether the request goes before summaries.
+    :param arrived_at: time of arrival, in ms.
+    :param deadline: latest time of the first token, in ms.
     """
 
     request_id: str
@@ -32,9 +32,9 @@
 
 
 class Refuse(Value, frozen=True):
-    """The request is given up and must be answered at once, as not run.
+    """The request is refused and must be answered at once, as not run.
 
-    :param retry_after_ms: when coming back will likely help.
+    :param retry_after_ms: delay after which a retry is likely to succeed.
     """
 
     request_id: str
@@ -43,4 +43,4 @@
 
 
 Effect = Admit | Refuse
-"""What the shell has to do for one request."""
+"""A decision on one request, which the caller has to carry out."""
--- a/src/arbutuspulley/admission/usage_class.py
+++ b/src/arbutuspulley/admission/usage_class.py
@@ -1,10 +1,9 @@
-"""How a caller stands to its share, seen over all instances.
+"""Classifies callers by their usage over all instances relative to their fair share.
 
-The order of waiting requests is fair at one entry. That is not enough: a caller
-that floods all entries keeps every server full, and a modest caller finds no free
-slot at the entry that it uses until one of the few requests there ends. So callers
-that press beyond their share leave a few slots of each server free, and give way
-at all entries while a modest one waits at any.
+The queue order is fair at a single entry. That is not enough: a caller that floods all
+entries keeps every server full, and a caller that uses little finds no free slot at its
+entry until one of the few requests there ends. So pressing callers leave a few slots
+of each server free, and yield at all entries while a modest caller waits at any.
 """
 
 import enum
@@ -13,15 +12,16 @@
 from arbutuspulley.admission.shares import CallerShare, SharesState
 
 PRESSING_MS = 5_000
-"""How long after a refusal a caller counts as pressing."""
+"""How long a caller may count as pressing after a refusal."""
 
 
 class UsageClass(enum.Enum):
-    """How a caller stands to its share.
+    """Usage of a caller relative to its share.
 
-    ``PRESSING``: it uses more than its share and has lately been refused yet more.
-    ``MODEST``: it uses less than its share while another one presses.
-    ``ORDINARY``: any other.
+    ``PRESSING``: it uses more than its share, and requests of it were recently refused
+    or wait at other instances.
+    ``MODEST``: it uses less than its share while another caller is pressing.
+    ``ORDINARY``: any other caller.
     """
 
     ORDINARY = enum.auto()
@@ -30,9 +30,9 @@
 
 
 def classify_callers(accounts: SharesState, *, now: int) -> dict[str, UsageClass]:
-    """Return how each known caller stands.
+    """Return the usage class of each known caller.
 
-    A share is a caller's part by weight of what all together use now.
+    The share of a caller is its fraction, by weight, of the current total usage.
     """
     shares = accounts.callers
     mean = _compute_mean_usage(shares)
@@ -63,7 +63,7 @@
 
 
 def _compute_mean_usage(shares: Mapping[str, CallerShare]) -> float:
-    """Return what each unit of weight uses on average."""
+    """Return the mean usage per unit of weight, in tokens/s."""
     weight = sum(share.weight for share in shares.values())
     used = sum(
         share.tokens_per_s + share.remote_tokens_per_s for share in shares.values()
--- a/src/arbutuspulley/routing/__init__.py
+++ b/src/arbutuspulley/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: which server gets a request, which entry a caller is told."""
+"""Routing: chooses servers for requests and entries for callers."""
--- a/src/arbutuspulley/routing/addresses.py
+++ b/src/arbutuspulley/routing/addresses.py
@@ -1,9 +1,9 @@
-"""Which entries a caller is told to use for a model, and in which order.
+"""Ranks the entries that a caller should use for a model.
 
-Weighted rendezvous hashing gives each model a few entries of its own. So an entry
-sees most requests of its models (its counts are then good, and it needs summaries
-of few servers), and a change of the set of entries moves only the models of the
-entries that changed. Nothing is agreed or stored: every entry computes the same.
+Weighted rendezvous hashing assigns a few entries to each model. So an entry sees most
+requests of its models (its own counts are then accurate, and it needs summaries of few
+servers), and a change of the set of entries moves only the models of the entries that
+changed. No coordination or storage is needed: every entry computes the same ranking.
 """
 
 import math
@@ -14,19 +14,19 @@
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
 
 MAX_ADDRESSES = 3
-"""Addresses in an answer, if there are as many."""
+"""Largest number of addresses in an answer."""
 
 MIN_ENTRIES_PER_MODEL = 2
-"""Fewest entries that share the callers of one model."""
+"""Least number of entries that share the callers of one model."""
 
 STREAMS_PER_ENTRY = 100
-"""Requests in flight of one model that one entry should carry."""
+"""Requests in flight of one model that one entry should handle."""
 
 LOAD_STEPS = 4
-"""Steps in which an entry's load counts; small changes must not move callers."""
+"""Steps to which an entry's load is rounded; small changes must not move callers."""
 
 MIN_WEIGHT = 0.1
-"""Weight of an entry at or above its limit."""
+"""Weight of an entry at or above its load limit."""
 
 
 def choose_entry_count(
@@ -35,7 +35,7 @@
     """Return how many entries should share the callers of a model.
 
     :param item: key of the model's item.
-    :param entries: entries that could take them.
+    :param entries: number of available entries.
     """
     in_flight = sum(
         summary.running + summary.waiting
@@ -55,17 +55,18 @@
     entry_count: int = MIN_ENTRIES_PER_MODEL,
     max_addresses: int = MAX_ADDRESSES,
 ) -> tuple[EntryAddress, ...]:
-    """Return the entries to tell a caller, best first.
-
-    Draining entries are left out. If all are draining, the answer is the asked
-    one alone, or empty if that is not among them.
-
-    :param asked: address of the entry that answers; it is never the only one told
-        if there is another.
-    :param spread: spreads callers over the entries that share a model: the same
-        value gives the same order, for example the caller's name and address.
-    :param width: how many entries share the model's callers.
-    :param count: most addresses to tell.
+    """Return the entries that a caller should use, best first.
+
+    Draining entries are excluded. If all are draining, the result is the answering
+    entry alone, or empty if that is not among them.
+
+    :param answering_address: address of the entry that answers the caller; the result
+        has at least one other entry if there is one.
+    :param spread_key: distributes callers over the entries that share a model; the same
+        key gives the same order. For example the caller's name and address.
+    :param entry_count: number of entries that share the model's callers.
+    :param max_addresses: largest number of addresses in the result; one more if that
+        is needed for another entry than the answering one.
     """
     usable = [entry for entry in entries if not entry.draining]
     if not usable:
@@ -88,10 +89,10 @@
 def _truncate(
     ordered: list[EntryAddress], *, answering_address: str, max_addresses: int
 ) -> list[EntryAddress]:
-    """Cut the list to length, keeping another entry and another site in it."""
+    """Truncate the list, but keep another entry and another data centre in it."""
     selected = ordered[:max_addresses]
-    # The asked entry or a whole data centre may fail while the caller keeps the
-    # answer; one address that fails with neither is always told, if there is one.
+    # The answering entry or a whole data centre may fail while the caller uses the
+    # answer; so it has an address outside of either, if there is one.
     if len(selected) == max_addresses > 1 and all(
         entry.site == selected[0].site for entry in selected
     ):
@@ -110,7 +111,7 @@
 
 
 def _rank(entry: EntryAddress, key: str, weight: float) -> float:
-    """Return the entry's rendezvous rank for a key; the smallest comes first."""
+    """Return the entry's rendezvous rank for a key; the lowest rank comes first."""
     digest = xxhash.xxh64_intdigest(f"{key}|{entry.address}".encode())
     uniform = (digest + 1) / (2**64 + 1)
     return -math.log(uniform) / weight
--- a/src/arbutuspulley/routing/choice.py
+++ b/src/arbutuspulley/routing/choice.py
@@ -1,13 +1,13 @@
-"""Choice of the server that gets a request.
+"""Chooses the server for a request.
 
-Each entry decides alone, from reports that are old and that other entries read
-too. Three guards follow from this: a report is corrected by what this entry has
-begun and ended since (:mod:`.load`), the better of two servers drawn at random is
-taken, and a server that fails is left out for a short while.
+Each entry decides independently, from stale reports that other entries read too.
+Three measures follow from this: a report is corrected by the attempts that this entry
+has begun and ended since (:mod:`.load`), the better of two random servers is chosen,
+and a server that fails is not used during a short backoff.
 
-Servers are compared by requests in flight over slots. Token cost breaks ties only:
-adding it to the comparison made more requests wait, because it is the slots that
-run out first and because costs are guesses.
+Servers are compared by requests in flight over slots. Token cost only breaks ties:
+including it in the comparison made more requests wait, because slots run out first
+and because costs are estimates.
 """
 
 import random
@@ -26,30 +26,31 @@
 from arbutuspulley.rpc.messages import ServerSummary
 
 SAMPLE_SIZE = 2
-"""Servers drawn at random, of which the better one is taken."""
+"""Servers sampled at random, of which the best one is chosen."""
 
 BACKOFF_MS = 1_000
-"""How long a server is left out after its first failure; doubles with each more."""
+"""Backoff after the first failure of a server; it doubles with each further one."""
 
 MAX_BACKOFF_MS = 30_000
-"""Longest time that a failing server is left out before it is probed again."""
+"""Longest backoff of a failing server before it is probed again."""
 
 LEAVING_TTL_MS = 15_000
-"""How long a server's own word that it is leaving outweighs lagging reports."""
+"""How long a refusal of a server as leaving overrides reports that lag behind it."""
 
 OTHER_SITE_PENALTY = 0.02
 """Added to the score of a server in another data centre; it only breaks ties."""
 
 
 class ServerHealth(State):
-    """What this entry has seen of one server.
-
-    :param failures: failures in a row; above 0 it is a suspect.
-    :param failed_at: when the last one was seen.
-    :param suspect_until: when one request may probe it.
-    :param probing: whether that request is under way.
-    :param left_at: when it said that it is leaving, or ``None``.
-    :param boot_id: the engine's start that these belong to.
+    """Health of one server as observed by this entry.
+
+    :param load: load of this entry on the server.
+    :param failures: consecutive failures.
+    :param failed_at: time of the last failure, in ms.
+    :param backoff_until: time from which one request may probe the server, in ms.
+    :param probing: whether that request is in flight.
+    :param leaving_since: time of its refusal as leaving in ms, or ``None``.
+    :param boot_id: incarnation of the engine that these belong to.
     """
 
     load: ServerLoad = msgspec.field(default_factory=ServerLoad)
@@ -62,10 +63,10 @@
 
 
 class RoutingState(State):
-    """What one entry remembers for its choices.
+    """Routing state of one entry.
 
     :param site: the entry's own data centre.
-    :param servers: by name.
+    :param servers: health of the servers by name.
     """
 
     site: str = ""
@@ -75,9 +76,10 @@
 def apply_reports(
     state: RoutingState, *, servers: Sequence[ServerSummary], now: int
 ) -> None:
-    """Take up the reports of a new view and forget servers that are gone.
+    """Apply the reports of a new view and evict unlisted servers.
 
-    :param now: when the view was received; ages of reports count from here.
+    :param now: time of receipt of the view, in ms; the age of a report is relative to
+        this.
     """
     names = {summary.server for summary in servers}
     for summary in servers:
@@ -101,14 +103,14 @@
     chance: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> str | None:
-    """Return the server that should get a request.
+    """Return the server for a request.
 
     :param servers: all servers of the latest view.
-    :param item: key of the item that must be loaded there.
+    :param item: key of the item that must be loaded on the server.
     :param cost: estimated token cost of the request.
-    :param avoid: servers that must not get it, whatever the others' state.
-    :param chance: source of the random draw.
-    :return: the server's name, or ``None`` if none may take it.
+    :param avoid: servers that must not be chosen, even if there are no others.
+    :param chance: random number generator.
+    :return: name of the server, or ``None`` if none is eligible.
     """
     candidates = [
         summary
@@ -123,14 +125,14 @@
         if _is_available(_get_health(state, summary), now)
     ]
     if not available:
-        # Every holder has failed lately. Leaving all of them out would make a
-        # model unreachable over a passing fault, so the one whose time is up
-        # first is tried.
+        # All holders are in backoff after failures. Excluding all of them would make
+        # the model unreachable over a transient fault, so the one whose backoff ends
+        # first is used.
         return min(
             candidates, key=lambda summary: _get_health(state, summary).backoff_until
         ).server
-    # The least loaded of all by a report would be the same server for every entry
-    # until the next report: all would send there at once and its queue would swing.
+    # The least loaded server would be the same one for every entry until the next
+    # report: all entries would use it at once and its queue would oscillate.
     sampled = (
         chance.sample(available, SAMPLE_SIZE)
         if len(available) > SAMPLE_SIZE
@@ -140,12 +142,15 @@
 
 
 def begin_attempt(state: RoutingState, server: str, cost: int, *, now: int) -> None:
-    """Account for an attempt that is sent to a server."""
+    """Account for an attempt that is sent to a server.
+
+    :param cost: estimated token cost.
+    """
     health = state.servers.setdefault(server, ServerHealth())
     add_change(health.load, requests=1, tokens=cost, now=now)
     if health.failures:
-        # This attempt is the probe; the next one waits for its outcome or for
-        # another pause, so that a server that still fails costs one request each.
+        # This attempt is the probe. The next one waits for its outcome or for another
+        # backoff, so that a server that still fails costs one request per backoff.
         health.backoff_until = now + _compute_backoff(health.failures)
         health.probing = True
 
@@ -161,9 +166,9 @@
 ) -> None:
     """Account for an attempt that is over, however it ended.
 
-    :param cost: the same estimate that the attempt began with.
-    :param succeeded: whether the server answered it whole.
-    :param began_at: when the attempt began, if known.
+    :param cost: the estimated token cost that the attempt began with.
+    :param succeeded: whether the answer is complete.
+    :param began_at: time at which the attempt began in ms, if known.
     """
     health = state.servers.setdefault(server, ServerHealth())
     add_change(health.load, requests=-1, tokens=-cost, now=now)
@@ -174,10 +179,11 @@
 def record_success(
     state: RoutingState, server: str, *, began_at: int | None = None
 ) -> None:
-    """Clear a server's failures, for example at an attempt's first token.
+    """Reset a server's failures, for example at an attempt's first token.
 
-    :param began_at: when the attempt began, if known. A stream that is older than
-        the failure says nothing of whether new requests are taken again.
+    :param began_at: time at which the attempt began in ms, if known. The success of a
+        stream that began before the last failure does not show that the server accepts
+        new requests again.
     """
     health = state.servers.setdefault(server, ServerHealth())
     if began_at is not None and began_at < health.failed_at:
@@ -188,10 +194,10 @@
 
 
 def record_failure(state: RoutingState, server: str, now: int) -> None:
-    """Leave a server out for a short while, longer with each failure in a row."""
+    """Start a backoff for a server, longer with each consecutive failure."""
     health = state.servers.setdefault(server, ServerHealth())
     if health.probing or now >= health.backoff_until:
-        # Requests that fail together, as their server dies, are one failure.
+        # Requests that fail together, as their server dies, count as one failure.
         health.failures += 1
     health.probing = False
     health.failed_at = now
@@ -199,16 +205,16 @@
 
 
 def record_leaving(state: RoutingState, server: str, now: int) -> None:
-    """Record that the server itself refused a request because it is leaving."""
+    """Record that a server refused a request because it is leaving."""
     state.servers.setdefault(server, ServerHealth()).leaving_since = now
 
 
 def is_usable(state: RoutingState, server: str, *, now: int) -> bool:
-    """Return whether a server is neither a suspect nor leaving by its own word.
+    """Return whether a server is neither in backoff nor has refused as leaving.
 
-    Admission must not count the free slots of one that is not: a server that fails
-    each request at once always has some, and would have requests admitted that no
-    other server has room for.
+    Admission must not count the free slots of an unusable server: one that fails each
+    request at once always has free slots, and requests would be admitted for which no
+    other server has a slot.
     """
     health = state.servers.get(server)
     return health is None or (_is_available(health, now) and _is_staying(health, now))
@@ -228,8 +234,8 @@
         return
     observe_report(health.load, report=summary, now=now)
     if summary.boot_id != health.boot_id:
-        # It has restarted: what was seen of its earlier start is over, but the
-        # next request is still a probe.
+        # The server has restarted: observations of its previous incarnation no longer
+        # apply, but the next request is still a probe.
         health.boot_id = summary.boot_id
         health.leaving_since = None
         health.backoff_until = min(health.backoff_until, now)
@@ -245,21 +251,21 @@
 
 
 def _is_staying(health: ServerHealth, now: int) -> bool:
-    # The instance list and the reports lag: they still call a server live for
-    # seconds after it began to leave. Its own refusal is newer.
+    # The instance list and the reports lag: they show a server as alive for seconds
+    # after it began to leave. Its own refusal is newer.
     return health.leaving_since is None or now - health.leaving_since >= LEAVING_TTL_MS
 
 
 def _is_available(health: ServerHealth, now: int) -> bool:
-    # A server that fails fast looks idle and would draw ever more requests. After
-    # the pause a single probe decides, see begin_attempt.
+    # A server that fails fast looks idle and would attract ever more requests. After
+    # the backoff a single probe decides, see begin_attempt.
     return health.failures == 0 or now >= health.backoff_until
 
 
 def _score(
     state: RoutingState, summary: ServerSummary, *, cost: int
 ) -> tuple[float, int, str]:
-    """Return how busy the server would be with the request; lower is better."""
+    """Return the server's utilisation with the request; lower is better."""
     load = _get_health(state, summary).load
     utilisation = (estimate_requests(load) + 1) / summary.slots
     penalty = 0.0 if summary.site == state.site else OTHER_SITE_PENALTY
--- a/src/arbutuspulley/routing/load.py
+++ b/src/arbutuspulley/routing/load.py
@@ -1,8 +1,8 @@
-"""What this process has in flight at a server, and what the server really carries.
+"""Estimates the load of a server from its report and this process's own attempts.
 
-A report of a server's load is old when it is used. What this process has begun
-and ended at the server since the report was measured is known exactly, so an
-estimate is the report corrected by that difference.
+A report of a server's load is stale when it is used. The attempts that this process
+has begun and ended at the server since the report was measured are known exactly, so
+the estimate is the report corrected by that difference.
 """
 
 from collections import deque
@@ -13,11 +13,11 @@
 from arbutuspulley.rpc.messages import ServerSummary
 
 HISTORY_MS = 30_000
-"""How long begun and ended attempts are remembered; no usable report is older."""
+"""How long begun and ended attempts are kept; no usable report is older."""
 
 
 class LoadChange(Value, frozen=True):
-    """Attempts begun (positive) or ended (negative) at one moment."""
+    """Attempts begun (positive) or ended (negative) at one time, in ms."""
 
     at: int
     requests: int
@@ -25,14 +25,16 @@
 
 
 class ServerLoad(State):
-    """Own account of one server.
+    """Load of this process on one server.
 
-    :param requests: own requests in flight there now.
+    :param requests: own requests in flight now.
     :param tokens: estimated token cost of these.
-    :param report: the report that the account was last corrected against.
-    :param measured_at: when, on this process's clock, its numbers were taken.
-    :param requests_at_report: own requests in flight at that moment.
-    :param tokens_at_report: their token cost.
+    :param changes: recent changes of both.
+    :param report: latest report of the server.
+    :param measured_at: time, on this process's clock, at which the report was measured,
+        in ms.
+    :param requests_at_report: own requests in flight at that time.
+    :param tokens_at_report: their estimated token cost.
     """
 
     requests: int = 0
@@ -54,9 +56,9 @@
 
 
 def observe_report(load: ServerLoad, *, report: ServerSummary, now: int) -> None:
-    """Take up a newly received report; the one already known changes nothing.
+    """Apply a new report; the current one is ignored.
 
-    :param now: the time of receipt; the report's own age is counted from here.
+    :param now: time of receipt, in ms; the report's age is relative to this.
     """
     if report is load.report:
         return
@@ -68,7 +70,7 @@
 
 
 def estimate_requests(load: ServerLoad) -> int:
-    """Return how many requests the server likely runs and queues now."""
+    """Return the estimated number of requests that the server runs and queues now."""
     report = load.report
     if report is None:
         return load.requests
@@ -77,7 +79,7 @@
 
 
 def estimate_tokens(load: ServerLoad) -> int:
-    """Return how many tokens the server likely still has to work on."""
+    """Return the estimated token cost that the server still has to process."""
     report = load.report
     if report is None:
         return load.tokens
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -1,9 +1,9 @@
-"""Which server gets a request, by what this instance alone has seen.
+"""Chooses servers from this instance's own observations alone.
 
-Used for plain services, and for model servers while no coordinator answers. A
-server's rank is the time that one more request would probably take there: own
-requests in flight, its usual duration, and how many of its requests failed. Health
-answers play no part, since a failing server may well give good ones.
+Used for plain services, and for model servers while no coordinator answers. Servers
+are ranked by the expected duration of one more request: own requests in flight, mean
+duration, and failure rate. Health checks are not used, since a failing server may well
+pass them.
 """
 
 from collections.abc import Iterable
@@ -16,65 +16,72 @@
 from arbutuspulley.ports.fleet import ModelNeed, ServerEntry
 
 UNREACHABLE_BACKOFF_MS = 500
-"""How long a server that could not be connected to gets no work, in ms; doubled at
-each further failure."""
+"""Backoff after a connection to a server fails, in ms; it doubles with each further
+failure."""
 
 MAX_UNREACHABLE_BACKOFF_MS = 4_000
-"""Most of that, in ms: crashed servers are back after 4 to 6 s."""
+"""Longest such backoff, in ms: crashed servers are back after 4 to 6 s."""
 
 REFUSED_BACKOFF_MS = 100
-"""How long a server that refused a request as not run gets no more, in ms; doubled at
-each further refusal up to the longest. A full server has worked off some of what waits
-there by then. It refuses at once, and by its few requests in flight it would seem the
-best of all: it would get the next one, too, while others have room."""
+"""Backoff after a server refuses a request as not run, in ms; it doubles with each
+further refusal. By then a full server has processed some of its queue. It refuses at
+once, and with its few requests in flight it would rank first: it would get the next
+request, too, while other servers have free slots."""
 
 MAX_REFUSED_BACKOFF_MS = 800
-"""Most of that, in ms: a server that has room again is asked within a second."""
+"""Longest such backoff, in ms: a server that has room again is used within a second."""
 
 EWMA_WEIGHT = 0.15
-"""Weight of the newest outcome in a server's moving means: about the last seven."""
+"""Weight of the newest sample in a server's moving averages: about the last seven
+count."""
 
 FAILURE_WEIGHT = 20.0
-"""How many times longer a request seems at a server that fails all of them."""
+"""Factor on the expected duration at a server that fails all requests, less one."""
 
 DEFAULT_DURATION_MS = 30.0
-"""Assumed duration at a server that has answered nothing yet, in ms."""
-
+"""Assumed mean duration at a server that has not answered yet, in ms."""
 
 TARGET_FRACTION = 0.6
-"""Part of its aim that an answer may take on average at a server before this instance
-sends less there. Answers scatter by half of that and more, and a late one is worth half
-or nothing: a server works at the same pace however many wait there."""
+"""Mean duration at a server, as a fraction of the latency target, above which this
+instance lowers its concurrency limit there. Durations vary by half of the mean and
+more, and a late answer is worth half or nothing. Lowering the limit costs no
+throughput: a server processes requests at the same rate however many are queued."""
 
 DECREASE_FACTOR = 0.8
-"""By how much the requests that an instance has at such a server are cut at a time."""
+"""Factor by which the concurrency limit of such a server is lowered at a time."""
 
 DECREASE_INTERVAL_MS = 100
-"""Least time between two cuts, in ms: what was sent before the last one has to come
-back before it shows."""
+"""Least time between two decreases, in ms: requests sent before the last decrease must
+complete before it has an effect."""
 
 MIN_LIMIT_PER_SLOT = 2.0
-"""A server gets so many times its slots all the same, from all instances together. It
-then works at its full pace, though instances do not know what others send there."""
+"""Lower bound of the concurrency limits of all instances together, in multiples of a
+server's slots. It keeps the server at full throughput although instances do not know
+each other's load on it."""
 
 UNLIMITED = 1 << 30
-"""More requests than an instance ever has."""
+"""Number of requests that an instance never reaches."""
 
 CONNECTION_FRACTION = 0.8
-"""Part of a server's connections that is used: others are idle, or about to close. A
-server resets what comes beyond, and a request that it resets may have run."""
+"""Fraction of a server's connections that is used: others are idle or about to close. A
+server resets connections beyond its limit, and a request on one that is reset may have
+run."""
 
 
 class ServerStats(State):
-    """What this instance has seen of one server.
-
-    :param failures: connections that failed since it last answered.
-    :param refusals: requests that it refused as not run since then.
-    :param suspect_until: until when others are asked if there are any.
-    :param most: requests that this instance may have there so that answers come in
-        time, as it seems by now.
-    :param cut_at: when that was last cut.
-    :param limited_until: until when the rate limit that it names keeps it from more.
+    """Statistics of this instance on one server.
+
+    :param in_flight: own requests in flight.
+    :param duration_ms: moving average of the answer duration.
+    :param failure_share: moving average of the failure rate, from 0 to 1.
+    :param failures: failed connections since its last answer.
+    :param refusals: requests refused as not run since its last answer.
+    :param backoff_until: time until which other servers are preferred, in ms.
+    :param concurrency_limit: requests in flight of this instance with which answers are
+        expected within the latency target.
+    :param decreased_at: time of the last decrease of that limit, in ms.
+    :param rate_limited_until: time until which its rate limit excludes the server, in
+        ms.
     """
 
     in_flight: int = 0
@@ -89,7 +96,7 @@
 
 
 class LocalServerStats(State):
-    """Records of all servers by incarnation."""
+    """Statistics of all servers, by incarnation."""
 
     servers: dict[str, ServerStats] = msgspec.field(default_factory=dict)
 
@@ -105,12 +112,13 @@
     sharing_instances: float = 1,
     now: int,
 ) -> ServerEntry | None:
-    """Return the best server, or ``None`` if none may be asked.
+    """Return the best server, or ``None`` if none is eligible.
 
-    :param need: the model that it must hold; ``None`` at plain services.
+    :param zone: own data centre, which is preferred.
+    :param need: the model that must be loaded; ``None`` for plain services.
     :param avoid: incarnations that have refused or failed this request.
-    :param max_in_flight: requests that this instance may have at one server.
-    :param sharing_instances: instances that use plain servers, as far as is known.
+    :param max_in_flight: requests that this instance may have in flight at one server.
+    :param sharing_instances: number of instances that use the servers, as far as known.
     """
     usable = [
         entry
@@ -134,7 +142,7 @@
 
 
 def get_stats(stats: LocalServerStats, entry: ServerEntry) -> ServerStats:
-    """Return what is known of a server; a new record if nothing is."""
+    """Return the statistics of a server; new ones if there are none."""
     server = stats.servers.get(entry.incarnation)
     if server is None:
         server = stats.servers[entry.incarnation] = ServerStats()
@@ -142,9 +150,11 @@
 
 
 def get_max_in_flight(connections: int, *, instances: float) -> int:
-    """Return how many requests one instance may have at one server.
+    """Return how many requests one instance may have in flight at one server.
 
-    :param connections: that a server accepts from all instances; 0 if not known.
+    :param connections: connections that a server accepts from all instances; 0 if
+        unknown.
+    :param instances: number of instances that share them.
     """
     if not connections:
         return UNLIMITED
@@ -154,16 +164,17 @@
 
 
 def record_sent(stats: LocalServerStats, entry: ServerEntry) -> None:
-    """A request was sent."""
+    """Record that a request is sent."""
     get_stats(stats, entry).in_flight += 1
 
 
 def record_done(
     stats: LocalServerStats, entry: ServerEntry, *, took_ms: int | None, failed: bool
 ) -> None:
-    """A request came back or was given up.
+    """Record that a request has ended.
 
-    :param took_ms: how long the answer took; ``None`` if that says nothing.
+    :param took_ms: duration of the answer; ``None`` if there is none.
+    :param failed: whether the server failed the request.
     """
     server = get_stats(stats, entry)
     server.in_flight = max(0, server.in_flight - 1)
@@ -178,14 +189,14 @@
 def adjust_concurrency_limit(
     stats: LocalServerStats, entry: ServerEntry, *, latency_target_ms: int, now: int
 ) -> None:
-    """Take in whether answers of a plain server come in time; after each answer.
+    """Adjust a plain server's concurrency limit; called after each answer.
 
-    :param latency_target_ms: within which the answer was to come.
+    :param latency_target_ms: latency target of the answered request.
     """
     server = get_stats(stats, entry)
     if server.duration_ms > TARGET_FRACTION * latency_target_ms:
         if now - server.decreased_at >= DECREASE_INTERVAL_MS:
-            # The answer that has just come counts as there.
+            # The request that has just been answered counts as in flight.
             server.concurrency_limit = max(
                 1.0,
                 min(server.concurrency_limit, server.in_flight + 1) * DECREASE_FACTOR,
@@ -198,7 +209,7 @@
 def record_unreachable(
     stats: LocalServerStats, entry: ServerEntry, *, now: int
 ) -> None:
-    """A server could not be connected to."""
+    """Start a backoff for a server to which the connection failed."""
     server = get_stats(stats, entry)
     server.failures += 1
     server.backoff_until = now + double_pause(
@@ -209,9 +220,9 @@
 
 
 def record_refused(stats: LocalServerStats, entry: ServerEntry, *, now: int) -> None:
-    """A server refused a request as not run: it is full.
+    """Start a backoff for a full server, which refused a request as not run.
 
-    What was on its way as it refused the first says nothing new.
+    Refusals of requests that were in flight at the first refusal are ignored.
     """
     server = get_stats(stats, entry)
     if now < server.backoff_until:
@@ -225,19 +236,22 @@
 def set_rate_limited(
     stats: LocalServerStats, entry: ServerEntry, *, until: int
 ) -> None:
-    """A server may get no more for a while by the rate limit that it names."""
+    """Exclude a server until a time at which its rate limit may allow a request.
+
+    :param until: time in ms.
+    """
     get_stats(stats, entry).rate_limited_until = until
 
 
 def clear_rate_limited(stats: LocalServerStats, incarnation: str) -> None:
-    """What a server's rate limit was is not what it is now."""
+    """Stop excluding a server whose rate limit has changed."""
     server = stats.servers.get(incarnation)
     if server is not None:
         server.rate_limited_until = 0
 
 
 def evict_unlisted(stats: LocalServerStats, entries: Iterable[ServerEntry]) -> None:
-    """Drop the records of servers that are gone."""
+    """Remove the statistics of servers that are not listed."""
     listed = {entry.incarnation for entry in entries}
     for incarnation in [one for one in stats.servers if one not in listed]:
         del stats.servers[incarnation]
--- a/src/arbutuspulley/routing/route_table.py
+++ b/src/arbutuspulley/routing/route_table.py
@@ -1,7 +1,7 @@
-"""The routes of one configuration, looked up by host and longest path prefix.
+"""Looks up the routes of a configuration by host and longest path prefix.
 
-A lookup costs one dictionary access for each segment of the path, however many
-routes there are.
+A lookup takes one dictionary access for each path segment, however many routes there
+are.
 """
 
 import random
@@ -11,7 +11,7 @@
 
 
 class RouteTable(Value, frozen=True):
-    """Routes by host and prefix."""
+    """Routes by host and path prefix."""
 
     hosts: dict[str, dict[str, Route]]
 
@@ -25,9 +25,9 @@
 
 
 def find_route(table: RouteTable, *, host: str, path: str) -> Route | None:
-    """Return the route of the longest prefix that begins the path.
+    """Return the route with the longest prefix of the path, or ``None``.
 
-    :param path: may carry a query.
+    :param path: path, optionally with a query.
     """
     prefixes = table.hosts.get(host)
     if prefixes is None:
@@ -43,7 +43,10 @@
 
 
 def choose_service(route: Route, *, chance: random.Random) -> str:
-    """Return the service that gets a request, drawn by the route's weights."""
+    """Choose the service for a request at random by the route's weights.
+
+    :param chance: random number generator.
+    """
     shares = route.shares
     if len(shares) == 1:
         return shares[0].service
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Which entries a caller is told."""
+"""Ranking of the entries that callers use."""
 
 import collections
 
@@ -51,10 +51,10 @@
 def test_answer_survives_loss_of_the_answering_entry_or_a_data_centre(
     loads, sites, draining, asked, count, model
 ):
-    """The entry or the data centre a caller was told fails a second later.
+    """Guards against answers whose addresses all fail together.
 
-    The caller keeps the answer for a while. If every address in it is gone, it
-    has nobody left to ask.
+    The answering entry or a data centre fails after the answer, which the caller uses
+    for a while longer. It needs an address that is still reachable.
     """
     entries = [
         build_entry(n, load=load, site=f"{n % sites}", draining=n in draining)
@@ -98,10 +98,8 @@
 
 
 def test_a_full_entry_is_ranked_first_less_often():
-    """One entry has all its requests in flight and refuses.
-
-    Callers are still sent there first and each loses a round trip.
-    """
+    """Guards against callers that lose a round trip to an entry at its load limit,
+    which refuses them."""
     full = [build_entry(0, load=1.0), *SIX[1:]]
     spreads = [f"caller-{number}" for number in range(20)]
     before = count_firsts(SIX, spreads=spreads)[SIX[0].address]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -42,10 +42,10 @@
 
 @pytest.mark.parametrize(("failing", "most"), [(0.1, 1.1), (0.5, 1.1), (1.0, 1.02)])
 def test_failing_servers_do_not_multiply_the_load(failing, most):
-    """A tenth of the servers fail, then half, then all.
+    """A tenth of the attempts fail, then half, then all.
 
-    With three tries for each request, attempts would grow to 1.11, 1.75 and 3 times
-    the requests, at the very moment when there is the least room.
+    With three attempts per request, the attempts would grow to 1.11, 1.75 and 3 times
+    the requests, when there is the least capacity for them.
     """
     chance = random.Random(1)
     state = RetryBudget()
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of a server under lagging reports and faults."""
+"""Choice of a server with stale reports and faults."""
 
 import heapq
 import random
@@ -49,15 +49,15 @@
 @pytest.mark.parametrize(
     ("age_ms", "began_at", "chosen"),
     [
-        (0, 900, "s1"),  # the report counts the two already: 2 and 3
-        (500, 900, "s2"),  # the report is older than the two: 4 and 3
+        (0, 900, "s1"),  # the report includes both requests: 2 and 3
+        (500, 900, "s2"),  # the report is older than both requests: 4 and 3
     ],
 )
 def test_own_requests_since_the_report_are_added(age_ms, began_at, chosen):
-    """A burst goes to one server although another is freer.
+    """Guards against a burst that goes to one server although another is less loaded.
 
-    The server reports 2 requests, half a second old; this entry has sent it two
-    more since. Without the correction, it looks freer until the next report.
+    The server's report of 2 requests is half a second old; this entry has sent two more
+    since. Without the correction, the server looks less loaded until the next report.
     """
     state = RoutingState(site="a")
     for _ in range(2):
@@ -69,10 +69,10 @@
 
 
 def test_a_failing_server_backs_off_and_is_then_probed_once():
-    """A server that refuses every connection at once looks idle.
+    """Guards against a server that refuses connections at once, so that it looks idle
+    and attracts all requests.
 
-    It would draw all requests. It is left out, then gets a single probe; as that
-    fails too, it is left out for longer.
+    After the backoff it gets a single probe; as that fails too, the backoff doubles.
     """
     state = RoutingState(site="a")
     servers = [build_server("s1"), build_server("s2", running=3)]
@@ -104,10 +104,10 @@
 
 
 def test_backoff_never_leaves_a_model_without_a_server():
-    """A switch fails for a moment and every holder of a model breaks off.
+    """A network switch fails briefly and all holders of a model break off.
 
-    If all were left out, the model would be unreachable for seconds after the
-    switch is back. The server whose pause ends first is tried.
+    If all were excluded, the model would be unreachable for seconds after the switch
+    has recovered. The server whose backoff ends first is used.
     """
     state = RoutingState(site="a")
     servers = [build_server("s1"), build_server("s2")]
@@ -117,10 +117,8 @@
 
 
 def test_a_refusal_as_leaving_overrides_stale_reports():
-    """A server that is stopping refuses, but reports still call it live.
-
-    Each request would be sent there first and be refused.
-    """
+    """Guards against requests that are sent first to a stopping server, which refuses
+    them while reports still show it as alive."""
     state = RoutingState(site="a")
     servers = [build_server("s1", boot_id="b1"), build_server("s2", running=3)]
     assert choose(state, servers) == "s1"
@@ -138,9 +136,9 @@
 
 
 def simulate_late_starts(*, entries, seed):
-    """Return the share of requests that wait over 500 ms for a slot.
+    """Return the fraction of requests that wait over 500 ms for a slot.
 
-    Eight servers of 8 slots at 0.7 of their capacity, reports 2 s old.
+    Eight servers with 8 slots run at 0.7 of their capacity; reports are 2 s old.
     """
     chance = random.Random(seed)
     states = [RoutingState(site="a") for _ in range(entries)]
@@ -195,10 +193,8 @@
 
 @pytest.mark.parametrize(("entries", "most"), [(2, 0.05), (6, 0.11), (20, 0.14)])
 def test_entries_with_the_same_stale_report_do_not_herd(entries, most):
-    """At 0.7 of capacity, some servers queue while others idle.
-
-    All entries read the same report, two seconds old, and all pick the server that
-    was the freest then.
-    """
+    """Guards against entries that all choose the server that was least loaded in the
+    same report, two seconds old: some servers queue while others are idle, at 0.7 of
+    the capacity."""
     late = [simulate_late_starts(entries=entries, seed=seed) for seed in (1, 2, 3)]
     assert sum(late) / len(late) < most
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,4 @@
-"""Token cost: estimates, and what is learned."""
+"""Token cost: estimates and averages."""
 
 import json
 
@@ -39,10 +39,10 @@
 
 
 def test_answer_length_is_averaged_for_each_item():
-    """A caller sets a bound of 4,096 tokens and gets answers of 20.
+    """A caller sets a limit of 4,096 tokens and gets answers of 20.
 
-    By the bound it would pay for its share two hundred times over, and one that
-    sets no bound would pay the same for answers of 1,000 tokens.
+    By that limit it would be charged two hundred times its usage, and one that sets no
+    limit would be charged the same for answers of 1,000 tokens.
     """
     state = CostState()
     for _ in range(60):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Which team a key belongs to."""
+"""Lookup of the team that a key belongs to."""
 
 import pytest
 
--- a/tests/test_local_choice.py
+++ b/tests/test_local_choice.py
@@ -1,4 +1,4 @@
-"""Which server gets a request by what one instance has seen."""
+"""Choice of a server from the observations of one instance."""
 
 import pytest
 
@@ -67,8 +67,8 @@
 
 
 def test_a_server_that_fails_requests_but_passes_health_checks_gets_fewer():
-    """One of two servers answers a third of its requests with an error while its
-    health check is good. Spread evenly, a sixth of all callers fail."""
+    """One of two servers fails a third of its requests while it passes health checks.
+    Distributed evenly, a sixth of all requests would fail."""
     stats = LocalServerStats()
     for _ in range(20):
         record_done(stats, A, took_ms=10, failed=True)
@@ -97,10 +97,10 @@
 
 
 def test_a_full_server_backs_off_although_it_looks_idle():
-    """A server with a full queue refuses at once what others would have run.
+    """A server with a full queue refuses requests at once that others would run.
 
-    Nothing of what it refused is in flight there, so it seems the least busy. Asked
-    again each time, it refused one request in three of its service for seconds.
+    The refused requests are not in flight there, so it looks the least loaded. Without
+    a backoff, it refused one request in three of its service for seconds.
     """
     stats = LocalServerStats()
     record_sent(stats, B)
@@ -132,9 +132,9 @@
 
 
 def test_requests_in_flight_stay_within_the_connection_limit():
-    """A server resets the connections beyond its bound. The requests on them may have
-    run, so that those that may run only once were lost; refused before, they come
-    again."""
+    """A server resets connections beyond its limit. Requests on these may have run, so
+    that non-idempotent ones were lost; ones refused before they are sent are
+    retried."""
     stats = LocalServerStats()
     record_sent(stats, A)
     assert choose(stats, [A], max_in_flight=2) == "a"
@@ -156,7 +156,7 @@
 
 
 def complete_requests(stats, *, took_ms, count, now, running=0):
-    """Let a server answer some requests against an aim of 300 ms."""
+    """Let a server answer some requests with a latency target of 300 ms."""
     for _ in range(running):
         record_sent(stats, A)
     for number in range(count):
@@ -168,9 +168,8 @@
 
 
 def test_late_answers_lower_the_concurrency_limit():
-    """Callers press beyond what a service takes. Its queues were kept full, and what it
-    worked off was late without exception, at the pace at which it would have served as
-    many in time."""
+    """A service is overloaded. Its queues were kept full, and all its answers were
+    late, at a throughput at which as many could have been answered in time."""
     stats = LocalServerStats()
     complete_requests(stats, took_ms=90, count=20, now=0, running=11)
     assert get_stats(stats, A).concurrency_limit == UNLIMITED
@@ -194,8 +193,8 @@
 def test_the_concurrency_limit_stays_above_the_share_of_twice_the_slots(
     running, sharers, expected
 ):
-    """No instance knows what the others send; a server that works at half its pace
-    because all of them hold back serves nobody better."""
+    """Instances do not know each other's load on a server; if all of them lower their
+    limits, the server runs below its throughput without any benefit."""
     stats = LocalServerStats()
     complete_requests(stats, took_ms=900, count=20, now=0, running=running)
     entry = choose_server(
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Admission: who is admitted, who waits, who is refused and when."""
+"""Admission queue: which requests are admitted, wait or are refused, and when."""
 
 import pytest
 
@@ -38,7 +38,7 @@
 
 
 def build_state(*servers, filled=0, duration_ms=1_000, **ticket):
-    """Return an entry that knows how long requests take and has some running."""
+    """Return an entry with known request durations and some running requests."""
     state = AdmissionState(own="e")
     queue.apply_view(state, view=build_view(*servers), now=0)
     for server in state.limits:
@@ -72,7 +72,7 @@
         ({"alive": False}, 0, {}, "MODEL_NOT_LOADED"),
         ({}, SLOTS, {"deadline": 300}, "DEADLINE_OUT_OF_REACH"),
         ({}, SLOTS, {"deadline": 300, "caller": "d"}, "DEADLINE_OUT_OF_REACH"),
-        ({}, 0, {"cost": 10**9}, "admit"),  # it runs alone
+        ({}, 0, {"cost": 10**9}, "admit"),  # runs alone
         ({}, 1, {"cost": SLOTS * TOKENS_PER_SLOT}, "wait"),
     ],
 )
@@ -86,10 +86,10 @@
 
 
 def test_a_request_behind_a_long_queue_is_refused_at_once():
-    """Forty requests wait for four slots of a second each; another one arrives.
+    """Forty requests wait for four slots of a second each when another one arrives.
 
-    Its first token is due in 1.1 s and cannot come before ten: kept waiting, its
-    caller would learn that only when it is too late to ask elsewhere.
+    Its first token is due in 1.1 s and cannot come before 10 s. If it were kept
+    waiting, its caller would learn that too late to use another entry.
     """
     state = build_state(filled=SLOTS)
     outcomes = [submit(state, f"w{number}") for number in range(6)]
@@ -100,8 +100,8 @@
 def test_a_waiting_request_is_refused_before_its_deadline():
     """A server stalls while requests wait for it.
 
-    Held back until it recovers, they would be sent on late, and their callers would
-    have heard nothing until then.
+    Kept until it recovers, they would be sent late, and their callers would have no
+    answer until then.
     """
     state = build_state(filled=SLOTS)
     assert submit(state, "w") == ()
@@ -114,10 +114,10 @@
 
 
 def test_the_first_token_is_predicted_with_its_deviation():
-    """First tokens come after 100 ms or 500 ms in turn.
+    """First tokens come after 100 ms and 500 ms alternately.
 
-    By the mean, half of those admitted close to their deadline would be late, and
-    under overload most are.
+    With the mean alone, half of the requests that are admitted close to their deadline
+    would be late, and under overload most are admitted close to it.
     """
     state = build_state()
     for number in range(100):
@@ -152,10 +152,10 @@
 
 
 def test_free_slots_of_a_failing_server_do_not_count():
-    """A server answers each request with an error at once, so it is always free.
+    """A server fails each request at once, so it always has free slots.
 
-    While all others are full, requests would be admitted for its sake, go there,
-    fail and use up the retries of all.
+    While all others are full, requests would be admitted because of these slots, fail
+    there and use up the retry budget.
     """
     state = build_state(build_server(), build_server("s2"))
     choice.record_failure(state.routing, "s2", 0)
@@ -181,9 +181,9 @@
 
 
 def test_a_full_queue_refuses_the_caller_that_fills_it(monkeypatch):
-    """A flood has filled the queue as another caller sends its first request.
+    """A flood has filled the queue when another caller sends its first request.
 
-    If the newcomer were refused, the flood would shut out everyone else.
+    If the newest request were refused, the flood would starve all other callers.
     """
     monkeypatch.setattr(decision, "MAX_WAITING", 3)
     state = build_state(filled=SLOTS, caller="flood", duration_ms=10)
@@ -196,10 +196,10 @@
 
 @pytest.mark.parametrize("duration_ms", [2_000, 8_000])
 def test_refused_callers_get_staggered_retry_times(duration_ms):
-    """Forty callers are refused in the same moment and obey what they are told.
+    """Forty requests are refused at the same time and retried as instructed.
 
-    Told the same time, they would all come back in the same moment again. Spread
-    by the measured rate, each finds a slot.
+    With the same retry time, all would return at the same time again. Staggered by the
+    measured rate, each finds a slot.
     """
     state = build_state(filled=SLOTS, duration_ms=duration_ms)
     retry_times = []
@@ -222,7 +222,7 @@
 
 
 def test_remote_usage_counts_at_this_entry():
-    """A caller floods five other entries; here, it takes turns with a modest one."""
+    """A caller floods five other entries; here, a modest caller goes before it."""
     state = build_state(filled=SLOTS, caller="flood")
     usage = (CallerUsage(caller="flood", tokens_per_s=1_000.0),)
     queue.apply_view(state, view=build_view(usage=usage), now=0)
@@ -249,8 +249,8 @@
 def test_goodput_at_twice_the_capacity_equals_goodput_at_capacity(entries):
     """Twice as many requests arrive as the servers can run.
 
-    Queued in order of arrival, each waits a little longer than the one before until
-    all are late and nobody is served in time, with every server busy.
+    Queued in order of arrival, each would wait a little longer than the one before,
+    until all are late although every server is busy.
     """
 
     def measure(load):
@@ -264,9 +264,10 @@
 
 
 def test_summaries_complete_while_live_requests_fill_the_servers():
-    """Sponsors' recaps come in during a race that fills all servers.
+    """Summaries are requested while live requests fill all servers.
 
-    If live requests always went first, no recap would be written before it ends.
+    If live requests always went first, no summary would complete before their load
+    ends.
     """
     model = Model(entries=2, seed=2)
     rate = 1.5 * model.capacity / 12
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Teams' quotas, against a plain model, over losses, cuts and changed limits."""
+"""Teams' quotas, with lost coordinators, disconnected instances and changed limits."""
 
 import random
 
@@ -44,12 +44,12 @@
 
 
 def build_full_ledger(team, tolerance=EXACT):
-    """Build a ledger that has counted for long, as of the time 0."""
+    """Build a ledger whose buckets are full at the time 0."""
     return build_ledger(team, tolerance, now=-60_000)
 
 
 def get_allowed(team, tolerance=TOLERANCE):
-    """Return what a team may spend in one window at most."""
+    """Return the most that a team may spend in one window."""
     base = team.rate_per_s * tolerance.window_ms / 1_000 + team.burst
     return base * (1 + tolerance.overage) + tolerance.extra
 
@@ -93,8 +93,8 @@
 
 
 def test_refused_callers_get_staggered_retry_times():
-    """A team sends many times its usual. Told the same moment, all whom it refuses
-    would come back together and be refused again."""
+    """A team sends many times its usual load. With the same retry time, all refused
+    callers would return together and be refused again."""
     ledger = build_full_ledger(build_team())
     ledger.charge("t", 2_000, now=0)
     waits = [ledger.charge("t", 500, now=0) for _ in range(20)]
@@ -138,7 +138,7 @@
 
 
 def test_a_new_coordinator_does_not_grant_the_burst_again():
-    """The coordinator dies again and again beside a team that takes what it gets."""
+    """The coordinator dies repeatedly while a team uses all that it is granted."""
     team = build_team(rate=20_000, burst=20_000)
     spent = []
     ledger = build_full_ledger(team, TOLERANCE)
@@ -161,7 +161,7 @@
 
 
 def test_a_new_coordinator_serves_normal_load_at_once():
-    """What it can't know counts as spent; what is refused for that would be lost."""
+    """Unknown usage counts as spent; that must not refuse requests of normal load."""
     team = build_team(rate=18_000, burst=18_000)
     ledger = build_ledger(team, TOLERANCE)
     refused = sum(
@@ -179,7 +179,7 @@
     ),
 )
 def test_disconnected_instances_keep_a_team_within_the_tolerance(parts, cut, asks):
-    """Some instances are cut off and count by themselves, the others together."""
+    """Some instances are disconnected and use local buckets, the others the ledger."""
     team = build_team(rate=10_000, burst=10_000)
     whole = sum(parts)
     parts = [part / whole for part in parts]
@@ -235,7 +235,7 @@
 
 
 def test_flapping_links_give_an_instance_no_second_quota():
-    """Each time its link is lost, an instance would begin with a full bucket."""
+    """Guards against an instance that begins with a full bucket at each link loss."""
     local, team = LocalQuota(tolerance=TOLERANCE), build_team(rate=8_000, burst=8_000)
     spent = 0
     for now in range(0, 8_000, 10):
@@ -266,7 +266,7 @@
 
 
 def test_many_disconnected_small_instances_stay_within_the_tolerance():
-    """Each served a whole request out of a part that holds far less."""
+    """Guards against instances that each serve a request larger than their bucket."""
     team = build_team(rate=78_000, burst=78_000)
     local_quotas = [LocalQuota(tolerance=TOLERANCE) for _ in range(80)]
     spent = sum(
@@ -278,7 +278,7 @@
 
 
 def test_disconnected_small_instances_serve_the_sum_of_their_fractions():
-    """Guards against fleets of small instances that refuse all as they are alone."""
+    """Guards against small instances without a coordinator that refuse all requests."""
     team = build_team(rate=78_000, burst=78_000)
     chance = random.Random(1)
     local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
@@ -293,8 +293,8 @@
 
 
 def test_flapping_links_let_small_instances_serve_no_more():
-    """Guards against instances that all begin with a request larger than their bucket,
-    each time that the coordinator is lost."""
+    """Guards against instances that all serve a request larger than their bucket each
+    time that the coordinator is lost."""
     team = build_team(rate=78_000, burst=78_000)
     chance = random.Random(1)
     local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -1,4 +1,4 @@
-"""Rate limits that backend servers name in their answers."""
+"""Rate limits that backend servers state in their answers."""
 
 import pytest
 from hypothesis import given, settings
@@ -38,8 +38,8 @@
 
 
 def test_a_stale_answer_does_not_lift_a_limit():
-    """An answer that was made before the server was in need comes after one that names
-    its limit, by another connection."""
+    """An answer that was sent before the server was overloaded arrives after one that
+    states its limit, on another connection."""
     table = KnownRateLimits()
     table.update_from_answer("s0", 2.0, sent_at=0, now=100)
     assert not table.update_from_answer("s0", None, sent_at=90, now=110)
@@ -55,7 +55,7 @@
 
 
 def test_a_limit_survives_the_lapse_of_its_server_entry():
-    """Guards against a server in need that is sent all again as its entry is back."""
+    """Guards against full load on an overloaded server once its entry is back."""
     table = KnownRateLimits()
     table.update_from_answer("s0", 2.0, sent_at=0, now=100)
     table.evict_unlisted({})
@@ -73,7 +73,7 @@
 
 
 def find_max_sent(sent):
-    """Return the most requests that were sent in any window."""
+    """Return the largest number of requests that were sent in any window."""
     return max(
         (sum(begin <= at < begin + WINDOW_MS for at in sent) for begin in sent),
         default=0,
@@ -95,7 +95,7 @@
 
 
 def test_ledger_does_not_grant_the_fraction_of_uncoordinated_instances():
-    """Guards against a limit that is used twice while some instances are cut off."""
+    """Guards against a limit that is granted twice while instances are disconnected."""
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 4.0, now=0)
     ledger.set_refill_fraction(0.5, now=0)
@@ -113,7 +113,7 @@
 
 
 def test_a_server_with_a_limit_of_zero_is_still_probed():
-    """Guards against a limit that is never lifted, as only an answer can lift it."""
+    """Guards against a limit that is never lifted, since only an answer can lift it."""
     ledger = RateLimitLedger()
     ledger.set_limit("s0", 0.0, now=0)
     sent = [now for now in range(0, 20_000, 10) if not ledger.charge("s0", now=now)]
@@ -130,7 +130,7 @@
 
 
 def test_a_bucket_fraction_below_one_request_grants_none():
-    """Guards against many instances without a coordinator that each round up."""
+    """Guards against many instances without a coordinator that all round up."""
     local_limits = [LocalRateLimits() for _ in range(60)]
     sent = [
         now
@@ -160,11 +160,11 @@
 def test_instances_stay_within_a_limit_across_coordinator_changes(
     per_s, instances, changes, every_ms
 ):
-    """Guards against a limit that is exceeded as the coordinator changes or is lost.
+    """Guards against a limit that is exceeded when the coordinator changes or is lost.
 
-    All instances ask for as much as they can get, at every step: with a coordinator
-    through its ledger, without one through their own buckets. ``some``: every second
-    instance is cut off, and the coordinator gives out the rest.
+    All instances send as much as they are granted at every step: by the ledger of the
+    coordinator, or without one by their own buckets. ``some``: every second instance
+    is disconnected, and the ledger grants the rest.
     """
     ledger = RateLimitLedger()
     ledger.set_limit("s0", per_s, now=0)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""The budget of repeats that all instances share without a word."""
+"""Retry budget that all instances share without communication."""
 
 from arbutuspulley.admission.service_retry_budget import (
     ServiceRetryBudget,
@@ -8,8 +8,8 @@
 
 
 def test_all_instances_together_stay_within_the_budget():
-    """Every request of six instances fails for 10 s. Whatever is sent again, servers
-    may see a fifth of the requests and 52 more as repeats."""
+    """All requests of six instances fail for 10 s. Servers may see at most a fifth of
+    the requests plus 52 as retries."""
     budgets = [
         ServiceRetryBudget(ratio=0.2, extra=52, window_ms=10_000) for _ in range(6)
     ]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Fair shares of callers, at one entry and over several."""
+"""Fair shares of callers, at one entry and over several entries."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 
 def admit(accounts, tickets, count, *, now=0):
-    """Admit a number of requests in order; return how many each caller got."""
+    """Admit a number of requests in order; return the number admitted by caller."""
     for ticket in tickets:
         shares.get_or_create_share(
             accounts, ticket.caller, weight=ticket.weight, now=now
@@ -63,10 +63,10 @@
 
 
 def test_an_idle_caller_accumulates_neither_credit_nor_debt():
-    """One organiser has had the servers to itself for an hour; another comes back.
+    """One caller has used the servers alone for an hour; another one returns.
 
-    If it had saved up its share, it would keep the first one out for an hour; if
-    the first one owed what it was lent, likewise.
+    If the returning caller had accumulated credit, or the first one debt, the first
+    one would be starved for an hour.
     """
     accounts = SharesState()
     admit(accounts, [build_ticket(n, "back") for n in range(5)], 5)
@@ -86,10 +86,10 @@
 
 
 def test_remote_usage_counts_with_a_bounded_debt():
-    """A caller floods all other entries and waits here beside a modest one.
+    """A caller floods all other entries and waits here together with a modest one.
 
-    By this entry's counts alone they would take turns. Yet once its flood is over,
-    it must be served within seconds, however long the flood was.
+    By this entry's accounts alone they would take turns. Once the flood is over, the
+    caller must be served within seconds, however long the flood was.
     """
     accounts = SharesState()
     tickets = [build_ticket(n, caller) for n in range(90) for caller in "ab"]
@@ -155,7 +155,7 @@
 
 
 def compute_limits(in_flight, *, slots=16, contended=False):
-    """Return the limits of several entries that have requests at one server."""
+    """Return the limits of several entries with requests in flight at one server."""
     report = ServerSummary(
         server="s", site="a", address="x", running=sum(in_flight), slots=slots
     )
@@ -175,10 +175,10 @@
 
 @pytest.mark.parametrize("in_flight", [(0,), (0, 0), (0,) * 6, (1,) * 6, (2,) * 6])
 def test_limits_of_all_entries_add_up_to_the_slots(in_flight):
-    """All entries read that a server has one slot free.
+    """All entries read in the same report that a server has free slots.
 
-    If each takes it, the server runs far above its slots and every answer on it
-    misses its target between tokens.
+    If each used all of them, the server would run far above its slots and all its
+    answers would miss the latency target between tokens.
     """
     limits = compute_limits(in_flight)
     assert sum(limit.ordinary for limit in limits) == 16
@@ -189,8 +189,8 @@
     ("in_flight", "ordinary", "pressing", "modest"),
     [
         ((0, 0), (8, 8), (7, 7), (16, 16)),
-        ((8, 0), (12, 8), (11, 3), (16, 8)),  # half of the free slots is lent
-        ((14, 4), (12, 8), (10, 0), (12, 8)),  # what was lent is given back
+        ((8, 0), (12, 8), (11, 3), (16, 8)),  # half of the free slots are lent
+        ((14, 4), (12, 8), (10, 0), (12, 8)),  # lent slots are returned
         ((12, 8), (8, 8), (6, 2), (8, 8)),
         ((1,) * 20, (1,) * 20, (0,) * 20, (1,) * 20),  # more entries than slots
     ],
@@ -225,11 +225,11 @@
 
 @pytest.mark.parametrize("through", [range(6), range(1)])
 def test_a_flood_through_all_entries_does_not_starve_a_quiet_caller(through):
-    """One organiser offers ten times its share through all six entries.
+    """One caller sends ten times its share through all six entries.
 
-    Each entry alone shares out fairly what it has. But every server is full of the
-    flood from the other entries, and the quiet organiser's requests, through one
-    entry or all, wait for one of the few slots there and are refused.
+    Each entry by itself divides its slots fairly. But every server is full of requests
+    from the flood through the other entries, and the quiet caller's requests, through
+    one entry or all, wait for one of the few slots there and are refused.
     """
     model = Model(entries=6, seed=2)
     quiet = Offer(caller="q", rate=0.3 * model.capacity, entries=tuple(through))
@@ -241,9 +241,9 @@
 
 
 def test_a_borrowed_share_is_returned_within_two_seconds():
-    """An organiser has had all servers to itself; its rival's race begins.
+    """One caller has used all servers alone when a second one begins.
 
-    Requests in flight are not cut off, so the rival waits for slots to be free.
+    Requests in flight are not preempted, so the second caller waits for free slots.
     """
     model = Model(entries=2)
     flood = Offer(caller="f", rate=3 * model.capacity, entries=(0, 1))
