--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("entries", [2, 6])
-def test_goodput_at_twice_the_capacity_equals_goodput_at_capacity(entries):
+def test_goodput_does_not_drop_at_twice_the_capacity(entries):
     """Twice as many requests arrive as the servers can run.
 
     Queued in order of arrival, each would wait a little longer than the one before,
