--- a/src/arbutuspulley/routing/addresses.py
+++ b/src/arbutuspulley/routing/addresses.py
@@ -23,7 +23,7 @@
 """Requests in flight of one model that one entry should handle."""
 
 LOAD_STEPS = 4
-"""Steps to which an entry's load is rounded; small changes must not move callers."""
+"""Steps to which a load is rounded down; small changes must not move callers."""
 
 MIN_WEIGHT = 0.1
 """Weight of an entry at or above its load limit."""
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -159,7 +159,8 @@
     if not connections:
         return UNLIMITED
     return max(
-        1, int(get_instance_share(CONNECTION_FRACTION * connections, instances=instances))
+        1,
+        int(get_instance_share(CONNECTION_FRACTION * connections, instances=instances)),
     )
 
 
@@ -260,7 +261,9 @@
 def _has_room(
     server: ServerStats, entry: ServerEntry, sharing_instances: float
 ) -> bool:
-    minimum = get_instance_share(MIN_LIMIT_PER_SLOT * entry.slots, instances=sharing_instances)
+    minimum = get_instance_share(
+        MIN_LIMIT_PER_SLOT * entry.slots, instances=sharing_instances
+    )
     return server.in_flight < max(1.0, minimum, server.concurrency_limit)
 
 
