--- a/src/arbutuspulley/admission/service_retry_budget.py
+++ b/src/arbutuspulley/admission/service_retry_budget.py
@@ -1,9 +1,9 @@
-"""The budget of repeats that all instances share.
+"""Retry budget of a service, shared by all instances.
 
-Servers count what arrives beyond the first time; more than a share of the requests
-and a fixed allowance, over all instances, would let a fault multiply the load.
-Each instance spends its part of both, so the sum holds without a word exchanged,
-also when an instance hears nothing of the others.
+Servers count the requests that arrive more than once. If all instances together sent
+more of these than a ratio of the requests plus a fixed allowance, a fault would
+multiply the load. Each instance spends its own share of both, so the total holds
+without communication, also when an instance is cut off from the others.
 """
 
 from collections import deque
@@ -13,43 +13,49 @@
 from arbutuspulley.data import State
 from arbutuspulley.membership.limit_shares import get_instance_share
 
-SAFETY = 0.8
-"""Part of the budget that is used: windows slide, and a repeat arrives later than it
-was counted here."""
+USABLE_FRACTION = 0.8
+"""Fraction of the budget that is used: windows slide, and a retry arrives at the server
+later than it is counted here."""
 
 
 class ServiceRetryBudget(State):
-    """Requests and repeats of one service within the window.
+    """Requests and retries of one service within a sliding window.
 
-    :param ratio: repeats allowed for each request.
-    :param extra: repeats allowed besides, by all instances.
+    :param ratio: retries allowed per request.
+    :param extra: retries allowed beyond that, for all instances together.
+    :param requests: times of the requests in the window, in ms.
+    :param retries: times of the retries in the window, in ms.
     """
 
     ratio: float
     extra: float
     window_ms: int
     requests: deque[int] = msgspec.field(default_factory=deque)
-    repeats: deque[int] = msgspec.field(default_factory=deque)
+    retries: deque[int] = msgspec.field(default_factory=deque)
 
 
 def record_request(budget: ServiceRetryBudget, *, now: int) -> None:
-    """Count a caller's request."""
+    """Count a request of a caller."""
     budget.requests.append(now)
-    _forget(budget, now=now)
+    _evict_expired(budget, now=now)
 
 
 def try_spend_retry(budget: ServiceRetryBudget, *, instances: float, now: int) -> bool:
-    """Return whether a request may be sent once more, and count it if so."""
-    _forget(budget, now=now)
+    """Count a retry if the budget allows it.
+
+    :param instances: number of instances that share the budget.
+    :return: whether the request may be retried.
+    """
+    _evict_expired(budget, now=now)
     extra = get_instance_share(budget.extra, instances=instances)
-    allowed = SAFETY * (budget.ratio * len(budget.requests) + extra)
-    if len(budget.repeats) + 1 > allowed:
+    allowed = USABLE_FRACTION * (budget.ratio * len(budget.requests) + extra)
+    if len(budget.retries) + 1 > allowed:
         return False
-    budget.repeats.append(now)
+    budget.retries.append(now)
     return True
 
 
-def _forget(budget: ServiceRetryBudget, *, now: int) -> None:
-    for times in (budget.requests, budget.repeats):
+def _evict_expired(budget: ServiceRetryBudget, *, now: int) -> None:
+    for times in (budget.requests, budget.retries):
         while times and times[0] <= now - budget.window_ms:
             times.popleft()
--- a/src/arbutuspulley/admission/slot_limits.py
+++ b/src/arbutuspulley/admission/slot_limits.py
@@ -1,60 +1,61 @@
-"""How much of each server this entry may use.
+"""Limits how many slots of each server this entry uses.
 
-The entries of a group share the servers without asking each other for each
-request. Each has a part of a server's slots that is always its own. What the
-others leave free, seen in the server's reports, is lent in equal parts; what is
-used above the own part is given back as soon as a report shows the server above
-its slots.
+The entries of a group share the servers without coordinating each request. Each
+entry is guaranteed a share of a server's slots. Slots that the server's reports show
+as free are lent to the entries in equal shares; an entry returns what it uses above
+its guaranteed share as soon as a report shows the server above its slots.
 """
 
 from collections.abc import Sequence
 
 import xxhash
 
-from arbutuspulley.admission.usage_class import Standing
+from arbutuspulley.admission.usage_class import UsageClass
 from arbutuspulley.data import Value
 from arbutuspulley.routing.load import ServerLoad
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary
 
-FLOOR_SLOTS = 1
-"""Slots of each server that an entry may always use."""
+MIN_SLOTS = 1
+"""Slots of each server that an entry may always use, however many entries there are."""
 
 TOKENS_PER_SLOT = 4_000
-"""Token cost in flight that one slot stands for."""
+"""Token cost in flight that one slot allows."""
 
-RESERVE_PART = 8
-"""One slot in so many is left free by callers that press beyond their share."""
+RESERVE_DIVISOR = 8
+"""Pressing callers leave one slot in this many free."""
 
-RESERVE_FROM = 4
-"""A server with at least so many slots has one of them left free in any case."""
+RESERVE_MIN_SLOTS = 4
+"""Fewest slots of a server at which pressing callers leave at least one free."""
 
 ACTIVE_LOAD = 0.02
-"""An entry with less load than this does not count as sharing the servers now."""
+"""An entry with a load below this does not count as sharing the servers."""
 
 
-class ServerLimit(Value, frozen=True):
-    """What this entry may have in flight at one server, by the caller's standing.
+class SlotLimit(Value, frozen=True):
+    """Slots that this entry may use at one server, by the caller's usage class.
 
-    :param ordinary: its own part and its part of what is free.
-    :param modest: its own part and all that is free.
-    :param pressing: the same as ordinary, with the reserve taken off.
+    :param ordinary: the guaranteed share and a share of the free slots.
+    :param modest: the guaranteed share and all free slots.
+    :param pressing: as ordinary, less the reserve.
     """
 
     ordinary: int
     modest: int
     pressing: int
 
-    def get(self, standing: Standing) -> int:
-        """Return the slots for a request of a caller of this standing."""
-        if standing is Standing.PRESSING:
+    def get(self, usage_class: UsageClass) -> int:
+        """Return the slots for requests of callers in a usage class."""
+        if usage_class is UsageClass.PRESSING:
             return self.pressing
-        return self.modest if standing is Standing.MODEST else self.ordinary
+        return self.modest if usage_class is UsageClass.MODEST else self.ordinary
 
 
-def list_active(entries: Sequence[EntryAddress], *, own: str) -> tuple[str, ...]:
+def list_active_entries(
+    entries: Sequence[EntryAddress], *, own: str
+) -> tuple[str, ...]:
     """Return the addresses of the entries that share the servers now.
 
-    :param own: address of this entry, which always counts.
+    :param own: address of this entry, which always counts as active.
     """
     active = {entry.address for entry in entries if entry.load >= ACTIVE_LOAD}
     return tuple(sorted(active | {own}))
@@ -67,52 +68,60 @@
     own: str,
     active: Sequence[str],
     contended: bool = False,
-) -> ServerLimit:
-    """Return what this entry may have in flight at a server.
+) -> SlotLimit:
+    """Return how many slots of a server this entry may use.
 
-    :param load: this entry's account of the server, with the same report.
+    :param load: this entry's load on the server, corrected by the same report.
+    :param report: latest report of the server.
     :param own: address of this entry.
     :param active: addresses of the entries that share the server.
     :param contended: whether a modest caller waits at another instance.
     """
 
-    # Counted from the moment of the report, which all entries read alike, their
-    # limits add up to the slots as long as none is below its part. With what each
-    # has begun since, they would not. The key has the entries agree on who gets
-    # the odd slot, and changes with the report, so that it is not always the same.
-    before = load.requests_at_report
+    # All entries compute their limits from the same report, so the limits add up to
+    # the slots as long as no entry is below its guaranteed share. If each added the
+    # requests that it has begun since, they would not. The key makes the entries
+    # agree on which of them get the remaining slots; it changes with the report, so
+    # that these are not always the same entries.
+    own_in_flight = load.requests_at_report
     reported = report.running + report.waiting
     key = f"{report.server}|{reported}|{report.waiting_tokens}"
-    part = max(FLOOR_SLOTS, _divide(report.slots, own=own, active=active, key=key))
+    guaranteed = max(
+        MIN_SLOTS, _compute_own_share(report.slots, own=own, active=active, key=key)
+    )
 
-    def share_out(slots: int) -> int:
+    def allocate(slots: int) -> int:
         free = slots - reported
         if free < 0:
-            return before + free
-        return before + _divide(free, own=own, active=active, key=key)
-
-    ordinary = max(part, share_out(report.slots))
-    # Several entries may let modest callers have the same free slot. That is kept
-    # small by their being modest, and ends with the next report.
-    modest = ordinary if contended else max(ordinary, before + report.slots - reported)
-    pressing = share_out(report.slots - _compute_reserve(report.slots))
-    return ServerLimit(
+            return own_in_flight + free
+        return own_in_flight + _compute_own_share(free, own=own, active=active, key=key)
+
+    ordinary = max(guaranteed, allocate(report.slots))
+    # Several entries may give the same free slot to modest callers. The excess is
+    # small because these callers use little, and ends with the next report.
+    modest = (
+        ordinary
+        if contended
+        else max(ordinary, own_in_flight + report.slots - reported)
+    )
+    pressing = allocate(report.slots - _compute_reserve(report.slots))
+    return SlotLimit(
         ordinary=ordinary, modest=modest, pressing=max(0, min(pressing, ordinary))
     )
 
 
 def _compute_reserve(slots: int) -> int:
-    if slots < RESERVE_FROM:
+    if slots < RESERVE_MIN_SLOTS:
         return 0
-    return max(1, slots // RESERVE_PART)
+    return max(1, slots // RESERVE_DIVISOR)
 
 
-def _divide(slots: int, *, own: str, active: Sequence[str], key: str) -> int:
-    """Return this entry's part of some slots; all parts add up to the whole."""
+def _compute_own_share(slots: int, *, own: str, active: Sequence[str], key: str) -> int:
+    """Return this entry's share of some slots; the shares add up to the slots."""
     whole, rest = divmod(slots, len(active))
     if not rest:
         return whole
     ranked = sorted(
-        active, key=lambda one: xxhash.xxh64_intdigest(f"{key}|{one}".encode())
+        active, key=lambda address: xxhash.xxh64_intdigest(f"{key}|{address}".encode())
     )
     return whole + (ranked.index(own) < rest)
--- a/src/arbutuspulley/admission/usage_class.py
+++ b/src/arbutuspulley/admission/usage_class.py
@@ -1,10 +1,9 @@
-"""How a caller stands to its share, seen over all instances.
+"""Classifies callers by their usage over all instances relative to their fair share.
 
-The order of waiting requests is fair at one entry. That is not enough: a caller
-that floods all entries keeps every server full, and a modest caller finds no free
-slot at the entry that it uses until one of the few requests there ends. So callers
-that press beyond their share leave a few slots of each server free, and give way
-at all entries while a modest one waits at any.
+The queue order is fair at a single entry. That is not enough: a caller that floods all
+entries keeps every server full, and a caller that uses little finds no free slot at its
+entry until one of the few requests there ends. So pressing callers leave a few slots
+of each server free, and yield at all entries while a modest caller waits at any.
 """
 
 import enum
@@ -13,15 +12,16 @@
 from arbutuspulley.admission.shares import CallerShare, SharesState
 
 PRESSING_MS = 5_000
-"""How long after a refusal a caller counts as pressing."""
+"""How long a caller may count as pressing after a refusal."""
 
 
-class Standing(enum.Enum):
-    """How a caller stands to its share.
+class UsageClass(enum.Enum):
+    """Usage of a caller relative to its share.
 
-    ``PRESSING``: it uses more than its share and has lately been refused yet more.
-    ``MODEST``: it uses less than its share while another one presses.
-    ``ORDINARY``: any other.
+    ``PRESSING``: it uses more than its share, and requests of it were recently refused
+    or wait at other instances.
+    ``MODEST``: it uses less than its share while another caller is pressing.
+    ``ORDINARY``: any other caller.
     """
 
     ORDINARY = enum.auto()
@@ -29,39 +29,41 @@
     PRESSING = enum.auto()
 
 
-def judge_standings(accounts: SharesState, *, now: int) -> dict[str, Standing]:
-    """Return how each known caller stands.
+def classify_callers(accounts: SharesState, *, now: int) -> dict[str, UsageClass]:
+    """Return the usage class of each known caller.
 
-    A share is a caller's part by weight of what all together use now.
+    The share of a caller is its fraction, by weight, of the current total usage.
     """
     shares = accounts.callers
-    level = _measure_level(shares)
+    mean = _compute_mean_usage(shares)
     pressing = {
         name
         for name, share in shares.items()
-        if _measure(share) > level and _presses(share, now=now)
+        if _compute_usage(share) > mean and _has_unmet_demand(share, now=now)
     }
-    standings = dict.fromkeys(shares, Standing.ORDINARY)
+    usage_classes = dict.fromkeys(shares, UsageClass.ORDINARY)
     if not pressing:
-        return standings
+        return usage_classes
     for name, share in shares.items():
         if name in pressing:
-            standings[name] = Standing.PRESSING
-        elif _measure(share) < level:
-            standings[name] = Standing.MODEST
-    return standings
+            usage_classes[name] = UsageClass.PRESSING
+        elif _compute_usage(share) < mean:
+            usage_classes[name] = UsageClass.MODEST
+    return usage_classes
 
 
-def waits_elsewhere(accounts: SharesState, standings: Mapping[str, Standing]) -> bool:
+def has_remote_modest_waiter(
+    accounts: SharesState, usage_classes: Mapping[str, UsageClass]
+) -> bool:
     """Return whether a modest caller waits at another instance."""
     return any(
-        standing is Standing.MODEST and accounts.callers[name].remote_waiting > 0
-        for name, standing in standings.items()
+        usage_class is UsageClass.MODEST and accounts.callers[name].remote_waiting > 0
+        for name, usage_class in usage_classes.items()
     )
 
 
-def _measure_level(shares: Mapping[str, CallerShare]) -> float:
-    """Return what each unit of weight uses on average."""
+def _compute_mean_usage(shares: Mapping[str, CallerShare]) -> float:
+    """Return the mean usage per unit of weight, in tokens/s."""
     weight = sum(share.weight for share in shares.values())
     used = sum(
         share.tokens_per_s + share.remote_tokens_per_s for share in shares.values()
@@ -69,11 +71,11 @@
     return used / weight if weight else 0.0
 
 
-def _measure(share: CallerShare) -> float:
+def _compute_usage(share: CallerShare) -> float:
     return (share.tokens_per_s + share.remote_tokens_per_s) / share.weight
 
 
-def _presses(share: CallerShare, *, now: int) -> bool:
+def _has_unmet_demand(share: CallerShare, *, now: int) -> bool:
     if share.remote_waiting > 0:
         return True
     return share.refused_at is not None and now - share.refused_at < PRESSING_MS
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_quiet_system_may_retry_its_first_failure_only():
+def test_an_idle_system_may_retry_only_its_first_failure():
     state = RetryBudget()
     assert try_spend_retry(state, now=5)
     assert not try_spend_retry(state, now=6)
@@ -29,11 +29,11 @@
         record_success(state)
     assert (
         sum(try_spend_retry(state, now=0) for _ in range(1_000))
-        == retry_budget.MOST // retry_budget.RETRY
+        == retry_budget.MAX_CREDIT // retry_budget.RETRY_COST
     )
 
 
-def test_a_retry_is_not_retried_and_earns_nothing():
+def test_a_retry_is_not_retried_and_earns_no_credit():
     state = RetryBudget(credit=500)
     assert not try_spend_retry(state, now=0, retried=True)
     record_success(state, retried=True)
@@ -42,10 +42,10 @@
 
 @pytest.mark.parametrize(("failing", "most"), [(0.1, 1.1), (0.5, 1.1), (1.0, 1.02)])
 def test_failing_servers_do_not_multiply_the_load(failing, most):
-    """A tenth of the servers fail, then half, then all.
+    """A tenth of the attempts fail, then half, then all.
 
-    With three tries for each request, attempts would grow to 1.11, 1.75 and 3 times
-    the requests, at the very moment when there is the least room.
+    With three attempts per request, the attempts would grow to 1.11, 1.75 and 3 times
+    the requests, when there is the least capacity for them.
     """
     chance = random.Random(1)
     state = RetryBudget()
