--- a/src/arbutuspulley/ports/__init__.py
+++ b/src/arbutuspulley/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Ports: what decisions see of the platform and of backend servers."""
+"""Ports: interfaces and types for the platform and for backend servers."""
--- a/src/arbutuspulley/ports/commit.py
+++ b/src/arbutuspulley/ports/commit.py
@@ -1,9 +1,9 @@
-"""Commits a transaction although its reply may be lost.
+"""Commits transactions whose reply may be lost.
 
-The platform may take a write and break off before its answer arrives. Sending
-the transaction again blindly could apply it twice; taking it for "not done" would
-base the next decision on a wrong state. :func:`commit` reads back and compares
-tokens before it does either.
+The platform may apply a write and fail before its reply arrives. A blind retry
+could apply the transaction twice; treating it as failed would base the next
+decision on a wrong state. :func:`commit` reads the rows back and compares
+transaction tokens before it does either.
 """
 
 import contextlib
@@ -23,10 +23,10 @@
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
 MAX_ATTEMPTS = 4
-"""How often a transaction with a lost reply is read back or sent again."""
+"""How often a transaction with a lost reply is read back or retried."""
 
 INITIAL_BACKOFF_MS = 50
-"""Longest pause before the first read back; it doubles with each try."""
+"""Longest backoff before the first read-back, in ms; it doubles with each attempt."""
 
 
 def commit(
@@ -36,24 +36,24 @@
     max_attempts: int = MAX_ATTEMPTS,
     pause: Callable[[int], None] | None = None,
 ) -> Committed | Conflict:
-    """Send a transaction and find out how it ended. Blocks: for worker threads.
-
-    At least one written row must have a precondition: two copies of the
-    transaction then exclude each other, since the first changes what the second
-    expects. Revisions never come back, but
-    :data:`~arbutuspulley.ports.platform.ABSENT` does, so a row created under it
-    should only be deleted by who created it.
-
-    :param transaction: with a fresh token, which all copies keep.
-    :param max_attempts: bounds what is done about a lost reply.
-    :param pause: waits before each try, given the longest time in ms; by default
-        a random part of it, so that instances don't come back in step.
-    :return: ``Committed`` only if this very transaction took effect; ``Conflict``
-        only if it certainly did not and never will.
+    """Send a transaction and determine its outcome. Blocks; call from a worker thread.
+
+    At least one written row must have a precondition. This makes retries
+    idempotent: the first copy that is applied changes the revision that the others
+    expect. Revisions are never reused, but
+    :data:`~arbutuspulley.ports.platform.ABSENT` is, so a row created with that
+    precondition should only be deleted by its creator.
+
+    :param transaction: has a fresh token, which all copies share.
+    :param max_attempts: bound on read-backs and retries after a lost reply.
+    :param pause: waits before each attempt, given the longest wait in ms; by default
+        a random fraction of it, so that instances don't retry in lockstep.
+    :return: ``Committed`` only if this transaction took effect; ``Conflict`` only if
+        it did not and never will.
     :raises PlatformUnavailableError: if it certainly had no effect.
-    :raises OutcomeUnknownError: if it could not be found out; read the rows again
-        before the next decision. A transaction that only deletes ends so if its
-        reply was lost and the rows are gone, for a deleted row has no token.
+    :raises OutcomeUnknownError: if the outcome could not be determined; read the
+        rows again before the next decision. A transaction that only deletes ends so
+        if its reply was lost and the rows are absent, as a deleted row has no token.
     :raises ValueError: if no written row has a precondition.
     """
     guarded = _list_guarded(transaction)
@@ -64,7 +64,7 @@
 
 
 def _list_guarded(transaction: Transaction) -> list[Precondition]:
-    """Return the preconditions on rows that the transaction writes itself."""
+    """Return the preconditions on rows that the transaction also writes."""
     written = {write.key for write in transaction.writes}
     guarded = [part for part in transaction.preconditions if part.key in written]
     if not guarded:
@@ -81,28 +81,30 @@
 ) -> Committed | Conflict:
     for number in range(max_attempts):
         pause(INITIAL_BACKOFF_MS << number)
-        # An unavailable platform settles nothing here: the first copy may have
-        # taken effect, or still be on its way, so this never becomes "no effect".
+        # An unavailable platform proves nothing here: the first copy may have taken
+        # effect or still be in flight, so the outcome is never "no effect".
         with contextlib.suppress(PlatformUnavailableError):
             settled = _read_back(table, transaction, guarded)
             settled = settled or _send_again(table, transaction, guarded)
             if settled is not None:
                 return settled
-    raise OutcomeUnknownError(detail="the outcome could not be read back in time")
+    raise OutcomeUnknownError(
+        detail="outcome of the transaction still unknown after all attempts"
+    )
 
 
 def _read_back(
     table: Table, transaction: Transaction, guarded: list[Precondition]
 ) -> Committed | Conflict | None:
-    """Look for traces of the transaction in the rows that it writes.
+    """Determine the outcome from the rows that the transaction writes.
 
-    Each row is enough by itself: with the transaction's token it took effect; at
-    the expected revision it did not yet; replaced from that revision by another
-    it never will. A row that changed more than once hides what came first, so the
-    next one is asked.
+    One row suffices: if it has the transaction's token, the transaction took effect;
+    if it is at the expected revision, it has not yet; if another transaction replaced
+    that revision, it never will. A row that has changed more than once doesn't show
+    which transaction came first, so the next row is read.
 
-    :return: ``None`` if the transaction had no effect so far.
-    :raises OutcomeUnknownError: if every row has changed since.
+    :return: ``None`` if the transaction has had no effect so far.
+    :raises OutcomeUnknownError: if every row has been overwritten since.
     """
     for expected in guarded:
         row = table.read(expected.key)
@@ -113,7 +115,9 @@
             return None
         if row is not None and row.replaces == expected.revision:
             return Conflict(key=expected.key, revision=revision)
-    raise OutcomeUnknownError(detail="others have written over the rows since")
+    raise OutcomeUnknownError(
+        detail="all rows were overwritten before the outcome was read"
+    )
 
 
 def _send_again(
@@ -125,9 +129,9 @@
         return None
     if isinstance(outcome, Committed):
         return outcome
-    # The first copy may have arrived late, after the read back: then the conflict
-    # is with ourselves, and reported as such the caller would believe that someone
-    # else had won. Its token in the row tells.
+    # The first copy may have arrived late, after the read-back: the conflict is then
+    # with the transaction itself, and must not be reported as another writer's
+    # success. The token in the row tells them apart.
     return _read_back(table, transaction, guarded) or outcome
 
 
--- a/src/arbutuspulley/ports/engines.py
+++ b/src/arbutuspulley/ports/engines.py
@@ -1,8 +1,8 @@
 """The port to backend servers: model engines and plain services.
 
-All verbs block and are called from worker threads, never from the loop. The
-numbers a decision uses (load, memory) come from :class:`Report` and are always
-somewhat old.
+All functions block and are called from worker threads, never from the event loop.
+Load and memory figures that decisions use come from :class:`Report` and are always
+somewhat stale.
 """
 
 import enum
@@ -32,12 +32,12 @@
 
     :param item: ``model@version`` or, for an adapter, ``adapter@version``.
     :param base: for an adapter, the item of the model that it extends.
-    :param memory_mib: what the item occupies, KV cache floor included.
-    :param fence: the owner's fencing number for this server; it only grows.
-    :param number: numbers orders of one server in sequence, across owners.
+    :param memory_mib: memory that the item occupies, including the KV cache floor.
+    :param fence: the owner's fencing number for this server; it only increases.
+    :param number: sequence number of the server's orders, across owners.
     :param boot_id: the boot that the order is meant for. Send it only on a connection
         on which the server has reported this boot, and never open another one for it:
-        an order that is sent late must not reach a restarted engine.
+        a delayed order must not reach a restarted engine.
     """
 
     kind: OrderKind
@@ -50,7 +50,7 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What a server said to an order."""
+    """How a server answered an order."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -60,8 +60,8 @@
 class OrderReply(Value, frozen=True):
     """A server's answer to an order.
 
-    ``STALE``: its fencing number or number is older than one already seen.
-    ``REFUSED``: it cannot be done, for example for lack of memory.
+    ``STALE``: its fencing number or order number is lower than one already seen.
+    ``REFUSED``: it cannot be carried out, for example for lack of memory.
     """
 
     outcome: OrderOutcome
@@ -78,17 +78,17 @@
 
 
 class Report(Value, frozen=True):
-    """A server's own account of itself.
+    """A server's report of its state and load.
 
     :param boot_id: changes whenever the engine restarts; its memory is then empty.
-    :param sequence: counts reports within one boot.
+    :param sequence: number of the report within one boot.
     :param fence: the highest fencing number it has seen (0 if it doesn't check).
     :param last_order: the highest order number it has applied or refused.
     :param running: requests in its current batch.
-    :param waiting: requests it has admitted and not begun.
-    :param waiting_tokens: estimated tokens still to be produced or read in.
-    :param tokens_per_s: what it has lately produced.
-    :param age_ms: how old the numbers are, as far as the server knows.
+    :param waiting: requests it has admitted but not started.
+    :param waiting_tokens: estimated tokens still to be prefilled or decoded.
+    :param tokens_per_s: its recent output rate.
+    :param age_ms: age of the figures, as far as the server knows.
     """
 
     server: str
@@ -110,7 +110,7 @@
 class CacheEvent(Value, frozen=True):
     """A prompt prefix entered or left a server's cache.
 
-    :param sequence: counts events within one boot; a jump shows a gap.
+    :param sequence: number of the event within one boot; a jump means lost events.
     :param prefix: hash of the prefix.
     """
 
@@ -125,9 +125,9 @@
 
     :param path: ``/v1/chat/completions`` or ``/v1/completions``.
     :param item: the loaded item that must answer.
-    :param body: the caller's body, already checked to be JSON; sent streamed.
-    :param offset: index of the first token wanted; above 0 to resume.
-    :param priority: higher goes first at the server.
+    :param body: the caller's body, already validated as JSON; sent as a stream.
+    :param offset: index of the first token to return; above 0 to resume a stream.
+    :param priority: the server serves higher values first.
     :param traceparent: W3C trace context.
     """
 
@@ -142,15 +142,15 @@
 
 
 class Chunk(Value, frozen=True):
-    """One event of an answer.
+    """One event of a streamed answer.
 
-    Events are numbered from 0 without gaps: one for each token, then those that
-    carry no token (the one with ``finish_reason`` and usage), then the end marker.
+    Events are numbered from 0 without gaps: one for each token, then the events
+    without a token (the one with ``finish_reason`` and usage), then the end marker.
 
-    :param attempt_id: the attempt that the server says it belongs to.
+    :param attempt_id: the attempt that the event belongs to, as the server sent it.
     :param offset: index of the event.
     :param data: the event's JSON, as the protocol defines it; ``[DONE]`` if last.
-    :param last: whether this is the end marker; it carries no token.
+    :param last: whether this is the end marker, which has no token.
     """
 
     attempt_id: str
@@ -173,7 +173,7 @@
 
 
 class ServiceReply(Value, frozen=True):
-    """A plain service's whole answer."""
+    """A plain service's complete answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -181,7 +181,7 @@
 
 
 class NotSentError(ArbutusError):
-    """No byte of the request left: the server certainly did not run it."""
+    """No byte of the request was sent: the server certainly did not run it."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.SERVICE_UNAVAILABLE, detail=detail)
@@ -190,9 +190,9 @@
 class RefusedError(ArbutusError):
     """The server refused the request before admission: it was not run.
 
-    :param retry_after_ms: when the server would take it, if it said so.
-    :param leaving: whether it refused because it is leaving.
-    :param final: whether no other server would take it either (bad request).
+    :param retry_after_ms: time until the server would accept it, if it said so.
+    :param leaving: whether it refused because it is draining.
+    :param final: whether every other server would refuse it too (bad request).
     """
 
     def __init__(
@@ -210,14 +210,14 @@
 
 
 class BrokenError(ArbutusError):
-    """The connection broke after bytes had left: the outcome is not known."""
+    """The connection failed after bytes had been sent: the outcome is unknown."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.OUTCOME_UNKNOWN, detail=detail)
 
 
 class Engines(Value, frozen=True):
-    """Verbs towards backend servers; ``address`` is ``host:port``.
+    """Calls to backend servers; ``address`` is ``host:port``.
 
     ``infer`` returns once the server has admitted the request. It raises
     :class:`NotSentError`, :class:`RefusedError` or :class:`BrokenError`; the
--- a/src/arbutuspulley/ports/fleet.py
+++ b/src/arbutuspulley/ports/fleet.py
@@ -1,7 +1,7 @@
-"""What the serving path sees of its surroundings: configuration, servers, requests.
+"""Types of the serving path: configuration, backend servers, requests and settings.
 
 An adapter decodes its wire formats into these types once. Sizes are in tokens or
-megabytes and times in milliseconds; the field says which.
+megabytes and times in milliseconds; the field name has the unit.
 """
 
 import enum
@@ -10,10 +10,10 @@
 
 
 class RetryPolicy(enum.StrEnum):
-    """How often a request may run.
+    """Whether a request that may have run may be retried.
 
-    ``ANY``: idempotent, it may run again. ``ONCE``: at most once. ``RESUME``: a
-    stream that may run again from the last event that reached the caller.
+    ``ANY``: idempotent, may be retried. ``ONCE``: runs at most once. ``RESUME``: a
+    stream that may be resumed after the last event that reached the caller.
     """
 
     ANY = "any"
@@ -22,7 +22,7 @@
 
 
 class Share(Value, frozen=True):
-    """The part of a route's requests that one service gets."""
+    """The share of a route's requests that one service gets."""
 
     service: str
     weight: float
@@ -34,13 +34,12 @@
     :param host: host name it serves.
     :param prefix: path prefix; begins and ends with a slash.
     :param is_stream: whether answers are event streams.
-    :param timeout_ms: longest time until the final answer.
-    :param latency_target_ms: time until the (first part of the) answer that earns full
-        credit.
-    :param gap_target_ms: longest pause between events of a stream that is still on
-        time.
+    :param timeout_ms: longest time until the complete answer.
+    :param latency_target_ms: latency target for the answer, or for the first part of
+        a stream.
+    :param gap_target_ms: longest gap between events of a stream that meets its target.
     :param priority: rank, 0 is the most urgent.
-    :param max_attempts: most servers that may get one request.
+    :param max_attempts: maximum number of servers that one request is sent to.
     :param is_public: whether callers need no key.
     """
 
@@ -61,12 +60,12 @@
 class Team(Value, frozen=True):
     """A team that callers belong to.
 
-    :param keys: each proves that a caller belongs to it.
-    :param priority: rank of its requests instead of their routes'; ``None``: theirs.
-    :param rate_per_s: its quota over all instances; 0: none.
-    :param burst: what it may use beyond the rate after a pause.
+    :param keys: API keys of its callers.
+    :param priority: rank of its requests; ``None``: their route's priority.
+    :param rate_per_s: its quota over all instances; 0: no quota.
+    :param burst: capacity of its token bucket beyond the rate.
     :param counts_tokens: whether rate and burst are in tokens, not in requests.
-    :param default_tokens: what a request costs that does not say how many it uses.
+    :param default_tokens: cost of a request that does not state its token usage.
     """
 
     name: str
@@ -81,11 +80,11 @@
 class ModelSpec(Value, frozen=True):
     """Size and load time of a model.
 
-    :param size_mb: memory of its weights.
-    :param adapter_mb: memory of one of its adapters.
-    :param load_ms: from the weight store.
-    :param disk_load_ms: from the server's disk.
-    :param warm_load_ms: from the server's host memory.
+    :param size_mb: memory for its weights.
+    :param adapter_mb: memory for one of its adapters.
+    :param load_ms: load time from the weight store.
+    :param disk_load_ms: load time from the server's disk.
+    :param warm_load_ms: load time from the server's host memory.
     """
 
     name: str
@@ -97,13 +96,13 @@
 
 
 class EngineSpec(Value, frozen=True):
-    """What each model server of a service can do.
+    """Capacity of each model server of a service.
 
-    :param slots: requests that one batch holds.
-    :param cache_tokens: KV cache memory.
+    :param slots: maximum requests in one batch.
+    :param cache_tokens: KV cache capacity.
     :param memory_mb: memory for weights and adapters.
-    :param adapter_slots: most adapters at once.
-    :param loads_per_s: loads from the weight store, over all servers.
+    :param adapter_slots: maximum number of loaded adapters.
+    :param loads_per_s: rate limit of loads from the weight store, over all servers.
     """
 
     slots: int
@@ -117,7 +116,7 @@
 class ServiceSpec(Value, frozen=True):
     """One service.
 
-    :param max_connections: connections that one server accepts from all callers.
+    :param max_connections: maximum connections that one server accepts in total.
     :param engine: present if the service's servers run models.
     """
 
@@ -127,16 +126,16 @@
 
 
 class Limits(Value, frozen=True):
-    """What a caller may send."""
+    """Size limits of a caller's request."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4 * 1_024 * 1_024
 
 
 class FleetConfiguration(Value, frozen=True):
-    """One version of what operators want.
+    """One version of the operators' configuration.
 
-    :param teams: only their callers are served; ``None``: whoever asks is.
+    :param teams: only callers of these teams are served; ``None``: all callers are.
     """
 
     version: int
@@ -147,19 +146,18 @@
 
 
 class LoadedModel(Value, frozen=True):
-    """A model that a server has in memory, with its adapters."""
+    """A model in a server's memory, with its loaded adapters."""
 
     model: str
     adapters: tuple[str, ...] = ()
 
 
 class ServerEntry(Value, frozen=True):
-    """What a backend server last told of itself.
+    """A backend server's entry in the platform's registry, as last read.
 
-    :param server_id: the id that it goes by; it may start again under the same one.
-    :param incarnation: names this start of the server.
-    :param started_ms: when it started, in Unix ms by its own clock; 0 if it does not
-        say.
+    :param server_id: its id, which it keeps when it restarts.
+    :param incarnation: identifies one start of the server.
+    :param started_ms: when it started, in Unix ms by its own clock; 0 if unknown.
     :param is_leaving: whether it is draining.
     """
 
@@ -175,13 +173,14 @@
 
 
 class ServerReport(Value, frozen=True):
-    """A model server's own account of itself, some hundred milliseconds old.
+    """A model server's report of its state, some hundred milliseconds old.
 
-    :param incarnation: the start of the server that tells it.
+    :param incarnation: the start of the server that sent the report.
     :param is_busy: whether an order is being carried out.
     :param accepted_orders: number of orders accepted since its start.
-    :param pending: adapters on their way, as ``(model, adapter)``.
-    :param warm: models whose weights are in host memory or on disk.
+    :param pending: adapters that are being loaded, as ``(model, adapter)``.
+    :param in_memory: models whose weights are in host memory.
+    :param on_disk: models whose weights are on disk.
     """
 
     incarnation: str
@@ -194,7 +193,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What a model server is told to do."""
+    """What an order asks a model server to do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -204,7 +203,7 @@
     """An order to a model server.
 
     :param expected_orders: the server carries it out only if it has accepted
-        exactly this many orders, so a late or doubled order has no effect.
+        exactly this many orders, so a late or duplicate order has no effect.
     :param fence: fencing token of the holder.
     """
 
@@ -217,7 +216,7 @@
 
 
 class OrderAnswer(enum.Enum):
-    """How a server took an order."""
+    """How a server answered an order."""
 
     ACCEPTED = "accepted"
     HELD_ALREADY = "held_already"
@@ -229,12 +228,12 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How a try at a server ended.
+    """How an attempt at a server ended.
 
-    ``DONE``: with a whole answer. ``FAILED``: the server broke off. ``NOT_RUN``: the
-    server proved that it did not run the request. ``UNREACHED``: it could not be
-    connected to. ``LEFT``: the caller left or the time was up, which says nothing of
-    the server. ``UNUSED``: nothing was sent.
+    ``DONE``: with a complete answer. ``FAILED``: the server broke off. ``NOT_RUN``: the
+    server proved that it did not run the request. ``UNREACHED``: the connection could
+    not be opened. ``LEFT``: the caller disconnected or its deadline passed, which says
+    nothing about the server. ``UNUSED``: nothing was sent.
     """
 
     DONE = "done"
@@ -246,11 +245,11 @@
 
 
 class ModelNeed(Value, frozen=True):
-    """What a request needs of a model server.
+    """Model and tokens that a request needs from a model server.
 
     :param adapter: empty if it needs none.
-    :param output_tokens: most tokens that it may generate.
-    :param expected_tokens: how many the caller expects; 0 if it did not say.
+    :param output_tokens: maximum number of tokens that it may generate.
+    :param expected_tokens: output tokens that the caller expects; 0 if unknown.
     """
 
     model: str
@@ -264,15 +263,15 @@
     """A caller's request, decoded.
 
     :param path: as sent, with its query.
-    :param headers: as forwarded to a server: end-to-end headers of the caller
-        without those that only the system may set.
-    :param wait_ms: how long the caller waits; ``None`` if it did not say.
-    :param resumes: whether the caller goes on with a broken stream.
-    :param fingerprint: the same whenever it is sent again; empty until it is needed,
-        which is after the body was read.
-    :param key: the caller's only key, until it was looked up; empty if it sent none or
-        several. It is never logged.
-    :param usage_tokens: tokens that the caller says it uses; ``None``: it does not say.
+    :param headers: as forwarded to a server: the caller's end-to-end headers without
+        those that only the system may set.
+    :param wait_ms: how long the caller waits; ``None`` if unknown.
+    :param resumes: whether the caller resumes a broken stream.
+    :param fingerprint: identical for every retry of the request; empty until it is
+        needed, which is after the body has been read.
+    :param key: the caller's API key, until it has been looked up; empty if it sent
+        none or several. It is never logged.
+    :param usage_tokens: token usage that the caller states; ``None`` if it states none.
     """
 
     attempt_id: str
@@ -294,22 +293,22 @@
 
     :param name: name of the instance.
     :param site: its data centre.
-    :param frontend: where callers connect, ``host:port``.
-    :param ready: where its readiness is asked for.
-    :param directory: where callers ask which address to use.
-    :param link: where other instances connect.
-    :param seeds: links of some instances, perhaps stale.
+    :param frontend: address that callers connect to, ``host:port``.
+    :param ready: address of its readiness endpoint.
+    :param directory: address of the endpoint that tells callers which instance to use.
+    :param link: address that other instances connect to.
+    :param seeds: links of some instances, possibly stale.
     :param grace_ms: time between SIGTERM and SIGKILL.
     :param lease_ms: no two holders may give orders within this time.
     :param checks_fences: whether servers refuse an order with an older fencing token.
-    :param apply_ms: within this time a configuration is in force everywhere.
-    :param revocation_ms: within this time a key that was withdrawn works nowhere any
-        more, also at an instance that can't hear of it; ``None``: no such bound.
-    :param quota_window_ms: the time over which quotas are judged.
-    :param quota_overage: part by which they may be exceeded in it.
-    :param quota_extra: beside that, in their unit.
-    :param cores: processor that this instance has, in cores.
-    :param link_mbps: what its network link carries, in Mbit/s.
+    :param apply_ms: within this time a configuration is active on all instances.
+    :param revocation_ms: within this time a revoked key is refused by all instances,
+        even by one that can't receive the change; ``None``: no such bound.
+    :param quota_window_ms: window over which quotas are enforced.
+    :param quota_overage: fraction by which they may be exceeded in a window.
+    :param quota_extra: further allowance per window, in the quota's unit.
+    :param cores: processor capacity of this instance, in cores.
+    :param link_mbps: bandwidth of its network link, in Mbit/s.
     """
 
     name: str
--- a/src/arbutuspulley/ports/platform.py
+++ b/src/arbutuspulley/ports/platform.py
@@ -1,8 +1,8 @@
 """The port to the platform: table service, object store and instance list.
 
-The verbs are few because the platform's real wire format arrives later; an
-adapter fills in the functions. All verbs block and are called from worker
-threads, never from the loop.
+The interface is small because the platform's real wire format arrives later; an
+adapter supplies the functions. All of them block and are called from worker
+threads, never from the event loop.
 """
 
 import enum
@@ -21,9 +21,9 @@
     :param value: encoded record; empty if the row was deleted.
     :param revision: table-wide number of the transaction that last wrote it.
     :param token: the token of that transaction.
-    :param deleted: whether this is the trace of a deletion (in scans only).
-    :param replaces: revision of the row that this one replaced; ``None`` if the
-        transaction had no precondition on the row, so that it isn't known.
+    :param deleted: whether this is a tombstone (in scans only).
+    :param replaces: revision that this one replaced; ``None`` if it is unknown, as
+        the transaction had no precondition on the row.
     """
 
     key: str
@@ -49,10 +49,10 @@
 
 
 class Transaction(Value, frozen=True):
-    """All writes happen, or none does.
+    """Writes that are applied atomically.
 
-    :param token: fresh for each transaction; it tells its effect from another's
-        when a reply is lost. A retry of the same transaction keeps it.
+    :param token: unique to the transaction; identifies its effect when a reply is
+        lost. Retries of the same transaction keep it.
     """
 
     token: str
@@ -80,11 +80,11 @@
 class Page(Value, frozen=True):
     """Part of a scan.
 
-    :param rows: in order of revision, deletions included.
-    :param revision: pass it as ``after`` to go on from here.
+    :param rows: in order of revision, including tombstones.
+    :param revision: pass it as ``after`` to continue from here.
     :param more: whether rows after this page are known to exist.
-    :param table_id: names the table's history; it changes when the table was
-        restored from a backup, after which revisions may run backwards.
+    :param table_id: identifies the table's history; it changes when the table is
+        restored from a backup, after which revisions may go backwards.
     """
 
     rows: tuple[Row, ...]
@@ -94,14 +94,14 @@
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform says of an instance; it lags behind reality."""
+    """An instance's state in the platform's list, which lags behind the real state."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class InstanceListing(Value, frozen=True):
-    """One line of the platform's instance list.
+    """One row of the platform's instance list.
 
     :param address: ``host:port`` or a bare host.
     """
@@ -114,13 +114,13 @@
 class Table(Value, frozen=True):
     """The transactional table service.
 
-    Each verb raises :class:`~arbutuspulley.results.PlatformUnavailableError` if it
-    certainly had no effect. ``transact`` raises
+    Each function raises :class:`~arbutuspulley.results.PlatformUnavailableError` if
+    it certainly had no effect. ``transact`` raises
     :class:`~arbutuspulley.results.OutcomeUnknownError` if it may have had one.
 
     :param read: ``read(key)`` returns the row, or ``None`` if there is none.
-    :param scan: ``scan(prefix, after, limit)`` returns rows below the prefix whose
-        revision is above ``after`` (0: all that exist).
+    :param scan: ``scan(prefix, after, limit)`` returns rows with the prefix whose
+        revision is above ``after`` (0: all existing rows).
     :param transact: ``transact(transaction)``.
     """
 
@@ -132,9 +132,9 @@
 class Objects(Value, frozen=True):
     """The object store.
 
-    :param get: ``get(name)`` returns the bytes, or ``None``.
-    :param put_if_absent: ``put_if_absent(name, data)`` returns whether the object is
-        new; an existing one is left as it is.
+    :param get: ``get(name)`` returns the object's bytes, or ``None`` if it is absent.
+    :param put_if_absent: ``put_if_absent(name, data)`` returns whether the object was
+        created; an existing one is left unchanged.
     """
 
     get: Callable[[str], bytes | None]
@@ -142,9 +142,9 @@
 
 
 class Platform(Value, frozen=True):
-    """All that the platform gives.
+    """All services of the platform.
 
-    :param list_instances: the backend servers and instances, with a lag.
+    :param list_instances: returns the backend servers and instances, with a lag.
     """
 
     table: Table
