--- a/src/arbutuspulley/platform/messages.py
+++ b/src/arbutuspulley/platform/messages.py
@@ -229,7 +229,7 @@
     return FleetConfiguration(
         version=wire.version,
         routes=tuple(_decode_route(route) for route in wire.routes),
-        services={one.name: _decode_service(one) for one in wire.services},
+        services={service.name: _decode_service(service) for service in wire.services},
         limits=Limits(
             header_bytes=limits.max_header_bytes,
             body_bytes=limits.max_body_bytes,
@@ -291,7 +291,10 @@
 
 
 def _decode_route(wire: WireRoute) -> Route:
-    shares = [Share(service=one.service, weight=one.weight) for one in wire.backends]
+    shares = [
+        Share(service=backend.service, weight=backend.weight)
+        for backend in wire.backends
+    ]
     if not shares:
         shares = [Share(service=wire.service, weight=1)]
     return Route(
@@ -354,15 +357,15 @@
 
 def _decode_engine(wire: WireEngine) -> EngineSpec:
     models = {
-        one.name: ModelSpec(
-            name=one.name,
-            size_mb=one.weights_mb,
-            adapter_mb=one.adapter_mb,
-            load_ms=one.load_s * 1_000,
-            disk_load_ms=(one.disk_s or one.load_s) * 1_000,
-            warm_load_ms=(one.warm_s or one.load_s) * 1_000,
+        model.name: ModelSpec(
+            name=model.name,
+            size_mb=model.weights_mb,
+            adapter_mb=model.adapter_mb,
+            load_ms=model.load_s * 1_000,
+            disk_load_ms=(model.disk_s or model.load_s) * 1_000,
+            warm_load_ms=(model.warm_s or model.load_s) * 1_000,
         )
-        for one in wire.models
+        for model in wire.models
     }
     return EngineSpec(
         slots=wire.slots,
@@ -377,10 +380,10 @@
 def _decode_loaded_models(wire: list[WireLoadedModel]) -> tuple[LoadedModel, ...]:
     return tuple(
         LoadedModel(
-            model=one.name,
-            adapters=tuple(_read_adapter_name(entry) for entry in one.adapters),
+            model=model.name,
+            adapters=tuple(_read_adapter_name(entry) for entry in model.adapters),
         )
-        for one in wire
+        for model in wire
     )
 
 
--- a/src/arbutuspulley/platform/requests.py
+++ b/src/arbutuspulley/platform/requests.py
@@ -10,7 +10,7 @@
 _MISDIRECTED = 421
 """Status of a server that is not the one that the request names."""
 
-_FAULTS = frozenset((400, _MISDIRECTED, 429, 503))
+_NOT_RUN_STATUSES = frozenset((400, _MISDIRECTED, 429, 503))
 """Statuses with which a server may prove that it did not run a request."""
 
 
@@ -20,11 +20,12 @@
     """Decode what a client sent, without its body."""
     listed = list(headers)
     found = {name.lower(): value for name, value in listed}
-    dropped = _list_dropped(found.get("connection", ""))
+    dropped = _list_dropped_headers(found.get("connection", ""))
     kept = [
         (name, value)
         for name, value in listed
-        if name.lower() not in dropped and _fold(name) not in names.RESERVED_HEADERS
+        if name.lower() not in dropped
+        and _normalise_name(name) not in names.RESERVED_HEADERS
     ]
     keys = [value for name, value in listed if name.lower() == names.KEY.lower()]
     return InboundRequest(
@@ -34,10 +35,10 @@
         path=path,
         headers=kept,
         wait_ms=_read_number(found.get(names.DEADLINE.lower())),
-        need=_decode_need(found),
+        need=_decode_model_need(found),
         resumes=names.LAST_EVENT_ID.lower() in found,
         key=keys[0].strip() if len(keys) == 1 else "",
-        usage_tokens=_sum_usage(found.get(names.TOKEN_USAGE.lower())),
+        usage_tokens=_sum_token_usage(found.get(names.TOKEN_USAGE.lower())),
     )
 
 
@@ -66,7 +67,7 @@
     if priority is not None:
         headers.append((names.REQUEST_PRIORITY, str(priority)))
     if last_event_id:
-        headers = [one for one in headers if one[0].lower() != "last-event-id"]
+        headers = [header for header in headers if header[0].lower() != "last-event-id"]
         headers.append((names.LAST_EVENT_ID, last_event_id))
     return headers
 
@@ -80,7 +81,7 @@
     """Tell whether an answer proves that the server did not run the request."""
     if is_misdirected(status):
         return True
-    return status in _FAULTS and names.NOT_EXECUTED in headers
+    return status in _NOT_RUN_STATUSES and names.NOT_EXECUTED in headers
 
 
 def is_answer_to(request: InboundRequest, headers: Mapping[str, str]) -> bool:
@@ -96,8 +97,8 @@
     connection = ",".join(
         value for name, value in listed if name.lower() == "connection"
     )
-    dropped = names.CONNECTION_HEADERS | _split_tokens(connection)
-    return [one for one in listed if one[0].lower() not in dropped]
+    dropped = names.CONNECTION_HEADERS | _split_connection_tokens(connection)
+    return [header for header in listed if header[0].lower() not in dropped]
 
 
 def read_server_limit(headers: Mapping[str, str]) -> float | None:
@@ -128,12 +129,12 @@
     return headers
 
 
-def _fold(name: str) -> str:
+def _normalise_name(name: str) -> str:
     """Return a header's name in the spelling that some servers reduce all others to."""
     return name.lower().replace("_", "-")
 
 
-def _sum_usage(usage: str | None) -> int | None:
+def _sum_token_usage(usage: str | None) -> int | None:
     """Return how many tokens a request uses, prompt and output together."""
     if usage is None:
         return None
@@ -142,17 +143,21 @@
     return sum(known) if known else None
 
 
-def _list_dropped(connection: str) -> frozenset[str]:
-    return names.RESERVED_HEADERS | names.CONNECTION_HEADERS | _split_tokens(connection)
+def _list_dropped_headers(connection: str) -> frozenset[str]:
+    return (
+        names.RESERVED_HEADERS
+        | names.CONNECTION_HEADERS
+        | _split_connection_tokens(connection)
+    )
 
 
-def _split_tokens(connection: str) -> frozenset[str]:
+def _split_connection_tokens(connection: str) -> frozenset[str]:
     tokens = (token.strip().lower() for token in connection.split(","))
     protected = {names.ATTEMPT_ID.lower(), "host"}
     return frozenset(token for token in tokens if token and token not in protected)
 
 
-def _decode_need(found: Mapping[str, str]) -> ModelNeed | None:
+def _decode_model_need(found: Mapping[str, str]) -> ModelNeed | None:
     named = found.get(names.MODEL.lower(), "")
     if not named:
         return None
