--- a/src/arbutuspulley/platform/__init__.py
+++ b/src/arbutuspulley/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls; nothing that decides."""
+"""Adapter to the users' platform: names, formats and calls, without decisions."""
--- a/src/arbutuspulley/platform/engines.py
+++ b/src/arbutuspulley/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to model servers that are no caller's request: reports and orders."""
+"""Control calls to model servers: reports and orders."""
 
 import aiohttp
 import msgspec
@@ -11,11 +11,11 @@
 from arbutuspulley.ports.fleet import OrderAnswer, ServerOrder, ServerReport
 
 CALL_TIMEOUT_S = 0.8
-"""How long a report may take, in s; it answers in a few ms."""
+"""Timeout of a report, in s; servers normally answer within a few ms."""
 
 ORDER_TIMEOUT_MS = 200
-"""How long an order's answer is awaited, in ms; it comes within a few ms. An order is a
-compare-and-set, so that giving it again is safe whatever became of the first."""
+"""Timeout of an order, in ms; servers normally answer within a few ms. An order is a
+compare-and-set, so it can be retried safely whatever the outcome of the first."""
 
 _ANSWERS = {
     200: OrderAnswer.HELD_ALREADY,
@@ -32,10 +32,10 @@
 async def fetch_report(
     session: aiohttp.ClientSession, *, address: str, incarnation: str
 ) -> ServerReport | None:
-    """Ask a model server what it holds and does.
+    """Fetch a model server's report.
 
-    :return: ``None`` if it gave no usable answer, or has started again since. A report
-        without the time of the start is taken for that of the one asked.
+    :return: ``None`` if there was no usable answer, or the server has restarted since.
+        A report without a start time is taken to be of the requested incarnation.
     """
     url = yarl.URL(f"http://{address}{names.REPORT_PATH}")
     server_id = get_server_id(incarnation)
@@ -60,13 +60,13 @@
     incarnation: str,
     within_ms: int = ORDER_TIMEOUT_MS,
 ) -> OrderAnswer:
-    """Give a model server an order.
+    """Send an order to a model server.
 
-    :param session: one that resets its connections as it closes them, so that an order
-        that is given up does not leave later; see
+    :param session: resets its connections when it closes them, so that an order that
+        timed out is not sent later; see
         :func:`~arbutuspulley.platform.transport.open_order_session`.
-    :param within_ms: for how much longer the caller may give orders; 0: not at all.
-    :return: ``UNKNOWN`` if no answer came; the order may still be carried out.
+    :param within_ms: for how much longer the caller may send orders; 0: not at all.
+    :return: ``UNKNOWN`` if there was no answer; the order may still be carried out.
     """
     if within_ms <= 0:
         return OrderAnswer.REFUSED
--- a/src/arbutuspulley/platform/incarnations.py
+++ b/src/arbutuspulley/platform/incarnations.py
@@ -1,18 +1,18 @@
-"""Names of servers' starts.
+"""Incarnations of backend servers.
 
-A server may start again under the id that it had, and then knows nothing of before.
-What is believed of a server belongs to one start of it, so starts are told apart by
-the id and the time of the start together. Inside the system that is one name, the
-incarnation; on the wire a server goes by its id.
+A server may restart under the same id, with its former state lost. State that the
+system keeps about a server is valid for one start only, so a start is identified by
+the server's id and its start time. Inside the system both form one name, the
+incarnation; on the wire a server is addressed by its id.
 """
 
 _SEPARATOR = "@"
 
 
 def build_incarnation(server_id: str, started_ms: int) -> str:
-    """Name a start of a server; no two starts have the same name.
+    """Return the name of one start of a server; no two starts have the same name.
 
-    :param started_ms: when it started, in Unix ms; 0 if it does not say.
+    :param started_ms: when it started, in Unix ms; 0 if unknown.
     """
     if not started_ms and _SEPARATOR not in server_id:
         return server_id
@@ -20,6 +20,6 @@
 
 
 def get_server_id(incarnation: str) -> str:
-    """Return the id under which a server goes on the wire."""
+    """Return a server's id on the wire."""
     server_id, separator, _born = incarnation.rpartition(_SEPARATOR)
     return server_id if separator else incarnation
--- a/src/arbutuspulley/platform/messages.py
+++ b/src/arbutuspulley/platform/messages.py
@@ -1,4 +1,4 @@
-"""Bodies on the wire, and their decoding into the types of the ports."""
+"""Message bodies on the wire, and their decoding into the ports' types."""
 
 import re
 from typing import Any
@@ -23,16 +23,15 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 DEFAULT_TIMEOUT_MS = 15_000
-"""Time-out of a route that names none, in ms: a caller rarely waits longer for
-anything."""
+"""Timeout of a route that sets none, in ms: callers rarely wait longer."""
 
 DEFAULT_LATENCY_TARGET_MS = 1_000
-"""Latency objective of a route that names none, in ms: a second feels
-immediate to a person who asked for text."""
+"""Latency target of a route that sets none, in ms: a second feels immediate to a
+person who reads text."""
 
 READY = "ready"
 DRAINING = "draining"
-"""``State`` of a server that takes requests, and of one that leaves."""
+"""``State`` of a server that accepts requests, and of one that is draining."""
 
 REQUESTS = "requests"
 TOKENS = "tokens"
@@ -42,15 +41,15 @@
 
 
 class InvalidServerEntryError(ValueError):
-    """A server's row is no entry of a server, though it can be read."""
+    """A server's row can be decoded but has invalid values."""
 
 
 class _Wire(msgspec.Struct, rename="pascal"):
-    """A body with the platform's field names; unknown fields are ignored."""
+    """Base of bodies with the platform's field names; unknown fields are ignored."""
 
 
 class WireShare(_Wire):
-    """One part of a split route."""
+    """One backend of a route that is split by weights."""
 
     service: str
     weight: float = 1
@@ -78,7 +77,7 @@
 
 
 class WireModel(_Wire):
-    """A model. Its ``Adapters`` is a number, unlike a holding's."""
+    """A model of a service. ``Adapters``, a number here, is ignored."""
 
     name: str
     weights_mb: float
@@ -108,7 +107,7 @@
 
 
 class WireLimits(_Wire):
-    """What clients may send."""
+    """Size limits of clients' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 * 1_024 * 1_024
@@ -117,7 +116,8 @@
 class WireTeam(_Wire):
     """A team.
 
-    :param unit: of ``RatePerS`` and ``Burst``: requests unless it says ``tokens``.
+    :param unit: unit of ``RatePerS`` and ``Burst``: ``requests`` (also if empty) or
+        ``tokens``.
     """
 
     name: str
@@ -140,19 +140,19 @@
 
 
 class WireLoadedModel(_Wire):
-    """A loaded model; ``Adapters`` lists the names of those in memory."""
+    """A loaded model; ``Adapters`` lists its loaded adapters."""
 
     name: str
     adapters: list[Any] = msgspec.field(default_factory=list)
 
 
 class WireServer(_Wire):
-    """A server's own row in the store.
+    """A server's row in the store.
 
-    Rows may come from other writers. One that lacks any of the fields without a
+    Other writers may write rows, too. A row that lacks any of the fields without a
     default is not a server's.
 
-    :param born: Unix ms of the server's start; 0 if it does not say.
+    :param born: start time of the server, in Unix ms; 0 if unknown.
     """
 
     service: str
@@ -174,7 +174,7 @@
 class WireReport(_Wire):
     """A model server's report. ``Sequence`` counts accepted orders.
 
-    :param born: Unix ms of the server's start; 0 if it does not say.
+    :param born: start time of the server, in Unix ms; 0 if unknown.
     """
 
     born: int = msgspec.field(default=0, name="born")
@@ -186,7 +186,7 @@
 
 
 class WireRow(_Wire):
-    """A row of the store; ``Value`` is base64. ``part`` is always empty here."""
+    """A row of the store; ``Value`` is base64. The ``part`` of keys is always empty."""
 
     table: str = ""
     key: str = ""
@@ -196,7 +196,7 @@
 
 
 class WireRows(_Wire):
-    """An answer about rows. ``NowMs`` is the store's steady clock."""
+    """The store's answer with rows. ``NowMs`` is its monotonic clock."""
 
     rows: list[WireRow] = msgspec.field(default_factory=list)
     ver: int = 0
@@ -211,7 +211,7 @@
 
 
 def decode_rows(body: bytes) -> WireRows:
-    """Decode an answer about rows.
+    """Decode the store's answer with rows.
 
     :raises msgspec.MsgspecError: if it is malformed.
     """
@@ -222,7 +222,7 @@
     """Decode the operator's configuration.
 
     :raises msgspec.MsgspecError: if it is malformed.
-    :raises ConfigurationError: if a team in it makes no sense.
+    :raises ConfigurationError: if a team in it has invalid values.
     """
     wire = _CONFIGURATION.decode(body)
     limits = wire.limits
@@ -245,7 +245,7 @@
 
     :param server_id: the row's key.
     :raises msgspec.MsgspecError: if it is malformed.
-    :raises WrongEntryError: if its fields make no sense.
+    :raises InvalidServerEntryError: if it has invalid values.
     """
     wire = _SERVER.decode(body)
     _check_server(wire)
@@ -266,7 +266,7 @@
     if wire.state not in (READY, DRAINING):
         raise InvalidServerEntryError(f"unknown state {wire.state!r}")
     if not _ADDRESS.fullmatch(wire.address):
-        raise InvalidServerEntryError(f"no address: {wire.address!r}")
+        raise InvalidServerEntryError(f"invalid address: {wire.address!r}")
     if wire.slots < 1 or wire.born < 0:
         raise InvalidServerEntryError(
             f"out of range: slots {wire.slots}, born {wire.born}"
@@ -388,7 +388,7 @@
 
 
 def _read_adapter_name(entry: Any) -> str:
-    # The pages show only empty lists; both a bare name and an object are taken.
+    # The platform's specification shows only empty lists; accept names and objects.
     if isinstance(entry, str):
         return entry.partition("@")[0]
     if isinstance(entry, dict):
--- a/src/arbutuspulley/platform/names.py
+++ b/src/arbutuspulley/platform/names.py
@@ -1,13 +1,13 @@
-"""Names of headers and calls on the wire."""
+"""Names on the wire: headers, paths, tables and keys."""
 
 ATTEMPT_ID = "X-Arbutuspulley-Attempt-Id"
-"""Id of one attempt of a client; servers echo it."""
+"""Id of one attempt of a client; servers return it in their answer."""
 
 DEADLINE = "X-Arbutuspulley-Deadline-Ms"
-"""How many milliseconds the sender will still wait."""
+"""Remaining time that the sender waits, in ms."""
 
 EXPECT_INSTANCE = "X-Arbutuspulley-Expect-Instance"
-"""Incarnation that a request is meant for; another one answers 421."""
+"""Id of the server that a request is meant for; another one answers 421."""
 
 NOT_EXECUTED = "X-Arbutuspulley-Not-Executed"
 """Present if the server proves that it did not run the request."""
@@ -19,10 +19,10 @@
 """``MODEL`` or ``MODEL/ADAPTER``."""
 
 TOKEN_USAGE = "X-Arbutuspulley-Token-Usage"
-"""``PROMPT,OUTPUT``: tokens in the prompt, most tokens generated."""
+"""``PROMPT,OUTPUT``: tokens in the prompt, maximum tokens generated."""
 
 LENGTH_HINT = "X-Arbutuspulley-Length-Hint"
-"""How many output tokens the client expects; often far off."""
+"""Output tokens that the client expects; often inaccurate."""
 
 REQUEST_PRIORITY = "X-Arbutuspulley-Request-Priority"
 """Rank at a server, 0 to 9; 0 is served first, 5 if absent."""
@@ -31,13 +31,13 @@
 """Id of the last event of a stream that reached the client."""
 
 RETRY_AFTER = "Retry-After"
-"""Seconds, with fractions, after which a refused client may come back."""
+"""Seconds, with fractions, after which a refused client may retry."""
 
 KEY = "X-Arbutuspulley-Key"
-"""A client's key. It is never passed on."""
+"""A client's API key. It is never forwarded."""
 
 TEAM = "X-Arbutuspulley-Tenant"
-"""Name of the team that the client's key belongs to, for servers."""
+"""Name of the team that the client's key belongs to; sent to servers."""
 
 RESERVED_HEADERS = frozenset(
     name.lower()
@@ -59,11 +59,11 @@
         "Kv-Fetch",
     )
 )
-"""Headers that only the system may set; a client's are dropped."""
+"""Headers that only the system may set; those of clients are dropped."""
 
 SERVER_LIMIT = "Server-Limit"
-"""Requests a second that a server takes from all instances together, as long as its
-answers name it."""
+"""Rate limit of a server over all instances, in requests per second. It applies as
+long as the server's answers have this header."""
 
 CONNECTION_HEADERS = frozenset(
     (
@@ -80,7 +80,7 @@
         "expect",
     )
 )
-"""Headers that concern one connection, or that each hop computes anew."""
+"""Hop-by-hop headers, and headers that each hop computes itself."""
 
 REPORT_PATH = "/report"
 ORDER_PATH = "/order"
@@ -93,7 +93,7 @@
 """Table that the operator writes."""
 
 CONFIGURATION_KEY = "config"
-"""Row of the operator's table with the newest configuration."""
+"""Key of the operator's row with the newest configuration."""
 
 SERVERS_TABLE = "servers"
-"""Table in which servers register, one row each, under their incarnation."""
+"""Table in which servers register, one row each, under their id."""
--- a/src/arbutuspulley/platform/requests.py
+++ b/src/arbutuspulley/platform/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and answers of servers: headers decoded and built."""
+"""Headers of clients' requests and of servers' answers: decoding and building."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -8,7 +8,7 @@
 from arbutuspulley.ports.fleet import InboundRequest, ModelNeed
 
 _MISDIRECTED = 421
-"""Status of a server that is not the one that the request names."""
+"""Status of an answer by another server than the request is meant for."""
 
 _NOT_RUN_STATUSES = frozenset((400, _MISDIRECTED, 429, 503))
 """Statuses with which a server may prove that it did not run a request."""
@@ -17,7 +17,7 @@
 def decode_request(
     *, method: str, path: str, headers: Iterable[tuple[str, str]]
 ) -> InboundRequest:
-    """Decode what a client sent, without its body."""
+    """Decode a client's request, without its body."""
     listed = list(headers)
     found = {name.lower(): value for name, value in listed}
     dropped = _list_dropped_headers(found.get("connection", ""))
@@ -53,11 +53,11 @@
 ) -> list[tuple[str, str]]:
     """Build the headers of a request to a server.
 
-    :param remaining_ms: how long its answer is still waited for.
-    :param incarnation: the only start of the server that may run it.
+    :param remaining_ms: time until the request's deadline.
+    :param incarnation: the only start of the server that may run the request.
     :param priority: rank at a model server, ``None`` for a plain service.
-    :param last_event_id: event after which a stream shall go on.
-    :param team: that the caller belongs to; empty if it needs no key.
+    :param last_event_id: event after which a stream is resumed; empty for none.
+    :param team: the caller's team; empty if it needs no key.
     """
     headers = list(request.headers)
     headers.append((names.DEADLINE, str(remaining_ms)))
@@ -73,26 +73,26 @@
 
 
 def is_misdirected(status: int) -> bool:
-    """Tell whether another server answered than the request was meant for."""
+    """Return whether another server answered than the request was meant for."""
     return status == _MISDIRECTED
 
 
 def is_not_run(status: int, headers: Mapping[str, str]) -> bool:
-    """Tell whether an answer proves that the server did not run the request."""
+    """Return whether an answer proves that the server did not run the request."""
     if is_misdirected(status):
         return True
     return status in _NOT_RUN_STATUSES and names.NOT_EXECUTED in headers
 
 
 def is_answer_to(request: InboundRequest, headers: Mapping[str, str]) -> bool:
-    """Tell whether an answer is a server's and belongs to this request."""
+    """Return whether an answer comes from a server and belongs to this request."""
     if headers.get(names.ATTEMPT_ID, "") != request.attempt_id:
         return False
     return names.SEAL in headers
 
 
 def select_answer_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers of a server's answer that a client gets."""
+    """Return the headers of a server's answer that are forwarded to the client."""
     listed = list(headers)
     connection = ",".join(
         value for name, value in listed if name.lower() == "connection"
@@ -102,10 +102,10 @@
 
 
 def read_server_limit(headers: Mapping[str, str]) -> float | None:
-    """Return how many requests a second a server takes, by its answer's headers.
+    """Return a server's rate limit from its answer's headers, in requests per second.
 
-    :return: ``None`` if it names no limit.
-    :raises ValueError: if it names something else than a number from 0 on.
+    :return: ``None`` if the server states no limit.
+    :raises ValueError: if the limit is not a finite number >= 0.
     """
     text = headers.get(names.SERVER_LIMIT)
     if text is None:
@@ -115,14 +115,14 @@
     except ValueError:
         limit = math.nan
     if not (math.isfinite(limit) and limit >= 0):
-        raise ValueError(f"server limit {text!r} is not a number from 0 on")
+        raise ValueError(f"server limit {text!r} is not a finite number >= 0")
     return limit
 
 
 def build_refusal_headers(
     *, attempt_id: str, retry_after_ms: int | None
 ) -> dict[str, str]:
-    """Build the headers of an answer of the system's own."""
+    """Build the headers of an answer by which the system refuses a request."""
     headers = {names.ATTEMPT_ID: attempt_id} if attempt_id else {}
     if retry_after_ms is not None:
         headers[names.RETRY_AFTER] = f"{retry_after_ms / 1_000:.3f}"
@@ -130,12 +130,12 @@
 
 
 def _normalise_name(name: str) -> str:
-    """Return a header's name in the spelling that some servers reduce all others to."""
+    """Return a header's name in the spelling to which some servers normalise it."""
     return name.lower().replace("_", "-")
 
 
 def _sum_token_usage(usage: str | None) -> int | None:
-    """Return how many tokens a request uses, prompt and output together."""
+    """Return a request's token usage, prompt plus output; ``None`` if unknown."""
     if usage is None:
         return None
     numbers = [_read_number(part) for part in usage.split(",")]
--- a/src/arbutuspulley/platform/settings.py
+++ b/src/arbutuspulley/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into our own settings."""
+"""The platform's settings file, decoded into the instance's settings."""
 
 import os
 from pathlib import Path
@@ -62,7 +62,7 @@
 def find_settings() -> Path:
     """Return the path of the settings file.
 
-    :raises SettingError: if the environment names none.
+    :raises SettingError: if the environment variable is not set.
     """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
@@ -74,7 +74,7 @@
     """Read and check the settings file.
 
     :raises SettingError: if the file can't be read or decoded.
-    :raises SettingsError: if values are wrong; it names each of them.
+    :raises SettingsError: if values are invalid; it names each of them.
     """
     try:
         loaded = yaml.load(path.read_bytes(), Loader=_find_loader())
@@ -104,7 +104,7 @@
         quota_window_ms=int(file.bounds.quota_window_s * SECOND_MS),
         quota_overage=file.bounds.quota_overage,
         quota_extra=file.bounds.quota_slack,
-        # A process gets a share of each core, and runs on one at a time.
+        # The process gets this share of each core and runs on one core at a time.
         cores=file.limits.cpu_share * file.limits.cores,
         link_mbps=file.limits.link_mbps,
     )
