--- a/src/arbutuspulley/platform/store.py
+++ b/src/arbutuspulley/platform/store.py
@@ -37,7 +37,7 @@
 """Most rows in an answer; the store's own bound."""
 
 
-_TURNED_AWAY = frozenset((429, 503))
+_REFUSED_STATUSES = frozenset((429, 503))
 """Statuses with which the store does nothing."""
 
 
@@ -93,7 +93,7 @@
         "_base",
         "_clock",
         "_count_call",
-        "_ended_at",
+        "_result_at",
         "_session",
         "is_failing",
     )
@@ -107,7 +107,7 @@
         count_call: Callable[[str], None] = lambda _name: None,
     ) -> None:
         self._clock = clock or Clock()
-        self._ended_at = -RESULT_RECENT_MS
+        self._result_at = -RESULT_RECENT_MS
         self._session = session
         self._base = f"http://{address}"
         self._count_call = count_call
@@ -116,11 +116,11 @@
     @property
     def is_result_recent(self) -> bool:
         """Whether a call has ended lately."""
-        return self._clock.now() - self._ended_at < RESULT_RECENT_MS
+        return self._clock.now() - self._result_at < RESULT_RECENT_MS
 
-    def _note_end(self, *, failed: bool) -> None:
+    def _record_result(self, *, failed: bool) -> None:
         self.is_failing = failed
-        self._ended_at = self._clock.now()
+        self._result_at = self._clock.now()
 
     async def read(self, table: str, *, key: str = "") -> RowsAnswer:
         """Read one row, or all rows of a table.
@@ -148,8 +148,8 @@
         :raises HistoryLostError: if the history after ``after`` is gone.
         """
         params = {"Table": table, "after": str(after), "WaitMs": str(FEED_WAIT_MS)}
-        limit = FEED_WAIT_MS / 1_000 + FEED_TIMEOUT_MARGIN_S
-        answer = await self._get(names.STORE_FEED_PATH, params, limit)
+        read_timeout_s = FEED_WAIT_MS / 1_000 + FEED_TIMEOUT_MARGIN_S
+        answer = await self._get(names.STORE_FEED_PATH, params, read_timeout_s)
         return RowsAnswer(
             rows=_convert_rows(answer), version=answer.ver, now_ms=answer.now_ms
         )
@@ -181,9 +181,11 @@
             is_applied=status == 200, version=decoded.ver, now_ms=decoded.now_ms
         )
 
-    async def _get(self, path: str, params: dict[str, str], limit: float) -> WireRows:
+    async def _get(
+        self, path: str, params: dict[str, str], read_timeout_s: float
+    ) -> WireRows:
         try:
-            status, body = await self._call("GET", path, limit, params=params)
+            status, body = await self._call("GET", path, read_timeout_s, params=params)
         except OutcomeUnknownError as error:
             raise PlatformUnavailableError(detail=error.detail) from error
         if status == 410:
@@ -196,7 +198,7 @@
         self,
         method: str,
         path: str,
-        limit: float,
+        read_timeout_s: float,
         *,
         params: dict[str, str] | None = None,
         data: bytes | None = None,
@@ -204,27 +206,27 @@
     ) -> tuple[int, bytes]:
         """Make a call.
 
-        :param limit: how long the store may be silent, in s.
+        :param read_timeout_s: how long the store may be silent, in s.
         """
         self._count_call(path.strip("/"))
         url = yarl.URL(self._base + path)
         timeout = aiohttp.ClientTimeout(
-            total=limit + MAX_TRANSFER_S,
+            total=read_timeout_s + MAX_TRANSFER_S,
             sock_connect=CALL_TIMEOUT_S,
-            sock_read=limit,
+            sock_read=read_timeout_s,
         )
         try:
             async with self._session.request(
                 method, url, params=params, data=data, headers=headers, timeout=timeout
             ) as response:
                 body = await response.read()
-                self._note_end(failed=response.status in _TURNED_AWAY)
+                self._record_result(failed=response.status in _REFUSED_STATUSES)
                 return response.status, body
         except aiohttp.ClientConnectorError as error:
-            self._note_end(failed=True)
+            self._record_result(failed=True)
             raise PlatformUnavailableError(detail=str(error)) from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            self._note_end(failed=True)
+            self._record_result(failed=True)
             detail = f"{path}: {type(error).__name__}"
             raise OutcomeUnknownError(detail=detail) from error
 
--- a/src/arbutuspulley/platform/transport.py
+++ b/src/arbutuspulley/platform/transport.py
@@ -70,7 +70,7 @@
     servers, and measures it by a clock that stands still while the machine is
     suspended: the server has closed by then.
 
-    :param idle_times: how long servers keep connections, in s, by host and port.
+    :param idle_timeouts: how long servers keep connections, in s, by host and port.
     :param restarts: when servers were found to have started again, in s, likewise.
     """
 
@@ -78,17 +78,17 @@
         self,
         *,
         loop: asyncio.AbstractEventLoop,
-        idle_times: dict[str, float],
+        idle_timeouts: dict[str, float],
         restarts: dict[str, float],
     ) -> None:
         super().__init__(loop)
-        self._idle_times = idle_times
+        self._idle_timeouts = idle_timeouts
         self._restarts = restarts
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
 
     def data_received(self, data: bytes) -> None:
         """Take bytes and note when they came."""
-        self._heard_at = _read_clock()
+        self._last_received_at = _read_clock()
         super().data_received(data)
 
     def is_connected(self) -> bool:
@@ -97,10 +97,10 @@
             return False
         peer = self.transport.get_extra_info("peername")
         address = f"{peer[0]}:{peer[1]}" if peer else ""
-        if self._heard_at <= self._restarts.get(address, 0):
+        if self._last_received_at <= self._restarts.get(address, 0):
             return False
-        idle_s = self._idle_times.get(address, DEFAULT_IDLE_TIMEOUT_S)
-        return _read_clock() - self._heard_at <= idle_s
+        idle_timeout_s = self._idle_timeouts.get(address, DEFAULT_IDLE_TIMEOUT_S)
+        return _read_clock() - self._last_received_at <= idle_timeout_s
 
     def connection_lost(self, exc: BaseException | None) -> None:
         payload = self._payload
@@ -122,13 +122,13 @@
             use_dns_cache=False,
             socket_factory=open_socket,
         )
-        self.idle_times: dict[str, float] = {}
+        self.idle_timeouts: dict[str, float] = {}
         self.restarts: dict[str, float] = {}
         # The library has no public way to give a connection class of one's own.
         factory: Any = functools.partial(
             _Connection,
             loop=self._loop,
-            idle_times=self.idle_times,
+            idle_timeouts=self.idle_timeouts,
             restarts=self.restarts,
         )
         self._factory = factory
@@ -196,7 +196,7 @@
             data=request.body or None,
             allow_redirects=False,
         )
-        _note_idle_time(session, address, response.headers)
+        _record_idle_timeout(session, address, response.headers)
         return response
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
         raise NotSentError(str(error)) from error
@@ -204,13 +204,13 @@
         raise BrokenError(f"{type(error).__name__}: {error}") from error
 
 
-def _note_idle_time(
+def _record_idle_timeout(
     session: aiohttp.ClientSession, address: str, headers: Mapping[str, str]
 ) -> None:
     found = _KEEP_ALIVE.search(headers.get("Keep-Alive", ""))
     if found is not None and isinstance(session.connector, _Connector):
-        idle_s = min(MAX_IDLE_TIMEOUT_S, int(found[1]) - IDLE_TIMEOUT_MARGIN_S)
-        session.connector.idle_times[address] = idle_s
+        idle_timeout_s = min(MAX_IDLE_TIMEOUT_S, int(found[1]) - IDLE_TIMEOUT_MARGIN_S)
+        session.connector.idle_timeouts[address] = idle_timeout_s
 
 
 def _read_clock() -> float:
