--- a/src/arbutuspulley/platform/store.py
+++ b/src/arbutuspulley/platform/store.py
@@ -14,39 +14,41 @@
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
 CALL_TIMEOUT_S = 1.2
-"""How long the store may be silent during a call, in s. It answers within some ms, and
-within a third of a second when it is slow; a silent one must be noticed well within a
-lease of 3 s."""
+"""Read timeout of a call to the store, in s. The store answers within some ms, or
+within a third of a second when it is slow; an unresponsive store must be detected well
+within a lease of 3 s."""
 
 MAX_TRANSFER_S = 10.0
-"""How long a call may take whose answer keeps coming, in s: some megabytes take so long
-over a slow link. Given up sooner, it would be asked for again from its start."""
+"""Time allowed for a call while its answer is being received, in s: some megabytes take
+this long over a slow link. A shorter timeout would restart the transfer from the
+beginning."""
 
 FEED_WAIT_MS = 1_000
 FEED_TIMEOUT_MARGIN_S = 0.5
-"""How long the store may hold a call for changes, in ms, and how much later its answer
-is given up, in s. A call that the store swallowed while it was silent is never
-answered, also after its return. Until it is given up, whoever made it believes that it
-hears of all changes; and so do all whom it tells, who have 2 s to put one in force."""
+"""How long the store may hold a long poll for changes, in ms, and how much later the
+poll times out, in s. A poll that reached the store while it was unresponsive is never
+answered, even after the store has recovered. Until it times out, the instance believes
+that it receives all changes, and so do the instances to which it relays them; they
+have 2 s to apply a change."""
 
 RESULT_RECENT_MS = 2_600
-"""How long the outcome of a call tells of the store, in ms: as long as an instance that
-is turned away takes for the next one, its pause included."""
+"""How long the result of a call reflects the store's state, in ms: the time until an
+instance whose call was refused has made the next one, backoff included."""
 
 PAGE_ROWS = 500
-"""Most rows in an answer; the store's own bound."""
+"""Maximum number of rows in an answer; the store's own limit."""
 
 
 _REFUSED_STATUSES = frozenset((429, 503))
-"""Statuses with which the store does nothing."""
+"""Statuses that prove that the store did nothing."""
 
 
 class HistoryLostError(PlatformUnavailableError):
-    """The store has forgotten the changes after the version asked for."""
+    """The store no longer has the changes after the requested version."""
 
 
 class StoredRow(State):
-    """A row as the store holds it.
+    """A row as stored.
 
     :param version: version of the transaction that wrote it; 0 if it is absent.
     :param value: ``None`` if the row is absent.
@@ -58,7 +60,7 @@
 
 
 class RowsAnswer(State):
-    """Rows, the store's newest version and its steady clock in ms."""
+    """Rows, the store's newest version and its monotonic clock in ms."""
 
     rows: list[StoredRow]
     version: int
@@ -66,7 +68,7 @@
 
 
 class WriteAnswer(State):
-    """How a conditional write went.
+    """Result of a conditional write.
 
     :param is_applied: ``False`` if its condition did not hold.
     """
@@ -77,11 +79,11 @@
 
 
 class StoreClient:
-    """Calls the store. Each call raises
+    """Client of the store. Each call raises
     :class:`~arbutuspulley.results.PlatformUnavailableError` if nothing was done, and a
     write :class:`~arbutuspulley.results.OutcomeUnknownError` if its answer was lost.
 
-    ``is_failing`` tells whether the last call that ended got no usable answer, and
+    ``is_failing`` is whether the last call that ended got no usable answer, and
     ``is_result_recent`` whether that was recent enough to reflect the store's present
     state.
 
@@ -115,7 +117,7 @@
 
     @property
     def is_result_recent(self) -> bool:
-        """Whether a call has ended lately."""
+        """Whether a call has ended within :data:`RESULT_RECENT_MS`."""
         return self._clock.now() - self._result_at < RESULT_RECENT_MS
 
     def _record_result(self, *, failed: bool) -> None:
@@ -126,8 +128,8 @@
         """Read one row, or all rows of a table.
 
         :param key: empty for the whole table.
-        :return: rows and the version as of the first page: what changed while further
-            pages were read is told again by whoever waits for changes after it.
+        :return: rows, and the version as of the first page: changes made while further
+            pages were read are then returned by :meth:`wait_for_changes` after it.
         """
         params = {"Table": table, "part": "", "Limit": str(PAGE_ROWS)}
         if key:
@@ -175,7 +177,9 @@
             headers={"Content-Type": "application/json"},
         )
         if status not in (200, 412):
-            raise PlatformUnavailableError(detail=f"the store answered {status}")
+            raise PlatformUnavailableError(
+                detail=f"the store answered with status {status}"
+            )
         decoded = _decode(answer)
         return WriteAnswer(
             is_applied=status == 200, version=decoded.ver, now_ms=decoded.now_ms
@@ -189,9 +193,13 @@
         except OutcomeUnknownError as error:
             raise PlatformUnavailableError(detail=error.detail) from error
         if status == 410:
-            raise HistoryLostError(detail="the store has forgotten its history")
+            raise HistoryLostError(
+                detail="the store no longer has the requested history"
+            )
         if status != 200:
-            raise PlatformUnavailableError(detail=f"the store answered {status}")
+            raise PlatformUnavailableError(
+                detail=f"the store answered with status {status}"
+            )
         return _decode(body)
 
     async def _call(
@@ -204,9 +212,9 @@
         data: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, bytes]:
-        """Make a call.
+        """Make a call and record its result.
 
-        :param read_timeout_s: how long the store may be silent, in s.
+        :param read_timeout_s: longest time without data from the store, in s.
         """
         self._count_call(path.strip("/"))
         url = yarl.URL(self._base + path)
@@ -235,7 +243,9 @@
     try:
         return decode_rows(body)
     except msgspec.MsgspecError as error:
-        raise PlatformUnavailableError(detail=f"unreadable answer: {error}") from error
+        raise PlatformUnavailableError(
+            detail=f"invalid answer of the store: {error}"
+        ) from error
 
 
 def _convert_rows(answer: WireRows) -> list[StoredRow]:
--- a/src/arbutuspulley/platform/transport.py
+++ b/src/arbutuspulley/platform/transport.py
@@ -1,4 +1,4 @@
-"""The one HTTP client of a process: sockets, pools and proof of what was sent."""
+"""HTTP client of a process: sockets, connection reuse and detection of lost requests."""
 
 import asyncio
 import functools
@@ -16,38 +16,38 @@
 from arbutuspulley.ports.fleet import InboundRequest
 
 CONNECT_TIMEOUT_S = 0.6
-"""How long a new connection may take, in s; data centres are 1 ms apart, and a lost
-opening packet is sent again after a second at the earliest."""
+"""Timeout for opening a connection, in s; data centres are 1 ms apart, and a lost SYN
+is retransmitted after a second at the earliest."""
 
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-"""How long an unused connection is kept, in s, if the server does not say for how long
-it keeps it. A request that crosses the server's close may have run."""
+"""How long an idle connection is kept, in s, if the server does not state its idle
+timeout. A request that is sent while the server closes the connection may have run."""
 
 IDLE_TIMEOUT_MARGIN_S = 2.0
-"""How much sooner than the server a connection is given up, in s: its time is in whole
-seconds, and a loop that is held up sees a close late. No more is given away, since
-each connection that is kept spares its next request a handshake."""
+"""How much sooner than the server the client discards an idle connection, in s: the
+server states whole seconds, and a blocked event loop sees a close late. The margin is
+no larger because each reused connection saves a handshake."""
 
 MAX_IDLE_TIMEOUT_S = 30.0
-"""Most of that, in s."""
+"""Longest time that an idle connection is kept, in s."""
 
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""Keep-alive probes begin after so many s of silence, so far apart, so many: a
-connection whose other end fell silent for good shows after about 3 s."""
+"""TCP keep-alive: idle time before the first probe, interval of probes, both in s, and
+number of probes. A dead peer is detected after about 3 s."""
 
 USER_TIMEOUT_MS = 2_500
-"""How long sent bytes may stay unacknowledged, in ms, before a connection counts as
-broken."""
+"""How long sent bytes may remain unacknowledged, in ms, before the connection is
+considered broken."""
 
 LARGE_BODY_BYTES = 32_768
-"""A body above this may still be on its way out as the answer ends. Its connection is
-not used again: the rest of the body would be read as another request."""
+"""Above this size, part of a body may still be unsent when the answer ends. Its
+connection is not reused: the server would read the rest as another request."""
 
 
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Linger on, for 0 s: a close discards what was not sent yet and resets."""
+"""SO_LINGER with 0 s: closing discards unsent data and resets the connection."""
 
 _KEEP_ALIVE = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
 
@@ -61,17 +61,16 @@
 
 
 class _Connection(ResponseHandler):
-    """Tells an answer that ended from one that was reset.
+    """A connection that detects truncated answers and its own idle timeout.
 
-    An answer without a length ends with its connection. A reset, too, ends the
-    connection, and the library takes what came so far for the whole answer.
+    An answer without a length ends when the connection is closed. The library treats a
+    reset in the same way and would return the truncated answer as complete.
 
-    It also knows how long it may be used again. The library has one such time for all
-    servers, and measures it by a clock that stands still while the machine is
-    suspended: the server has closed by then.
+    The library has one idle timeout for all servers, and measures it by a clock that
+    stops while the machine is suspended; the server has closed the connection by then.
 
-    :param idle_timeouts: how long servers keep connections, in s, by host and port.
-    :param restarts: when servers were found to have started again, in s, likewise.
+    :param idle_timeouts: idle timeouts of servers, in s, by host and port.
+    :param restarts: when a restart of a server was detected, in s, by host and port.
     """
 
     def __init__(
@@ -87,12 +86,12 @@
         self._last_received_at = 0.0
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes and note when they came."""
+        """Process received bytes and record the time."""
         self._last_received_at = _read_clock()
         super().data_received(data)
 
     def is_connected(self) -> bool:
-        """Tell whether the connection may be used; asked while it is idle."""
+        """Return whether the idle connection may be reused."""
         if self.transport is None or not super().is_connected():
             return False
         peer = self.transport.get_extra_info("peername")
@@ -110,7 +109,7 @@
 
 
 class _Connector(aiohttp.TCPConnector):
-    """Opens such connections, and keeps what servers say of their idle times."""
+    """Opens connections, and keeps the idle timeouts and restarts of servers."""
 
     def __init__(
         self, *, open_socket: Callable[[tuple[Any, ...]], socket.socket]
@@ -124,7 +123,7 @@
         )
         self.idle_timeouts: dict[str, float] = {}
         self.restarts: dict[str, float] = {}
-        # The library has no public way to give a connection class of one's own.
+        # The library has no public way to set the connection class.
         factory: Any = functools.partial(
             _Connection,
             loop=self._loop,
@@ -135,16 +134,16 @@
 
 
 def open_session() -> aiohttp.ClientSession:
-    """Open the client. It never repeats a request by itself."""
+    """Open a client session. It never retries a request by itself."""
     return _open_session(_open_socket)
 
 
 def open_order_session() -> aiohttp.ClientSession:
-    """Open a client whose connections are reset as they are closed.
+    """Open a client session whose connections are reset when they are closed.
 
-    An ordinary close leaves what was written to the operating system, which goes on
-    sending it. Behind a cut, an order of a holder whose lease had ended reached its
-    server when the cut healed, after orders of the next holder. A reset drops it.
+    After an ordinary close, the operating system still sends buffered data. During a
+    network partition, an order of a holder whose lease had expired was delivered when
+    the partition healed, after orders of the next holder. A reset discards it.
     """
     return _open_session(_open_resetting_socket)
 
@@ -159,16 +158,16 @@
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # The library would send an idempotent method once more on a broken connection,
-    # though its route may not be repeatable.
+    # The library would retry an idempotent method on a broken connection, though the
+    # route may not allow retries.
     session._retry_connection = False
     return session
 
 
 def discard_idle_connections(session: aiohttp.ClientSession, address: str) -> None:
-    """Use no connection to a server again that is idle by now.
+    """Prevent reuse of the connections to a server that are idle now.
 
-    :param address: its host and port.
+    :param address: its ``host:port``.
     """
     if isinstance(session.connector, _Connector):
         session.connector.restarts[address] = _read_clock()
@@ -181,10 +180,10 @@
     address: str,
     headers: list[tuple[str, str]],
 ) -> aiohttp.ClientResponse:
-    """Send a request to a server and return its answer once the head is there.
+    """Send a request to a server and return its answer once its headers are received.
 
-    :raises NotSentError: if the server could not be connected to.
-    :raises BrokenError: if it broke off, or sent what is no answer.
+    :raises NotSentError: if no connection to the server could be opened.
+    :raises BrokenError: if the connection broke or the answer was invalid.
     """
     if len(request.body) > LARGE_BODY_BYTES:
         headers = [*headers, ("Connection", "close")]
