--- a/src/arbutuspulley/platform/transport.py
+++ b/src/arbutuspulley/platform/transport.py
@@ -1,4 +1,4 @@
-"""HTTP client of a process: sockets, connection reuse and detection of lost requests."""
+"""HTTP client of a process; its errors show whether a request may have been sent."""
 
 import asyncio
 import functools
