--- a/src/arbutuspulley/membership/capacity.py
+++ b/src/arbutuspulley/membership/capacity.py
@@ -41,7 +41,7 @@
     """
     others = list(known)
     if others:
-        rank = sum(1 for one in others if one > own)
+        rank = sum(1 for other in others if other > own)
         return min(MAX_CLAIM_DELAY_MS, rank * CLAIM_DELAY_PER_RANK_MS)
     missing = max(0.0, 1 - own / SUFFICIENT_CAPACITY)
     return int(MAX_CLAIM_DELAY_MS * missing)
--- a/src/arbutuspulley/membership/coordinator_lease.py
+++ b/src/arbutuspulley/membership/coordinator_lease.py
@@ -28,7 +28,7 @@
 """How long after a release its successor gives no orders, in ms, if an order of the one
 before was not answered: its bytes may still be on their way through a full link."""
 
-ALWAYS_MS = 1 << 40
+UNLIMITED_MS = 1 << 40
 """Longer than anything, in ms."""
 
 
@@ -76,7 +76,7 @@
     :param version: version of the row as last read; 0 if absent.
     :param row: the row as last read.
     :param held_until: until when the own lease runs, on the own clock; 0: not held.
-    :param orders_from: until then the own lease allows no orders, on the own clock.
+    :param orders_allowed_from: until then the own lease allows no orders, on the own clock.
     :param fence: the own fencing token.
     """
 
@@ -88,7 +88,7 @@
     version: int = 0
     row: LeaseRow | None = None
     held_until: float = 0
-    orders_from: float = 0
+    orders_allowed_from: float = 0
     fence: int = 0
     renewed_at: int = 0
 
@@ -121,7 +121,7 @@
 
 def may_order(state: CoordinatorLeaseState, *, now: int) -> bool:
     """Tell whether orders may be given; ask right before each order."""
-    return is_holder(state, now=now) and now >= state.orders_from
+    return is_holder(state, now=now) and now >= state.orders_allowed_from
 
 
 def may_order_during_outage(
@@ -169,7 +169,7 @@
     row = state.row
     if row is None or row.holder == state.name:
         return 0
-    return max(0, int(_get_free_at(state, row) - (now + state.offset_ms)))
+    return max(0, int(_get_free_from(state, row) - (now + state.offset_ms)))
 
 
 def get_free_ms(state: CoordinatorLeaseState, *, now: int) -> int:
@@ -179,11 +179,11 @@
     """
     row = state.row
     if row is None or row.holder == state.name or state.offset_ms is None:
-        return ALWAYS_MS
-    return max(0, int(now + state.offset_ms - _get_free_at(state, row)))
+        return UNLIMITED_MS
+    return max(0, int(now + state.offset_ms - _get_free_from(state, row)))
 
 
-def _get_free_at(state: CoordinatorLeaseState, row: LeaseRow) -> float:
+def _get_free_from(state: CoordinatorLeaseState, row: LeaseRow) -> float:
     """Return when a lease may be taken, on the store's clock."""
     if not row.holder:
         return row.expires_ms
@@ -200,11 +200,11 @@
     row = state.row
     store_now = now + (state.offset_ms or 0.0)
     fence = row.fence if row else 0
-    orders_from = row.orders_from_ms if row else 0.0
+    orders_allowed_from = row.orders_from_ms if row else 0.0
     if not is_holder(state, now=now):
         fence += 1
     if row is not None and row.holder != state.name:
-        orders_from = max(orders_from, row.expires_ms)
+        orders_allowed_from = max(orders_allowed_from, row.expires_ms)
     return LeaseRow(
         holder=state.name,
         link=state.link,
@@ -212,7 +212,7 @@
         fence=fence,
         expires_ms=store_now + state.lease_ms,
         renewed_ms=store_now,
-        orders_from_ms=orders_from,
+        orders_from_ms=orders_allowed_from,
         loads_ms=_build_loads(state, loads),
     )
 
@@ -269,16 +269,18 @@
     """
     row = state.row
     released_ms = now + (state.offset_ms or 0.0)
-    orders_from = row.orders_from_ms if row else 0.0
+    orders_allowed_from = row.orders_from_ms if row else 0.0
     if has_unanswered_order:
-        orders_from = max(orders_from, released_ms + UNANSWERED_ORDER_WAIT_MS)
+        orders_allowed_from = max(
+            orders_allowed_from, released_ms + UNANSWERED_ORDER_WAIT_MS
+        )
     return LeaseRow(
         holder="",
         link="",
         boot="",
         fence=state.fence,
         expires_ms=released_ms,
-        orders_from_ms=orders_from,
+        orders_from_ms=orders_allowed_from,
         loads_ms=_build_loads(state, loads),
     )
 
@@ -307,7 +309,7 @@
     state.version = version
     state.fence = claim.fence
     state.held_until = claim.expires_ms - (store_ms - sent_at)
-    state.orders_from = claim.orders_from_ms - (state.offset_ms or 0.0)
+    state.orders_allowed_from = claim.orders_from_ms - (state.offset_ms or 0.0)
     state.renewed_at = sent_at
 
 
--- a/src/arbutuspulley/membership/lease.py
+++ b/src/arbutuspulley/membership/lease.py
@@ -86,9 +86,9 @@
     :return: the renewal to send, or ``None`` while another process holds the row
         or the row's revision isn't known.
     """
-    if state.revision is None or _is_kept_out(state, now=now):
+    if state.revision is None or _is_displaced(state, now=now):
         return None
-    if not state.session or _is_lapsed(state, now=now):
+    if not state.session or _is_expired(state, now=now):
         _begin_session(state, chance=chance)
     state.displaced_at = None
     state.renewal += 1
@@ -182,11 +182,11 @@
     state.sent_at = None
 
 
-def _is_lapsed(state: LeaseState, *, now: int) -> bool:
+def _is_expired(state: LeaseState, *, now: int) -> bool:
     return state.sent_at is not None and not may_order(state, now=now)
 
 
-def _is_kept_out(state: LeaseState, *, now: int) -> bool:
+def _is_displaced(state: LeaseState, *, now: int) -> bool:
     if state.displaced_at is None:
         return False
     wait = state.lease_ms + compute_margin(state.lease_ms)
--- a/src/arbutuspulley/membership/observation.py
+++ b/src/arbutuspulley/membership/observation.py
@@ -57,7 +57,9 @@
     :param sent_at: when the scan was sent.
     :param now: when its answer was there.
     """
-    if state.checked_at is not None and sent_at - state.checked_at > _gap(state):
+    if state.checked_at is not None and sent_at - state.checked_at > _get_max_gap_ms(
+        state
+    ):
         state.last_seen = dict.fromkeys(state.last_seen, now)
     update_rows(state, rows, now=now)
     state.checked_at = sent_at
@@ -68,7 +70,7 @@
 ) -> None:
     """Take in session rows that are known otherwise, as own transactions are."""
     for row in rows:
-        _take_row(state, row, now=now)
+        _update_row(state, row, now=now)
 
 
 def track_session(state: ObservationState, session: str, *, now: int) -> None:
@@ -89,10 +91,12 @@
     """
     if not session or session in state.ended:
         return True
-    sign = state.last_seen.get(session)
-    if sign is None or state.checked_at is None:
+    last_seen = state.last_seen.get(session)
+    if last_seen is None or state.checked_at is None:
         return False
-    return state.checked_at - sign >= state.lease_ms + compute_margin(state.lease_ms)
+    return state.checked_at - last_seen >= state.lease_ms + compute_margin(
+        state.lease_ms
+    )
 
 
 def list_live(state: ObservationState) -> frozenset[str]:
@@ -116,10 +120,10 @@
     dead: list[SessionRow] = []
     for row in state.rows.values():
         session = row.record.session if row.record else ""
-        sign = state.last_seen.get(session)
-        if sign is None or session in referenced or state.checked_at is None:
+        last_seen = state.last_seen.get(session)
+        if last_seen is None or session in referenced or state.checked_at is None:
             continue
-        if state.checked_at - sign >= STALE_LEASES * state.lease_ms:
+        if state.checked_at - last_seen >= STALE_LEASES * state.lease_ms:
             dead.append(row)
     return dead
 
@@ -151,26 +155,26 @@
     state.checked_at = None
 
 
-def _take_row(state: ObservationState, row: SessionRow, *, now: int) -> None:
+def _update_row(state: ObservationState, row: SessionRow, *, now: int) -> None:
     known = state.rows.get(row.instance)
     if row.record is None:
         if known is not None and known.record is not None:
-            _end(state, known.record.session)
+            _end_session(state, known.record.session)
         state.rows.pop(row.instance, None)
         return
     if known is not None and known.revision >= row.revision:
         return
     state.rows[row.instance] = row
     if row.record.ended:
-        _end(state, row.record.ended)
+        _end_session(state, row.record.ended)
     if row.record.session not in state.ended:
         state.last_seen[row.record.session] = now
 
 
-def _end(state: ObservationState, session: str) -> None:
+def _end_session(state: ObservationState, session: str) -> None:
     state.ended.add(session)
     state.last_seen.pop(session, None)
 
 
-def _gap(state: ObservationState) -> int:
+def _get_max_gap_ms(state: ObservationState) -> int:
     return state.lease_ms
--- a/src/arbutuspulley/membership/outage.py
+++ b/src/arbutuspulley/membership/outage.py
@@ -57,7 +57,7 @@
         return True
     if now < state.next_at:
         return False
-    state.next_at = now + _draw_wait(state, chance)
+    state.next_at = now + _draw_backoff_ms(state, chance)
     return True
 
 
@@ -67,7 +67,7 @@
     :return: whether the platform counts as down from now on and did not before.
     """
     state.failures += 1
-    state.next_at = now + _draw_wait(state, chance)
+    state.next_at = now + _draw_backoff_ms(state, chance)
     if state.failures < DOWN_AFTER_FAILURES or not state.up:
         return False
     state.up = False
@@ -85,7 +85,7 @@
     return was_down
 
 
-def _draw_wait(state: OutageState, chance: random.Random) -> int:
+def _draw_backoff_ms(state: OutageState, chance: random.Random) -> int:
     bound = double_pause(
         INITIAL_BACKOFF_MS, longest_ms=state.max_backoff_ms, count=state.failures
     )
--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -30,7 +30,7 @@
 MAX_HANDOVERS_PER_ROUND = 2
 """Most servers handed over in one round, so that ownership shifts gradually."""
 
-SETTLE_LEASES = 2
+HANDOVER_SETTLE_LEASES = 2
 """Leases that the set of instances must be unchanged before servers are handed
 over: an instance that is replaced meanwhile finds its own still with the others."""
 
@@ -77,16 +77,16 @@
             free.append(server)
         else:
             counts[row.record.instance] += 1
-    bound = compute_fair_share(servers=len(names), live=len(live))
-    mine: list[str] = []
+    fair_share = compute_fair_share(servers=len(names), live=len(live))
+    claims: list[str] = []
     for server in free:
-        chosen = _assign(server, owners.get(server), live, counts, bound)
+        chosen = _choose_owner(server, owners.get(server), live, counts, fair_share)
         if chosen is None:
             continue
         counts[chosen] += 1
         if chosen == instance:
-            mine.append(server)
-    return tuple(mine[:MAX_CLAIMS_PER_TRANSACTION])
+            claims.append(server)
+    return tuple(claims[:MAX_CLAIMS_PER_TRANSACTION])
 
 
 def choose_reclaims(
@@ -99,12 +99,12 @@
 
     :param fences: the highest fencing number ever met for a server.
     """
-    behind = [
+    outdated = [
         server
         for server, row in sorted(owned.items())
         if fences.get(server, 0) > row.record.fence
     ]
-    return tuple(behind[:MAX_CLAIMS_PER_TRANSACTION])
+    return tuple(outdated[:MAX_CLAIMS_PER_TRANSACTION])
 
 
 def choose_releases(
@@ -122,13 +122,13 @@
     :param unchanged_ms: for how long the set of live instances has been the same.
     """
     names = frozenset(servers)
-    if instance not in live or unchanged_ms < SETTLE_LEASES * lease_ms:
+    if instance not in live or unchanged_ms < HANDOVER_SETTLE_LEASES * lease_ms:
         return ()
     held = [server for server in owned if server in names]
     excess = len(held) - compute_fair_share(servers=len(names), live=len(live))
     if excess <= 0:
         return ()
-    held.sort(key=lambda server: score(server, instance))
+    held.sort(key=lambda server: compute_score(server, instance))
     return tuple(held[: min(excess, MAX_HANDOVERS_PER_ROUND)])
 
 
@@ -139,10 +139,10 @@
     owner died would be unknown until the lease is over, or for as long as the
     store is down.
     """
-    return max(candidates, key=lambda name: score(server, name), default=None)
+    return max(candidates, key=lambda name: compute_score(server, name), default=None)
 
 
-def score(server: str, instance: str) -> int:
+def compute_score(server: str, instance: str) -> int:
     """Return the rendezvous score of an instance for a server; highest wins."""
     return xxhash.xxh64_intdigest(f"{server}\0{instance}".encode())
 
@@ -174,7 +174,7 @@
         row = owners.get(server)
         expected[build_owner_key(group, server)] = row.revision if row else ABSENT
         if row is not None:
-            expected.update(_hold_lapsed(row.record, group, sessions))
+            expected.update(_build_expired_preconditions(row.record, group, sessions))
         known = max(row.record.fence if row else 0, fences.get(server, 0))
         record = OwnerRecord(
             server=server,
@@ -227,21 +227,21 @@
     )
 
 
-def _assign(
+def _choose_owner(
     server: str,
     row: OwnerRow | None,
     live: frozenset[str],
     counts: Counter[str],
-    bound: int,
+    fair_share: int,
 ) -> str | None:
     """Return the live instance with room that a server without owner falls to."""
-    room = [name for name in live if counts[name] < bound]
-    if row is not None and row.record.instance in room:
+    candidates = [name for name in live if counts[name] < fair_share]
+    if row is not None and row.record.instance in candidates:
         return row.record.instance
-    return max(room, key=lambda name: score(server, name), default=None)
+    return max(candidates, key=lambda name: compute_score(server, name), default=None)
 
 
-def _hold_lapsed(
+def _build_expired_preconditions(
     record: OwnerRecord, group: str, sessions: ObservationState
 ) -> dict[str, int]:
     """Expect a lapsed session's row to be as it was when it was found lapsed."""
