--- a/src/arbutuspulley/membership/__init__.py
+++ b/src/arbutuspulley/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: session leases and ownership of servers."""
+"""Membership: leases of sessions and of the coordinator, and ownership of servers."""
--- a/src/arbutuspulley/membership/capacity.py
+++ b/src/arbutuspulley/membership/capacity.py
@@ -1,43 +1,44 @@
-"""How much work an instance can take, and who should coordinate by that.
+"""Capacity of instances, and the choice of the coordinator by capacity.
 
-Instances of one fleet may differ by four times in processor and by twenty in their
-links. The coordinator hears of each request and speaks to all other instances, so the
-best placed instance should hold its lease: whoever is better placed claims it earlier.
+Instances of one fleet may differ by a factor of four in processor and of twenty in
+network bandwidth. The coordinator is sent each request and communicates with all other
+instances, so the instance with the highest capacity should hold the lease: instances
+with more capacity claim it earlier.
 """
 
 from collections.abc import Iterable
 
 LINK_MBPS_PER_CORE = 40.0
-"""Link that one core of work fills, in Mbit/s: a core relays some 10,000 events a
-second, and each of some 250 bytes comes in and goes out."""
+"""Bandwidth that one core uses, in Mbit/s: a core relays some 10,000 events per second,
+and each event of some 250 bytes is received and sent."""
 
 SUFFICIENT_CAPACITY = 1.0
-"""Capacity with which an instance coordinates some hundred servers, in cores."""
+"""Capacity sufficient to coordinate some hundred servers, in cores."""
 
 MAX_CLAIM_DELAY_MS = 400
-"""How long the worst placed instance leaves a free lease to others, in ms. Callers wait
-for a coordinator meanwhile, against aims of 400 ms and more."""
+"""Longest time that an instance waits before it claims a free lease, in ms. Callers
+wait for a coordinator meanwhile, with latency targets of 400 ms and more."""
 
 CLAIM_DELAY_PER_RANK_MS = 50
-"""Time between claims of instances one rank apart, in ms: a claim is written and read
-within some 10 ms, twice that on a busy instance."""
+"""Delay between claims of consecutive ranks, in ms: a claim is written and read within
+some 10 ms, or twice that on a busy instance."""
 
 HANDOVER_CAPACITY_RATIO = 2.0
-"""By how many times more capacity another instance must have for a coordinator to hand
-the lease over: the change costs all instances their links for some 100 ms."""
+"""Ratio of capacities from which a coordinator hands the lease over to another
+instance: a handover disconnects all instances' links for some 100 ms."""
 
 
 def get_capacity(cores: float, link_mbps: float) -> float:
-    """Return the capacity of an instance, in cores that its link can feed."""
+    """Return the capacity of an instance, in cores, limited by its bandwidth."""
     return min(cores, link_mbps / LINK_MBPS_PER_CORE)
 
 
 def get_claim_delay_ms(own: float, known: Iterable[float]) -> int:
-    """Return how long an instance leaves a free lease to better placed ones, in ms.
+    """Return how long an instance waits before it claims a free lease, in ms.
 
     :param own: its capacity.
-    :param known: capacities of other instances; empty if it knows of none, as after a
-        start, when its own has to tell.
+    :param known: capacities of other instances; empty if none are known, as after a
+        start; the delay then depends on its own capacity only.
     """
     others = list(known)
     if others:
@@ -48,5 +49,5 @@
 
 
 def has_much_more_capacity(other: float, own: float) -> bool:
-    """Tell whether an instance should coordinate instead of this one."""
+    """Return whether another instance should coordinate instead of this one."""
     return own < SUFFICIENT_CAPACITY and other >= HANDOVER_CAPACITY_RATIO * own
--- a/src/arbutuspulley/membership/coordinator_lease.py
+++ b/src/arbutuspulley/membership/coordinator_lease.py
@@ -1,15 +1,15 @@
-"""Who coordinates: one lease in the platform's store, counted on the store's clock.
-
-The holder writes until when its lease runs, on the store's steady clock as it
-last saw it. It stops giving orders a margin earlier; others may take the lease
-once the store's clock has passed that time. Both sides read the same clock, so
-none depends on the others' clocks, and a holder that was suspended finds its lease
-lapsed as soon as it looks, since its own clock counts the time of a suspension.
-
-Giving orders and granting servers to requests are told apart. Grants need no lease:
-two coordinators that grant for a moment only misjudge the load. So another instance
-may take over once half a lease has passed without a renewal, and grants at once; it
-gives orders only after the whole lease of the one before has passed.
+"""The coordinator's lease: a row in the platform's store, timed by the store's clock.
+
+The holder writes the expiry time of its lease on the store's monotonic clock, as it
+last read it. It stops giving orders a margin earlier; other instances may claim the
+lease once the store's clock has passed the expiry time. Both sides use the same clock,
+so neither depends on the other's. A holder that was suspended finds its lease expired
+at once, since its own clock includes the time of suspension.
+
+Orders and grants (of servers to requests) have different rules. Grants need no lease:
+two coordinators that grant at the same time for a moment only misjudge the load. So
+another instance may take over, and grant at once, when half a lease has passed without
+a renewal; it gives orders only after the previous holder's whole lease has expired.
 """
 
 import msgspec
@@ -17,34 +17,35 @@
 from arbutuspulley.data import Message, State, Value
 
 RENEW_INTERVAL_MS = 900
-"""Time between renewals, in ms: three fit into a lease of 3 s."""
+"""Interval of renewals, in ms: three fit into a lease of 3 s."""
 
 EXPIRY_MARGIN_MS = 400
-"""How much earlier than written a holder stops giving orders, in ms: an order takes a
-few ms, and its clock differs from the store's by an answer's delay at most."""
+"""How long before the written expiry a holder stops giving orders, in ms: an order
+takes a few ms, and the holder's estimate of the store's clock is off by the delay of an
+answer at most."""
 
 
 UNANSWERED_ORDER_WAIT_MS = 1_000
-"""How long after a release its successor gives no orders, in ms, if an order of the one
-before was not answered: its bytes may still be on their way through a full link."""
+"""How long the successor gives no orders after a release, in ms, if an order of the
+previous holder is unanswered: it may still be in flight on a congested link."""
 
 UNLIMITED_MS = 1 << 40
-"""Longer than anything, in ms."""
+"""Stands for an unlimited time, in ms."""
 
 
 class LeaseRow(Message, frozen=True):
     """The lease as stored.
 
-    :param holder: name of the instance.
-    :param link: where the other instances reach it.
-    :param boot: names the holder's process.
+    :param holder: name of the instance; empty if the lease was released.
+    :param link: address at which other instances reach it.
+    :param boot: identifies the holder's process.
     :param fence: fencing token; each new holder's is one higher.
-    :param expires_ms: when it ends, on the store's clock, like the other times.
-    :param renewed_ms: when it was taken or last renewed.
-    :param orders_from_ms: before this its holder gives no orders, since the holder
-        before may still do so.
-    :param loads_ms: when the loads from the weight store that may still count against
-        its rate were ordered, by service; those of holders before, too.
+    :param expires_ms: expiry time, on the store's clock, like the other times.
+    :param renewed_ms: when it was claimed or last renewed.
+    :param orders_from_ms: time before which the holder gives no orders, since the
+        previous holder may still do so.
+    :param loads_ms: when loads from the weight store were ordered that may still count
+        against its rate limit, by service; includes loads of previous holders.
     """
 
     holder: str
@@ -58,10 +59,11 @@
 
 
 class InheritedLoads(Value, frozen=True):
-    """What a new holder knows of loads that were ordered before, on its own clock.
+    """Loads that previous holders ordered, on the new holder's clock.
 
-    :param loads: when those that the row tells of were ordered, in ms, by service.
-    :param unknown_until: until when more may have been ordered, in ms; ``None``: none.
+    :param loads: order times of the loads in the lease's row, in ms, by service.
+    :param unknown_until: time until which the previous holder may have ordered loads
+        that are not in the row, in ms; ``None`` if there can't be any.
     """
 
     loads: dict[str, list[int]]
@@ -69,15 +71,18 @@
 
 
 class CoordinatorLeaseState(State):
-    """What one process knows of the lease.
+    """State of the lease as known to one process.
 
-    :param offset_ms: the store's clock less the own one, at least: the largest seen,
-        which was taken from the answer that came back fastest.
+    :param offset_ms: lower bound of the store's clock minus the own clock: the largest
+        difference seen, which comes from the answer with the least delay.
     :param version: version of the row as last read; 0 if absent.
     :param row: the row as last read.
-    :param held_until: until when the own lease runs, on the own clock; 0: not held.
-    :param orders_allowed_from: until then the own lease allows no orders, on the own clock.
+    :param held_until: expiry time of the own lease, on the own clock; 0: not held.
+    :param orders_allowed_from: time before which the own lease allows no orders, on
+        the own clock.
     :param fence: the own fencing token.
+    :param renewed_at: when the last confirmed claim or renewal was sent, on the own
+        clock.
     """
 
     name: str
@@ -96,7 +101,7 @@
 def update_store_clock(
     state: CoordinatorLeaseState, store_ms: float, *, now: int
 ) -> None:
-    """Take in the store's clock from an answer that has just come."""
+    """Update the clock offset from an answer of the store that was just received."""
     offset = store_ms - now
     if state.offset_ms is None or offset > state.offset_ms:
         state.offset_ms = offset
@@ -105,39 +110,40 @@
 def update_row(
     state: CoordinatorLeaseState, value: bytes | None, *, version: int
 ) -> None:
-    """Take in the row as read."""
+    """Update the state with the row as read."""
     state.version = version
     try:
         state.row = msgspec.json.decode(value, type=LeaseRow) if value else None
     except msgspec.MsgspecError:
-        # Someone else's bytes: as good as no holder, and the version still guards.
+        # Not a lease row: treated as no holder; the version still guards a claim.
         state.row = None
 
 
 def is_holder(state: CoordinatorLeaseState, *, now: int) -> bool:
-    """Tell whether the lease certainly still runs."""
+    """Return whether this process certainly still holds the lease."""
     return now < state.held_until - EXPIRY_MARGIN_MS
 
 
 def may_order(state: CoordinatorLeaseState, *, now: int) -> bool:
-    """Tell whether orders may be given; ask right before each order."""
+    """Return whether orders may be given; call right before each order."""
     return is_holder(state, now=now) and now >= state.orders_allowed_from
 
 
 def may_order_during_outage(
     state: CoordinatorLeaseState, *, store_unavailable: list[bool], known_instances: int
 ) -> bool:
-    """Tell whether a holder whose lease has lapsed may still give orders.
-
-    It may while the store is away for everybody: nobody can take the lease then, and
-    models that are lost would stay missing for as long. That the store is away is
-    taken from most instances, each of which says so; where only this one is turned
-    away, the others answer otherwise and take over. Should one that is cut off from
-    all of them reach the store, servers that check fences refuse the older holder.
-
-    :param store_unavailable: for each instance that is heard of, whether it misses the
-        store, this one included.
-    :param known_instances: instances that were known before.
+    """Return whether a holder whose lease has expired may still give orders.
+
+    It may while the store is unavailable to all instances: no other instance can claim
+    the lease then, and lost models would stay missing for the whole outage. The store
+    counts as unavailable if all reachable instances report it, at least two and more
+    than half of the known ones. If only this instance's calls are refused, the others
+    report otherwise and take over. If an instance that is disconnected from all of them
+    reaches the store, servers that check fences refuse the older holder.
+
+    :param store_unavailable: for each reachable instance, this one included, whether
+        the store is unavailable to it.
+    :param known_instances: number of instances that were known before.
     """
     if state.fence == 0 or not is_own_row(state):
         return False
@@ -151,8 +157,8 @@
 def get_order_window_ms(state: CoordinatorLeaseState, *, now: int) -> int:
     """Return for how much longer orders may be sent, in ms; 0: not at all.
 
-    A server that does not check fences takes any order that reaches it. What is still
-    being sent as this time ends has to be dropped.
+    A server that does not check fences accepts any order that reaches it, so an order
+    that is still being sent at the end of this time must be dropped.
     """
     if not may_order(state, now=now):
         return 0
@@ -160,9 +166,9 @@
 
 
 def get_claim_wait_ms(state: CoordinatorLeaseState, *, now: int) -> int | None:
-    """Return how long until the lease may be taken, in ms; 0: now.
+    """Return how long until the lease may be claimed, in ms; 0: now.
 
-    :return: ``None`` if the store's clock was never seen.
+    :return: ``None`` if the store's clock has never been read.
     """
     if state.offset_ms is None:
         return None
@@ -175,7 +181,8 @@
 def get_free_ms(state: CoordinatorLeaseState, *, now: int) -> int:
     """Return for how long the lease has been free, in ms.
 
-    One that nobody has held yet, or that this instance held, has always been.
+    A lease that no instance has held yet, or that this instance held last, has been
+    free for an unlimited time.
     """
     row = state.row
     if row is None or row.holder == state.name or state.offset_ms is None:
@@ -184,7 +191,7 @@
 
 
 def _get_free_from(state: CoordinatorLeaseState, row: LeaseRow) -> float:
-    """Return when a lease may be taken, on the store's clock."""
+    """Return the time from which a lease may be claimed, on the store's clock."""
     if not row.holder:
         return row.expires_ms
     return min(row.expires_ms, row.renewed_ms + state.lease_ms // 2)
@@ -193,9 +200,10 @@
 def build_claim(
     state: CoordinatorLeaseState, *, now: int, loads: dict[str, list[int]] | None = None
 ) -> LeaseRow:
-    """Build the row that takes or renews the lease.
+    """Build the row that claims or renews the lease.
 
-    :param loads: when loads were ordered, on the own clock; ``None``: as in the row.
+    :param loads: order times of loads, on the own clock, by service; ``None`` keeps
+        those of the row.
     """
     row = state.row
     store_now = now + (state.offset_ms or 0.0)
@@ -227,10 +235,10 @@
 
 
 def get_inherited_loads(state: CoordinatorLeaseState) -> InheritedLoads:
-    """Return what the row as last read tells of loads; ask before the claim.
+    """Return the loads of the row as last read; call before the claim.
 
-    The row is written at each renewal, so loads that were ordered since are unknown,
-    until the latest moment at which its holder may have given orders.
+    The row is written at each renewal, so loads ordered since then are unknown, up to
+    the latest time at which the holder may have given orders.
     """
     row = state.row
     if row is None:
@@ -245,10 +253,10 @@
 
 
 def is_own_row(state: CoordinatorLeaseState) -> bool:
-    """Tell whether the row as last read is this process's; ask before a release.
+    """Return whether the row as last read is this process's; call before a release.
 
-    After a cut the row may be another holder's by now. Released all the same, that
-    holder's lease ended unnoticed and its fencing token was given out again.
+    After a network partition, the row may belong to another holder. Releasing it ended
+    that holder's lease without its knowledge, and its fencing token was issued again.
     """
     return state.row is not None and state.row.boot == state.boot
 
@@ -260,12 +268,12 @@
     loads: dict[str, list[int]] | None = None,
     has_unanswered_order: bool = False,
 ) -> LeaseRow:
-    """Build the row that gives the lease back; the fence stays.
+    """Build the row that releases the lease; it keeps the fencing token.
 
     :param loads: as for :func:`build_claim`.
-    :param has_unanswered_order: whether an order was sent that was not answered. A
-        server that does not check fences takes it whenever it comes, also after the
-        successor's.
+    :param has_unanswered_order: whether an order was sent and not answered. A server
+        that does not check fences carries it out whenever it arrives, even after
+        orders of the successor.
     """
     row = state.row
     released_ms = now + (state.offset_ms or 0.0)
@@ -293,17 +301,17 @@
     sent_at: int,
     store_ms: float,
 ) -> None:
-    """A claim was written.
+    """Update the state after a claim or renewal was written.
 
-    The claim's times were worked out from ``offset_ms``, which is too small by as long
-    as the fastest answer so far took to come back and be read. Counted from it, the own
-    lease would seem to run on by that time after the store's clock has passed its end.
-    On a busy instance that has just started, that can be a second and more: its
-    successor gives orders, and so does it. So the end is counted from the latest that
-    the store's clock can be ahead: it wrote ``store_ms`` after the claim was sent.
+    The claim's times were computed with ``offset_ms``, which is too small by the delay
+    of the fastest answer so far, until it was read. Converted with it, the own lease
+    would seem to last longer than on the store's clock by that delay. On a busy
+    instance that has just started, this can be more than a second, in which both the
+    instance and its successor would give orders. So the expiry is converted with the
+    largest possible offset: the store wrote ``store_ms`` after the claim was sent.
 
     :param sent_at: when the claim was sent, in ms.
-    :param store_ms: the store's clock as it wrote the claim.
+    :param store_ms: the store's clock when it wrote the claim.
     """
     state.row = claim
     state.version = version
@@ -314,5 +322,5 @@
 
 
 def mark_lost(state: CoordinatorLeaseState) -> None:
-    """The lease is not, or no longer, held."""
+    """Update the state when the lease is not, or no longer, held."""
     state.held_until = 0
--- a/src/arbutuspulley/membership/lease.py
+++ b/src/arbutuspulley/membership/lease.py
@@ -1,13 +1,13 @@
-"""The session lease of one instance, as its holder sees it.
+"""The session lease of one instance, from its holder's side.
 
-One renewal keeps all that the instance owns: at the default of one renewal in
-2.5 s, 6 instances write 2.4 rows a second. 360 instances would write 144; with
+One renewal covers all servers that the instance owns: with one renewal every 2.5 s,
+the default, 6 instances write 2.4 rows per second. 360 instances would write 144; with
 ``--renew-ms 5000 --lease-ms 20000`` they write 72, of several hundred allowed.
 
-The holder never asks the store whether its lease still runs: its deadline is
-counted on its own monotonic clock from the moment it *sent* the last renewal
-that was confirmed. Observers count later, from seeing the row change, and wait
-a margin longer, so the holder always stops first.
+The holder never asks the store whether its lease is valid: its deadline is measured on
+its own monotonic clock from when it *sent* the last confirmed renewal. Observers
+measure from when they see the row change, which is later, and wait a margin longer, so
+the holder always stops first.
 """
 
 import random
@@ -16,23 +16,23 @@
 from arbutuspulley.membership.records import SessionRecord
 
 MARGIN_DIVISOR = 10
-"""The margin is this part of the lease: a tenth, on either side."""
+"""Lease duration divided by the margin: the margin is a tenth, on either side."""
 
 _SESSION_BITS = 64
 
 
 class LeaseState(State):
-    """What a holder knows of its own lease.
+    """State of a lease as known to its holder.
 
-    :param session: the session now being taken or held; empty before the first.
-    :param ended: the session that this process held before, if it lapsed.
+    :param session: the session that is being started or held; empty before the first.
+    :param ended: this process's previous session, if it expired.
     :param renewal: number of the last renewal sent.
-    :param revision: revision of the own row as last known, 0 if it is absent;
-        ``None`` if it must be read before the next renewal.
+    :param revision: last known revision of the own row, 0 if it is absent; ``None`` if
+        it must be read before the next renewal.
     :param sent_at: when the last confirmed renewal of ``session`` was sent, in
         milliseconds; ``None`` if none was confirmed.
-    :param displaced_at: when another process was found to hold the row of this
-        instance; ``None`` if none does.
+    :param displaced_at: when another process was found to hold this instance's row;
+        ``None`` if none does.
     """
 
     instance: str
@@ -46,9 +46,9 @@
 
 
 class Renewal(Value, frozen=True):
-    """One renewal about to be sent.
+    """A renewal to be sent.
 
-    :param revision: what the own row's revision must still be.
+    :param revision: expected revision of the own row.
     """
 
     session: str
@@ -59,16 +59,18 @@
 
 
 def compute_margin(lease_ms: int) -> int:
-    """Return how much earlier a holder stops, and how much later others act."""
+    """Return how much earlier than the lease a holder stops giving orders, and how much
+    later observers consider it expired, in ms.
+    """
     return lease_ms // MARGIN_DIVISOR
 
 
 def may_order(state: LeaseState, *, now: int) -> bool:
-    """Tell whether the lease certainly still runs; ask right before each order.
+    """Return whether the lease is certainly valid; call right before each order.
 
-    A holder that was paused wakes with a clock that went on, so the answer is no
-    before it can send what it had prepared. What is sent between this check and a
-    pause is caught by the fencing number or by the ledger.
+    The clock of a paused process continues, so a holder that resumes finds its lease
+    expired before it can send a prepared order. An order that is sent after a pause
+    between this check and the sending is caught by the fencing number or the ledger.
     """
     if state.sent_at is None or state.displaced_at is not None:
         return False
@@ -78,10 +80,10 @@
 def begin_renewal(
     state: LeaseState, *, now: int, chance: random.Random
 ) -> Renewal | None:
-    """Prepare the next renewal, under a new session if the old one lapsed.
+    """Prepare the next renewal, with a new session if the old one expired.
 
-    A session that was never confirmed keeps its id: the reply to its first renewal
-    may have been lost, and the row that it left must still be known as one's own.
+    A session that was never confirmed keeps its id: the reply to its first renewal may
+    have been lost, and the holder must recognise the row as its own.
 
     :return: the renewal to send, or ``None`` while another process holds the row
         or the row's revision isn't known.
@@ -102,11 +104,10 @@
 
 
 def confirm_renewal(state: LeaseState, renewal: Renewal, *, revision: int) -> None:
-    """Take in that a renewal was committed.
+    """Update the state after a renewal was committed.
 
-    The lease counts from when the renewal was sent. A confirmation that comes
-    very late therefore leaves the lease lapsed, as observers may already have
-    acted on it.
+    The lease starts when the renewal was sent. After a very late confirmation it
+    therefore remains expired, as observers may already have acted on the expiry.
     """
     if renewal.session != state.session:
         return
@@ -117,12 +118,12 @@
 def resolve_conflict(
     state: LeaseState, row: SessionRecord | None, *, revision: int, now: int
 ) -> None:
-    """Take in what the own row holds after a renewal met another revision.
+    """Update the state with the own row after a renewal conflicted with its revision.
 
-    A row with the own session is the effect of a renewal whose reply was lost: its
-    revision is adopted, but the lease isn't extended by it. A row of another
-    process means that this one was replaced while it was paused: it stops ordering
-    at once and keeps away until that process has lapsed too.
+    A row with the own session results from a renewal whose reply was lost: its
+    revision is adopted, but the lease isn't extended. A row of another process means
+    that this process was replaced while it was paused: it stops giving orders at once
+    and sends no renewals until the other process's lease has expired too.
 
     :param row: the row as read back, or ``None`` if it is absent.
     :param revision: its revision; 0 if it is absent.
@@ -135,16 +136,16 @@
 
 
 def adopt_row(state: LeaseState, *, revision: int) -> None:
-    """Take in the revision of the own row, read before the first renewal.
+    """Set the revision of the own row, read before the first renewal.
 
-    A row left by an earlier process of this instance may be overwritten: its
-    session id isn't reused, so its ownership still has to lapse for observers.
+    A row of an earlier process of this instance may be overwritten: its session id
+    isn't reused, so observers still wait until its ownership has expired.
     """
     state.revision = revision
 
 
 def abandon(state: LeaseState) -> None:
-    """Give the lease up at once: the table was restored, or the process stops."""
+    """End the lease at once, as the table was restored or the process stops."""
     _end_session(state)
     state.displaced_at = None
     state.revision = None
--- a/src/arbutuspulley/membership/limit_shares.py
+++ b/src/arbutuspulley/membership/limit_shares.py
@@ -1,13 +1,13 @@
-"""One instance's part of what all instances share."""
+"""Each instance's share of limits that apply to all instances together."""
 
 MIN_INSTANCES = 6
-"""A bound is split by this many instances at least: an instance that has heard of fewer
-has probably not heard of all."""
+"""Smallest divisor of a shared limit: an instance that knows of fewer instances
+probably does not know of all."""
 
 
 def get_instance_share(limit: float, *, instances: float) -> float:
-    """Return the part of a bound that one instance may use without asking others.
+    """Return the share of a limit that one instance may use without coordination.
 
-    :param instances: that share it, as far as is known.
+    :param instances: known number of instances that share the limit.
     """
     return limit / max(MIN_INSTANCES, instances)
--- a/src/arbutuspulley/membership/observation.py
+++ b/src/arbutuspulley/membership/observation.py
@@ -1,9 +1,9 @@
-"""Which sessions run and which are over, as one instance observes them.
+"""Live and expired sessions, as observed by one instance.
 
-Clocks of instances are not synchronised, so no time is read from a row. What
-counts is how long, on the observer's own monotonic clock, a row's revision has
-not changed, and only as far as the store was asked: time in which it could not
-be read proves nothing.
+Clocks of instances are not synchronised, so rows contain no times. A session expires
+when its row's revision has not changed for a lease and a margin on the observer's own
+monotonic clock. Only time up to the last successful scan counts: time in which the
+store could not be read proves nothing.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 from arbutuspulley.membership.records import SessionRecord
 
 STALE_LEASES = 30
-"""Leases after which the row of a lapsed session is deleted."""
+"""Time without a renewal after which a session's row is deleted, in leases."""
 
 
 class SessionRow(Value, frozen=True):
@@ -28,13 +28,13 @@
 
 
 class ObservationState(State):
-    """What an observer knows of all sessions of its group.
+    """All sessions of a group, as known to an observer.
 
     :param rows: the latest row of each instance that has one.
-    :param last_seen: when each session id last showed a sign of life, in milliseconds
-        of the observer's clock; those known to be over are not in it.
-    :param ended: session ids that their own holder has given up.
-    :param checked_at: when the last scan that succeeded was sent.
+    :param last_seen: when each session was last seen to be renewed, in milliseconds of
+        the observer's clock, by session id; ended sessions are removed.
+    :param ended: ids of sessions that their own holder has ended.
+    :param checked_at: when the last successful scan was sent.
     """
 
     lease_ms: int
@@ -47,15 +47,15 @@
 def apply_scan(
     state: ObservationState, rows: Iterable[SessionRow], *, sent_at: int, now: int
 ) -> None:
-    """Take in a scan that succeeded.
+    """Update the state with a successful scan.
 
-    After an outage every row looks unchanged for its whole length. Taking all
-    sessions for lapsed then would move every server at once, so a gap in the
-    observer's own reading starts all its waits again.
+    After an outage every row seems unchanged for its whole duration. If all sessions
+    counted as expired then, every server would move at once. So a gap between the
+    observer's own scans restarts the timeouts of all sessions.
 
     :param rows: the session rows that changed since the last scan.
     :param sent_at: when the scan was sent.
-    :param now: when its answer was there.
+    :param now: when its answer was received.
     """
     if state.checked_at is not None and sent_at - state.checked_at > _get_max_gap_ms(
         state
@@ -68,26 +68,27 @@
 def update_rows(
     state: ObservationState, rows: Iterable[SessionRow], *, now: int
 ) -> None:
-    """Take in session rows that are known otherwise, as own transactions are."""
+    """Update the state with session rows from own transactions, without a scan."""
     for row in rows:
         _update_row(state, row, now=now)
 
 
 def track_session(state: ObservationState, session: str, *, now: int) -> None:
-    """Take in that an ownership row names a session.
+    """Track a session that an ownership row references.
 
-    One that was never seen alive, for example because its instance restarted
-    before this observer did, gets the full wait from its first mention.
+    The full timeout of a session that was never seen to be renewed, for example
+    because its instance restarted before this observer did, starts with this call.
     """
     if session and session not in state.ended:
         state.last_seen.setdefault(session, now)
 
 
 def is_expired(state: ObservationState, session: str) -> bool:
-    """Tell whether a session's holder has certainly stopped ordering.
+    """Return whether a session's holder has certainly stopped giving orders.
 
-    A row that another process of the same instance has overwritten doesn't prove
-    it: the earlier process may be paused. Only its holder's word or the time does.
+    If another process of the same instance has overwritten the row, this is not
+    certain: the earlier process may be paused. Only a row in which the holder itself
+    ends the session, or the timeout, proves it.
     """
     if not session or session in state.ended:
         return True
@@ -100,7 +101,7 @@
 
 
 def list_live(state: ObservationState) -> frozenset[str]:
-    """Return the instances whose present session is not over."""
+    """Return the instances whose current session has not expired."""
     return frozenset(
         instance
         for instance, row in state.rows.items()
@@ -111,11 +112,12 @@
 def list_stale_rows(
     state: ObservationState, *, referenced: frozenset[str]
 ) -> list[SessionRow]:
-    """Return rows of sessions that were over long ago and own nothing any more.
+    """Return rows of sessions that expired long ago and own no servers.
 
-    Instances are replaced daily under new names; without this their rows stay.
+    Instances are replaced daily under new names; without this, their rows would never
+    be deleted.
 
-    :param referenced: the sessions that ownership rows name.
+    :param referenced: the sessions that ownership rows reference.
     """
     dead: list[SessionRow] = []
     for row in state.rows.values():
@@ -129,7 +131,7 @@
 
 
 def find_session_row(state: ObservationState, session: str) -> SessionRow | None:
-    """Return the row that holds a session at present, if any does."""
+    """Return the row that currently contains a session, or ``None``."""
     for row in state.rows.values():
         if row.record is not None and row.record.session == session:
             return row
@@ -137,9 +139,9 @@
 
 
 def prune_sessions(state: ObservationState, *, referenced: frozenset[str]) -> None:
-    """Drop sessions that no row holds or names any more.
+    """Remove sessions that no session row contains and no ownership row references.
 
-    :param referenced: the sessions that ownership rows name.
+    :param referenced: the sessions that ownership rows reference.
     """
     held = {row.record.session for row in state.rows.values() if row.record}
     kept = held | referenced
@@ -148,7 +150,7 @@
 
 
 def reset(state: ObservationState) -> None:
-    """Begin anew, as the table's history was replaced by a backup's."""
+    """Clear the state after the table was restored from a backup."""
     state.rows = {}
     state.last_seen = {}
     state.ended = set()
--- a/src/arbutuspulley/membership/outage.py
+++ b/src/arbutuspulley/membership/outage.py
@@ -1,10 +1,10 @@
-"""Whether the platform is up, and when to ask it again: bounded, with jitter.
+"""Outage detection for the platform, with exponential backoff and jitter.
 
-While it is down, an instance sends one probe at a time. Waits double from
-:data:`INITIAL_BACKOFF_MS` to the longest wait, and each is drawn between half and the
-whole of that, so that instances spread out; the first calls after an outage spread
-by the same draw. At a longest wait of 5 s, 6 instances probe 1.6 times a second
-together; at 10 s, 360 instances probe 48 times.
+While the platform is down, an instance sends one probe at a time. The backoff doubles
+from :data:`INITIAL_BACKOFF_MS` up to its maximum, and each wait is drawn between half
+of it and all of it, so that the instances' probes, and their first calls after the
+outage, are spread out. With a maximum of 5 s, 6 instances together send 1.6 probes per
+second; with 10 s, 360 instances send 48.
 """
 
 import random
@@ -13,22 +13,22 @@
 from arbutuspulley.data import State
 
 INITIAL_BACKOFF_MS = 250
-"""Longest wait after the first failure in a row."""
+"""Backoff after the first of consecutive failures, in ms."""
 
 MAX_BACKOFF_MS = 10_000
-"""Longest wait between two probes, whatever the lease."""
+"""Longest backoff between two probes for any lease, in ms."""
 
 DOWN_AFTER_FAILURES = 2
-"""Failures in a row after which the platform counts as down."""
+"""Consecutive failures after which the platform counts as down."""
 
 
 class OutageState(State):
-    """What an instance knows of the platform's state.
+    """State of the platform as an instance sees it.
 
     :param max_backoff_ms: longest wait between two probes.
-    :param failures: calls in a row that had no answer.
-    :param next_at: earliest time of the next call while failures go on.
-    :param up: whether callers' work may rely on the platform now.
+    :param failures: consecutive calls without an answer.
+    :param next_at: earliest time of the next call after a failure.
+    :param up: whether the platform counts as up.
     """
 
     max_backoff_ms: int = MAX_BACKOFF_MS
@@ -38,20 +38,20 @@
 
 
 def choose_max_backoff_ms(lease_ms: int) -> int:
-    """Return the longest wait for a lease: half of it.
+    """Return the longest backoff for a lease, in ms: half of the lease.
 
-    After an outage all leases are over. Instances that are back first give the
-    others a lease to come back, too; with a longer wait some would miss that, and
-    their servers would move for nothing.
+    After an outage all leases have expired. Instances that reconnect first wait for
+    one lease for the others to reconnect. With a longer backoff, some instances would
+    exceed it, and their servers would be moved needlessly.
     """
     return min(MAX_BACKOFF_MS, lease_ms // 2)
 
 
 def may_call(state: OutageState, *, now: int, chance: random.Random) -> bool:
-    """Tell whether a call may be made now; while down, reserves the next probe.
+    """Return whether a call may be made now; after a failure, reserve the next probe.
 
-    Only one of several loops gets the probe, so that an outage isn't met by
-    everyone's retries together.
+    Only one of the instance's loops gets the probe, so that the loops don't all retry
+    at once during an outage.
     """
     if state.failures == 0:
         return True
@@ -62,9 +62,9 @@
 
 
 def record_failure(state: OutageState, *, now: int, chance: random.Random) -> bool:
-    """Take in a call that the platform did not answer.
+    """Record a call that the platform did not answer.
 
-    :return: whether the platform counts as down from now on and did not before.
+    :return: whether the platform's state has changed to down.
     """
     state.failures += 1
     state.next_at = now + _draw_backoff_ms(state, chance)
@@ -75,9 +75,9 @@
 
 
 def record_success(state: OutageState) -> bool:
-    """Take in an answer.
+    """Record a call that the platform answered.
 
-    :return: whether the platform counts as up from now on and did not before.
+    :return: whether the platform's state has changed to up.
     """
     state.failures = 0
     was_down = not state.up
--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -1,9 +1,9 @@
-"""Who owns which server: sharing out, claims, releases and fencing numbers.
+"""Ownership of servers: assignment, claims, releases and fencing numbers.
 
-Every instance computes the same assignment from the same rows, by rendezvous
-hashing under a fair bound, and claims only what falls to itself. A server goes
-back to the instance that last had it if that one is there with room, so that a
-restarted instance moves nobody else's servers.
+Every instance computes the same assignment from the same rows, by rendezvous hashing
+with a maximum per instance, and claims only the servers assigned to itself. A server
+returns to its last owner if that instance is live and below the maximum, so that a
+restart of an instance moves no other instance's servers.
 """
 
 import math
@@ -25,25 +25,26 @@
 from arbutuspulley.ports.platform import ABSENT, Precondition, Transaction, Write
 
 MAX_CLAIMS_PER_TRANSACTION = 16
-"""Most servers claimed in one transaction."""
+"""Maximum number of servers claimed in one transaction."""
 
 MAX_HANDOVERS_PER_ROUND = 2
-"""Most servers handed over in one round, so that ownership shifts gradually."""
+"""Maximum number of servers that an instance hands over in one round, so that ownership
+moves gradually."""
 
 HANDOVER_SETTLE_LEASES = 2
-"""Leases that the set of instances must be unchanged before servers are handed
-over: an instance that is replaced meanwhile finds its own still with the others."""
+"""How long the set of live instances must be unchanged before servers are handed over,
+in leases: while an instance is being replaced, its servers stay with the others."""
 
 
 class OwnerRow(Value, frozen=True):
-    """An ownership row as read."""
+    """An ownership row and its revision, as read."""
 
     record: OwnerRecord
     revision: int
 
 
 def list_owned(owners: Mapping[str, OwnerRow], *, session: str) -> dict[str, OwnerRow]:
-    """Return the servers whose row names this session."""
+    """Return the servers that this session owns, with their rows."""
     if not session:
         return {}
     return {
@@ -52,7 +53,10 @@
 
 
 def compute_fair_share(*, servers: int, live: int) -> int:
-    """Return how many servers one instance should own at most."""
+    """Return the maximum number of servers that one instance should own.
+
+    :param live: number of live instances.
+    """
     return math.ceil(servers / max(1, live))
 
 
@@ -63,7 +67,7 @@
     owners: Mapping[str, OwnerRow],
     sessions: ObservationState,
 ) -> tuple[str, ...]:
-    """Return the servers without an owner that fall to this instance.
+    """Return the servers without an owner that are assigned to this instance.
 
     :param servers: all servers of the group's configuration.
     """
@@ -92,12 +96,12 @@
 def choose_reclaims(
     owned: Mapping[str, OwnerRow], *, fences: Mapping[str, int]
 ) -> tuple[str, ...]:
-    """Return own servers that have seen a higher fencing number than ours.
+    """Return owned servers that have seen a higher fencing number than their row's.
 
-    A table restored from a backup holds fences of an earlier time. A server that
-    checks orders would refuse all of ours as stale, for as long as we hold it.
+    A table restored from a backup has older fencing numbers. A server that checks them
+    would refuse all orders of its owner as stale.
 
-    :param fences: the highest fencing number ever met for a server.
+    :param fences: the highest known fencing number of each server.
     """
     outdated = [
         server
@@ -116,10 +120,10 @@
     unchanged_ms: int,
     lease_ms: int,
 ) -> tuple[str, ...]:
-    """Return the servers to hand over because this instance has too many.
+    """Return the servers to hand over because this instance has more than its share.
 
     :param owned: the servers that this instance owns.
-    :param unchanged_ms: for how long the set of live instances has been the same.
+    :param unchanged_ms: for how long the set of live instances has been unchanged.
     """
     names = frozenset(servers)
     if instance not in live or unchanged_ms < HANDOVER_SETTLE_LEASES * lease_ms:
@@ -133,17 +137,17 @@
 
 
 def choose_poller(server: str, *, candidates: Iterable[str]) -> str | None:
-    """Return the instance that reads a server's reports while it has no owner.
+    """Return the instance that polls a server's reports while it has no owner.
 
-    Reading reports needs no ownership. Without this, the load of a server whose
-    owner died would be unknown until the lease is over, or for as long as the
-    store is down.
+    Polling needs no ownership. Without it, the load of a server whose owner failed
+    would be unknown until the owner's lease has expired, or for as long as the store
+    is down.
     """
     return max(candidates, key=lambda name: compute_score(server, name), default=None)
 
 
 def compute_score(server: str, instance: str) -> int:
-    """Return the rendezvous score of an instance for a server; highest wins."""
+    """Return the rendezvous hash of an instance for a server; the highest wins."""
     return xxhash.xxh64_intdigest(f"{server}\0{instance}".encode())
 
 
@@ -157,14 +161,14 @@
     sessions: ObservationState,
     fences: Mapping[str, int],
 ) -> Transaction:
-    """Build the transaction that claims servers, each with a higher fence.
+    """Build the transaction that claims servers, each with a higher fencing number.
 
-    It holds three things fast: the ownership rows (two claimers race, one wins),
-    the own session row (a claimer that was replaced gets nothing), and the row of
-    a lapsed owner's session (an owner that renewed just now keeps its servers).
+    It has preconditions on three kinds of rows: the ownership rows (of two claimers,
+    one succeeds), the own session row (a claimer that was replaced fails), and the
+    session rows of expired owners (an owner that has just renewed keeps its servers).
 
-    :param fences: the highest fencing number ever met for a server, from rows or
-        reports; a restored table may hold lower ones.
+    :param fences: the highest known fencing number of each server, from rows or
+        reports; a restored table may have lower ones.
     """
     assert lease.revision is not None
     own_key = build_session_key(group, lease.instance)
@@ -200,10 +204,10 @@
     token: str,
     session_row: tuple[str, int] | None = None,
 ) -> Transaction:
-    """Build the transaction that hands servers over, fencing numbers kept.
+    """Build the transaction that releases servers; their fencing numbers are kept.
 
-    :param session_row: instance and revision of the own session row, to delete it
-        in the same transaction as the process stops.
+    :param session_row: instance and revision of the own session row, to delete it in
+        the same transaction when the process stops.
     """
     preconditions: list[Precondition] = []
     writes: list[Write] = []
@@ -234,7 +238,10 @@
     counts: Counter[str],
     fair_share: int,
 ) -> str | None:
-    """Return the live instance with room that a server without owner falls to."""
+    """Return the live instance that a server without owner is assigned to.
+
+    :return: ``None`` if all live instances own their fair share.
+    """
     candidates = [name for name in live if counts[name] < fair_share]
     if row is not None and row.record.instance in candidates:
         return row.record.instance
@@ -244,7 +251,7 @@
 def _build_expired_preconditions(
     record: OwnerRecord, group: str, sessions: ObservationState
 ) -> dict[str, int]:
-    """Expect a lapsed session's row to be as it was when it was found lapsed."""
+    """Return the revision at which an expired session's row was found, by its key."""
     row = observing.find_session_row(sessions, record.session)
     if row is None:
         return {}
--- a/src/arbutuspulley/membership/records.py
+++ b/src/arbutuspulley/membership/records.py
@@ -1,4 +1,4 @@
-"""Rows of sessions and of ownership in the platform's table."""
+"""Session rows and ownership rows in the platform's table."""
 
 import msgspec
 
@@ -8,12 +8,12 @@
 class SessionRecord(Value, frozen=True, omit_defaults=True):
     """One instance's row ``<group>/session/<instance>``.
 
-    :param session: names one lease; fresh for each process start and each lapse.
-    :param address: where its controller listens for peers, ``host:port``.
-    :param entries: where its entries listen for callers.
-    :param renewal: counts renewals, so that each one changes the row.
-    :param ended: the session that the same process held before and whose own
-        deadline has passed; what it owned may be claimed at once.
+    :param session: id of the lease; a new one after each process start and each expiry.
+    :param address: address at which its controller listens for peers, ``host:port``.
+    :param entries: addresses at which its entries listen for callers.
+    :param renewal: number of the renewal, so that each renewal changes the row.
+    :param ended: the process's previous session, whose deadline has passed; servers
+        that it owned may be claimed at once.
     """
 
     instance: str
@@ -30,7 +30,7 @@
 
     :param session: the owner's session; empty if the server was released.
     :param instance: the owner's instance, or the last owner's.
-    :param fence: fencing number of this ownership; each claim raises it.
+    :param fence: fencing number of this ownership; each claim increases it.
     """
 
     server: str
@@ -65,16 +65,16 @@
 
 
 def decode_session(value: bytes) -> SessionRecord:
-    """Read a session row.
+    """Decode a session row.
 
-    :raises msgspec.MsgspecError: if it is no session row.
+    :raises msgspec.MsgspecError: if it is not a session row.
     """
     return msgspec.json.decode(value, type=SessionRecord)
 
 
 def decode_owner(value: bytes) -> OwnerRecord:
-    """Read an ownership row.
+    """Decode an ownership row.
 
-    :raises msgspec.MsgspecError: if it is no ownership row.
+    :raises msgspec.MsgspecError: if it is not an ownership row.
     """
     return msgspec.json.decode(value, type=OwnerRecord)
