--- a/src/arbutuspulley/rpc/__init__.py
+++ b/src/arbutuspulley/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Calls between the system's own processes."""
+"""Remote calls between the processes of the system."""
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -1,7 +1,7 @@
-"""Typed calls between processes: gRPC as transport, msgpack as codec.
+"""Typed calls between processes, with gRPC as transport and msgpack as codec.
 
-The codec comes from msgspec and needs no code generator; a method is declared
-once, in :data:`METHODS`, and both sides use that declaration.
+The codec comes from msgspec and needs no code generator. A method is declared once,
+as a :class:`Method` below, and both sides use that declaration.
 """
 
 import hmac
@@ -17,21 +17,23 @@
 from arbutuspulley.tracing import TRACEPARENT, open_span, read_bearing
 
 SERVICE = "arbutus.Controller"
-"""Name of the one gRPC service."""
+"""Name of the gRPC service."""
 
 KEY_METADATA = "x-arbutus-peer-key"
-"""Metadata entry with the shared key by which processes know each other."""
+"""Name of the metadata entry with the shared key that authenticates processes."""
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-"""Largest message sent or taken."""
+"""Largest message that is sent or accepted, in bytes."""
 
 _Reply = TypeVar("_Reply", bound=Message)
 
 
 class Method(Value, frozen=True):
-    """One remote call.
+    """Declaration of a remote method.
 
-    :param streams: whether the answer is a stream of ``reply``.
+    :param request: type of the request.
+    :param reply: type of the reply, or of each reply of a stream.
+    :param streams: whether the method returns a stream of replies.
     """
 
     name: str
@@ -70,7 +72,7 @@
 
 
 class PeerUnavailableError(ArbutusError):
-    """The other process did not answer; whether it acted is not known.
+    """The peer did not answer; whether it carried out the call is unknown.
 
     :param sent: whether the call may have reached it.
     """
@@ -81,14 +83,14 @@
 
 
 UnaryHandler = Callable[[Any], Awaitable[Message]]
-"""Handler of a plain method: takes the typed request, returns the typed reply."""
+"""Handler of a unary method: takes the typed request and returns the typed reply."""
 
 StreamingHandler = Callable[[Any], AsyncIterator[Message]]
-"""Handler of a streaming method."""
+"""Handler of a streaming method: takes the typed request and yields typed replies."""
 
 
 class Client:
-    """Calls methods of one other process.
+    """Client of one peer process.
 
     :param address: ``host:port``.
     :param key: the shared key.
@@ -104,9 +106,9 @@
     async def call(
         self, method: Method, request: Message, *, timeout_ms: int
     ) -> Message:
-        """Call a plain method.
+        """Call a unary method.
 
-        :raises PeerUnavailableError: if no answer came in time.
+        :raises PeerUnavailableError: if there was no answer before the timeout.
         """
         stub = self._channel.unary_unary(
             _path(method),
@@ -121,9 +123,9 @@
             raise _translate(self.address, error) from error
 
     async def stream(self, method: Method, request: Message) -> AsyncIterator[Message]:
-        """Call a streaming method and yield its replies until it breaks off.
+        """Call a streaming method and yield its replies until the stream ends.
 
-        :raises PeerUnavailableError: when the stream breaks.
+        :raises PeerUnavailableError: if the stream breaks.
         """
         stub = self._channel.unary_stream(
             _path(method),
@@ -152,11 +154,12 @@
     unary: dict[Method, UnaryHandler],
     streaming: dict[Method, StreamingHandler],
 ) -> grpc.aio.Server:
-    """Start serving methods on the running loop.
+    """Start a server on the running event loop.
 
     :param address: ``host:port`` to listen on.
-    :param key: the shared key; a call without it is refused.
+    :param key: the shared key; calls without it are refused.
     :return: the server; stop it with ``await server.stop(grace_seconds)``.
+    :raises OSError: if it cannot listen on the address.
     """
     server = grpc.aio.server(options=_OPTIONS)
     handlers = {
@@ -182,8 +185,8 @@
 
 
 CONNECT_TIMEOUT_MS = 2_000
-"""How long another process may take to greet a new connection, in ms: a busy one takes
-its time, and each call fails at once until one is there."""
+"""Timeout of a connection's handshake, in ms: a busy peer is slow to complete it, and
+calls fail at once until a connection is established."""
 
 _OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -191,7 +194,7 @@
     ("grpc.so_reuseport", 0),
     ("grpc.enable_http_proxy", 0),
     ("grpc.initial_reconnect_backoff_ms", 200),
-    # Bounds an attempt to connect; one that fails sooner is repeated sooner.
+    # Also the timeout of a connection attempt; one that fails sooner is retried sooner.
     ("grpc.min_reconnect_backoff_ms", CONNECT_TIMEOUT_MS),
     ("grpc.max_reconnect_backoff_ms", 2_000),
 )
@@ -223,7 +226,7 @@
             await context.abort(grpc.StatusCode.UNAUTHENTICATED, "peer key refused")
         parent = _read_metadata(context, TRACEPARENT)
         if not parent:
-            # Calls that belong to no request, such as exchanges, are not traced.
+            # Calls outside of a request, such as exchanges, are not traced.
             return await handler(request)
         with open_span(f"rpc.{name}", parent=parent):
             return await handler(request)
--- a/src/arbutuspulley/rpc/messages.py
+++ b/src/arbutuspulley/rpc/messages.py
@@ -1,8 +1,7 @@
-"""Messages between the system's own processes.
+"""Messages between the processes of the system.
 
-``entry`` and ``console`` talk to the controller of their instance, controllers
-talk to the controllers of other instances. Encoding and transport are in
-:mod:`.channel`.
+``entry`` and ``console`` call the controller of their instance; controllers call the
+controllers of other instances. Encoding and transport are in :mod:`.channel`.
 """
 
 from arbutuspulley.configuration.schema import Configuration
@@ -10,12 +9,12 @@
 
 
 class EntryAddress(Message, frozen=True):
-    """Where callers reach an entry.
+    """Address and state of an entry.
 
     :param address: ``host:port`` for callers.
-    :param draining: whether it is stopping and must not be told to callers.
-    :param load: requests in flight over its limit, 0 to 1 and above.
-    :param boot_id: names the process; a restarted entry has another one.
+    :param draining: whether it is stopping and must not be advertised to callers.
+    :param load: requests in flight divided by its limit; may exceed 1.
+    :param boot_id: identifies the process; changes when the entry restarts.
     """
 
     instance: str
@@ -27,12 +26,12 @@
 
 
 class ServerSummary(Message, frozen=True):
-    """What an entry needs to know of a model engine.
+    """State and load of a model engine, for entries.
 
-    :param items: keys of the items that are loaded and answering.
-    :param age_ms: age of the load numbers when the message was built.
-    :param leaving: whether it must receive no new work.
-    :param alive: whether its owner got its latest report in time.
+    :param items: keys of the items that are loaded and serving.
+    :param age_ms: age of the load figures when the message was built.
+    :param leaving: whether it is draining and must receive no new requests.
+    :param alive: whether its owner received its latest report in time.
     """
 
     server: str
@@ -51,14 +50,14 @@
 
 
 class Suspicion(Message, frozen=True):
-    """A request that was in flight on a server as the server died.
+    """A request that was in flight on a server when the server crashed.
 
     :param fingerprint: hash of caller and body.
-    :param deaths: servers that died while it ran, with their boot id:
+    :param deaths: servers that crashed while it ran, with their boot id:
         ``server/boot_id``; with ``#trial_id`` for a trial that is still running.
-    :param clear: whether it has since run whole on its own.
+    :param clear: whether it has since completed while running alone on a server.
     :param cleared: the deaths that it was cleared of. Both sets only grow, so that
-        accounts of several instances merge in any order.
+        suspicions of several instances can be merged in any order.
     """
 
     fingerprint: str
@@ -68,10 +67,10 @@
 
 
 class CallerUsage(Message, frozen=True):
-    """What a caller has lately used through one instance.
+    """Recent usage of a caller through one instance.
 
-    :param tokens_per_s: estimated token cost admitted, smoothed.
-    :param waiting: requests waiting now.
+    :param tokens_per_s: moving average of the estimated token cost admitted.
+    :param waiting: requests that are waiting now.
     """
 
     caller: str
@@ -80,12 +79,12 @@
 
 
 class View(Message, frozen=True):
-    """All that an entry decides with, sent by its controller when it changes.
+    """State that an entry's decisions use, sent by its controller when it changes.
 
-    :param number: counts views of one controller process.
-    :param ready: whether a configuration is in force, so that serving may begin.
-    :param store_up: whether the platform answered lately.
-    :param usage: what callers use through all other instances together.
+    :param number: sequence number of the view within one controller process.
+    :param ready: whether a configuration is active, so that the entry may serve.
+    :param store_up: whether the platform counts as up.
+    :param usage: usage of callers through all other instances together.
     """
 
     number: int
@@ -99,17 +98,17 @@
 
 
 class WatchRequest(Message, frozen=True):
-    """Asks a controller for views; answered by a stream of :class:`View`."""
+    """Request for a stream of a controller's views (:class:`View`)."""
 
     entry: EntryAddress
 
 
 class ItemDemand(Message, frozen=True):
-    """What callers asked of one item since the last report of this entry.
+    """Demand for one item since the last report of this entry.
 
     :param item: the item's key.
     :param tokens: estimated token cost.
-    :param refused: requests refused for lack of a loaded copy or of room.
+    :param refused: requests refused for lack of a loaded copy or of free capacity.
     """
 
     item: str
@@ -119,9 +118,9 @@
 
 
 class EntryReport(Message, frozen=True):
-    """Sent by an entry to its controller about every second.
+    """Report of an entry to its controller, sent about every second.
 
-    :param configuration_version: the version it admits requests under.
+    :param configuration_version: the configuration version that the entry uses.
     :param in_flight: requests in flight through this entry.
     """
 
@@ -137,12 +136,12 @@
 
 
 class ClaimRequest(Message, frozen=True):
-    """Asks for the right to run an unrepeatable request.
+    """Request for the right to run a non-idempotent request.
 
     :param key: the caller's idempotency key.
     :param body_sha256: hash of path and body.
-    :param attempt_id: names this claim; it is stored with the row.
-    :param claimant: boot id of the entry that asks.
+    :param attempt_id: identifies this claim; it is stored with the row.
+    :param claimant: boot id of the entry that claims.
     """
 
     caller: str
@@ -156,13 +155,13 @@
     """Answer to a claim.
 
     :param state: ``granted`` (run it now), ``in_progress``, ``answered``,
-        ``unknown``, ``released`` never leaves the controller, ``reused`` (other
-        body), ``unavailable`` (store down: certainly not granted).
+        ``unknown``, ``reused`` (same key, other body), ``unavailable`` (store down:
+        certainly not granted). ``released`` is never sent by the controller.
     :param status: HTTP status of the stored answer.
     :param body: the stored answer.
     :param claimant: boot id of the entry whose claim is in progress.
-    :param uncertain: the claim is not granted, and yet its row may be there; the
-        asker must take it back.
+    :param uncertain: whether the claim's row may exist although the claim is not
+        granted; the claimant must release it.
     """
 
     state: str
@@ -174,9 +173,9 @@
 
 
 class SettleRequest(Message, frozen=True):
-    """Tells how a claimed request ended.
+    """Outcome of a claimed request.
 
-    :param state: ``answered``, ``unknown``, or ``not_run`` (the claim is taken back).
+    :param state: ``answered``, ``unknown``, or ``not_run`` (the claim is released).
     """
 
     caller: str
@@ -189,14 +188,15 @@
 
 
 class DeathReport(Message, frozen=True):
-    """An entry saw a server break off streams; these requests were in flight.
-
-    :param boot_id: the boot that the entry last knew.
-    :param trial_id: if set, nobody died: the entry asks whether it may run the one
-        fingerprint on this server now. The death is written down beforehand and
-        taken back by a clearance, so that no two instances try a suspect at once.
-    :param expired_trial_id: a trial that has held the server for longer than any
-        request lives; it may be replaced.
+    """Report that a server broke off streams, or request for a trial of a suspect.
+
+    :param boot_id: the server's boot, as last known to the entry.
+    :param fingerprints: the requests that were in flight.
+    :param trial_id: if set, no server crashed: the entry asks whether it may run the
+        single fingerprint on this server now. The death is recorded beforehand and
+        removed by a clearance, so that no two instances try a suspect at once.
+    :param expired_trial_id: a trial that has occupied the server for longer than any
+        request may take; it may be replaced.
     """
 
     server: str
@@ -207,11 +207,12 @@
 
 
 class SuspicionsReply(Message, frozen=True):
-    """Suspicions as the controller now knows them.
+    """Current suspicions of the controller.
 
-    :param recorded: whether the table holds them, so that all instances see them.
-    :param granted: whether the trial that was asked for may run.
-    :param holder: the trial that now holds the server, if it is another one.
+    :param recorded: whether they are stored in the table, so that all instances see
+        them.
+    :param granted: whether the requested trial may run.
+    :param holder: the trial that currently occupies the server, if it is another one.
     """
 
     suspicions: tuple[Suspicion, ...] = ()
@@ -221,11 +222,11 @@
 
 
 class ClearanceReport(Message, frozen=True):
-    """A suspect ran whole, or its trial was certainly not run.
+    """Report that a suspect has completed, or that its trial was certainly not run.
 
-    :param server: the server of the trial, which is then free for the next one.
+    :param server: the server of the trial, which is then free for the next trial.
     :param trial_id: the trial that ended.
-    :param ran: false if the trial was not run: only its own mark is taken back.
+    :param ran: false if the trial was not run: only its own record is removed.
     """
 
     fingerprint: str
@@ -236,14 +237,14 @@
 
 
 class ExchangeRequest(Message, frozen=True):
-    """One controller tells a peer what it knows and asks for news.
-
-    :param instance: who asks.
-    :param after: the number of the last exchange reply it got from this peer's
-        ``epoch``; only what changed since is sent.
-    :param items: keys of items it serves; only servers holding one are sent.
-    :param configuration_version: the version it has, if it wants the peer's whole
-        configuration should that be newer; ``None`` if it does not.
+    """A controller's request for changes since its last exchange with a peer.
+
+    :param instance: the instance that asks.
+    :param after: number of the last reply that it received in this peer's ``epoch``;
+        only later changes are sent.
+    :param items: keys of items that it serves; only servers with one of them are sent.
+    :param configuration_version: its version, if it wants the peer's full configuration
+        in case that is newer; ``None`` if it does not.
     """
 
     instance: str
@@ -254,15 +255,15 @@
 
 
 class ExchangeReply(Message, frozen=True):
-    """A peer's news.
+    """A peer's changes since the last exchange.
 
-    :param servers: changed summaries of the servers it owns.
+    :param servers: changed summaries of the servers that it owns.
     :param entries: its own entries.
-    :param configuration: its configuration, if wanted and newer than the asker's.
-    :param configuration_version: the version it has in force.
-    :param demand: what its entries' callers ask for, smoothed over a second;
-        ``None`` if that has not changed.
-    :param status: what it says of itself, for the console.
+    :param configuration: its configuration, if requested and newer.
+    :param configuration_version: its active version.
+    :param demand: demand of its entries' callers, as a moving average over a second;
+        ``None`` if it has not changed.
+    :param status: its status, for the console.
     """
 
     instance: str
@@ -280,9 +281,9 @@
 
 
 class StatusRequest(Message, frozen=True):
-    """Asks a controller for its status.
+    """Request for a controller's status.
 
-    :param configuration_after: if set, the configuration in force is sent along if
+    :param configuration_after: if set, the reply includes the active configuration if
         its version is above this one. The console compares it with the store's.
     """
 
@@ -290,11 +291,11 @@
 
 
 class InstanceStatus(Message, frozen=True):
-    """What an instance says of itself, for the console.
+    """An instance's status, for the console.
 
-    :param configuration_version: the version in force at its controller.
-    :param entry_versions: the version in force at each of its entries.
-    :param reachable: whether it answered; false if another one speaks for it.
+    :param configuration_version: the active version of its controller.
+    :param entry_versions: the active version of each of its entries.
+    :param reachable: whether it answered; false if another instance reports its status.
     """
 
     instance: str
@@ -309,11 +310,10 @@
 
 
 class FleetStatus(Message, frozen=True):
-    """What a controller knows of all instances of its group.
+    """Status of all instances of a group, as known to a controller.
 
-    :param accepted_version: the newest version it knows to be accepted.
-    :param configuration: what is in force at this controller, if it was asked for
-        and is newer than the asker's.
+    :param accepted_version: the newest accepted version that it knows.
+    :param configuration: the controller's active configuration, if requested and newer.
     """
 
     accepted_version: int
