--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -111,16 +111,16 @@
         :raises PeerUnavailableError: if there was no answer before the timeout.
         """
         stub = self._channel.unary_unary(
-            _path(method),
+            _build_path(method),
             request_serializer=msgspec.msgpack.encode,
-            response_deserializer=_decoder(method.reply),
+            response_deserializer=_build_decoder(method.reply),
         )
         try:
             return await stub(
                 request, timeout=timeout_ms / 1000, metadata=self._build_metadata()
             )
         except grpc.aio.AioRpcError as error:
-            raise _translate(self.address, error) from error
+            raise _build_error(self.address, error) from error
 
     async def stream(self, method: Method, request: Message) -> AsyncIterator[Message]:
         """Call a streaming method and yield its replies until the stream ends.
@@ -128,15 +128,15 @@
         :raises PeerUnavailableError: if the stream breaks.
         """
         stub = self._channel.unary_stream(
-            _path(method),
+            _build_path(method),
             request_serializer=msgspec.msgpack.encode,
-            response_deserializer=_decoder(method.reply),
+            response_deserializer=_build_decoder(method.reply),
         )
         try:
             async for reply in stub(request, metadata=self._build_metadata()):
                 yield reply
         except grpc.aio.AioRpcError as error:
-            raise _translate(self.address, error) from error
+            raise _build_error(self.address, error) from error
 
     def _build_metadata(self) -> tuple[tuple[str, str], ...]:
         bearing = read_bearing()
@@ -165,7 +165,7 @@
     handlers = {
         method.name: grpc.unary_unary_rpc_method_handler(
             _guard_unary(handler, key, method.name),
-            request_deserializer=_decoder(method.request),
+            request_deserializer=_build_decoder(method.request),
             response_serializer=msgspec.msgpack.encode,
         )
         for method, handler in unary.items()
@@ -173,11 +173,11 @@
     for method, handler in streaming.items():
         handlers[method.name] = grpc.unary_stream_rpc_method_handler(
             _guard_streaming(handler, key),
-            request_deserializer=_decoder(method.request),
+            request_deserializer=_build_decoder(method.request),
             response_serializer=msgspec.msgpack.encode,
         )
-    generic = grpc.method_handlers_generic_handler(SERVICE, handlers)
-    server.add_generic_rpc_handlers((generic,))
+    service_handler = grpc.method_handlers_generic_handler(SERVICE, handlers)
+    server.add_generic_rpc_handlers((service_handler,))
     if server.add_insecure_port(address) == 0:
         raise OSError(f"cannot listen on {address}")
     await server.start()
@@ -200,12 +200,12 @@
 )
 
 
-def _path(method: Method) -> str:
+def _build_path(method: Method) -> str:
     return f"/{SERVICE}/{method.name}"
 
 
-def _decoder(kind: type[_Reply]) -> Callable[[bytes], _Reply]:
-    return msgspec.msgpack.Decoder(kind).decode
+def _build_decoder(message_type: type[_Reply]) -> Callable[[bytes], _Reply]:
+    return msgspec.msgpack.Decoder(message_type).decode
 
 
 def _read_metadata(context: grpc.aio.ServicerContext, name: str) -> str:
@@ -214,8 +214,8 @@
 
 
 def _is_trusted(context: grpc.aio.ServicerContext, key: str) -> bool:
-    shown = _read_metadata(context, KEY_METADATA)
-    return hmac.compare_digest(shown.encode(), key.encode())
+    sent_key = _read_metadata(context, KEY_METADATA)
+    return hmac.compare_digest(sent_key.encode(), key.encode())
 
 
 def _guard_unary(
@@ -248,7 +248,7 @@
     return handle
 
 
-def _translate(address: str, error: grpc.aio.AioRpcError) -> PeerUnavailableError:
+def _build_error(address: str, error: grpc.aio.AioRpcError) -> PeerUnavailableError:
     refused = error.code() == grpc.StatusCode.UNAUTHENTICATED
     detail = f"{address}: {error.code().name.lower()}"
     return PeerUnavailableError(detail=detail, sent=not refused)
