--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
     [(2.15, 100, 2.15), (0.516, 5, 0.125), (1.07, 1_000, 1.07), (4, 40, 1)],
     ids=["large", "small link", "like all others", "link binds"],
 )
-def test_the_scarcer_of_processor_and_link_counts(cores, link_mbps, expected):
+def test_capacity_is_the_lower_of_processor_and_bandwidth(cores, link_mbps, expected):
     assert get_capacity(cores, link_mbps) == pytest.approx(expected)
 
 
@@ -31,7 +31,7 @@
     ],
     ids=["best", "third", "one of many", "first start, large", "first start, small"],
 )
-def test_better_placed_instances_claim_first(own, known, expected):
+def test_instances_with_more_capacity_claim_first(own, known, expected):
     """72 instances start at once; six of them have four times the processor and twenty
     times the link. One of the others took the lease, and what it had to tell filled its
     link: callers waited for grants, and renewals came too late."""
@@ -43,5 +43,5 @@
     [(2.1, 0.1, True), (0.15, 0.1, False), (4.0, 2.0, False), (0, 0.1, False)],
     ids=["much", "a little", "own is enough", "none"],
 )
-def test_a_coordinator_gives_way_to_a_much_better_one_only(other, own, expected):
+def test_a_coordinator_hands_over_only_for_much_more_capacity(other, own, expected):
     assert has_much_more_capacity(other, own) is expected
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -40,7 +40,7 @@
         )
 
 
-async def _with_server(key, use):
+async def _run_with_server(key, scenario):
     address = find_free_address()
     server = await channel.serve(
         address=address,
@@ -50,14 +50,14 @@
     )
     client = channel.Client(address=address, key=key)
     try:
-        return await use(client)
+        return await scenario(client)
     finally:
         await client.close()
         await server.stop(0)
 
 
 def test_call_and_stream_carry_typed_messages(loop):
-    async def use(client):
+    async def scenario(client):
         report = messages.EntryReport(
             entry=_entry(), configuration_version=3, in_flight=0
         )
@@ -66,15 +66,15 @@
         views = [view async for view in client.stream(channel.WATCH, request)]
         return reply, views
 
-    reply, views = loop.wait_for(_with_server("secret", use))
+    reply, views = loop.wait_for(_run_with_server("secret", scenario))
     assert reply == messages.Acknowledged()
     assert [view.configuration.version for view in views] == [0, 1, 2]
     assert views[0].entries == (_entry(),)
 
 
 @pytest.mark.parametrize("streams", [False, True])
-def test_a_wrong_key_is_refused_as_certainly_not_done(loop, streams):
-    async def use(client):
+def test_a_call_with_a_wrong_key_is_certainly_not_run(loop, streams):
+    async def scenario(client):
         if streams:
             request = messages.WatchRequest(entry=_entry())
             return [view async for view in client.stream(channel.WATCH, request)]
@@ -84,26 +84,26 @@
         return await client.call(channel.REPORT, report, timeout_ms=5_000)
 
     with pytest.raises(channel.PeerUnavailableError) as raised:
-        loop.wait_for(_with_server("guessed", use))
+        loop.wait_for(_run_with_server("guessed", scenario))
     assert not raised.value.sent
 
 
-def test_the_callers_trace_goes_on_at_the_other_process(loop):
+def test_the_trace_context_is_propagated_to_the_peer(loop):
     """Somebody looks for a slow claim; its trace ended at the entry."""
     parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
     seen = []
 
-    async def tell(_request):
+    async def handle(_request):
         seen.append(read_bearing())
         return messages.Acknowledged()
 
     async def start(address):
-        handlers = {channel.CLEAR_SUSPICION: tell}
+        handlers = {channel.CLEAR_SUSPICION: handle}
         return await channel.serve(
             address=address, key="k", unary=handlers, streaming={}
         )
 
-    async def ask(address):
+    async def call_peer(address):
         client = channel.Client(address=address, key="k")
         report = messages.ClearanceReport(fingerprint="f")
         await client.call(channel.CLEAR_SUSPICION, report, timeout_ms=5_000)
@@ -112,13 +112,13 @@
     address = find_free_address()
     server = loop.wait_for(start(address))
     with open_span("hop", parent=parent):
-        loop.wait_for(ask(address))
+        loop.wait_for(call_peer(address))
     loop.wait_for(server.stop(0))
     assert seen[0].split("-")[1] == parent.split("-")[1]
 
 
-def test_a_dead_peer_is_reported_within_the_timeout(loop):
-    async def ask():
+def test_an_unreachable_peer_is_reported_within_the_timeout(loop):
+    async def call_peer():
         client = channel.Client(address=find_free_address(), key="secret")
         request = messages.StatusRequest()
         try:
@@ -127,10 +127,10 @@
             await client.close()
 
     with pytest.raises(channel.PeerUnavailableError):
-        loop.wait_for(asyncio.wait_for(ask(), 20))
+        loop.wait_for(asyncio.wait_for(call_peer(), 20))
 
 
-def test_a_peer_that_is_slow_to_greet_is_reached(loop):
+def test_a_peer_with_a_slow_handshake_is_reached(loop):
     """Guards against calls that fail at once while the other process is busy."""
 
     async def start(address):
@@ -141,7 +141,7 @@
             streaming={},
         )
 
-    async def ask(address):
+    async def call_peer(address):
         client = channel.Client(address=address, key="secret")
         report = messages.EntryReport(
             entry=_entry(), configuration_version=3, in_flight=0
@@ -155,6 +155,6 @@
     server = loop.wait_for(start(address))
     with FaultProxy(target=address) as proxy:
         proxy.delay(400)
-        reply = loop.wait_for(ask(proxy.address))
+        reply = loop.wait_for(call_peer(proxy.address))
     loop.wait_for(server.stop(0))
     assert reply == messages.Acknowledged()
--- a/tests/test_coordinator_lease.py
+++ b/tests/test_coordinator_lease.py
@@ -22,7 +22,7 @@
 )
 
 
-def build(name, *, offset):
+def build_state(name, *, offset):
     state = CoordinatorLeaseState(
         name=name, link=f"{name}:1", boot=f"{name}-boot", lease_ms=3_000
     )
@@ -36,26 +36,26 @@
     return msgspec.json.encode(row)
 
 
-def claim(state, *, now, version=1):
+def claim_lease(state, *, now, version=1):
     row = build_claim(state, now=now)
     store_ms = now + state.offset_ms
     confirm_claim(state, row, version=version, sent_at=now, store_ms=store_ms)
     return row
 
 
-def test_no_two_may_give_orders_at_once():
+def test_two_holders_never_give_orders_at_once():
     """A holder is paused; another instance, whose clock differs by hours, takes over.
 
     It grants servers after half a lease. At no moment of the store's clock may both
     give orders.
     """
-    old, new = build("old", offset=1_000), build("new", offset=90_000_000)
-    row = claim(old, now=0)
+    old, new = build_state("old", offset=1_000), build_state("new", offset=90_000_000)
+    row = claim_lease(old, now=0)
     update_row(new, encode(row), version=1)
     assert get_claim_wait_ms(new, now=2_499 - 90_000_000) == 1
     taken_at = 2_500 - 90_000_000
     assert get_claim_wait_ms(new, now=taken_at) == 0
-    claim(new, now=taken_at, version=2)
+    claim_lease(new, now=taken_at, version=2)
     assert is_holder(new, now=taken_at)
     for store in range(1_000, 6_000, 10):
         old_may = may_order(old, now=store - 1_000)
@@ -65,26 +65,31 @@
 
 
 @pytest.mark.parametrize("late_ms", [0, 30, 400, 1_500, 2_900])
-def test_a_holder_that_read_the_stores_clock_late_gives_orders_no_longer(late_ms):
+def test_reading_the_stores_clock_late_does_not_extend_the_lease(late_ms):
     """All instances lose power. The first to be back has so much to do that it reads
     the store's answer over a second late, takes the store's clock to be that much
     behind, and writes a lease that ends earlier than it believes itself. Another takes
     over and gives orders while the first still does: a server that checks no fences
     carries out those of both.
     """
-    old, new = build("old", offset=1_000 - late_ms), build("new", offset=1_000)
+    old, new = (
+        build_state("old", offset=1_000 - late_ms),
+        build_state("new", offset=1_000),
+    )
     row = build_claim(old, now=100)
     confirm_claim(old, row, version=1, sent_at=100, store_ms=1_103)
     update_row(new, encode(row), version=1)
-    first_at = next(t for t in range(100, 9_000) if get_claim_wait_ms(new, now=t) == 0)
-    claim(new, now=first_at, version=2)
-    for now in range(first_at, 9_000):
+    claimed_at = next(
+        t for t in range(100, 9_000) if get_claim_wait_ms(new, now=t) == 0
+    )
+    claim_lease(new, now=claimed_at, version=2)
+    for now in range(claimed_at, 9_000):
         assert not (may_order(old, now=now) and may_order(new, now=now))
 
 
-def test_a_successor_learns_of_loads_on_its_own_clock():
+def test_inherited_loads_are_converted_to_the_successors_clock():
     """The weight store counts loads over five seconds, whoever ordered them."""
-    old, new = build("old", offset=1_000), build("new", offset=90_000)
+    old, new = build_state("old", offset=1_000), build_state("new", offset=90_000)
     row = build_claim(old, now=500, loads={"llm": [100, 400]})
     update_row(new, encode(row), version=1)
     inherited = get_inherited_loads(new)
@@ -94,94 +99,94 @@
     assert get_inherited_loads(new).unknown_until is None
 
 
-def test_a_row_of_an_earlier_version_tells_of_no_loads():
-    state = build("a", offset=0)
+def test_a_row_of_an_earlier_version_has_no_loads():
+    state = build_state("a", offset=0)
     assert get_inherited_loads(state).loads == {}
     value = b'{"holder": "b", "link": "b:1", "boot": "x", "fence": 3, "expires_ms": 9}'
     update_row(state, value, version=4)
     assert get_inherited_loads(state).unknown_until == 9
 
 
-def test_orders_that_are_being_sent_end_with_the_lease():
-    state = build("a", offset=0)
-    claim(state, now=0)
+def test_the_order_window_ends_with_the_lease():
+    state = build_state("a", offset=0)
+    claim_lease(state, now=0)
     assert get_order_window_ms(state, now=2_500) == 3_000 - EXPIRY_MARGIN_MS - 2_500
     assert get_order_window_ms(state, now=2_600) == 0
 
 
-def test_orders_wait_for_the_longest_lease_before():
+def test_orders_wait_for_the_latest_expiry_of_previous_leases():
     """Three instances take over from each other within one lease; the first one may
     still give orders when the third has the lease."""
-    first, second, third = (build(name, offset=0) for name in "abc")
-    update_row(second, encode(claim(first, now=0)), version=1)
-    update_row(third, encode(claim(second, now=1_500, version=2)), version=2)
-    row = claim(third, now=3_000, version=3)
+    first, second, third = (build_state(name, offset=0) for name in "abc")
+    update_row(second, encode(claim_lease(first, now=0)), version=1)
+    update_row(third, encode(claim_lease(second, now=1_500, version=2)), version=2)
+    row = claim_lease(third, now=3_000, version=3)
     assert row.orders_from_ms == 4_500
 
 
-def test_a_renewal_does_not_put_orders_off():
-    old, new = build("a", offset=0), build("b", offset=0)
-    update_row(new, encode(claim(old, now=0)), version=1)
-    claim(new, now=1_500, version=2)
-    renewed = claim(new, now=2_400, version=3)
+def test_a_renewal_does_not_postpone_orders():
+    old, new = build_state("a", offset=0), build_state("b", offset=0)
+    update_row(new, encode(claim_lease(old, now=0)), version=1)
+    claim_lease(new, now=1_500, version=2)
+    renewed = claim_lease(new, now=2_400, version=3)
     assert renewed.orders_from_ms == 3_000
 
 
-def test_a_suspended_holder_finds_its_lease_past():
-    state = build("old", offset=0)
-    claim(state, now=0)
+def test_a_suspended_holder_finds_its_lease_expired():
+    state = build_state("old", offset=0)
+    claim_lease(state, now=0)
     assert is_holder(state, now=3_000 - EXPIRY_MARGIN_MS - 1)
     assert not is_holder(state, now=3_000 - EXPIRY_MARGIN_MS)
 
 
 def test_each_new_holder_has_a_higher_fence_and_a_renewal_keeps_it():
-    first, second = build("a", offset=0), build("b", offset=0)
-    row = claim(first, now=0)
-    assert claim(first, now=900, version=2).fence == row.fence == 1
+    first, second = build_state("a", offset=0), build_state("b", offset=0)
+    row = claim_lease(first, now=0)
+    assert claim_lease(first, now=900, version=2).fence == row.fence == 1
     update_row(second, encode(first.row), version=2)
-    assert claim(second, now=9_000, version=3).fence == 2
+    assert claim_lease(second, now=9_000, version=3).fence == 2
 
 
-def test_the_same_instance_begins_anew_with_a_higher_fence_and_without_a_wait():
+def test_a_restarted_holder_claims_at_once_with_a_higher_fence():
     """The coordinator's process is killed and starts again: what the old one sent may
     still arrive, so the fence has to grow."""
-    old = build("a", offset=0)
-    row = claim(old, now=0)
-    again = build("a", offset=0)
+    old = build_state("a", offset=0)
+    row = claim_lease(old, now=0)
+    again = build_state("a", offset=0)
     update_row(again, encode(row), version=1)
     assert get_claim_wait_ms(again, now=100) == 0
     assert build_claim(again, now=100).fence == 2
 
 
 def test_a_released_lease_is_free_at_once_and_keeps_its_fence():
-    old, new = build("a", offset=0), build("b", offset=0)
-    claim(old, now=0)
+    old, new = build_state("a", offset=0), build_state("b", offset=0)
+    claim_lease(old, now=0)
     update_row(new, encode(build_release(old, now=500)), version=2)
     assert get_claim_wait_ms(new, now=500) == 0
     assert build_claim(new, now=500).fence == 2
 
 
-def test_a_lease_that_another_holds_by_now_is_not_released():
+def test_a_lease_of_another_holder_is_not_released():
     """A coordinator is cut off from everything; another takes the lease. As the cut
     heals, the first one, alone for two seconds, gave "its" lease back: it overwrote
     the other's row, and two holders came to have the same fencing token.
     """
-    old, new = build("a", offset=0), build("b", offset=0)
-    update_row(new, encode(claim(old, now=0)), version=1)
+    old, new = build_state("a", offset=0), build_state("b", offset=0)
+    update_row(new, encode(claim_lease(old, now=0)), version=1)
     assert is_own_row(old)
-    taken = claim(new, now=4_000, version=2)
-    update_row(old, encode(taken), version=2)
+    claimed = claim_lease(new, now=4_000, version=2)
+    update_row(old, encode(claimed), version=2)
     assert not is_own_row(old)
 
 
-def test_without_the_stores_clock_nobody_may_take_it():
+def test_the_lease_cannot_be_claimed_without_the_stores_clock():
     state = CoordinatorLeaseState(name="a", link="a:1", boot="x", lease_ms=3_000)
     assert get_claim_wait_ms(state, now=0) is None
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b'{"holder": 1}', None])
-def test_bytes_of_someone_else_are_no_holder(value):
-    state = build("a", offset=0)
+def test_an_invalid_row_counts_as_no_holder(value):
+    state = build_state("a", offset=0)
     update_row(state, value, version=7)
     assert state.row is None
     assert state.version == 7
@@ -191,7 +196,7 @@
 def test_the_fastest_answer_sets_the_clock():
     """A slow answer shows an old time. Taken for the present, the own lease seemed to
     run longer than others believe."""
-    state = build("a", offset=1_000)
+    state = build_state("a", offset=1_000)
     update_store_clock(state, 1_400, now=500)
     assert state.offset_ms == 1_000
 
@@ -206,14 +211,14 @@
         ([True, True], 2, True),
     ],
 )
-def test_orders_go_on_only_while_the_store_is_away_for_most(
+def test_orders_continue_only_while_the_store_is_unavailable_to_most(
     store_unavailable, known_instances, expected
 ):
     """The store is away for eight seconds, and a server with the only copies of two
     models is lost. Its lease lapsed, the coordinator loaded nothing until the end of
     the outage, though nobody could have taken its place."""
-    state = build("a", offset=0)
-    claim(state, now=0)
+    state = build_state("a", offset=0)
+    claim_lease(state, now=0)
     assert (
         may_order_during_outage(
             state, store_unavailable=store_unavailable, known_instances=known_instances
@@ -222,13 +227,13 @@
     )
 
 
-def test_orders_never_go_on_for_one_that_was_replaced_or_never_held():
-    never, old, new = (build(name, offset=0) for name in "abc")
+def test_orders_never_continue_for_a_replaced_holder():
+    never, old, new = (build_state(name, offset=0) for name in "abc")
     assert not may_order_during_outage(
         never, store_unavailable=[True, True], known_instances=2
     )
-    update_row(new, encode(claim(old, now=0)), version=1)
-    update_row(old, encode(claim(new, now=4_000, version=2)), version=2)
+    update_row(new, encode(claim_lease(old, now=0)), version=1)
+    update_row(old, encode(claim_lease(new, now=4_000, version=2)), version=2)
     assert not may_order_during_outage(
         old, store_unavailable=[True, True], known_instances=2
     )
@@ -237,27 +242,27 @@
 @pytest.mark.parametrize(
     ("has_unanswered_order", "pause_ms"), [(False, 0), (True, UNANSWERED_ORDER_WAIT_MS)]
 )
-def test_an_unanswered_order_keeps_the_successor_from_ordering(
+def test_an_unanswered_order_delays_the_successors_orders(
     has_unanswered_order, pause_ms
 ):
     """A holder steps down while an order of its own waits in a full link. Its successor
     ordered at once, and the older order came after: a server that checks no fences took
     both, the older one last."""
-    old, new = build("old", offset=0), build("new", offset=0)
-    update_row(old, encode(claim(old, now=0)), version=1)
+    old, new = build_state("old", offset=0), build_state("new", offset=0)
+    update_row(old, encode(claim_lease(old, now=0)), version=1)
     release = build_release(old, now=1_000, has_unanswered_order=has_unanswered_order)
     update_row(new, encode(release), version=2)
     assert get_claim_wait_ms(new, now=1_000) == 0
-    claim(new, now=1_000, version=3)
+    claim_lease(new, now=1_000, version=3)
     assert is_holder(new, now=1_000)
     assert may_order(new, now=1_000 + pause_ms)
     assert may_order(new, now=1_000) is not has_unanswered_order
 
 
-def test_how_long_a_lease_has_been_free_is_known():
-    old, new = build("old", offset=0), build("new", offset=5_000)
+def test_get_free_ms_counts_from_expiry_or_release():
+    old, new = build_state("old", offset=0), build_state("new", offset=5_000)
     assert get_free_ms(new, now=0) > 1 << 20
-    update_row(new, encode(claim(old, now=5_000)), version=1)
+    update_row(new, encode(claim_lease(old, now=5_000)), version=1)
     assert get_free_ms(new, now=1_000) == 0
     # Half a lease after the last renewal, on the store's clock.
     assert get_free_ms(new, now=1_700) == 200
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -14,14 +14,14 @@
     ("server_id", "started_ms"),
     [("e1", 0), ("e1", 5), ("e1@5", 0), ("e1@5", 6), ("@", 0), ("e1@", 0), ("@5", 0)],
 )
-def test_a_server_goes_by_its_id_on_the_wire(server_id, started_ms):
+def test_the_server_id_is_recovered_from_an_incarnation(server_id, started_ms):
     """A server whose id ends like the name of another's start was asked for by that
     other's id, and the one that it reached refused each request."""
     assert get_server_id(build_incarnation(server_id, started_ms)) == server_id
 
 
 @given(first=st.tuples(IDS, TIMES), second=st.tuples(IDS, TIMES))
-def test_no_two_starts_have_one_name(first, second):
+def test_incarnations_of_different_starts_differ(first, second):
     assert (build_incarnation(*first) == build_incarnation(*second)) == (
         first == second
     )
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -43,7 +43,7 @@
     assert not leases.may_order(state, now=0)
 
 
-def test_paused_holder_wakes_without_its_lease():
+def test_paused_holder_resumes_without_its_lease():
     """A holder is stopped for a minute and wakes with an order prepared.
 
     Its last renewal was confirmed just before. Others took its servers over
@@ -73,7 +73,7 @@
     assert not leases.may_order(state, now=LAST_MS + 1)
 
 
-def test_reply_that_comes_too_late_leaves_the_lease_lapsed():
+def test_late_confirmation_leaves_the_lease_expired():
     """The reply to a renewal arrives after 20 s of a slow store.
 
     It was written in time, but observers have seen no change since and may have
@@ -93,7 +93,7 @@
     assert not leases.may_order(state, now=8_001)
 
 
-def test_session_never_confirmed_keeps_its_id():
+def test_unconfirmed_session_keeps_its_id():
     """The first renewal is written and its reply lost, twice.
 
     With a fresh id for each try, the row would hold a session that this process
@@ -107,7 +107,7 @@
     assert renew(state, 50_001, 8).revision == 7
 
 
-def test_displaced_process_stops_at_once_and_keeps_away():
+def test_displaced_process_stops_at_once_and_sends_no_renewals():
     """An instance is replaced under the same name while its process is paused.
 
     The old process wakes inside its lease and finds another session in its row.
@@ -122,7 +122,7 @@
     assert leases.begin_renewal(state, now=13_000, chance=chance) is not None
 
 
-def test_abandoned_lease_starts_over_by_reading_its_row():
+def test_abandoned_lease_requires_reading_its_row():
     state = build_held()
     before = state.session
     leases.abandon(state)
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -13,7 +13,7 @@
 from arbutuspulley.membership.records import SessionRecord
 
 LEASE_MS = 10_000
-WAIT_MS = 11_000
+EXPIRY_MS = 11_000
 """Lease and margin: how long an observer waits."""
 
 
@@ -24,44 +24,44 @@
     return SessionRow(instance=instance, revision=revision, record=record)
 
 
-def observe_until(state, end, *, rows=(), step=1_000, start=0):
+def scan_until(state, end, *, rows=(), step=1_000, start=0):
     """Scan every step; ``rows`` come with the first scan."""
     for now in range(start, end + 1, step):
         observing.apply_scan(state, rows if now == start else (), sent_at=now, now=now)
 
 
 @pytest.mark.parametrize(
-    ("until", "over"), [(0, False), (WAIT_MS - 1_000, False), (WAIT_MS, True)]
+    ("until", "expired"), [(0, False), (EXPIRY_MS - 1_000, False), (EXPIRY_MS, True)]
 )
-def test_session_is_over_when_its_row_stays_unchanged(until, over):
+def test_session_expires_when_its_row_is_unchanged(until, expired):
     state = ObservationState(lease_ms=LEASE_MS)
-    observe_until(state, until, rows=(build_row(),))
-    assert observing.is_expired(state, "s1") is over
-    assert observing.list_live(state) == (frozenset() if over else {"a"})
+    scan_until(state, until, rows=(build_row(),))
+    assert observing.is_expired(state, "s1") is expired
+    assert observing.list_live(state) == (frozenset() if expired else {"a"})
 
 
-def test_renewal_starts_the_wait_again():
+def test_renewal_restarts_the_timeout():
     state = ObservationState(lease_ms=LEASE_MS)
-    observe_until(state, 9_000, rows=(build_row(),))
-    observe_until(state, 19_000, rows=(build_row(revision=2),), start=10_000)
+    scan_until(state, 9_000, rows=(build_row(),))
+    scan_until(state, 19_000, rows=(build_row(revision=2),), start=10_000)
     assert not observing.is_expired(state, "s1")
 
 
-def test_outage_of_ten_minutes_proves_nothing():
+def test_sessions_do_not_expire_during_an_outage_of_ten_minutes():
     """The store is down for ten minutes; all rows are then as they were before.
 
     The first instance to read again would take all others for dead and claim every
     server at once, though they only could not renew, as it could not either.
     """
     state = ObservationState(lease_ms=LEASE_MS)
-    observe_until(state, 3_000, rows=(build_row(),))
-    observe_until(state, 600_000, start=600_000)
+    scan_until(state, 3_000, rows=(build_row(),))
+    scan_until(state, 600_000, start=600_000)
     assert not observing.is_expired(state, "s1")
-    observe_until(state, 600_000 + WAIT_MS, start=601_000)
+    scan_until(state, 600_000 + EXPIRY_MS, start=601_000)
     assert observing.is_expired(state, "s1")
 
 
-def test_time_since_the_last_scan_does_not_count():
+def test_time_after_the_last_scan_does_not_count():
     """The observer itself is paused between a scan and its next decision.
 
     Its clock goes on, but it has not seen whether the row changed meanwhile.
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rows", "over"),
+    ("rows", "expired"),
     [
         pytest.param((build_row(session="s2", revision=2),), False, id="replaced"),
         pytest.param(
@@ -84,35 +84,38 @@
         ),
     ],
 )
-def test_only_the_holders_word_ends_a_session_early(rows, over):
+def test_only_its_own_holder_ends_a_session_early(rows, expired):
     """A process is paused, and its replacement overwrites its row.
 
     The paused one may still be within its lease and order when it wakes. Only a row
     by which the holder itself says that it has stopped may be acted on at once.
     """
     state = ObservationState(lease_ms=LEASE_MS)
-    observe_until(state, 2_000, rows=(build_row(),))
+    scan_until(state, 2_000, rows=(build_row(),))
     observing.apply_scan(state, rows, sent_at=3_000, now=3_000)
-    assert observing.is_expired(state, "s1") is over
-    observe_until(state, 14_000, start=4_000)
+    assert observing.is_expired(state, "s1") is expired
+    scan_until(state, 14_000, start=4_000)
     assert observing.is_expired(state, "s1")
 
 
-def test_session_only_named_by_an_owner_row_gets_the_full_wait():
+def test_session_only_referenced_by_an_owner_row_gets_the_full_timeout():
     state = ObservationState(lease_ms=LEASE_MS)
     observing.apply_scan(state, (), sent_at=0, now=0)
     observing.track_session(state, "s0", now=0)
-    observe_until(state, 10_000, start=1_000)
+    scan_until(state, 10_000, start=1_000)
     assert not observing.is_expired(state, "s0")
-    observe_until(state, WAIT_MS, start=WAIT_MS)
+    scan_until(state, EXPIRY_MS, start=EXPIRY_MS)
     assert observing.is_expired(state, "s0")
 
 
-def test_rows_of_the_dead_are_listed_once_nothing_names_them():
+def test_stale_rows_are_listed_once_they_are_unreferenced():
     state = ObservationState(lease_ms=LEASE_MS)
-    observe_until(state, 301_000, rows=(build_row(),))
-    named = observing.list_stale_rows(state, referenced=frozenset({"s1"}))
-    assert (named, len(observing.list_stale_rows(state, referenced=frozenset()))) == (
+    scan_until(state, 301_000, rows=(build_row(),))
+    referenced = observing.list_stale_rows(state, referenced=frozenset({"s1"}))
+    assert (
+        referenced,
+        len(observing.list_stale_rows(state, referenced=frozenset())),
+    ) == (
         [],
         1,
     )
@@ -132,7 +135,7 @@
 
 @settings(max_examples=500, deadline=None)
 @given(steps=steps, drift=st.floats(0.98, 1.02), offset=st.integers(0, 10**6))
-def test_nobody_claims_while_the_holder_may_order(steps, drift, offset):
+def test_no_session_expires_while_its_holder_may_order(steps, drift, offset):
     """Whatever is delayed, lost or paused, with clocks that drift by 2 in 100.
 
     If an observer could ever claim from a holder that may still order, two owners
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -9,19 +9,19 @@
 from arbutuspulley.membership.outage import OutageState
 
 
-def fail(state, times, *, now=0):
+def record_failures(state, times, *, now=0):
     chance = random.Random(1)
     return [outage.record_failure(state, now=now, chance=chance) for _ in range(times)]
 
 
-def test_down_after_two_failures_in_a_row_and_up_with_the_first_answer():
+def test_down_after_two_failures_and_up_after_one_success():
     state = OutageState()
     assert outage.record_success(state)
-    assert fail(state, 3) == [False, True, False]
+    assert record_failures(state, 3) == [False, True, False]
     assert not state.up
     assert outage.record_success(state)
     assert state.up
-    assert fail(state, 1) == [False]
+    assert record_failures(state, 1) == [False]
     assert not outage.record_success(state)
 
 
@@ -29,19 +29,19 @@
     ("failures", "least", "most"),
     [(1, 125, 250), (2, 250, 500), (5, 2_000, 4_000), (50, 5_000, 10_000)],
 )
-def test_waits_double_with_jitter_up_to_a_bound(failures, least, most):
-    waits = set()
+def test_backoff_doubles_with_jitter_up_to_a_maximum(failures, least, most):
+    backoffs = set()
     for seed in range(200):
         state = OutageState(failures=failures - 1)
         outage.record_failure(state, now=0, chance=random.Random(seed))
-        waits.add(state.next_at)
-    assert least <= min(waits) <= max(waits) <= most
-    assert len(waits) > 20
+        backoffs.add(state.next_at)
+    assert least <= min(backoffs) <= max(backoffs) <= most
+    assert len(backoffs) > 20
 
 
 def test_only_one_of_several_loops_gets_the_probe():
     state = OutageState()
-    fail(state, 10)
+    record_failures(state, 10)
     chance = random.Random(2)
     assert not outage.may_call(state, now=state.next_at - 1, chance=chance)
     due = state.next_at
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("instances", [6, 360])
-def test_recovery_from_ten_minutes_does_not_stampede(instances):
+def test_recovery_from_an_outage_of_ten_minutes_is_spread_out(instances):
     """The store is out for ten minutes, and all instances want it the moment it is
     back.
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -40,7 +40,7 @@
     return state
 
 
-def own(server, instance, *, fence=1, session=None):
+def build_owner_row(server, instance, *, fence=1, session=None):
     record = OwnerRecord(
         server=server,
         session=f"s-{instance}" if session is None else session,
@@ -50,7 +50,7 @@
     return OwnerRow(record=record, revision=fence)
 
 
-def share_out(names, servers, owners=None, sessions=None):
+def assign_all(names, servers, owners=None, sessions=None):
     """Let every instance claim in turn from the same rows until nobody does."""
     owners = dict(owners or {})
     sessions = sessions or build_sessions(names)
@@ -69,23 +69,23 @@
                     sessions, owners[server].record.session if server in owners else ""
                 )
                 fence = owners[server].record.fence if server in owners else 0
-                owners[server] = own(server, name, fence=fence + 1)
+                owners[server] = build_owner_row(server, name, fence=fence + 1)
 
 
 def count(owners):
     return Counter(row.record.instance for row in owners.values())
 
 
-def name_all(prefix, number):
+def build_names(prefix, number):
     return [f"{prefix}{index:03d}" for index in range(number)]
 
 
 @pytest.mark.parametrize(
     ("servers", "instances"), [(8, 6), (12, 6), (3, 6), (1, 1), (580, 40)]
 )
-def test_all_servers_are_shared_out_within_a_fair_bound(servers, instances):
-    names = name_all("i", instances)
-    owners = share_out(names, name_all("s", servers))
+def test_all_servers_are_assigned_with_a_fair_maximum(servers, instances):
+    names = build_names("i", instances)
+    owners = assign_all(names, build_names("s", servers))
     assert len(owners) == servers
     assert max(count(owners).values()) <= -(-servers // instances)
     assert {row.record.fence for row in owners.values()} == {1}
@@ -97,15 +97,15 @@
     With plain hashing over the set of instances, each change would move servers
     between instances that are both there, and each move costs a gap in ordering.
     """
-    names, servers = name_all("i", 6), name_all("s", 24)
-    before = share_out(names, servers)
+    names, servers = build_names("i", 6), build_names("s", 24)
+    before = assign_all(names, servers)
     lost = {name for name, row in before.items() if row.record.instance == "i000"}
     rest = names[1:]
     free = {
-        name: own(name, "i000", session="") if name in lost else row
+        name: build_owner_row(name, "i000", session="") if name in lost else row
         for name, row in before.items()
     }
-    after = share_out(rest, servers, free)
+    after = assign_all(rest, servers, free)
     moved = {
         name
         for name in servers
@@ -119,13 +119,13 @@
 
     Each exchange costs a gap in ordering and reading reports, for no gain.
     """
-    names, servers = name_all("i", 6), name_all("s", 24)
+    names, servers = build_names("i", 6), build_names("s", 24)
     last = {server: names[place % 6] for place, server in enumerate(servers)}
     owners = {
-        server: own(server, name, session="" if name in names[:3] else None)
+        server: build_owner_row(server, name, session="" if name in names[:3] else None)
         for server, name in last.items()
     }
-    after = share_out(names, servers, owners)
+    after = assign_all(names, servers, owners)
     assert {server: row.record.instance for server, row in after.items()} == last
 
 
@@ -144,9 +144,9 @@
     }
 
 
-def test_excess_is_handed_over_gradually_and_then_rests():
-    servers, names = name_all("s", 24), name_all("i", 6)
-    owners = share_out(names[:1], servers)
+def test_excess_servers_are_handed_over_gradually():
+    servers, names = build_names("s", 24), build_names("i", 6)
+    owners = assign_all(names[:1], servers)
     assert not any(release(owners, names, 2 * LEASE_MS - 1).values())
     rounds = 0
     while any(chosen := release(owners, names, 2 * LEASE_MS).values()):
@@ -155,8 +155,10 @@
         assert len(released) <= ownership.MAX_HANDOVERS_PER_ROUND
         for server in released:
             last = owners[server].record
-            owners[server] = own(server, last.instance, fence=last.fence, session="")
-        owners = share_out(names, servers, owners)
+            owners[server] = build_owner_row(
+                server, last.instance, fence=last.fence, session=""
+            )
+        owners = assign_all(names, servers, owners)
     assert set(count(owners).values()) == {4}
     assert rounds == 10
 
@@ -176,7 +178,7 @@
     )
 
 
-def put(fake, key, record):
+def write_record(fake, key, record):
     outcome = fake.platform.table.transact(
         Transaction(
             token="t", preconditions=(), writes=(Write(key=key, value=encode(record)),)
@@ -185,21 +187,21 @@
     return outcome.revision
 
 
-def put_session(fake, name, renewal=1):
+def write_session(fake, name, renewal=1):
     record = SessionRecord(
         instance=name, session=f"s-{name}", site="x", address="x:1", renewal=renewal
     )
-    return put(fake, build_session_key("main", name), record)
+    return write_record(fake, build_session_key("main", name), record)
 
 
-def test_two_claimers_race_and_one_wins():
+def test_only_one_of_two_concurrent_claims_succeeds():
     """An owner dies; two instances with different views both find they are next.
 
     Both claim in the same moment. If both succeeded, they would order one server
     under the same fencing number.
     """
     fake = FakePlatform()
-    revisions = {name: put_session(fake, name) for name in ("a", "b")}
+    revisions = {name: write_session(fake, name) for name in ("a", "b")}
     sessions = build_sessions(["a", "b"])
     outcomes = [
         fake.platform.table.transact(
@@ -211,7 +213,7 @@
 
 
 @pytest.mark.parametrize("renewed", ["c", "a"])
-def test_claim_fails_if_a_session_it_relies_on_has_moved(renewed):
+def test_claim_fails_if_a_session_row_has_changed(renewed):
     """The owner ``c`` looks lapsed, and renews just before ``a`` claims its server.
 
     Or the claimer itself was paused after it decided, and its row was overwritten
@@ -219,45 +221,56 @@
     """
     fake = FakePlatform()
     sessions = ObservationState(lease_ms=LEASE_MS)
-    revisions = {name: put_session(fake, name) for name in ("a", "c")}
-    owners = {"s1": own("s1", "c", fence=4)}
-    fence_revision = put(fake, "main/owner/s1", owners["s1"].record)
+    revisions = {name: write_session(fake, name) for name in ("a", "c")}
+    owners = {"s1": build_owner_row("s1", "c", fence=4)}
+    fence_revision = write_record(fake, "main/owner/s1", owners["s1"].record)
     owners["s1"] = OwnerRow(record=owners["s1"].record, revision=fence_revision)
     record = SessionRecord(instance="c", session="s-c", site="x", address="x:1")
     row = SessionRow(instance="c", revision=revisions["c"], record=record)
     observing.apply_scan(sessions, (row,), sent_at=0, now=0)
     claim = build_claim("a", ["s1"], owners, sessions, revision=revisions["a"])
-    put_session(fake, renewed, renewal=2)
+    write_session(fake, renewed, renewal=2)
     assert isinstance(fake.platform.table.transact(claim), Conflict)
 
 
 @pytest.mark.parametrize(
-    ("row_fence", "met", "expected"), [(None, 0, 1), (4, 0, 5), (4, 9, 10), (9, 4, 10)]
+    ("row_fence", "known_fence", "expected"),
+    [(None, 0, 1), (4, 0, 5), (4, 9, 10), (9, 4, 10)],
 )
-def test_claim_raises_the_fence_above_all_that_was_met(row_fence, met, expected):
+def test_claim_raises_the_fence_above_all_known_fences(
+    row_fence, known_fence, expected
+):
     """A table is restored from a backup and holds fence 4; a server has seen 9.
 
     A claim with 5 would be refused by that server for ever.
     """
     owners = {}
     if row_fence is not None:
-        owners["s1"] = own("s1", "b", fence=row_fence, session="")
+        owners["s1"] = build_owner_row("s1", "b", fence=row_fence, session="")
     claim = build_claim(
-        "a", ["s1"], owners, build_sessions(["a"]), revision=1, fences={"s1": met}
+        "a",
+        ["s1"],
+        owners,
+        build_sessions(["a"]),
+        revision=1,
+        fences={"s1": known_fence},
     )
     (row,) = list_written(claim, revision=1)
     assert decode_owner(row.value).fence == expected
 
 
-def test_own_server_that_met_a_higher_fence_is_claimed_anew():
-    owned = {name: own(name, "a", fence=3) for name in ("s1", "s2", "s3")}
+def test_owned_server_with_a_higher_fence_is_claimed_again():
+    owned = {name: build_owner_row(name, "a", fence=3) for name in ("s1", "s2", "s3")}
     fences = {"s1": 3, "s2": 8}
     assert ownership.choose_reclaims(owned, fences=fences) == ("s2",)
 
 
 def test_release_keeps_the_fence_and_deletes_the_session_row():
     release = ownership.build_release(
-        [own("s1", "a", fence=7)], group="main", token="t", session_row=("a", 3)
+        [build_owner_row("s1", "a", fence=7)],
+        group="main",
+        token="t",
+        session_row=("a", 3),
     )
     owner, session = list_written(release, revision=9)
     record = decode_owner(owner.value)
@@ -266,11 +279,11 @@
     assert expected == {"main/owner/s1": 7, "main/session/a": 3}
 
 
-def test_reports_of_an_orphan_are_read_by_exactly_one_instance():
-    names = name_all("i", 6)
+def test_exactly_one_instance_polls_a_server_without_owner():
+    names = build_names("i", 6)
     pollers = {
         server: ownership.choose_poller(server, candidates=names)
-        for server in name_all("s", 60)
+        for server in build_names("s", 60)
     }
     assert set(pollers.values()) == set(names)
     assert ownership.choose_poller("s1", candidates=()) is None
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b'{"Version": "x"}', b"\xff"])
-def test_an_unreadable_configuration_is_refused(body):
+def test_a_malformed_configuration_is_refused(body):
     with pytest.raises(msgspec.MsgspecError):
         decode_configuration(body)
 
@@ -90,7 +90,7 @@
         {"born": -1},
     ],
 )
-def test_a_row_of_another_writer_names_no_server(changes):
+def test_a_row_with_invalid_fields_is_refused(changes):
     row = {**SERVER_ROW, **changes}
     row = {name: value for name, value in row.items() if value is not None}
     with pytest.raises((msgspec.MsgspecError, InvalidServerEntryError)):
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b"\xff\x00", b"null", b'"x"'])
-def test_bytes_that_are_no_row_name_no_server(body):
+def test_malformed_rows_are_refused(body):
     with pytest.raises((msgspec.MsgspecError, InvalidServerEntryError)):
         decode_server("i-1", body)
 
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize(
     ("server_id", "born"), [("i-1", 0), ("i-1", 1_764_720_000_000), ("a@7", 5)]
 )
-def test_starts_of_one_server_have_names_of_their_own(server_id, born):
+def test_each_start_of_a_server_has_its_own_incarnation(server_id, born):
     """A server crashes and is back under its id, empty. Taken for the same start, it
     would get requests for models that it held before."""
     row = {**SERVER_ROW, "born": born} if born else SERVER_ROW
@@ -137,7 +137,7 @@
     assert report.pending == (("m0", "a5"),)
 
 
-def test_rows_carry_base64_and_removals():
+def test_rows_with_base64_values_and_removals_are_decoded():
     body = {
         "Rows": [
             {"Table": "t", "Key": "a", "Value": "aGk=", "Ver": 3},
@@ -169,7 +169,7 @@
 ]
 
 
-def test_a_request_is_decoded_and_what_only_the_system_sets_is_dropped():
+def test_a_request_is_decoded_without_reserved_headers():
     request = decode_request(method="POST", path="/a/b?c", headers=HEADERS)
     assert (request.host, request.wait_ms) == ("shop.example", 900)
     assert request.need == ModelNeed(
@@ -188,7 +188,7 @@
     }
 
 
-def test_a_connection_header_cannot_drop_the_attempt():
+def test_a_connection_header_cannot_drop_the_attempt_id():
     """A caller names the attempt's id in Connection; dropped, its run could not be
     told from another's."""
     headers = [*HEADERS, ("Connection", "X-Arbutuspulley-Attempt-Id")]
@@ -197,7 +197,7 @@
     assert ("X-Arbutuspulley-Attempt-Id", "a1") in request.headers
 
 
-def test_a_resumed_stream_names_its_last_event_once():
+def test_a_resumed_stream_has_one_last_event_id():
     headers = [*HEADERS, ("Last-Event-Id", "3")]
     request = decode_request(method="POST", path="/", headers=headers)
     assert request.resumes
@@ -219,7 +219,9 @@
         (200, {"X-Arbutuspulley-Not-Executed": "1"}, False),
     ],
 )
-def test_only_a_servers_own_word_proves_that_nothing_ran(status, headers, expected):
+def test_only_the_server_can_prove_that_a_request_was_not_run(
+    status, headers, expected
+):
     assert is_not_run(status, headers) is expected
 
 
@@ -238,13 +240,13 @@
         ({"X-Arbutuspulley-Attempt-Id": "a1"}, False),
     ],
 )
-def test_an_answer_of_another_request_is_told_apart(headers, expected):
+def test_an_answer_to_another_request_is_detected(headers, expected):
     """A server sends a second, late answer where the next one is expected."""
     request = decode_request(method="POST", path="/", headers=HEADERS)
     assert is_answer_to(request, headers) is expected
 
 
-def test_answers_keep_their_headers_but_those_of_the_connection():
+def test_answers_keep_their_end_to_end_headers():
     headers = [
         ("Content-Length", "3"),
         ("Connection", "close, X-Hop"),
@@ -255,7 +257,7 @@
     assert select_answer_headers(headers) == [("X-Arbutuspulley-Server-Seal", "s")]
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_a_refusal_has_a_retry_after_header():
     built = build_refusal_headers(attempt_id="a1", retry_after_ms=250)
     assert built == {"X-Arbutuspulley-Attempt-Id": "a1", "Retry-After": "0.250"}
 
@@ -282,7 +284,7 @@
     assert settings.store == "127.0.0.1:5"
 
 
-def test_every_wrong_setting_is_named(tmp_path):
+def test_every_invalid_setting_is_named(tmp_path):
     path = tmp_path / "boot.yaml"
     wrong = {**SETTINGS, "Listen": {"Frontend": "here"}, "Platform": {}}
     path.write_text(yaml.safe_dump(wrong))
@@ -293,7 +295,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "NodeName: [1]", None])
-def test_unreadable_settings_are_refused(tmp_path, text):
+def test_malformed_settings_are_refused(tmp_path, text):
     path = tmp_path / "boot.yaml"
     if text is not None:
         path.write_text(text)
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -23,7 +23,7 @@
 TABLE = "t"
 
 
-def use_store(scenario, *, address=None):
+def run_with_store(scenario, *, address=None):
     """Run a scenario with a store and a client of it."""
 
     async def run():
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "expected", "is_applied", "left"),
+    ("key", "expected", "is_applied", "remaining"),
     [
         ("a", 1, True, b"2"),
         ("a", 0, False, b"1"),
@@ -51,8 +51,8 @@
     ],
     ids=["current", "must be absent", "newer", "absent", "was there"],
 )
-def test_a_row_is_written_only_over_the_version_expected(
-    key, expected, is_applied, left
+def test_a_row_is_written_only_over_the_expected_version(
+    key, expected, is_applied, remaining
 ):
     async def scenario(standin, client):
         await write(client, "a", b"1", 0)
@@ -60,7 +60,7 @@
         rows = (await client.read(TABLE, key=key)).rows
         return answer.is_applied, rows[0].value if rows else None
 
-    assert use_store(scenario) == (is_applied, left)
+    assert run_with_store(scenario) == (is_applied, remaining)
 
 
 def test_a_late_duplicate_changes_nothing():
@@ -75,10 +75,10 @@
         (row,) = (await client.read(TABLE, key="a")).rows
         return again.is_applied, row.value, row.version
 
-    assert use_store(scenario) == (False, b"new", 3)
+    assert run_with_store(scenario) == (False, b"new", 3)
 
 
-def be_down(standin):
+def make_unavailable(standin):
     standin.is_down = True
 
 
@@ -86,19 +86,19 @@
     standin.loses_answers = True
 
 
-def be_silent(standin):
+def delay_answers(standin):
     standin.delay_s = 1
 
 
 @pytest.mark.parametrize(
     ("fault", "error", "is_written"),
     [
-        (be_down, PlatformUnavailableError, False),
+        (make_unavailable, PlatformUnavailableError, False),
         (lose_answers, OutcomeUnknownError, True),
-        (be_silent, OutcomeUnknownError, False),
+        (delay_answers, OutcomeUnknownError, False),
     ],
 )
-def test_a_failed_write_says_whether_it_may_have_been_done(
+def test_a_failed_write_reports_whether_it_may_have_been_applied(
     monkeypatch, fault, error, is_written
 ):
     monkeypatch.setattr(store, "CALL_TIMEOUT_S", 0.1)
@@ -111,11 +111,11 @@
         assert client.is_failing
         return standin.get(TABLE, "a") is not None
 
-    assert use_store(scenario) is is_written
+    assert run_with_store(scenario) is is_written
 
 
-@pytest.mark.parametrize("fault", [be_down, be_silent])
-def test_a_failed_reading_changes_nothing(monkeypatch, fault):
+@pytest.mark.parametrize("fault", [make_unavailable, delay_answers])
+def test_a_failed_read_is_reported_as_unavailable(monkeypatch, fault):
     monkeypatch.setattr(store, "CALL_TIMEOUT_S", 0.1)
 
     async def scenario(standin, client):
@@ -123,18 +123,18 @@
         with pytest.raises(PlatformUnavailableError):
             await client.read(TABLE)
 
-    use_store(scenario)
+    run_with_store(scenario)
 
 
-def test_nobody_listening_proves_that_nothing_was_written():
+def test_a_refused_connection_proves_that_nothing_was_written():
     async def scenario(standin, client):
         with pytest.raises(PlatformUnavailableError):
             await write(client, "a", b"1", 0)
 
-    use_store(scenario, address=find_free_address())
+    run_with_store(scenario, address=find_free_address())
 
 
-def test_changes_go_on_from_a_version_with_removals():
+def test_changes_after_a_version_include_removals():
     async def scenario(standin, client):
         standin.put(TABLE, "a", 1)
         standin.put(TABLE, "b", 1)
@@ -145,10 +145,10 @@
         changes = await client.wait_for_changes(TABLE, after=first.version)
         return [(row.key, row.value) for row in changes.rows]
 
-    assert use_store(scenario) == [("a", None), ("c", b"2")]
+    assert run_with_store(scenario) == [("a", None), ("c", b"2")]
 
 
-def test_lost_history_is_told_apart():
+def test_lost_history_has_an_error_of_its_own():
     async def scenario(standin, client):
         standin.put(TABLE, "a", 1)
         standin.put(TABLE, "a", 2)
@@ -156,10 +156,10 @@
         with pytest.raises(HistoryLostError):
             await client.wait_for_changes(TABLE, after=1)
 
-    use_store(scenario)
+    run_with_store(scenario)
 
 
-def test_what_changes_while_pages_are_read_is_not_missed(monkeypatch):
+def test_changes_made_while_pages_are_read_are_not_missed(monkeypatch):
     """A table has more rows than a page. A server of the first page leaves while the
     second one is read. Followed from the version of the last page, it never left, and
     got requests for ever."""
@@ -174,10 +174,10 @@
         changes = await client.wait_for_changes(TABLE, after=whole.version)
         return [(row.key, row.value) for row in changes.rows]
 
-    assert use_store(scenario) == [("a", None)]
+    assert run_with_store(scenario) == [("a", None)]
 
 
-def use_server(scenario):
+def run_with_server(scenario):
     """Run a scenario with a model server that holds m0 and has room for one more."""
 
     async def run():
@@ -222,18 +222,18 @@
         ),
     ],
 )
-def test_how_a_server_takes_an_order(changes, expected):
+def test_statuses_of_order_answers_are_mapped(changes, expected):
     async def scenario(server, session):
         server.fence = 5
         return await order(server, session, **changes), server.orders
 
-    answer, orders = use_server(scenario)
+    answer, orders = run_with_server(scenario)
     assert answer is expected
-    is_taken = expected in (OrderAnswer.ACCEPTED, OrderAnswer.HELD_ALREADY)
-    assert orders == int(is_taken)
+    is_accepted = expected in (OrderAnswer.ACCEPTED, OrderAnswer.HELD_ALREADY)
+    assert orders == int(is_accepted)
 
 
-def test_a_late_order_after_its_successor_has_no_effect():
+def test_an_order_that_arrives_after_its_successor_has_no_effect():
     """An order hangs in the network, its sender gives another one in its place, and
     then the first arrives. Carried out, it would load what there is no room for."""
 
@@ -243,26 +243,26 @@
         late = await order(server, session, model="m1")
         return late, set(server.models), server.overcommitted
 
-    assert use_server(scenario) == (OrderAnswer.CONFLICT, {"m0", "m2"}, 0)
+    assert run_with_server(scenario) == (OrderAnswer.CONFLICT, {"m0", "m2"}, 0)
 
 
 @pytest.mark.parametrize(
-    ("fault", "is_taken"), [("loses_orders", False), ("loses_order_answers", True)]
+    ("fault", "is_accepted"), [("loses_orders", False), ("loses_order_answers", True)]
 )
-def test_a_lost_order_answer_proves_nothing(fault, is_taken):
+def test_an_order_with_a_lost_answer_has_an_unknown_outcome(fault, is_accepted):
     async def scenario(server, session):
         setattr(server, fault, True)
         first = await order(server, session)
         setattr(server, fault, False)
         return first, await order(server, session)
 
-    first, again = use_server(scenario)
+    first, again = run_with_server(scenario)
     assert first is OrderAnswer.UNKNOWN
-    expected = OrderAnswer.CONFLICT if is_taken else OrderAnswer.ACCEPTED
+    expected = OrderAnswer.CONFLICT if is_accepted else OrderAnswer.ACCEPTED
     assert again is expected
 
 
-def test_a_call_for_changes_that_was_swallowed_is_given_up_soon():
+def test_an_unanswered_long_poll_times_out_soon():
     """The store falls silent for some seconds and swallows a call that waits for
     changes; after its return it answers new calls only. A server says that it leaves,
     and an instance that still waits for that answer goes on sending it requests for
@@ -295,13 +295,13 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "pause_s", "is_taken"),
+    ("pieces", "pause_s", "is_accepted"),
     [(10, 0.05, True), (2, 0.6, False)],
     ids=["long on its way", "stalled"],
 )
 @pytest.mark.parametrize("call", ["read", "changes"])
-def test_an_answer_that_keeps_coming_is_taken(
-    monkeypatch, call, pieces, pause_s, is_taken
+def test_a_slow_answer_is_accepted_while_data_arrives(
+    monkeypatch, call, pieces, pause_s, is_accepted
 ):
     """Guards against a large configuration that never fits into a call's time over a
     busy link, is thrown away each time and asked for again."""
@@ -318,21 +318,21 @@
                 return (await client.read("op")).version
             return (await client.wait_for_changes("op", after=1)).version
 
-    if is_taken:
+    if is_accepted:
         assert asyncio.run(scenario()) == 3
     else:
         with pytest.raises(PlatformUnavailableError):
             asyncio.run(scenario())
 
 
-def test_a_silent_server_leaves_an_order_open(monkeypatch):
+def test_an_order_without_an_answer_has_an_unknown_outcome(monkeypatch):
     monkeypatch.setattr(engines, "ORDER_TIMEOUT_MS", 100)
 
     async def scenario():
-        async def be_silent(_request):
+        async def delay_answers(_request):
             await asyncio.sleep(2)
 
-        listener, address = await listen(be_silent)
+        listener, address = await listen(delay_answers)
         async with listener, open_session() as session:
             return await send_order(
                 session, build_order(), address=address, incarnation="s1"
@@ -341,7 +341,7 @@
     assert asyncio.run(scenario()) is OrderAnswer.UNKNOWN
 
 
-def test_an_order_that_is_given_up_is_not_sent_later(monkeypatch):
+def test_an_order_that_timed_out_is_not_sent_later(monkeypatch):
     """A holder's order waits behind a cut until its lease has ended. Closed in the
     ordinary way, its connection would deliver the order as the cut heals, after orders
     of the next holder. A reset tells the system to drop it."""
@@ -373,7 +373,7 @@
     assert ends == ["reset"]
 
 
-def test_no_order_is_sent_once_the_lease_has_ended():
+def test_no_order_is_sent_after_the_lease_has_expired():
     async def scenario(server, session):
         answer = await send_order(
             session,
@@ -385,10 +385,10 @@
         report = await fetch_report(session, address=server.address, incarnation="s1")
         return answer, report.accepted_orders
 
-    assert use_server(scenario) == (OrderAnswer.REFUSED, 0)
+    assert run_with_server(scenario) == (OrderAnswer.REFUSED, 0)
 
 
-def test_nobody_listening_proves_that_no_order_was_taken():
+def test_a_refused_connection_proves_that_no_order_was_accepted():
     async def scenario():
         async with open_session() as session:
             address = find_free_address()
@@ -401,14 +401,14 @@
     assert asyncio.run(scenario()) == (OrderAnswer.REFUSED, None)
 
 
-def test_a_report_is_that_of_the_start_asked_for():
+def test_a_report_of_another_incarnation_is_ignored():
     async def scenario(server, session):
         await order(server, session)
         own = await fetch_report(session, address=server.address, incarnation="s1")
         other = await fetch_report(session, address=server.address, incarnation="s0")
         return own, other
 
-    own, other = use_server(scenario)
+    own, other = run_with_server(scenario)
     assert (own.accepted_orders, own.is_busy) == (1, True)
     assert [one.model for one in own.loaded_models] == ["m0"]
     assert other is None
--- a/tests/test_request_keys.py
+++ b/tests/test_request_keys.py
@@ -7,7 +7,7 @@
 from arbutuspulley.platform.requests import build_headers, decode_request
 
 
-def spell(name):
+def spell_variants(name):
     """Return spellings of a header's name that a server may take for the same."""
     letters = [
         st.sampled_from("-_" if one == "-" else one.lower() + one.upper())
@@ -16,8 +16,8 @@
     return st.tuples(*letters).map("".join)
 
 
-KEYS = st.tuples(spell(names.KEY), st.sampled_from(["k1", "k2", ""]))
-TEAMS = st.tuples(spell(names.TEAM), st.sampled_from(["team", "other"]))
+KEYS = st.tuples(spell_variants(names.KEY), st.sampled_from(["k1", "k2", ""]))
+TEAMS = st.tuples(spell_variants(names.TEAM), st.sampled_from(["team", "other"]))
 LISTED = st.sampled_from([names.KEY, names.TEAM, names.MODEL, "x-own", "close"])
 CONNECTIONS = st.tuples(
     st.just("Connection"), st.lists(LISTED, max_size=3).map(", ".join)
@@ -26,7 +26,7 @@
 HEADERS = st.lists(st.one_of(KEYS, TEAMS, CONNECTIONS, OTHERS), max_size=8)
 
 
-def pass_on(headers, *, team):
+def forward(headers, *, team):
     request = decode_request(method="POST", path="/a/", headers=headers)
     sent = build_headers(
         request, remaining_ms=100, incarnation="i", priority=1, team=team
@@ -36,7 +36,7 @@
 
 @given(headers=HEADERS)
 def test_servers_get_the_callers_team_once_and_never_a_key(headers):
-    _, sent = pass_on(headers, team="right")
+    _, sent = forward(headers, team="right")
     found = [
         (name.lower().replace("_", "-"), value)
         for name, value in sent
@@ -46,21 +46,21 @@
 
 
 @given(headers=HEADERS)
-def test_a_caller_that_needs_no_key_names_no_team(headers):
-    _, sent = pass_on(headers, team="")
+def test_a_caller_without_team_sends_no_team_header(headers):
+    _, sent = forward(headers, team="")
     folded = [name.lower().replace("_", "-") for name, _ in sent]
     assert names.TEAM.lower() not in folded
     assert names.KEY.lower() not in folded
 
 
 @given(headers=HEADERS)
-def test_a_key_counts_if_it_is_the_only_one(headers):
-    request, _ = pass_on(headers, team="")
+def test_only_a_single_key_is_accepted(headers):
+    request, _ = forward(headers, team="")
     keys = [value for name, value in headers if name.lower() == names.KEY.lower()]
     assert request.key == (keys[0] if len(keys) == 1 else "")
 
 
-def test_tokens_are_counted_as_the_caller_says():
+def test_token_usage_is_decoded():
     cases = {
         "1460,80": 1540,
         "1460": 1460,
@@ -77,7 +77,7 @@
     assert request.usage_tokens is None
 
 
-def test_a_header_listed_under_connection_is_dropped_however_it_is_spelt():
+def test_a_header_listed_under_connection_is_dropped_in_any_spelling():
     headers = [("Connection", "X_Own, X-Other"), ("X_Own", "a"), ("x-other", "b")]
-    request, _ = pass_on([*headers, ("X-Third", "c")], team="")
+    request, _ = forward([*headers, ("X-Third", "c")], team="")
     assert request.headers == [("X-Third", "c")]
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -10,7 +10,7 @@
 from arbutuspulley.platform.transport import open_session, send_request
 
 
-async def count_connections(monkeypatch, keep_alive, pauses):
+async def count_connections(monkeypatch, keep_alive, idle_times_s):
     """Ask a server once and again after each pause; return its connections."""
     now = 100.0
     monkeypatch.setattr(transport, "_read_clock", lambda: now)
@@ -26,7 +26,7 @@
     host, port = server.sockets[0].getsockname()
     request = decode_request(method="GET", path="/", headers=[("Host", "x")])
     async with server, open_session() as session:
-        for pause in (0, *pauses):
+        for pause in (0, *idle_times_s):
             now += pause
             response = await send_request(
                 session, request, address=f"{host}:{port}", headers=[]
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("keep_alive", "pauses", "expected"),
+    ("keep_alive", "idle_times_s", "expected"),
     [
         ("", (3.9, 3.9), 1),
         ("", (4.1,), 2),
@@ -48,11 +48,11 @@
         ("soon", (3.9,), 1),
     ],
 )
-def test_a_connection_is_given_up_before_its_server_closes_it(
-    monkeypatch, keep_alive, pauses, expected
+def test_an_idle_connection_is_discarded_before_its_server_closes_it(
+    monkeypatch, keep_alive, idle_times_s, expected
 ):
     """A request crossed the server's close of an idle connection. It may have run, so
     one that may run only once was lost. The time is taken from what the server says,
     by a clock that goes on while the machine is suspended."""
-    made = asyncio.run(count_connections(monkeypatch, keep_alive, pauses))
+    made = asyncio.run(count_connections(monkeypatch, keep_alive, idle_times_s))
     assert made == expected
