--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""Controllers without processes: a fake platform, fake engines and a test clock."""
+"""Controllers within the test's process, on a fake platform, engines and clock."""
 
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -19,7 +19,7 @@
 
 
 class TestTime:
-    """A clock that a test sets."""
+    """A clock that is set by the test."""
 
     __test__ = False
 
@@ -47,7 +47,7 @@
 
 
 def build_node(name, platform, time, *, configuration, engines=None):
-    """Return a controller's state with a configuration in force."""
+    """Return a controller's state with an active configuration."""
     node = Controller(
         settings=build_settings(name),
         clock=Clock(read=lambda: time.now),
@@ -74,7 +74,7 @@
 
 
 async def try_step(coroutine):
-    """Run a step of a loop as the loop does: an outage ends it quietly."""
+    """Run a step of a loop and ignore outages, as the loop does."""
     try:
         await coroutine
     except (PlatformUnavailableError, OutcomeUnknownError):
@@ -82,7 +82,8 @@
 
 
 async def run_second(nodes, time, *, seconds=1):
-    """Let time pass, with one round of renewing, following and claiming a second."""
+    """Advance the clock, with one round of following and claiming in each second, and a
+    renewal in every other one."""
     for _ in range(seconds):
         time.now += 1_000
         for node in nodes:
@@ -93,7 +94,7 @@
 
 
 def list_fences(node):
-    """Return owner instance and fence of each server, as a node has read them."""
+    """Return owner instance and fence of each server, as last read by a controller."""
     return {
         server: (row.record.instance if row.record.session else "", row.record.fence)
         for server, row in sorted(node.rows.owners.items())
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Who claims a free lease first."""
+"""Capacity of instances and the order in which they claim a free lease."""
 
 import pytest
 
@@ -32,9 +32,10 @@
     ids=["best", "third", "one of many", "first start, large", "first start, small"],
 )
 def test_instances_with_more_capacity_claim_first(own, known, expected):
-    """72 instances start at once; six of them have four times the processor and twenty
-    times the link. One of the others took the lease, and what it had to tell filled its
-    link: callers waited for grants, and renewals came too late."""
+    """Guards against a coordinator without enough bandwidth. 72 instances start at
+    once; six of them have four times the processor and twenty times the bandwidth. One
+    of the others took the lease and its messages saturated its link: callers waited for
+    grants, and renewals came too late."""
     assert get_claim_delay_ms(own, known) == expected
 
 
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""Calls between processes: typed both ways, refused without the shared key."""
+"""Remote calls between processes: typed messages, authenticated by the shared key."""
 
 import asyncio
 
@@ -89,7 +89,7 @@
 
 
 def test_the_trace_context_is_propagated_to_the_peer(loop):
-    """Somebody looks for a slow claim; its trace ended at the entry."""
+    """Guards against traces that end at the entry and don't show a slow claim."""
     parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
     seen = []
 
@@ -131,7 +131,7 @@
 
 
 def test_a_peer_with_a_slow_handshake_is_reached(loop):
-    """Guards against calls that fail at once while the other process is busy."""
+    """Guards against calls that fail at once while the peer is busy."""
 
     async def start(address):
         return await channel.serve(
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -1,4 +1,4 @@
-"""commit(): a transaction ends as it is said to end, whatever replies are lost."""
+"""commit(): the reported outcome is correct even if requests and replies are lost."""
 
 import pytest
 from hypothesis import given
@@ -18,11 +18,12 @@
 
 
 class UnreliableTable:
-    """A table behind a network that loses and delays what it carries.
+    """A table behind a network that loses and delays messages.
 
-    :param sends: what happens to each send in turn: ``ok``, ``reply_lost``,
-        ``request_lost``, ``late`` (kept until :meth:`deliver_late`), ``overtaken``
-        (late copies arrive first), ``refused``.
+    :param sends: fate of each sent transaction in turn: ``ok``, ``reply_lost``,
+        ``request_lost``, ``late`` (held back until :meth:`deliver_late`),
+        ``overtaken`` (late copies arrive first), ``refused``.
+    :param pauses: called in turn, one in each backoff of ``commit``.
     """
 
     def __init__(self, *sends, pauses=()):
@@ -48,7 +49,7 @@
             self.apply(self.late.pop(0))
 
     def pause(self, longest_ms):
-        """Do what the test put into this pause."""
+        """Record the backoff and call the test's function for it."""
         self.waited.append(longest_ms)
         if self.pauses:
             self.pauses.pop(0)()
@@ -80,7 +81,7 @@
 
 
 def build(token, *, head=0, change="", value=b"v"):
-    """Return a write of ``head``, and of a row that is only ever inserted."""
+    """Return a transaction that writes ``head``, and inserts the row ``change``."""
     writes = [Write(key="head", value=value)]
     expected = [Precondition(key="head", revision=head)]
     if change:
@@ -90,9 +91,9 @@
 
 
 def test_a_write_with_a_lost_reply_is_recognised_by_its_token():
-    """An operator presses approve; the change is written and the answer is lost.
-    Told "conflict" or sent twice, she would see her own change as a stranger's.
-    The row carries her transaction's token.
+    """An operator approves a change; it is written, and the reply is lost. Reported as
+    a conflict or sent twice, her own change would look like another operator's. The row
+    has her transaction's token.
     """
     unreliable = UnreliableTable("reply_lost")
     assert unreliable.commit(build("a")) == Committed(revision=1)
@@ -100,26 +101,26 @@
 
 
 def test_a_lost_request_is_retried():
-    """The connection breaks and the request never arrives; nothing was written.
-    The row is still at the expected revision, so the same transaction goes again.
+    """The connection breaks and the request never arrives; nothing is written. The row
+    is still at the expected revision, so the same transaction is retried.
     """
     unreliable = UnreliableTable("request_lost", "request_lost")
     assert unreliable.commit(build("a")) == Committed(revision=1)
 
 
 def test_a_conflict_with_the_own_first_copy_is_a_commit():
-    """A request hangs in the network; the row looks untouched, so it goes again.
-    The first copy arrives in between, and the second collides with it. Reported
-    as a conflict, the writer would believe that someone else had won.
+    """A request is delayed in the network; the row is unchanged, so it is retried. The
+    first copy arrives in between, and the second conflicts with it. Reported as a
+    conflict, it would look like another writer's success.
     """
     unreliable = UnreliableTable("late", "overtaken")
     assert unreliable.commit(build("a")) == Committed(revision=1)
 
 
 def test_a_late_copy_changes_nothing():
-    """A request hangs, its second copy is taken, another writer goes on from
-    there, and only then does the first copy arrive. It must not bring the old
-    value back: its precondition names a revision that never returns.
+    """A request is delayed, its second copy is applied, another writer writes after it,
+    and only then does the first copy arrive. It must not restore the old value: its
+    precondition has a revision that is never reused.
     """
     unreliable = UnreliableTable("late")
     assert unreliable.commit(build("a")) == Committed(revision=1)
@@ -130,9 +131,9 @@
 
 
 def test_a_lost_request_after_another_write_is_a_conflict():
-    """Two operators approve at once; one request is lost, the other one wins.
-    The loser must hear of a conflict and not wait for ever: the winner's row says
-    that it replaced the very revision that the loser expected.
+    """Two operators approve at once; one request is lost, and the other is applied. The
+    first must get a conflict and not wait forever: the written row shows that it
+    replaced the revision that the lost request expected.
     """
     unreliable = UnreliableTable(
         "request_lost", pauses=[lambda: unreliable.apply(build("b"))]
@@ -143,10 +144,10 @@
 
 @pytest.mark.parametrize("change", ["change/1", ""], ids=["insert_only_row", "none"])
 def test_an_overwritten_commit_is_never_reported_as_conflict(change):
-    """A change is taken, its reply is lost, and a second operator's change follows
-    before the first one reads back. "Conflict" would tell her that her change is
-    not in force. A row that is never written over proves the opposite; without
-    one, nobody can know, and that is said.
+    """A change is applied, its reply is lost, and a second operator's change follows
+    before the first operator reads back. A conflict would mean that the first change
+    was not applied. A row that is only ever inserted proves that it was; without such
+    a row the outcome is unknown, and is reported so.
     """
     unreliable = UnreliableTable(
         "reply_lost", pauses=[lambda: unreliable.apply(build("b", head=1, value=b"w"))]
@@ -164,10 +165,10 @@
     ids=["read_back", "second_send"],
 )
 def test_an_outage_after_a_lost_reply_leaves_the_outcome_unknown(reads_refused, sends):
-    """A write leaves, its reply is lost, and the store goes down at once.
-    The store then refuses the read back, or the second copy. "Certainly no
-    effect" holds for those and not for the first copy, which has been or will be
-    taken: a booking would be sent again.
+    """A write is sent, its reply is lost, and the store goes down at once. The store
+    then refuses the read-back, or the second copy. These certainly had no effect, but
+    the first copy was or will be applied: reported as "no effect", a booking would be
+    sent twice.
     """
     unreliable = UnreliableTable(*sends)
     unreliable.reads_refused = reads_refused
@@ -181,15 +182,15 @@
 
 
 def test_a_short_outage_after_a_lost_reply_is_survived():
-    """As above, but the store is back before the tries are used up."""
+    """As above, but the store recovers before the attempts are exhausted."""
     unreliable = UnreliableTable("reply_lost")
     unreliable.reads_refused = MAX_ATTEMPTS - 1
     assert unreliable.commit(build("a")) == Committed(revision=1)
 
 
 def test_a_deletion_with_a_lost_reply_has_an_unknown_outcome():
-    """A slot is given back, the reply is lost, and the row is gone: another
-    process may have removed it, so neither answer would be certain.
+    """A slot is released, the reply is lost, and the row is absent: another process may
+    have deleted it, so neither outcome is certain.
     """
     unreliable = UnreliableTable("ok", "reply_lost")
     unreliable.commit(build("a"))
@@ -230,9 +231,9 @@
     deliveries=st.lists(st.booleans(), max_size=16),
 )
 def test_the_reported_outcome_matches_the_history(sends, other_writes, deliveries):
-    """Operators approve in turn while requests and replies are lost, late copies
-    arrive and rivals write at any moment. What commit() says must be what the
-    table's history shows, also after the last late copy has arrived.
+    """Operators approve in turn while requests and replies are lost, late copies arrive
+    and others write at any time. The outcomes that commit() reports must match the
+    table's history, also after the last late copy has arrived.
     """
     unreliable = UnreliableTable(*sends)
 
--- a/tests/test_coordinator_lease.py
+++ b/tests/test_coordinator_lease.py
@@ -1,4 +1,4 @@
-"""Who may coordinate when, on the store's clock."""
+"""The coordinator's lease on the store's clock: claims, orders, expiry and release."""
 
 import pytest
 
@@ -46,8 +46,8 @@
 def test_two_holders_never_give_orders_at_once():
     """A holder is paused; another instance, whose clock differs by hours, takes over.
 
-    It grants servers after half a lease. At no moment of the store's clock may both
-    give orders.
+    It grants servers after half a lease. At no time on the store's clock may both give
+    orders.
     """
     old, new = build_state("old", offset=1_000), build_state("new", offset=90_000_000)
     row = claim_lease(old, now=0)
@@ -66,11 +66,11 @@
 
 @pytest.mark.parametrize("late_ms", [0, 30, 400, 1_500, 2_900])
 def test_reading_the_stores_clock_late_does_not_extend_the_lease(late_ms):
-    """All instances lose power. The first to be back has so much to do that it reads
-    the store's answer over a second late, takes the store's clock to be that much
-    behind, and writes a lease that ends earlier than it believes itself. Another takes
-    over and gives orders while the first still does: a server that checks no fences
-    carries out those of both.
+    """All instances lose power. The first one to restart is so busy that it reads the
+    store's answer over a second late, estimates the store's clock too low by that time,
+    and writes a lease that expires earlier than it assumes. Another one takes over and
+    gives orders while the first still does: a server that checks no fences carries out
+    the orders of both.
     """
     old, new = (
         build_state("old", offset=1_000 - late_ms),
@@ -88,7 +88,7 @@
 
 
 def test_inherited_loads_are_converted_to_the_successors_clock():
-    """The weight store counts loads over five seconds, whoever ordered them."""
+    """The weight store's rate limit counts the loads of all holders over 5 s."""
     old, new = build_state("old", offset=1_000), build_state("new", offset=90_000)
     row = build_claim(old, now=500, loads={"llm": [100, 400]})
     update_row(new, encode(row), version=1)
@@ -116,7 +116,7 @@
 
 def test_orders_wait_for_the_latest_expiry_of_previous_leases():
     """Three instances take over from each other within one lease; the first one may
-    still give orders when the third has the lease."""
+    still give orders when the third one holds the lease."""
     first, second, third = (build_state(name, offset=0) for name in "abc")
     update_row(second, encode(claim_lease(first, now=0)), version=1)
     update_row(third, encode(claim_lease(second, now=1_500, version=2)), version=2)
@@ -148,8 +148,8 @@
 
 
 def test_a_restarted_holder_claims_at_once_with_a_higher_fence():
-    """The coordinator's process is killed and starts again: what the old one sent may
-    still arrive, so the fence has to grow."""
+    """The coordinator's process is killed and restarts: orders of the old process may
+    still arrive, so the fencing token must increase."""
     old = build_state("a", offset=0)
     row = claim_lease(old, now=0)
     again = build_state("a", offset=0)
@@ -167,9 +167,10 @@
 
 
 def test_a_lease_of_another_holder_is_not_released():
-    """A coordinator is cut off from everything; another takes the lease. As the cut
-    heals, the first one, alone for two seconds, gave "its" lease back: it overwrote
-    the other's row, and two holders came to have the same fencing token.
+    """A coordinator is partitioned from all others; another one claims the lease. When
+    the partition healed, the first one, which had been without peers for two seconds,
+    released a lease that was no longer its own: it overwrote the other holder's row,
+    and two holders got the same fencing token.
     """
     old, new = build_state("a", offset=0), build_state("b", offset=0)
     update_row(new, encode(claim_lease(old, now=0)), version=1)
@@ -194,8 +195,8 @@
 
 
 def test_the_fastest_answer_sets_the_clock():
-    """A slow answer shows an old time. Taken for the present, the own lease seemed to
-    run longer than others believe."""
+    """A slow answer has an outdated time. If it were used, the own lease would seem to
+    last longer than it does for other instances."""
     state = build_state("a", offset=1_000)
     update_store_clock(state, 1_400, now=500)
     assert state.offset_ms == 1_000
@@ -214,9 +215,9 @@
 def test_orders_continue_only_while_the_store_is_unavailable_to_most(
     store_unavailable, known_instances, expected
 ):
-    """The store is away for eight seconds, and a server with the only copies of two
-    models is lost. Its lease lapsed, the coordinator loaded nothing until the end of
-    the outage, though nobody could have taken its place."""
+    """The store is unavailable for 8 s, and a server with the only copies of two models
+    is lost. The coordinator's lease expired, and it loaded nothing until the end of the
+    outage, though no other instance could have claimed the lease."""
     state = build_state("a", offset=0)
     claim_lease(state, now=0)
     assert (
@@ -245,9 +246,9 @@
 def test_an_unanswered_order_delays_the_successors_orders(
     has_unanswered_order, pause_ms
 ):
-    """A holder steps down while an order of its own waits in a full link. Its successor
-    ordered at once, and the older order came after: a server that checks no fences took
-    both, the older one last."""
+    """A holder steps down while one of its orders is in flight on a congested link. Its
+    successor gave orders at once, and the older order arrived after them: a server that
+    checks no fences carried out both, the older one last."""
     old, new = build_state("old", offset=0), build_state("new", offset=0)
     update_row(old, encode(claim_lease(old, now=0)), version=1)
     release = build_release(old, now=1_000, has_unanswered_order=has_unanswered_order)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Names of servers' starts, whatever servers call themselves."""
+"""Incarnations of servers, for any server id."""
 
 import pytest
 from hypothesis import given
@@ -15,8 +15,8 @@
     [("e1", 0), ("e1", 5), ("e1@5", 0), ("e1@5", 6), ("@", 0), ("e1@", 0), ("@5", 0)],
 )
 def test_the_server_id_is_recovered_from_an_incarnation(server_id, started_ms):
-    """A server whose id ends like the name of another's start was asked for by that
-    other's id, and the one that it reached refused each request."""
+    """A server's id that ended like another server's incarnation was mapped to that
+    server's id, and the server that got the requests refused each one."""
     assert get_server_id(build_incarnation(server_id, started_ms)) == server_id
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The session lease as its holder sees it."""
+"""The session lease from its holder's side."""
 
 import random
 
@@ -10,11 +10,11 @@
 
 LEASE_MS = 10_000
 LAST_MS = 8_999
-"""Last moment of a lease of 10 s with its margin of 1 s."""
+"""Last ms in which orders are allowed: a lease of 10 s with a margin of 1 s."""
 
 
 def renew(state, now, revision):
-    """Send a renewal that is confirmed at once."""
+    """Send a renewal that is confirmed immediately."""
     renewal = leases.begin_renewal(state, now=now, chance=random.Random(now))
     leases.confirm_renewal(state, renewal, revision=revision)
     return renewal
@@ -44,10 +44,10 @@
 
 
 def test_paused_holder_resumes_without_its_lease():
-    """A holder is stopped for a minute and wakes with an order prepared.
+    """A holder is paused for a minute and resumes with a prepared order.
 
-    Its last renewal was confirmed just before. Others took its servers over
-    meanwhile; if it sent the order, two owners would order one server.
+    Its last renewal was confirmed just before. Other instances have claimed its servers
+    meanwhile; if it sent the order, two owners would give orders to one server.
     """
     state = build_held()
     before = state.session
@@ -59,10 +59,10 @@
 
 
 def test_lost_renewal_reply_does_not_extend_the_lease():
-    """A renewal is written, and the store goes away before its reply arrives.
+    """A renewal is written, and the store becomes unavailable before the reply arrives.
 
-    The holder can't know whether observers saw it. It counts from the renewal
-    before, also when it later finds its own row with the new revision.
+    The holder can't know whether observers saw it. Its lease is still measured from
+    the previous renewal, even if it later reads its own row at the new revision.
     """
     state = build_held()
     lost = leases.begin_renewal(state, now=5_000, chance=random.Random(1))
@@ -74,10 +74,10 @@
 
 
 def test_late_confirmation_leaves_the_lease_expired():
-    """The reply to a renewal arrives after 20 s of a slow store.
+    """The reply to a renewal arrives after 20 s from a slow store.
 
-    It was written in time, but observers have seen no change since and may have
-    acted. Counted from its arrival, the lease would run on beside theirs.
+    The renewal was written in time, but observers have seen no change since and may
+    have acted on that. Measured from the reply, the lease would overlap with theirs.
     """
     state = build_held()
     slow = leases.begin_renewal(state, now=1_000, chance=random.Random(1))
@@ -94,10 +94,10 @@
 
 
 def test_unconfirmed_session_keeps_its_id():
-    """The first renewal is written and its reply lost, twice.
+    """The first renewal is written and its reply is lost, twice.
 
-    With a fresh id for each try, the row would hold a session that this process
-    no longer knows, and it would take itself for displaced.
+    With a new id for each attempt, the row would have a session that this process no
+    longer knows, and the process would consider itself displaced.
     """
     state = LeaseState(instance="a", lease_ms=LEASE_MS, revision=0)
     first = leases.begin_renewal(state, now=0, chance=random.Random(1))
@@ -110,8 +110,8 @@
 def test_displaced_process_stops_at_once_and_sends_no_renewals():
     """An instance is replaced under the same name while its process is paused.
 
-    The old process wakes inside its lease and finds another session in its row.
-    It must not order on, nor wrest the row back while the new one renews it.
+    The old process resumes within its lease and finds another session in its row. It
+    must neither give orders nor overwrite the row while the new process renews it.
     """
     state = build_held()
     leases.begin_renewal(state, now=2_000, chance=random.Random(1))
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -1,4 +1,4 @@
-"""Which sessions an observer takes for running and which for over."""
+"""Expiry of sessions as seen by an observer."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 LEASE_MS = 10_000
 EXPIRY_MS = 11_000
-"""Lease and margin: how long an observer waits."""
+"""Lease plus margin: time after which a session expires for an observer."""
 
 
 def build_row(instance="a", session="s1", revision=1, ended=""):
@@ -25,7 +25,7 @@
 
 
 def scan_until(state, end, *, rows=(), step=1_000, start=0):
-    """Scan every step; ``rows`` come with the first scan."""
+    """Scan every ``step`` ms; ``rows`` are in the first scan."""
     for now in range(start, end + 1, step):
         observing.apply_scan(state, rows if now == start else (), sent_at=now, now=now)
 
@@ -48,10 +48,10 @@
 
 
 def test_sessions_do_not_expire_during_an_outage_of_ten_minutes():
-    """The store is down for ten minutes; all rows are then as they were before.
+    """The store is down for ten minutes; all rows are unchanged afterwards.
 
-    The first instance to read again would take all others for dead and claim every
-    server at once, though they only could not renew, as it could not either.
+    The first instance that could read again would consider all others expired and claim
+    every server at once, though they only could not renew during the outage.
     """
     state = ObservationState(lease_ms=LEASE_MS)
     scan_until(state, 3_000, rows=(build_row(),))
@@ -64,7 +64,7 @@
 def test_time_after_the_last_scan_does_not_count():
     """The observer itself is paused between a scan and its next decision.
 
-    Its clock goes on, but it has not seen whether the row changed meanwhile.
+    Its clock continues, but it has not seen whether the row has changed meanwhile.
     """
     state = ObservationState(lease_ms=LEASE_MS)
     observing.apply_scan(state, (build_row(),), sent_at=0, now=0)
@@ -87,8 +87,8 @@
 def test_only_its_own_holder_ends_a_session_early(rows, expired):
     """A process is paused, and its replacement overwrites its row.
 
-    The paused one may still be within its lease and order when it wakes. Only a row
-    by which the holder itself says that it has stopped may be acted on at once.
+    The paused process may resume within its lease and give orders. Only a row in which
+    the holder itself ends the session may be acted on at once.
     """
     state = ObservationState(lease_ms=LEASE_MS)
     scan_until(state, 2_000, rows=(build_row(),))
@@ -136,10 +136,10 @@
 @settings(max_examples=500, deadline=None)
 @given(steps=steps, drift=st.floats(0.98, 1.02), offset=st.integers(0, 10**6))
 def test_no_session_expires_while_its_holder_may_order(steps, drift, offset):
-    """Whatever is delayed, lost or paused, with clocks that drift by 2 in 100.
+    """Replies are delayed or lost, processes are paused, and clocks drift by 2 %.
 
-    If an observer could ever claim from a holder that may still order, two owners
-    would order one server in the same moment.
+    If an observer could claim from a holder that may still give orders, two owners
+    would give orders to one server at the same time.
     """
     holder = LeaseState(instance="a", lease_ms=LEASE_MS, revision=0)
     observer = ObservationState(lease_ms=LEASE_MS)
@@ -171,7 +171,7 @@
         if leases.may_order(holder, now=now) and observing.is_expired(
             observer, holder.session
         ):
-            # It may only have been found over before it was first held; the claim
-            # then fails, for it expects the row as it was read.
+            # The session can only have expired before it was first confirmed; a claim
+            # then fails, since its precondition has the revision that was read.
             assert observer.rows["a"].revision != revision
             assert holder.session not in observer.ended
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""When the platform counts as down, and how instances come back after an outage."""
+"""Outage detection, backoff, and recovery of many instances after an outage."""
 
 import random
 from collections import Counter
@@ -50,7 +50,11 @@
 
 
 def run_outage(instances, *, length_ms, step_ms=50):
-    """Return when each instance asks for the first time after the outage."""
+    """Simulate an outage of ``length_ms``.
+
+    :return: when each instance's first call after the outage is made, in ms after its
+        end, and the number of calls in each second.
+    """
     chance = random.Random(7)
     states = [OutageState(up=True) for _ in range(instances)]
     first = {}
@@ -70,12 +74,11 @@
 
 @pytest.mark.parametrize("instances", [6, 360])
 def test_recovery_from_an_outage_of_ten_minutes_is_spread_out(instances):
-    """The store is out for ten minutes, and all instances want it the moment it is
-    back.
+    """The store is down for ten minutes, and all instances wait for it to recover.
 
-    If they asked in step, the store would meet its whole fleet in one instant, fail
-    again, and so on. All are back within the longest wait, and no second sees more
-    than a quarter of them.
+    If they retried in lockstep, the store would get the calls of the whole fleet at
+    once and could fail again. All instances reconnect within the longest backoff, and
+    at most a quarter of them within any second.
     """
     first, probes = run_outage(instances, length_ms=600_000)
     assert len(first) == instances
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Sharing out servers, claims with rising fences, and gradual handing over."""
+"""Assignment of servers, claims with increasing fences, and gradual handover."""
 
 from collections import Counter
 
@@ -24,7 +24,7 @@
 
 
 def build_sessions(names, *, now=0):
-    """Return an observer that just saw a session ``s-<name>`` of each instance."""
+    """Return the state of an observer that has just seen each instance's session."""
     state = ObservationState(lease_ms=LEASE_MS)
     rows = [
         SessionRow(
@@ -51,7 +51,7 @@
 
 
 def assign_all(names, servers, owners=None, sessions=None):
-    """Let every instance claim in turn from the same rows until nobody does."""
+    """Let all instances claim from the same rows until there are no more claims."""
     owners = dict(owners or {})
     sessions = sessions or build_sessions(names)
     while True:
@@ -92,10 +92,10 @@
 
 
 def test_replaced_instance_moves_only_its_own_servers():
-    """An instance is replaced: it goes, and a new one comes under another name.
+    """An instance is replaced by one with another name.
 
-    With plain hashing over the set of instances, each change would move servers
-    between instances that are both there, and each move costs a gap in ordering.
+    With plain hashing over the set of instances, each change would move servers between
+    instances that are both live, and each move interrupts the server's orders.
     """
     names, servers = build_names("i", 6), build_names("s", 24)
     before = assign_all(names, servers)
@@ -115,9 +115,9 @@
 
 
 def test_restarted_instances_get_their_own_servers_back():
-    """Three of six restart together; the hash would give them one another's.
+    """Three of six instances restart together; hashing alone would swap their servers.
 
-    Each exchange costs a gap in ordering and reading reports, for no gain.
+    Each swap interrupts orders and reports of a server without benefit.
     """
     names, servers = build_names("i", 6), build_names("s", 24)
     last = {server: names[place % 6] for place, server in enumerate(servers)}
@@ -195,10 +195,10 @@
 
 
 def test_only_one_of_two_concurrent_claims_succeeds():
-    """An owner dies; two instances with different views both find they are next.
+    """An owner fails; two instances with different views both compute to be next.
 
-    Both claim in the same moment. If both succeeded, they would order one server
-    under the same fencing number.
+    Both claim at the same time. If both succeeded, they would give orders to one server
+    with the same fencing number.
     """
     fake = FakePlatform()
     revisions = {name: write_session(fake, name) for name in ("a", "b")}
@@ -214,10 +214,10 @@
 
 @pytest.mark.parametrize("renewed", ["c", "a"])
 def test_claim_fails_if_a_session_row_has_changed(renewed):
-    """The owner ``c`` looks lapsed, and renews just before ``a`` claims its server.
+    """The owner ``c`` seems expired, and renews just before ``a`` claims its server.
 
-    Or the claimer itself was paused after it decided, and its row was overwritten
-    by its replacement. In both cases the claim rests on what is no longer so.
+    Or the claimer itself was paused after its decision, and its replacement has
+    overwritten its row. In both cases the claim is based on outdated rows.
     """
     fake = FakePlatform()
     sessions = ObservationState(lease_ms=LEASE_MS)
@@ -240,9 +240,9 @@
 def test_claim_raises_the_fence_above_all_known_fences(
     row_fence, known_fence, expected
 ):
-    """A table is restored from a backup and holds fence 4; a server has seen 9.
+    """A table is restored from a backup and has fence 4; a server has seen 9.
 
-    A claim with 5 would be refused by that server for ever.
+    With fence 5, that server would refuse all orders.
     """
     owners = {}
     if row_fence is not None:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's formats, decoded and built."""
+"""Decoding and building of the platform's formats."""
 
 import msgspec
 import pytest
@@ -107,8 +107,8 @@
     ("server_id", "born"), [("i-1", 0), ("i-1", 1_764_720_000_000), ("a@7", 5)]
 )
 def test_each_start_of_a_server_has_its_own_incarnation(server_id, born):
-    """A server crashes and is back under its id, empty. Taken for the same start, it
-    would get requests for models that it held before."""
+    """A server crashes and restarts under the same id, without models. Treated as the
+    same incarnation, it would get requests for models that it had loaded before."""
     row = {**SERVER_ROW, "born": born} if born else SERVER_ROW
     entry = decode_server(server_id, encode(row))
     again = decode_server(server_id, encode({**row, "born": born + 1}))
@@ -189,8 +189,8 @@
 
 
 def test_a_connection_header_cannot_drop_the_attempt_id():
-    """A caller names the attempt's id in Connection; dropped, its run could not be
-    told from another's."""
+    """A caller lists the attempt id's header under Connection. Without that header, the
+    answer could not be distinguished from that of another attempt."""
     headers = [*HEADERS, ("Connection", "X-Arbutuspulley-Attempt-Id")]
     request = decode_request(method="GET", path="/", headers=headers)
     assert request.attempt_id == "a1"
@@ -241,7 +241,7 @@
     ],
 )
 def test_an_answer_to_another_request_is_detected(headers, expected):
-    """A server sends a second, late answer where the next one is expected."""
+    """A server sends a late duplicate answer where the next answer is expected."""
     request = decode_request(method="POST", path="/", headers=HEADERS)
     assert is_answer_to(request, headers) is expected
 
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -1,6 +1,6 @@
-"""Contract of the platform's adapter: what each answer of the store and the servers
-proves, and what each failure leaves open. The cases are those of the product's own
-ports (test_platform.py, test_engines.py)."""
+"""Contract of the platform adapter: which outcome each answer or failure of the store
+and of servers implies. The cases are those of the product's own ports
+(test_platform.py, test_engines.py)."""
 
 import asyncio
 import functools
@@ -24,7 +24,7 @@
 
 
 def run_with_store(scenario, *, address=None):
-    """Run a scenario with a store and a client of it."""
+    """Run a scenario with a store and its client."""
 
     async def run():
         standin = StoreStandin()
@@ -64,8 +64,8 @@
 
 
 def test_a_late_duplicate_changes_nothing():
-    """A write is taken, and a copy of it that hung in the network arrives after a newer
-    one. The old value must not come back."""
+    """A write is applied, and a copy of it that was delayed in the network arrives
+    after a newer write. It must not restore the old value."""
 
     async def scenario(standin, client):
         await write(client, "a", b"1", 0)
@@ -160,9 +160,9 @@
 
 
 def test_changes_made_while_pages_are_read_are_not_missed(monkeypatch):
-    """A table has more rows than a page. A server of the first page leaves while the
-    second one is read. Followed from the version of the last page, it never left, and
-    got requests for ever."""
+    """A table has more rows than a page. A server of the first page is removed while
+    the second page is read. When changes were read from the last page's version on, the
+    removal was missed, and the server got requests forever."""
     monkeypatch.setattr(store, "PAGE_ROWS", 2)
 
     async def scenario(standin, client):
@@ -178,7 +178,7 @@
 
 
 def run_with_server(scenario):
-    """Run a scenario with a model server that holds m0 and has room for one more."""
+    """Run a scenario with a model server that has m0 loaded and memory for one more."""
 
     async def run():
         server = ServerStandin(incarnation="s1", service="llm", models=("m0",))
@@ -234,8 +234,9 @@
 
 
 def test_an_order_that_arrives_after_its_successor_has_no_effect():
-    """An order hangs in the network, its sender gives another one in its place, and
-    then the first arrives. Carried out, it would load what there is no room for."""
+    """An order is delayed in the network, its sender replaces it by another one, and
+    then the first one arrives. If it were carried out, it would load a model for which
+    there is no memory."""
 
     async def scenario(server, session):
         assert await order(server, session, model="m2") is OrderAnswer.ACCEPTED
@@ -263,10 +264,10 @@
 
 
 def test_an_unanswered_long_poll_times_out_soon():
-    """The store falls silent for some seconds and swallows a call that waits for
-    changes; after its return it answers new calls only. A server says that it leaves,
-    and an instance that still waits for that answer goes on sending it requests for
-    seconds. Instances are held to what the store told 3 s after its return."""
+    """The store is unresponsive for some seconds and never answers a long poll for
+    changes; after it recovers, it answers new calls only. A server starts draining, and
+    an instance that still waits for the poll goes on sending it requests for seconds.
+    Instances must apply the store's changes within 3 s of its recovery."""
 
     async def swallow(_request):
         await asyncio.sleep(60)
@@ -283,7 +284,7 @@
 
 
 async def answer_slowly(request, *, pieces, pause_s):
-    """Answer with a row, a piece of the body at a time."""
+    """Answer with a row, whose body is sent in pieces."""
     body = msgspec.json.encode({"Rows": [{"Key": "a", "Ver": 3}], "Ver": 3})
     response = web.StreamResponse(headers={"Content-Length": str(len(body))})
     await response.prepare(request)
@@ -303,8 +304,8 @@
 def test_a_slow_answer_is_accepted_while_data_arrives(
     monkeypatch, call, pieces, pause_s, is_accepted
 ):
-    """Guards against a large configuration that never fits into a call's time over a
-    busy link, is thrown away each time and asked for again."""
+    """Guards against a large configuration whose transfer over a busy link always
+    exceeds the timeout, and is discarded and started again each time."""
     monkeypatch.setattr(store, "CALL_TIMEOUT_S", 0.3)
     monkeypatch.setattr(store, "FEED_WAIT_MS", 100)
     monkeypatch.setattr(store, "FEED_TIMEOUT_MARGIN_S", 0.2)
@@ -342,9 +343,9 @@
 
 
 def test_an_order_that_timed_out_is_not_sent_later(monkeypatch):
-    """A holder's order waits behind a cut until its lease has ended. Closed in the
-    ordinary way, its connection would deliver the order as the cut heals, after orders
-    of the next holder. A reset tells the system to drop it."""
+    """A holder's order is delayed by a network partition until its lease has expired.
+    With an ordinary close, the operating system would deliver it when the partition
+    heals, after orders of the next holder. A reset discards it."""
     monkeypatch.setattr(engines, "ORDER_TIMEOUT_MS", 50)
     ends = []
 
--- a/tests/test_request_keys.py
+++ b/tests/test_request_keys.py
@@ -1,4 +1,4 @@
-"""No key and no team of a caller's own reaches a server, however it is spelt."""
+"""Key and team headers that a caller sends never reach a server, in any spelling."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
 
 
 def spell_variants(name):
-    """Return spellings of a header's name that a server may take for the same."""
+    """Return spellings of a header's name that a server may treat as equal."""
     letters = [
         st.sampled_from("-_" if one == "-" else one.lower() + one.upper())
         for one in name
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""When a kept connection is used again."""
+"""Reuse of idle connections."""
 
 import asyncio
 
@@ -11,7 +11,10 @@
 
 
 async def count_connections(monkeypatch, keep_alive, idle_times_s):
-    """Ask a server once and again after each pause; return its connections."""
+    """Return how many connections are used for requests with these idle times between.
+
+    :param keep_alive: value of the server's Keep-Alive header; empty for none.
+    """
     now = 100.0
     monkeypatch.setattr(transport, "_read_clock", lambda: now)
     seen = set()
@@ -51,8 +54,8 @@
 def test_an_idle_connection_is_discarded_before_its_server_closes_it(
     monkeypatch, keep_alive, idle_times_s, expected
 ):
-    """A request crossed the server's close of an idle connection. It may have run, so
-    one that may run only once was lost. The time is taken from what the server says,
-    by a clock that goes on while the machine is suspended."""
+    """A request was sent while the server closed the idle connection. It may have run,
+    so a request that may run only once failed. The idle timeout is the server's, and is
+    measured by a clock that continues while the machine is suspended."""
     made = asyncio.run(count_connections(monkeypatch, keep_alive, idle_times_s))
     assert made == expected
