--- a/src/arbutuspulley/membership/observation.py
+++ b/src/arbutuspulley/membership/observation.py
@@ -119,15 +119,15 @@
 
     :param referenced: the sessions that ownership rows reference.
     """
-    dead: list[SessionRow] = []
+    stale: list[SessionRow] = []
     for row in state.rows.values():
         session = row.record.session if row.record else ""
         last_seen = state.last_seen.get(session)
         if last_seen is None or session in referenced or state.checked_at is None:
             continue
         if state.checked_at - last_seen >= STALE_LEASES * state.lease_ms:
-            dead.append(row)
-    return dead
+            stale.append(row)
+    return stale
 
 
 def find_session_row(state: ObservationState, session: str) -> SessionRow | None:
--- a/src/arbutuspulley/ports/commit.py
+++ b/src/arbutuspulley/ports/commit.py
@@ -56,45 +56,55 @@
         if its reply was lost and the rows are absent, as a deleted row has no token.
     :raises ValueError: if no written row has a precondition.
     """
-    guarded = _list_guarded(transaction)
+    guards = _list_guards(transaction)
     try:
         return table.transact(transaction)
     except OutcomeUnknownError:
-        return _resolve(table, transaction, guarded, max_attempts, pause or _pause)
+        return _resolve_outcome(
+            table,
+            transaction,
+            guards,
+            max_attempts,
+            pause or _sleep_with_jitter,
+        )
 
 
-def _list_guarded(transaction: Transaction) -> list[Precondition]:
+def _list_guards(transaction: Transaction) -> list[Precondition]:
     """Return the preconditions on rows that the transaction also writes."""
     written = {write.key for write in transaction.writes}
-    guarded = [part for part in transaction.preconditions if part.key in written]
-    if not guarded:
+    guards = [
+        precondition
+        for precondition in transaction.preconditions
+        if precondition.key in written
+    ]
+    if not guards:
         raise ValueError("no written row has a precondition")
-    return guarded
+    return guards
 
 
-def _resolve(
+def _resolve_outcome(
     table: Table,
     transaction: Transaction,
-    guarded: list[Precondition],
+    guards: list[Precondition],
     max_attempts: int,
     pause: Callable[[int], None],
 ) -> Committed | Conflict:
-    for number in range(max_attempts):
-        pause(INITIAL_BACKOFF_MS << number)
+    for attempt in range(max_attempts):
+        pause(INITIAL_BACKOFF_MS << attempt)
         # An unavailable platform proves nothing here: the first copy may have taken
         # effect or still be in flight, so the outcome is never "no effect".
         with contextlib.suppress(PlatformUnavailableError):
-            settled = _read_back(table, transaction, guarded)
-            settled = settled or _send_again(table, transaction, guarded)
-            if settled is not None:
-                return settled
+            outcome = _read_back(table, transaction, guards)
+            outcome = outcome or _retry(table, transaction, guards)
+            if outcome is not None:
+                return outcome
     raise OutcomeUnknownError(
         detail="outcome of the transaction still unknown after all attempts"
     )
 
 
 def _read_back(
-    table: Table, transaction: Transaction, guarded: list[Precondition]
+    table: Table, transaction: Transaction, guards: list[Precondition]
 ) -> Committed | Conflict | None:
     """Determine the outcome from the rows that the transaction writes.
 
@@ -106,7 +116,7 @@
     :return: ``None`` if the transaction has had no effect so far.
     :raises OutcomeUnknownError: if every row has been overwritten since.
     """
-    for expected in guarded:
+    for expected in guards:
         row = table.read(expected.key)
         if row is not None and row.token == transaction.token:
             return Committed(revision=row.revision)
@@ -120,8 +130,8 @@
     )
 
 
-def _send_again(
-    table: Table, transaction: Transaction, guarded: list[Precondition]
+def _retry(
+    table: Table, transaction: Transaction, guards: list[Precondition]
 ) -> Committed | Conflict | None:
     try:
         outcome = table.transact(transaction)
@@ -132,8 +142,8 @@
     # The first copy may have arrived late, after the read-back: the conflict is then
     # with the transaction itself, and must not be reported as another writer's
     # success. The token in the row tells them apart.
-    return _read_back(table, transaction, guarded) or outcome
+    return _read_back(table, transaction, guards) or outcome
 
 
-def _pause(longest_ms: int) -> None:
+def _sleep_with_jitter(longest_ms: int) -> None:
     time.sleep(random.uniform(0, longest_ms) / SECOND_MS)
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -139,8 +139,12 @@
             raise _build_error(self.address, error) from error
 
     def _build_metadata(self) -> tuple[tuple[str, str], ...]:
-        bearing = read_bearing()
-        return (*self._metadata, (TRACEPARENT, bearing)) if bearing else self._metadata
+        traceparent = read_bearing()
+        return (
+            (*self._metadata, (TRACEPARENT, traceparent))
+            if traceparent
+            else self._metadata
+        )
 
     async def close(self) -> None:
         """Close the connection."""
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -349,7 +349,7 @@
     monkeypatch.setattr(engines, "ORDER_TIMEOUT_MS", 50)
     ends = []
 
-    async def take(reader, writer):
+    async def read_until_closed(reader, writer):
         try:
             while await reader.read(4_096):
                 pass
@@ -359,7 +359,7 @@
         writer.close()
 
     async def scenario():
-        server = await asyncio.start_server(take, "127.0.0.1", 0)
+        server = await asyncio.start_server(read_until_closed, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         async with server, open_order_session() as session:
             answer = await send_order(
