--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -99,7 +99,7 @@
     """Return owned servers that have seen a higher fencing number than their row's.
 
     A table restored from a backup has older fencing numbers. A server that checks them
-    would refuse all orders of its owner as stale.
+    would refuse all orders of its owner as stale, until it is claimed again.
 
     :param fences: the highest known fencing number of each server.
     """
--- a/src/arbutuspulley/ports/fleet.py
+++ b/src/arbutuspulley/ports/fleet.py
@@ -36,7 +36,7 @@
     :param is_stream: whether answers are event streams.
     :param timeout_ms: longest time until the complete answer.
     :param latency_target_ms: latency target for the answer, or for the first part of
-        a stream.
+        a stream; an answer within it earns full credit.
     :param gap_target_ms: longest gap between events of a stream that meets its target.
     :param priority: rank, 0 is the most urgent.
     :param max_attempts: maximum number of servers that one request is sent to.
