--- a/src/arbutuspulley/membership/observation.py
+++ b/src/arbutuspulley/membership/observation.py
@@ -1,9 +1,9 @@
-"""Which sessions run and which are over, as one instance observes them.
+"""Live and expired sessions, as observed by one instance.
 
-Clocks of instances are not synchronised, so no time is read from a row. What
-counts is how long, on the observer's own monotonic clock, a row's revision has
-not changed, and only as far as the store was asked: time in which it could not
-be read proves nothing.
+Clocks of instances are not synchronised, so rows contain no times. A session expires
+when its row's revision has not changed for a lease and a margin on the observer's own
+monotonic clock. Only time up to the last successful scan counts: time in which the
+store could not be read proves nothing.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 from arbutuspulley.membership.records import SessionRecord
 
 STALE_LEASES = 30
-"""Leases after which the row of a lapsed session is deleted."""
+"""Time without a renewal after which a session's row is deleted, in leases."""
 
 
 class SessionRow(Value, frozen=True):
@@ -28,13 +28,13 @@
 
 
 class ObservationState(State):
-    """What an observer knows of all sessions of its group.
+    """All sessions of a group, as known to an observer.
 
     :param rows: the latest row of each instance that has one.
-    :param last_seen: when each session id last showed a sign of life, in milliseconds
-        of the observer's clock; those known to be over are not in it.
-    :param ended: session ids that their own holder has given up.
-    :param checked_at: when the last scan that succeeded was sent.
+    :param last_seen: when each session was last seen to be renewed, in milliseconds of
+        the observer's clock, by session id; ended sessions are removed.
+    :param ended: ids of sessions that their own holder has ended.
+    :param checked_at: when the last successful scan was sent.
     """
 
     lease_ms: int
@@ -47,17 +47,19 @@
 def apply_scan(
     state: ObservationState, rows: Iterable[SessionRow], *, sent_at: int, now: int
 ) -> None:
-    """Take in a scan that succeeded.
+    """Update the state with a successful scan.
 
-    After an outage every row looks unchanged for its whole length. Taking all
-    sessions for lapsed then would move every server at once, so a gap in the
-    observer's own reading starts all its waits again.
+    After an outage every row seems unchanged for its whole duration. If all sessions
+    counted as expired then, every server would move at once. So a gap between the
+    observer's own scans restarts the timeouts of all sessions.
 
     :param rows: the session rows that changed since the last scan.
     :param sent_at: when the scan was sent.
-    :param now: when its answer was there.
+    :param now: when its answer was received.
     """
-    if state.checked_at is not None and sent_at - state.checked_at > _gap(state):
+    if state.checked_at is not None and sent_at - state.checked_at > _get_max_gap_ms(
+        state
+    ):
         state.last_seen = dict.fromkeys(state.last_seen, now)
     update_rows(state, rows, now=now)
     state.checked_at = sent_at
@@ -66,37 +68,40 @@
 def update_rows(
     state: ObservationState, rows: Iterable[SessionRow], *, now: int
 ) -> None:
-    """Take in session rows that are known otherwise, as own transactions are."""
+    """Update the state with session rows from own transactions, without a scan."""
     for row in rows:
-        _take_row(state, row, now=now)
+        _update_row(state, row, now=now)
 
 
 def track_session(state: ObservationState, session: str, *, now: int) -> None:
-    """Take in that an ownership row names a session.
+    """Track a session that an ownership row references.
 
-    One that was never seen alive, for example because its instance restarted
-    before this observer did, gets the full wait from its first mention.
+    The full timeout of a session that was never seen to be renewed, for example
+    because its instance restarted before this observer did, starts with this call.
     """
     if session and session not in state.ended:
         state.last_seen.setdefault(session, now)
 
 
 def is_expired(state: ObservationState, session: str) -> bool:
-    """Tell whether a session's holder has certainly stopped ordering.
+    """Return whether a session's holder has certainly stopped giving orders.
 
-    A row that another process of the same instance has overwritten doesn't prove
-    it: the earlier process may be paused. Only its holder's word or the time does.
+    If another process of the same instance has overwritten the row, this is not
+    certain: the earlier process may be paused. Only a row in which the holder itself
+    ends the session, or the timeout, proves it.
     """
     if not session or session in state.ended:
         return True
-    sign = state.last_seen.get(session)
-    if sign is None or state.checked_at is None:
+    last_seen = state.last_seen.get(session)
+    if last_seen is None or state.checked_at is None:
         return False
-    return state.checked_at - sign >= state.lease_ms + compute_margin(state.lease_ms)
+    return state.checked_at - last_seen >= state.lease_ms + compute_margin(
+        state.lease_ms
+    )
 
 
 def list_live(state: ObservationState) -> frozenset[str]:
-    """Return the instances whose present session is not over."""
+    """Return the instances whose current session has not expired."""
     return frozenset(
         instance
         for instance, row in state.rows.items()
@@ -107,25 +112,26 @@
 def list_stale_rows(
     state: ObservationState, *, referenced: frozenset[str]
 ) -> list[SessionRow]:
-    """Return rows of sessions that were over long ago and own nothing any more.
+    """Return rows of sessions that expired long ago and own no servers.
 
-    Instances are replaced daily under new names; without this their rows stay.
+    Instances are replaced daily under new names; without this, their rows would never
+    be deleted.
 
-    :param referenced: the sessions that ownership rows name.
+    :param referenced: the sessions that ownership rows reference.
     """
-    dead: list[SessionRow] = []
+    stale: list[SessionRow] = []
     for row in state.rows.values():
         session = row.record.session if row.record else ""
-        sign = state.last_seen.get(session)
-        if sign is None or session in referenced or state.checked_at is None:
+        last_seen = state.last_seen.get(session)
+        if last_seen is None or session in referenced or state.checked_at is None:
             continue
-        if state.checked_at - sign >= STALE_LEASES * state.lease_ms:
-            dead.append(row)
-    return dead
+        if state.checked_at - last_seen >= STALE_LEASES * state.lease_ms:
+            stale.append(row)
+    return stale
 
 
 def find_session_row(state: ObservationState, session: str) -> SessionRow | None:
-    """Return the row that holds a session at present, if any does."""
+    """Return the row that currently contains a session, or ``None``."""
     for row in state.rows.values():
         if row.record is not None and row.record.session == session:
             return row
@@ -133,9 +139,9 @@
 
 
 def prune_sessions(state: ObservationState, *, referenced: frozenset[str]) -> None:
-    """Drop sessions that no row holds or names any more.
+    """Remove sessions that no session row contains and no ownership row references.
 
-    :param referenced: the sessions that ownership rows name.
+    :param referenced: the sessions that ownership rows reference.
     """
     held = {row.record.session for row in state.rows.values() if row.record}
     kept = held | referenced
@@ -144,33 +150,33 @@
 
 
 def reset(state: ObservationState) -> None:
-    """Begin anew, as the table's history was replaced by a backup's."""
+    """Clear the state after the table was restored from a backup."""
     state.rows = {}
     state.last_seen = {}
     state.ended = set()
     state.checked_at = None
 
 
-def _take_row(state: ObservationState, row: SessionRow, *, now: int) -> None:
+def _update_row(state: ObservationState, row: SessionRow, *, now: int) -> None:
     known = state.rows.get(row.instance)
     if row.record is None:
         if known is not None and known.record is not None:
-            _end(state, known.record.session)
+            _end_session(state, known.record.session)
         state.rows.pop(row.instance, None)
         return
     if known is not None and known.revision >= row.revision:
         return
     state.rows[row.instance] = row
     if row.record.ended:
-        _end(state, row.record.ended)
+        _end_session(state, row.record.ended)
     if row.record.session not in state.ended:
         state.last_seen[row.record.session] = now
 
 
-def _end(state: ObservationState, session: str) -> None:
+def _end_session(state: ObservationState, session: str) -> None:
     state.ended.add(session)
     state.last_seen.pop(session, None)
 
 
-def _gap(state: ObservationState) -> int:
+def _get_max_gap_ms(state: ObservationState) -> int:
     return state.lease_ms
--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -1,9 +1,9 @@
-"""Who owns which server: sharing out, claims, releases and fencing numbers.
+"""Ownership of servers: assignment, claims, releases and fencing numbers.
 
-Every instance computes the same assignment from the same rows, by rendezvous
-hashing under a fair bound, and claims only what falls to itself. A server goes
-back to the instance that last had it if that one is there with room, so that a
-restarted instance moves nobody else's servers.
+Every instance computes the same assignment from the same rows, by rendezvous hashing
+with a maximum per instance, and claims only the servers assigned to itself. A server
+returns to its last owner if that instance is live and below the maximum, so that a
+restart of an instance moves no other instance's servers.
 """
 
 import math
@@ -25,25 +25,26 @@
 from arbutuspulley.ports.platform import ABSENT, Precondition, Transaction, Write
 
 MAX_CLAIMS_PER_TRANSACTION = 16
-"""Most servers claimed in one transaction."""
+"""Maximum number of servers claimed in one transaction."""
 
 MAX_HANDOVERS_PER_ROUND = 2
-"""Most servers handed over in one round, so that ownership shifts gradually."""
+"""Maximum number of servers that an instance hands over in one round, so that ownership
+moves gradually."""
 
-SETTLE_LEASES = 2
-"""Leases that the set of instances must be unchanged before servers are handed
-over: an instance that is replaced meanwhile finds its own still with the others."""
+HANDOVER_SETTLE_LEASES = 2
+"""How long the set of live instances must be unchanged before servers are handed over,
+in leases: while an instance is being replaced, its servers stay with the others."""
 
 
 class OwnerRow(Value, frozen=True):
-    """An ownership row as read."""
+    """An ownership row and its revision, as read."""
 
     record: OwnerRecord
     revision: int
 
 
 def list_owned(owners: Mapping[str, OwnerRow], *, session: str) -> dict[str, OwnerRow]:
-    """Return the servers whose row names this session."""
+    """Return the servers that this session owns, with their rows."""
     if not session:
         return {}
     return {
@@ -52,7 +53,10 @@
 
 
 def compute_fair_share(*, servers: int, live: int) -> int:
-    """Return how many servers one instance should own at most."""
+    """Return the maximum number of servers that one instance should own.
+
+    :param live: number of live instances.
+    """
     return math.ceil(servers / max(1, live))
 
 
@@ -63,7 +67,7 @@
     owners: Mapping[str, OwnerRow],
     sessions: ObservationState,
 ) -> tuple[str, ...]:
-    """Return the servers without an owner that fall to this instance.
+    """Return the servers without an owner that are assigned to this instance.
 
     :param servers: all servers of the group's configuration.
     """
@@ -77,34 +81,34 @@
             free.append(server)
         else:
             counts[row.record.instance] += 1
-    bound = compute_fair_share(servers=len(names), live=len(live))
-    mine: list[str] = []
+    fair_share = compute_fair_share(servers=len(names), live=len(live))
+    claims: list[str] = []
     for server in free:
-        chosen = _assign(server, owners.get(server), live, counts, bound)
+        chosen = _choose_owner(server, owners.get(server), live, counts, fair_share)
         if chosen is None:
             continue
         counts[chosen] += 1
         if chosen == instance:
-            mine.append(server)
-    return tuple(mine[:MAX_CLAIMS_PER_TRANSACTION])
+            claims.append(server)
+    return tuple(claims[:MAX_CLAIMS_PER_TRANSACTION])
 
 
 def choose_reclaims(
     owned: Mapping[str, OwnerRow], *, fences: Mapping[str, int]
 ) -> tuple[str, ...]:
-    """Return own servers that have seen a higher fencing number than ours.
+    """Return owned servers that have seen a higher fencing number than their row's.
 
-    A table restored from a backup holds fences of an earlier time. A server that
-    checks orders would refuse all of ours as stale, for as long as we hold it.
+    A table restored from a backup has older fencing numbers. A server that checks them
+    would refuse all orders of its owner as stale, until it is claimed again.
 
-    :param fences: the highest fencing number ever met for a server.
+    :param fences: the highest known fencing number of each server.
     """
-    behind = [
+    outdated = [
         server
         for server, row in sorted(owned.items())
         if fences.get(server, 0) > row.record.fence
     ]
-    return tuple(behind[:MAX_CLAIMS_PER_TRANSACTION])
+    return tuple(outdated[:MAX_CLAIMS_PER_TRANSACTION])
 
 
 def choose_releases(
@@ -116,34 +120,34 @@
     unchanged_ms: int,
     lease_ms: int,
 ) -> tuple[str, ...]:
-    """Return the servers to hand over because this instance has too many.
+    """Return the servers to hand over because this instance has more than its share.
 
     :param owned: the servers that this instance owns.
-    :param unchanged_ms: for how long the set of live instances has been the same.
+    :param unchanged_ms: for how long the set of live instances has been unchanged.
     """
     names = frozenset(servers)
-    if instance not in live or unchanged_ms < SETTLE_LEASES * lease_ms:
+    if instance not in live or unchanged_ms < HANDOVER_SETTLE_LEASES * lease_ms:
         return ()
     held = [server for server in owned if server in names]
     excess = len(held) - compute_fair_share(servers=len(names), live=len(live))
     if excess <= 0:
         return ()
-    held.sort(key=lambda server: score(server, instance))
+    held.sort(key=lambda server: compute_score(server, instance))
     return tuple(held[: min(excess, MAX_HANDOVERS_PER_ROUND)])
 
 
 def choose_poller(server: str, *, candidates: Iterable[str]) -> str | None:
-    """Return the instance that reads a server's reports while it has no owner.
+    """Return the instance that polls a server's reports while it has no owner.
 
-    Reading reports needs no ownership. Without this, the load of a server whose
-    owner died would be unknown until the lease is over, or for as long as the
-    store is down.
+    Polling needs no ownership. Without it, the load of a server whose owner failed
+    would be unknown until the owner's lease has expired, or for as long as the store
+    is down.
     """
-    return max(candidates, key=lambda name: score(server, name), default=None)
+    return max(candidates, key=lambda name: compute_score(server, name), default=None)
 
 
-def score(server: str, instance: str) -> int:
-    """Return the rendezvous score of an instance for a server; highest wins."""
+def compute_score(server: str, instance: str) -> int:
+    """Return the rendezvous hash of an instance for a server; the highest wins."""
     return xxhash.xxh64_intdigest(f"{server}\0{instance}".encode())
 
 
@@ -157,14 +161,14 @@
     sessions: ObservationState,
     fences: Mapping[str, int],
 ) -> Transaction:
-    """Build the transaction that claims servers, each with a higher fence.
+    """Build the transaction that claims servers, each with a higher fencing number.
 
-    It holds three things fast: the ownership rows (two claimers race, one wins),
-    the own session row (a claimer that was replaced gets nothing), and the row of
-    a lapsed owner's session (an owner that renewed just now keeps its servers).
+    It has preconditions on three kinds of rows: the ownership rows (of two claimers,
+    one succeeds), the own session row (a claimer that was replaced fails), and the
+    session rows of expired owners (an owner that has just renewed keeps its servers).
 
-    :param fences: the highest fencing number ever met for a server, from rows or
-        reports; a restored table may hold lower ones.
+    :param fences: the highest known fencing number of each server, from rows or
+        reports; a restored table may have lower ones.
     """
     assert lease.revision is not None
     own_key = build_session_key(group, lease.instance)
@@ -174,7 +178,7 @@
         row = owners.get(server)
         expected[build_owner_key(group, server)] = row.revision if row else ABSENT
         if row is not None:
-            expected.update(_hold_lapsed(row.record, group, sessions))
+            expected.update(_build_expired_preconditions(row.record, group, sessions))
         known = max(row.record.fence if row else 0, fences.get(server, 0))
         record = OwnerRecord(
             server=server,
@@ -200,10 +204,10 @@
     token: str,
     session_row: tuple[str, int] | None = None,
 ) -> Transaction:
-    """Build the transaction that hands servers over, fencing numbers kept.
+    """Build the transaction that releases servers; their fencing numbers are kept.
 
-    :param session_row: instance and revision of the own session row, to delete it
-        in the same transaction as the process stops.
+    :param session_row: instance and revision of the own session row, to delete it in
+        the same transaction when the process stops.
     """
     preconditions: list[Precondition] = []
     writes: list[Write] = []
@@ -227,24 +231,27 @@
     )
 
 
-def _assign(
+def _choose_owner(
     server: str,
     row: OwnerRow | None,
     live: frozenset[str],
     counts: Counter[str],
-    bound: int,
+    fair_share: int,
 ) -> str | None:
-    """Return the live instance with room that a server without owner falls to."""
-    room = [name for name in live if counts[name] < bound]
-    if row is not None and row.record.instance in room:
+    """Return the live instance that a server without owner is assigned to.
+
+    :return: ``None`` if all live instances own their fair share.
+    """
+    candidates = [name for name in live if counts[name] < fair_share]
+    if row is not None and row.record.instance in candidates:
         return row.record.instance
-    return max(room, key=lambda name: score(server, name), default=None)
+    return max(candidates, key=lambda name: compute_score(server, name), default=None)
 
 
-def _hold_lapsed(
+def _build_expired_preconditions(
     record: OwnerRecord, group: str, sessions: ObservationState
 ) -> dict[str, int]:
-    """Expect a lapsed session's row to be as it was when it was found lapsed."""
+    """Return the revision at which an expired session's row was found, by its key."""
     row = observing.find_session_row(sessions, record.session)
     if row is None:
         return {}
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -1,7 +1,7 @@
-"""Typed calls between processes: gRPC as transport, msgpack as codec.
+"""Typed calls between processes, with gRPC as transport and msgpack as codec.
 
-The codec comes from msgspec and needs no code generator; a method is declared
-once, in :data:`METHODS`, and both sides use that declaration.
+The codec comes from msgspec and needs no code generator. A method is declared once,
+as a :class:`Method` below, and both sides use that declaration.
 """
 
 import hmac
@@ -17,21 +17,23 @@
 from arbutuspulley.tracing import TRACEPARENT, open_span, read_bearing
 
 SERVICE = "arbutus.Controller"
-"""Name of the one gRPC service."""
+"""Name of the gRPC service."""
 
 KEY_METADATA = "x-arbutus-peer-key"
-"""Metadata entry with the shared key by which processes know each other."""
+"""Name of the metadata entry with the shared key that authenticates processes."""
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-"""Largest message sent or taken."""
+"""Largest message that is sent or accepted, in bytes."""
 
 _Reply = TypeVar("_Reply", bound=Message)
 
 
 class Method(Value, frozen=True):
-    """One remote call.
+    """Declaration of a remote method.
 
-    :param streams: whether the answer is a stream of ``reply``.
+    :param request: type of the request.
+    :param reply: type of the reply, or of each reply of a stream.
+    :param streams: whether the method returns a stream of replies.
     """
 
     name: str
@@ -70,7 +72,7 @@
 
 
 class PeerUnavailableError(ArbutusError):
-    """The other process did not answer; whether it acted is not known.
+    """The peer did not answer; whether it carried out the call is unknown.
 
     :param sent: whether the call may have reached it.
     """
@@ -81,14 +83,14 @@
 
 
 UnaryHandler = Callable[[Any], Awaitable[Message]]
-"""Handler of a plain method: takes the typed request, returns the typed reply."""
+"""Handler of a unary method: takes the typed request and returns the typed reply."""
 
 StreamingHandler = Callable[[Any], AsyncIterator[Message]]
-"""Handler of a streaming method."""
+"""Handler of a streaming method: takes the typed request and yields typed replies."""
 
 
 class Client:
-    """Calls methods of one other process.
+    """Client of one peer process.
 
     :param address: ``host:port``.
     :param key: the shared key.
@@ -104,41 +106,45 @@
     async def call(
         self, method: Method, request: Message, *, timeout_ms: int
     ) -> Message:
-        """Call a plain method.
+        """Call a unary method.
 
-        :raises PeerUnavailableError: if no answer came in time.
+        :raises PeerUnavailableError: if there was no answer before the timeout.
         """
         stub = self._channel.unary_unary(
-            _path(method),
+            _build_path(method),
             request_serializer=msgspec.msgpack.encode,
-            response_deserializer=_decoder(method.reply),
+            response_deserializer=_build_decoder(method.reply),
         )
         try:
             return await stub(
                 request, timeout=timeout_ms / 1000, metadata=self._build_metadata()
             )
         except grpc.aio.AioRpcError as error:
-            raise _translate(self.address, error) from error
+            raise _build_error(self.address, error) from error
 
     async def stream(self, method: Method, request: Message) -> AsyncIterator[Message]:
-        """Call a streaming method and yield its replies until it breaks off.
+        """Call a streaming method and yield its replies until the stream ends.
 
-        :raises PeerUnavailableError: when the stream breaks.
+        :raises PeerUnavailableError: if the stream breaks.
         """
         stub = self._channel.unary_stream(
-            _path(method),
+            _build_path(method),
             request_serializer=msgspec.msgpack.encode,
-            response_deserializer=_decoder(method.reply),
+            response_deserializer=_build_decoder(method.reply),
         )
         try:
             async for reply in stub(request, metadata=self._build_metadata()):
                 yield reply
         except grpc.aio.AioRpcError as error:
-            raise _translate(self.address, error) from error
+            raise _build_error(self.address, error) from error
 
     def _build_metadata(self) -> tuple[tuple[str, str], ...]:
-        bearing = read_bearing()
-        return (*self._metadata, (TRACEPARENT, bearing)) if bearing else self._metadata
+        traceparent = read_bearing()
+        return (
+            (*self._metadata, (TRACEPARENT, traceparent))
+            if traceparent
+            else self._metadata
+        )
 
     async def close(self) -> None:
         """Close the connection."""
@@ -152,17 +158,18 @@
     unary: dict[Method, UnaryHandler],
     streaming: dict[Method, StreamingHandler],
 ) -> grpc.aio.Server:
-    """Start serving methods on the running loop.
+    """Start a server on the running event loop.
 
     :param address: ``host:port`` to listen on.
-    :param key: the shared key; a call without it is refused.
+    :param key: the shared key; calls without it are refused.
     :return: the server; stop it with ``await server.stop(grace_seconds)``.
+    :raises OSError: if it cannot listen on the address.
     """
     server = grpc.aio.server(options=_OPTIONS)
     handlers = {
         method.name: grpc.unary_unary_rpc_method_handler(
             _guard_unary(handler, key, method.name),
-            request_deserializer=_decoder(method.request),
+            request_deserializer=_build_decoder(method.request),
             response_serializer=msgspec.msgpack.encode,
         )
         for method, handler in unary.items()
@@ -170,11 +177,11 @@
     for method, handler in streaming.items():
         handlers[method.name] = grpc.unary_stream_rpc_method_handler(
             _guard_streaming(handler, key),
-            request_deserializer=_decoder(method.request),
+            request_deserializer=_build_decoder(method.request),
             response_serializer=msgspec.msgpack.encode,
         )
-    generic = grpc.method_handlers_generic_handler(SERVICE, handlers)
-    server.add_generic_rpc_handlers((generic,))
+    service_handler = grpc.method_handlers_generic_handler(SERVICE, handlers)
+    server.add_generic_rpc_handlers((service_handler,))
     if server.add_insecure_port(address) == 0:
         raise OSError(f"cannot listen on {address}")
     await server.start()
@@ -182,8 +189,8 @@
 
 
 CONNECT_TIMEOUT_MS = 2_000
-"""How long another process may take to greet a new connection, in ms: a busy one takes
-its time, and each call fails at once until one is there."""
+"""Timeout of a connection's handshake, in ms: a busy peer is slow to complete it, and
+calls fail at once until a connection is established."""
 
 _OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -191,18 +198,18 @@
     ("grpc.so_reuseport", 0),
     ("grpc.enable_http_proxy", 0),
     ("grpc.initial_reconnect_backoff_ms", 200),
-    # Bounds an attempt to connect; one that fails sooner is repeated sooner.
+    # Also the timeout of a connection attempt; one that fails sooner is retried sooner.
     ("grpc.min_reconnect_backoff_ms", CONNECT_TIMEOUT_MS),
     ("grpc.max_reconnect_backoff_ms", 2_000),
 )
 
 
-def _path(method: Method) -> str:
+def _build_path(method: Method) -> str:
     return f"/{SERVICE}/{method.name}"
 
 
-def _decoder(kind: type[_Reply]) -> Callable[[bytes], _Reply]:
-    return msgspec.msgpack.Decoder(kind).decode
+def _build_decoder(message_type: type[_Reply]) -> Callable[[bytes], _Reply]:
+    return msgspec.msgpack.Decoder(message_type).decode
 
 
 def _read_metadata(context: grpc.aio.ServicerContext, name: str) -> str:
@@ -211,8 +218,8 @@
 
 
 def _is_trusted(context: grpc.aio.ServicerContext, key: str) -> bool:
-    shown = _read_metadata(context, KEY_METADATA)
-    return hmac.compare_digest(shown.encode(), key.encode())
+    sent_key = _read_metadata(context, KEY_METADATA)
+    return hmac.compare_digest(sent_key.encode(), key.encode())
 
 
 def _guard_unary(
@@ -223,7 +230,7 @@
             await context.abort(grpc.StatusCode.UNAUTHENTICATED, "peer key refused")
         parent = _read_metadata(context, TRACEPARENT)
         if not parent:
-            # Calls that belong to no request, such as exchanges, are not traced.
+            # Calls outside of a request, such as exchanges, are not traced.
             return await handler(request)
         with open_span(f"rpc.{name}", parent=parent):
             return await handler(request)
@@ -245,7 +252,7 @@
     return handle
 
 
-def _translate(address: str, error: grpc.aio.AioRpcError) -> PeerUnavailableError:
+def _build_error(address: str, error: grpc.aio.AioRpcError) -> PeerUnavailableError:
     refused = error.code() == grpc.StatusCode.UNAUTHENTICATED
     detail = f"{address}: {error.code().name.lower()}"
     return PeerUnavailableError(detail=detail, sent=not refused)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""When a kept connection is used again."""
+"""Reuse of idle connections."""
 
 import asyncio
 
@@ -10,8 +10,11 @@
 from arbutuspulley.platform.transport import open_session, send_request
 
 
-async def count_connections(monkeypatch, keep_alive, pauses):
-    """Ask a server once and again after each pause; return its connections."""
+async def count_connections(monkeypatch, keep_alive, idle_times_s):
+    """Return how many connections are used for requests with these idle times between.
+
+    :param keep_alive: value of the server's Keep-Alive header; empty for none.
+    """
     now = 100.0
     monkeypatch.setattr(transport, "_read_clock", lambda: now)
     seen = set()
@@ -26,7 +29,7 @@
     host, port = server.sockets[0].getsockname()
     request = decode_request(method="GET", path="/", headers=[("Host", "x")])
     async with server, open_session() as session:
-        for pause in (0, *pauses):
+        for pause in (0, *idle_times_s):
             now += pause
             response = await send_request(
                 session, request, address=f"{host}:{port}", headers=[]
@@ -36,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("keep_alive", "pauses", "expected"),
+    ("keep_alive", "idle_times_s", "expected"),
     [
         ("", (3.9, 3.9), 1),
         ("", (4.1,), 2),
@@ -48,11 +51,11 @@
         ("soon", (3.9,), 1),
     ],
 )
-def test_a_connection_is_given_up_before_its_server_closes_it(
-    monkeypatch, keep_alive, pauses, expected
+def test_an_idle_connection_is_discarded_before_its_server_closes_it(
+    monkeypatch, keep_alive, idle_times_s, expected
 ):
-    """A request crossed the server's close of an idle connection. It may have run, so
-    one that may run only once was lost. The time is taken from what the server says,
-    by a clock that goes on while the machine is suspended."""
-    made = asyncio.run(count_connections(monkeypatch, keep_alive, pauses))
+    """A request was sent while the server closed the idle connection. It may have run,
+    so a request that may run only once failed. The idle timeout is the server's, and is
+    measured by a clock that continues while the machine is suspended."""
+    made = asyncio.run(count_connections(monkeypatch, keep_alive, idle_times_s))
     assert made == expected
