--- a/src/arbutuspulley/controller/configuring.py
+++ b/src/arbutuspulley/controller/configuring.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from arbutuspulley.configuration import store
+from arbutuspulley.configuration.activation import Progress, apply_changes, offer
 from arbutuspulley.configuration.changes import Change
-from arbutuspulley.configuration.force import Progress, apply_changes, offer
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.configuration.store import ChangePage
 from arbutuspulley.controller.asking import ask
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from arbutuspulley.configuration.force import is_ready, offer
+from arbutuspulley.configuration.activation import is_ready, offer
 from arbutuspulley.controller.configuring import log_progress
 from arbutuspulley.controller.exchange import (
     PeerState,
--- a/src/arbutuspulley/controller/publishing.py
+++ b/src/arbutuspulley/controller/publishing.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.configuration.force import is_ready
+from arbutuspulley.configuration.activation import is_ready
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import EMPTY, Configuration, Server
 from arbutuspulley.controller.demand import list_demand, sum_usage
--- a/src/arbutuspulley/controller/running.py
+++ b/src/arbutuspulley/controller/running.py
@@ -9,7 +9,7 @@
 import grpc
 
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.configuration.force import is_ready
+from arbutuspulley.configuration.activation import is_ready
 from arbutuspulley.controller import handlers, orders, peers, placing, polling, sessions
 from arbutuspulley.controller.configuring import Following, follow_configuration
 from arbutuspulley.controller.following import follow_instances, follow_rows
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.configuration.force import ForceState
+from arbutuspulley.configuration.activation import ForceState
 from arbutuspulley.controller.demand import DemandState
 from arbutuspulley.controller.entries import EntryState
 from arbutuspulley.controller.exchange import NewsState, PeerState
--- a/tests/test_force.py
+++ b/tests/test_activation.py
@@ -5,9 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from arbutuspulley.configuration.changes import Change
-from arbutuspulley.configuration.difference import build_delta, compute_digest
-from arbutuspulley.configuration.force import (
+from arbutuspulley.configuration.activation import (
     MAX_WAITING,
     ForceState,
     Progress,
@@ -15,6 +13,8 @@
     is_ready,
     offer,
 )
+from arbutuspulley.configuration.changes import Change
+from arbutuspulley.configuration.difference import build_delta, compute_digest
 from arbutuspulley.configuration.schema import EMPTY, Policy
 from tests.fakes import build_configuration
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -3,7 +3,7 @@
 import pytest
 
 from arbutuspulley.configuration import approval, changes, store, transactions
-from arbutuspulley.configuration.force import ForceState, apply_changes, offer
+from arbutuspulley.configuration.activation import ForceState, apply_changes, offer
 from arbutuspulley.configuration.schema import EMPTY
 from arbutuspulley.ports import commit
 from arbutuspulley.results import (
