--- a/src/arbutuspulley/configuration/activation.py
+++ b/src/arbutuspulley/configuration/activation.py
@@ -13,26 +13,26 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.results import ConfigurationError
 
-MAX_WAITING = 256
+MAX_PENDING_CHANGES = 256
 """Changes kept that wait for the ones before them."""
 
 
-class ForceState(State):
+class ActivationState(State):
     """What is in force here.
 
     :param configuration: the configuration in force.
     :param digest: its digest.
     :param accepted_version: the highest version known to be accepted.
-    :param waiting: accepted changes that cannot be applied yet, by version.
+    :param pending: accepted changes that cannot be applied yet, by version.
     """
 
     configuration: Configuration = EMPTY
     digest: str = ""
     accepted_version: int = 0
-    waiting: dict[int, Change] = {}
+    pending: dict[int, Change] = {}
 
 
-class Progress(Value, frozen=True):
+class ActivationResult(Value, frozen=True):
     """What a step brought.
 
     :param applied: versions that came into force, in order.
@@ -50,7 +50,7 @@
     missing: Change | None = None
 
 
-def is_ready(state: ForceState) -> bool:
+def is_ready(state: ActivationState) -> bool:
     """Return whether any accepted version is in force.
 
     A new instance that can reach neither the store nor a peer must not serve: what it
@@ -59,48 +59,52 @@
     return state.configuration.version > 0
 
 
-def apply_changes(state: ForceState, changes: Iterable[Change]) -> Progress:
+def apply_changes(
+    state: ActivationState, changes: Iterable[Change]
+) -> ActivationResult:
     """Bring accepted changes into force, strictly upward and without a gap."""
     ignored = []
     diverged = False
     for change in changes:
         state.accepted_version = max(state.accepted_version, change.version)
         if change.version > state.configuration.version:
-            state.waiting[change.version] = change
+            state.pending[change.version] = change
         elif change.version < state.configuration.version:
             ignored.append(change.version)
         else:
             diverged = diverged or change.digest != state.digest
     applied = _apply_waiting(state)
     _bound_waiting(state)
-    return Progress(
+    return ActivationResult(
         applied=tuple(applied),
         ignored=tuple(ignored),
         diverged=diverged,
-        missing=state.waiting[max(state.waiting)] if state.waiting else None,
+        missing=state.pending[max(state.pending)] if state.pending else None,
     )
 
 
-def offer(state: ForceState, configuration: Configuration) -> Progress:
+def activate_if_newer(
+    state: ActivationState, configuration: Configuration
+) -> ActivationResult:
     """Take a whole configuration, from a peer or the object store, if it is newer."""
     version = configuration.version
     state.accepted_version = max(state.accepted_version, version)
     if version < state.configuration.version:
-        return Progress(ignored=(version,))
+        return ActivationResult(ignored=(version,))
     if version == state.configuration.version:
         is_other = configuration != state.configuration
-        return Progress(diverged=is_other)
+        return ActivationResult(diverged=is_other)
     _put_in_force(state, configuration, compute_digest(configuration))
     applied = [version, *_apply_waiting(state)]
-    return Progress(
+    return ActivationResult(
         applied=tuple(applied),
-        missing=state.waiting[max(state.waiting)] if state.waiting else None,
+        missing=state.pending[max(state.pending)] if state.pending else None,
     )
 
 
-def _apply_waiting(state: ForceState) -> list[int]:
+def _apply_waiting(state: ActivationState) -> list[int]:
     applied: list[int] = []
-    while (change := state.waiting.get(state.configuration.version + 1)) is not None:
+    while (change := state.pending.get(state.configuration.version + 1)) is not None:
         result = _apply(state.configuration, change)
         if result is None:
             break
@@ -126,14 +130,16 @@
     return result if compute_digest(result) == change.digest else None
 
 
-def _put_in_force(state: ForceState, configuration: Configuration, digest: str) -> None:
+def _put_in_force(
+    state: ActivationState, configuration: Configuration, digest: str
+) -> None:
     state.configuration = configuration
     state.digest = digest
-    for version in [known for known in state.waiting if known <= configuration.version]:
-        del state.waiting[version]
+    for version in [known for known in state.pending if known <= configuration.version]:
+        del state.pending[version]
 
 
-def _bound_waiting(state: ForceState) -> None:
+def _bound_waiting(state: ActivationState) -> None:
     """Forget the lowest waiting changes; loading the highest one skips them."""
-    for version in sorted(state.waiting)[:-MAX_WAITING]:
-        del state.waiting[version]
+    for version in sorted(state.pending)[:-MAX_PENDING_CHANGES]:
+        del state.pending[version]
--- a/src/arbutuspulley/controller/configuring.py
+++ b/src/arbutuspulley/controller/configuring.py
@@ -5,7 +5,11 @@
 import msgspec
 
 from arbutuspulley.configuration import store
-from arbutuspulley.configuration.activation import Progress, apply_changes, offer
+from arbutuspulley.configuration.activation import (
+    ActivationResult,
+    activate_if_newer,
+    apply_changes,
+)
 from arbutuspulley.configuration.changes import Change
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.configuration.store import ChangePage
@@ -40,7 +44,7 @@
         log_event(Event.CONFIGURATION_REFUSED, level=logging.ERROR, detail=str(error))
 
 
-def log_progress(controller: Controller, progress: Progress) -> None:
+def log_progress(controller: Controller, progress: ActivationResult) -> None:
     """Tell what a step brought into force and what it did not."""
     for version in progress.applied:
         log_event(Event.CONFIGURATION_IN_FORCE, version=version)
@@ -101,4 +105,4 @@
 
 def _offer(controller: Controller, configuration: Configuration) -> None:
     if configuration.version > 0:
-        log_progress(controller, offer(controller.force, configuration))
+        log_progress(controller, activate_if_newer(controller.force, configuration))
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from arbutuspulley.configuration.activation import is_ready, offer
+from arbutuspulley.configuration.activation import activate_if_newer, is_ready
 from arbutuspulley.controller.configuring import log_progress
 from arbutuspulley.controller.exchange import (
     PeerState,
@@ -101,7 +101,7 @@
     if reply.configuration is None:
         return
     was_ready = is_ready(controller.force)
-    progress = offer(controller.force, reply.configuration)
+    progress = activate_if_newer(controller.force, reply.configuration)
     log_progress(controller, progress)
     if progress.applied and not was_ready:
         version = controller.force.configuration.version
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.configuration.activation import ForceState
+from arbutuspulley.configuration.activation import ActivationState
 from arbutuspulley.controller.demand import DemandState
 from arbutuspulley.controller.entries import EntryState
 from arbutuspulley.controller.exchange import NewsState, PeerState
@@ -93,7 +93,7 @@
     news: NewsState
     reads: OutageState
     writes: OutageState
-    force: ForceState = msgspec.field(default_factory=ForceState)
+    force: ActivationState = msgspec.field(default_factory=ActivationState)
     views: ViewState = msgspec.field(default_factory=ViewState)
     suspects: SuspectState = msgspec.field(default_factory=SuspectState)
     demand: DemandState = msgspec.field(default_factory=DemandState)
--- a/tests/test_activation.py
+++ b/tests/test_activation.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from arbutuspulley.configuration.activation import (
-    MAX_WAITING,
-    ForceState,
-    Progress,
+    MAX_PENDING_CHANGES,
+    ActivationResult,
+    ActivationState,
+    activate_if_newer,
     apply_changes,
     is_ready,
-    offer,
 )
 from arbutuspulley.configuration.changes import Change
 from arbutuspulley.configuration.difference import build_delta, compute_digest
@@ -46,25 +46,25 @@
 
 
 def start(version):
-    state = ForceState()
-    offer(state, VERSIONS[version])
+    state = ActivationState()
+    activate_if_newer(state, VERSIONS[version])
     return state
 
 
 @pytest.mark.parametrize(
     ("begin", "arriving", "in_force", "expected"),
     [
-        (0, [1, 2, 3], 3, Progress(applied=(1, 2, 3))),
-        (2, [3], 3, Progress(applied=(3,))),
-        (2, [4], 2, Progress(missing=CHANGES[4])),
-        (2, [5, 4], 2, Progress(missing=CHANGES[5])),
-        (2, [5, 3, 4], 5, Progress(applied=(3, 4, 5))),
-        (2, [3, 5], 3, Progress(applied=(3,), missing=CHANGES[5])),
-        (2, [3, 3], 3, Progress(applied=(3,))),
-        (5, [3, 4], 5, Progress(ignored=(3, 4))),
-        (5, [5], 5, Progress()),
-        (5, [4, 6], 6, Progress(applied=(6,), ignored=(4,))),
-        (5, [], 5, Progress()),
+        (0, [1, 2, 3], 3, ActivationResult(applied=(1, 2, 3))),
+        (2, [3], 3, ActivationResult(applied=(3,))),
+        (2, [4], 2, ActivationResult(missing=CHANGES[4])),
+        (2, [5, 4], 2, ActivationResult(missing=CHANGES[5])),
+        (2, [5, 3, 4], 5, ActivationResult(applied=(3, 4, 5))),
+        (2, [3, 5], 3, ActivationResult(applied=(3,), missing=CHANGES[5])),
+        (2, [3, 3], 3, ActivationResult(applied=(3,))),
+        (5, [3, 4], 5, ActivationResult(ignored=(3, 4))),
+        (5, [5], 5, ActivationResult()),
+        (5, [4, 6], 6, ActivationResult(applied=(6,), ignored=(4,))),
+        (5, [], 5, ActivationResult()),
     ],
 )
 def test_changes_apply_upward_and_without_a_gap(begin, arriving, in_force, expected):
@@ -80,9 +80,9 @@
     for state in (late, loaded):
         apply_changes(state, [CHANGES[4], CHANGES[5]])
     assert apply_changes(late, [CHANGES[3]]).applied == (3, 4, 5)
-    assert offer(loaded, VERSIONS[4]).applied == (4, 5)
-    assert not late.waiting
-    assert not loaded.waiting
+    assert activate_if_newer(loaded, VERSIONS[4]).applied == (4, 5)
+    assert not late.pending
+    assert not loaded.pending
 
 
 def test_a_change_without_steps_waits_for_its_whole_configuration():
@@ -90,7 +90,7 @@
     state = start(2)
     assert apply_changes(state, [large]).missing == large
     assert apply_changes(state, []).missing == large
-    assert offer(state, VERSIONS[3]).applied == (3,)
+    assert activate_if_newer(state, VERSIONS[3]).applied == (3,)
 
 
 def test_steps_for_another_content_are_not_applied():
@@ -107,7 +107,7 @@
     change = build_change(OTHER_8, newest)
     assert apply_changes(state, [change]).missing == change
     assert state.configuration == VERSIONS[8]
-    assert offer(state, newest).applied == (9,)
+    assert activate_if_newer(state, newest).applied == (9,)
 
 
 def test_an_older_store_or_peer_takes_nothing_back():
@@ -117,10 +117,12 @@
     force, whole or as a change; both are ignored and counted.
     """
     state = start(5)
-    assert offer(state, VERSIONS[3]) == Progress(ignored=(3,))
-    assert apply_changes(state, [CHANGES[3]]) == Progress(ignored=(3,))
-    assert offer(state, VERSIONS[5]) == Progress()
-    assert offer(state, build_configuration(5, 5555)) == Progress(diverged=True)
+    assert activate_if_newer(state, VERSIONS[3]) == ActivationResult(ignored=(3,))
+    assert apply_changes(state, [CHANGES[3]]) == ActivationResult(ignored=(3,))
+    assert activate_if_newer(state, VERSIONS[5]) == ActivationResult()
+    assert activate_if_newer(state, build_configuration(5, 5555)) == ActivationResult(
+        diverged=True
+    )
     assert state.configuration == VERSIONS[5]
 
 
@@ -130,10 +132,10 @@
     Its instances reach a peer but not the store. The peer's whole configuration
     counts as much as the store's; before any came, a new instance is not ready.
     """
-    cut_off, new = start(2), ForceState()
+    cut_off, new = start(2), ActivationState()
     assert not is_ready(new)
     for state in (cut_off, new):
-        assert offer(state, VERSIONS[4]).applied == (4,)
+        assert activate_if_newer(state, VERSIONS[4]).applied == (4,)
         assert is_ready(state)
         assert apply_changes(state, [CHANGES[3], CHANGES[5]]).applied == (5,)
 
@@ -143,10 +145,10 @@
     template = CHANGES[5]
     many = [
         msgspec.structs.replace(template, version=number)
-        for number in range(5, MAX_WAITING + 50)
+        for number in range(5, MAX_PENDING_CHANGES + 50)
     ]
     assert apply_changes(state, many).missing == many[-1]
-    assert len(state.waiting) == MAX_WAITING
+    assert len(state.pending) == MAX_PENDING_CHANGES
 
 
 @given(
@@ -156,13 +158,13 @@
     )
 )
 def test_whatever_arrives_the_version_never_goes_back(steps):
-    state = ForceState()
+    state = ActivationState()
     for step in steps:
         before = state.configuration.version
         if isinstance(step, list):
             apply_changes(state, [CHANGES[number] for number in step])
         else:
-            offer(state, step)
+            activate_if_newer(state, step)
         assert state.configuration.version >= before
         assert state.configuration == VERSIONS[state.configuration.version]
         assert state.accepted_version >= state.configuration.version
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -3,7 +3,11 @@
 import pytest
 
 from arbutuspulley.configuration import approval, changes, store, transactions
-from arbutuspulley.configuration.activation import ForceState, apply_changes, offer
+from arbutuspulley.configuration.activation import (
+    ActivationState,
+    activate_if_newer,
+    apply_changes,
+)
 from arbutuspulley.configuration.schema import EMPTY
 from arbutuspulley.ports import commit
 from arbutuspulley.results import (
@@ -75,7 +79,7 @@
     newest = accept(fake, 9000, 9100, 9200)
     assert (newest.version, read_size(newest)) == (3, 9200)
     assert store.load_start(fake.platform).configuration == newest
-    state = ForceState()
+    state = ActivationState()
     page = store.read_changes(fake.platform, start.revision, table_id=start.table_id)
     assert apply_changes(state, page.changes).applied == (1, 2, 3)
     assert state.configuration == newest
@@ -157,11 +161,11 @@
     old = propose(fake, 9900)
     start = store.load_start(fake.platform)
     in_force = accept(fake, 9200, 9300)
-    state = ForceState()
-    offer(state, in_force)
+    state = ActivationState()
+    activate_if_newer(state, in_force)
     restore(fake.state, backup + 1)
     page = store.read_changes(fake.platform, 10_000, table_id=start.table_id)
-    assert offer(state, page.restored).ignored == (2,)
+    assert activate_if_newer(state, page.restored).ignored == (2,)
 
     refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, old, in_force=in_force))
     proposal = propose(fake, 9400, in_force=in_force)
@@ -171,7 +175,7 @@
     progress = apply_changes(state, page.changes)
     if progress.missing:
         digest = progress.missing.digest
-        progress = offer(state, store.load_result(fake.platform, digest))
+        progress = activate_if_newer(state, store.load_result(fake.platform, digest))
     assert progress.applied == (5,)
     assert state.configuration == store.load_latest(fake.platform)
     assert read_size(state.configuration) == 9400
