--- a/src/arbutuspulley/configuration/approval.py
+++ b/src/arbutuspulley/configuration/approval.py
@@ -13,8 +13,8 @@
 
 from arbutuspulley.configuration import changes, store, transactions
 from arbutuspulley.configuration.changes import (
-    Accepted,
-    Current,
+    AcceptedProposal,
+    CurrentConfiguration,
     FileReference,
     Proposal,
 )
@@ -48,19 +48,19 @@
     now_ms: int,
     note: str = "",
     remove_sites: Sequence[str] = (),
-    in_force: Configuration = EMPTY,
+    active: Configuration = EMPTY,
 ) -> Proposal:
     """Lay down a set of files for approval.
 
     :param now_ms: wall clock, for display only.
     :param remove_sites: sites whose overlay is left out on purpose.
-    :param in_force: the newest configuration known to be in force.
+    :param active: the newest configuration known to be in force.
     :raises FilesError: with every problem of the files.
     :raises ConfigurationError: if they cannot be served or change nothing.
     """
-    current = store.find_current(platform, in_force=in_force)
+    current = store.find_current(platform, active=active)
     result = merge_files(files, version=current.configuration.version + 1)
-    changes.check_sites(current.configuration, result, removed=remove_sites)
+    changes.check_removed_sites(current.configuration, result, removed=remove_sites)
     references = tuple(
         store.put_file(platform.objects, file.name, file.text)
         for file in (files.base, *files.overlays)
@@ -76,7 +76,7 @@
     version: int,
     proposer: str,
     now_ms: int,
-    in_force: Configuration = EMPTY,
+    active: Configuration = EMPTY,
 ) -> Proposal:
     """Propose the content of an earlier version as the next one.
 
@@ -85,7 +85,7 @@
 
     :raises ConfigurationError: if that version is not known or changes nothing.
     """
-    current = store.find_current(platform, in_force=in_force)
+    current = store.find_current(platform, active=active)
     found = current.configuration
     if version != found.version:
         change = store.read_change(platform, version)
@@ -109,7 +109,7 @@
     base_version: int,
     approver: str,
     now_ms: int,
-    in_force: Configuration = EMPTY,
+    active: Configuration = EMPTY,
 ) -> Approval:
     """Accept a proposal, if nothing else was accepted since it was made.
 
@@ -124,7 +124,7 @@
     if row is None:
         return _read_accepted(platform, proposal)
     record = changes.decode(row, Proposal)
-    current = store.find_current(platform, in_force=in_force)
+    current = store.find_current(platform, active=active)
     base = store.find_base(platform, record)
     changes.check_base(record, current, base_version=base_version, base=base)
     result = store.load_result(platform, record.digest)
@@ -136,7 +136,7 @@
         change,
         head_revision=current.head_revision,
         proposal_revision=row.revision,
-        expired=store.find_change(platform, change.version - changes.KEPT_CHANGES),
+        expired=store.find_change(platform, change.version - changes.MAX_KEPT_CHANGES),
     )
     if not isinstance(commit(platform.table, transaction), Conflict):
         return Approval(version=change.version, digest=change.digest, approver=approver)
@@ -150,15 +150,15 @@
     """
     row = store.find_proposal_row(platform, proposal)
     if row is None:
-        raise store.refuse_unknown(proposal)
+        raise store.build_unknown_proposal_error(proposal)
     transaction = transactions.build_withdrawal(proposal, revision=row.revision)
     if isinstance(commit(platform.table, transaction), Conflict):
-        raise store.refuse_unknown(proposal)
+        raise store.build_unknown_proposal_error(proposal)
 
 
 def _submit(
     platform: Platform,
-    current: Current,
+    current: CurrentConfiguration,
     result: Configuration,
     references: tuple[FileReference, ...],
     *,
@@ -166,13 +166,16 @@
     note: str,
     now: int,
 ) -> Proposal:
-    if has_same_content(current.configuration, result) and not current.store_is_behind:
+    if (
+        has_same_content(current.configuration, result)
+        and not current.store_is_outdated
+    ):
         raise ConfigurationError(
             code=Code.NO_DIFFERENCE,
             detail=f"version {current.configuration.version} has this content already",
         )
     check_fit(result)
-    if current.store_is_behind:
+    if current.store_is_outdated:
         store.put_result(platform.objects, current.configuration)
     digest = store.put_result(platform.objects, result)
     proposal = Proposal(
@@ -207,7 +210,7 @@
         return _read_accepted(platform, record.proposal)
     current = store.find_current(platform)
     changes.check_base(record, current, base_version=base_version, base=base)
-    raise store.refuse_unknown(record.proposal)
+    raise store.build_unknown_proposal_error(record.proposal)
 
 
 def _read_accepted(platform: Platform, proposal: str) -> Approval:
@@ -217,8 +220,8 @@
     """
     row = platform.table.read(changes.build_accepted_key(proposal))
     if row is None:
-        raise store.refuse_unknown(proposal)
-    accepted = changes.decode(row, Accepted)
+        raise store.build_unknown_proposal_error(proposal)
+    accepted = changes.decode(row, AcceptedProposal)
     return Approval(
         version=accepted.version,
         digest=accepted.digest,
--- a/src/arbutuspulley/configuration/changes.py
+++ b/src/arbutuspulley/configuration/changes.py
@@ -34,7 +34,7 @@
 """Rows of waiting :class:`Proposal` records, by id."""
 
 ACCEPTED_PREFIX = "config/accepted/"
-"""Rows of :class:`Accepted`, by the id of the proposal."""
+"""Rows of :class:`AcceptedProposal`, by the id of the proposal."""
 
 RESULT_PREFIX = "config/result/"
 """Objects with whole configurations, by digest."""
@@ -45,7 +45,7 @@
 MAX_DELTA_BYTES = 32 * 1024
 """Largest delta kept in a row; for a larger change readers load the object."""
 
-KEPT_CHANGES = 10_000
+MAX_KEPT_CHANGES = 10_000
 """Accepted changes whose rows stay; older ones are deleted as new ones come."""
 
 _ID_CHARACTERS = 16
@@ -111,7 +111,7 @@
     proposed_at_ms: int = 0
 
 
-class Accepted(Message, frozen=True):
+class AcceptedProposal(Message, frozen=True):
     """Tells what became of a proposal, to whoever approves it again."""
 
     version: int
@@ -119,7 +119,7 @@
     approver: str
 
 
-class Current(Value, frozen=True):
+class CurrentConfiguration(Value, frozen=True):
     """The newest configuration known, which a change must be based on.
 
     :param stored_version: the store's newest version. It lies below that of
@@ -133,7 +133,7 @@
     head_revision: int
 
     @property
-    def store_is_behind(self) -> bool:
+    def store_is_outdated(self) -> bool:
         """Whether an instance has a newer version in force than the store holds."""
         return self.configuration.version > self.stored_version
 
@@ -197,8 +197,8 @@
 
 
 def choose_current(
-    stored: Configuration, in_force: Configuration, *, head_revision: int
-) -> Current:
+    stored: Configuration, active: Configuration, *, head_revision: int
+) -> CurrentConfiguration:
     """Return the newest of the store's configuration and one that is in force.
 
     A store that was restored from a backup may hold version 7 while instances have
@@ -206,8 +206,8 @@
     instance ignores for being lower, and the operator would see it accepted and never
     in force. Counting on from the higher of both keeps versions strictly upward.
     """
-    newest = in_force if in_force.version > stored.version else stored
-    return Current(
+    newest = active if active.version > stored.version else stored
+    return CurrentConfiguration(
         configuration=newest,
         digest=compute_digest(newest),
         stored_version=stored.version,
@@ -215,7 +215,7 @@
     )
 
 
-def check_sites(
+def check_removed_sites(
     current: Configuration, result: Configuration, *, removed: Collection[str]
 ) -> None:
     """Check that no site is dropped by mistake.
@@ -240,7 +240,7 @@
 
 def check_base(
     proposal: Proposal,
-    current: Current,
+    current: CurrentConfiguration,
     *,
     base_version: int,
     base: Configuration | None,
@@ -268,7 +268,7 @@
 
 def build_change(
     proposal: Proposal,
-    current: Current,
+    current: CurrentConfiguration,
     result: Configuration,
     *,
     approver: str,
@@ -277,7 +277,7 @@
     """Return the record of an approved proposal."""
     delta: Delta | None = build_delta(current.configuration, result)
     is_large = len(msgspec.json.encode(delta)) > MAX_DELTA_BYTES
-    if current.store_is_behind or is_large:
+    if current.store_is_outdated or is_large:
         delta = None
     return Change(
         version=proposal.version,
--- a/src/arbutuspulley/configuration/difference.py
+++ b/src/arbutuspulley/configuration/difference.py
@@ -18,7 +18,7 @@
 HIDDEN = "(hidden)"
 """Shown in place of a key's hash."""
 
-SHOWN_CHARACTERS = 400
+MAX_SHOWN_CHARACTERS = 400
 """Longest value that a difference shows; the rest is cut off."""
 
 _HIDDEN_FIELDS = frozenset({"key_sha256"})
@@ -208,6 +208,6 @@
 
 def _show(value: Any) -> str:
     text = msgspec.json.encode(_spell_out(value)).decode()
-    if len(text) <= SHOWN_CHARACTERS:
+    if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
-    return f"{text[:SHOWN_CHARACTERS]}... ({len(text)} characters)"
+    return f"{text[:MAX_SHOWN_CHARACTERS]}... ({len(text)} characters)"
--- a/src/arbutuspulley/configuration/files.py
+++ b/src/arbutuspulley/configuration/files.py
@@ -65,7 +65,7 @@
     reason: str
 
 
-def refuse(errors: list[ConfigurationError]) -> None:
+def raise_errors(errors: list[ConfigurationError]) -> None:
     """Raise all errors together, if there are any.
 
     :raises FilesError: with the errors.
@@ -81,7 +81,7 @@
     """
     content = _load(file)
     problems = list(find_problems(content, kind))[:MAX_PROBLEMS]
-    refuse(
+    raise_errors(
         [
             ConfigurationError(
                 code=Code.BAD_SCHEMA,
--- a/src/arbutuspulley/configuration/merge.py
+++ b/src/arbutuspulley/configuration/merge.py
@@ -11,9 +11,9 @@
     FilesError,
     SourceFile,
     parse_document,
-    refuse,
+    raise_errors,
 )
-from arbutuspulley.configuration.references import Source, list_errors
+from arbutuspulley.configuration.references import OverlaySource, find_reference_errors
 from arbutuspulley.configuration.schema import (
     Base,
     Caller,
@@ -71,7 +71,7 @@
         _collect(partial(parse_overlay, file.text, file=file.name), errors)
         for file in files.overlays
     ]
-    refuse(errors)
+    raise_errors(errors)
     return merge(
         base or Base(),
         [overlay for overlay in overlays if overlay is not None],
@@ -99,10 +99,10 @@
     """
     names = overlay_files or [f"overlay of {overlay.site}" for overlay in overlays]
     sources = [
-        Source(file=name, overlay=overlay)
+        OverlaySource(file=name, overlay=overlay)
         for name, overlay in zip(names, overlays, strict=True)
     ]
-    refuse(list(list_errors(base, base_file, sources)))
+    raise_errors(list(find_reference_errors(base, base_file, sources)))
     merged = Configuration(
         version=version,
         weight_store=base.weight_store,
--- a/src/arbutuspulley/configuration/references.py
+++ b/src/arbutuspulley/configuration/references.py
@@ -8,7 +8,7 @@
 from arbutuspulley.settings import split_address
 
 
-class Source(Value, frozen=True):
+class OverlaySource(Value, frozen=True):
     """An overlay and the file that it came from."""
 
     file: str
@@ -27,8 +27,8 @@
         )
 
 
-def list_errors(
-    base: Base, base_file: str, sources: Sequence[Source]
+def find_reference_errors(
+    base: Base, base_file: str, sources: Sequence[OverlaySource]
 ) -> Iterator[ConfigurationError]:
     """Yield every wrong reference and every double in a set of files."""
     yield from _check_base(base, base_file)
@@ -60,7 +60,7 @@
     )
 
 
-def _check_overlay(base: Base, source: Source) -> Iterator[ConfigurationError]:
+def _check_overlay(base: Base, source: OverlaySource) -> Iterator[ConfigurationError]:
     overlay = source.overlay
     for name in overlay.models.keys() - base.models.keys():
         place = _Place(file=source.file, key=f"$.models.{name}")
@@ -86,7 +86,7 @@
         yield place.refuse(error.detail)
 
 
-def _check_doubles(sources: Sequence[Source]) -> Iterator[ConfigurationError]:
+def _check_doubles(sources: Sequence[OverlaySource]) -> Iterator[ConfigurationError]:
     """Check what must be there only once across all sites.
 
     One server under two names would have two memory ledgers, and each would count
@@ -116,14 +116,14 @@
                 yield place.refuse(f"{address} is also the address of a model engine")
 
 
-def _list_addresses(source: Source) -> list[tuple[str, _Place]]:
+def _list_addresses(source: OverlaySource) -> list[tuple[str, _Place]]:
     return [
         (server.address, _Place(file=source.file, key=f"$.servers.{name}.address"))
         for name, server in source.overlay.servers.items()
     ]
 
 
-def _list_services(source: Source) -> list[tuple[str, _Place]]:
+def _list_services(source: OverlaySource) -> list[tuple[str, _Place]]:
     return [
         (address, _Place(file=source.file, key=f"$.services.{name}.addresses"))
         for name, service in source.overlay.services.items()
--- a/src/arbutuspulley/configuration/schema.py
+++ b/src/arbutuspulley/configuration/schema.py
@@ -13,7 +13,7 @@
 Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
 Address = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
 Positive = Annotated[int, msgspec.Meta(ge=1)]
-Whole = Annotated[int, msgspec.Meta(ge=0)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 Sha256 = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
@@ -41,7 +41,7 @@
 
     version: Name
     size_mib: Positive
-    kv_floor_mib: Whole = 0
+    kv_floor_mib: NonNegative = 0
     copies: Positive = 1
     target: Target = Target()
 
@@ -170,7 +170,7 @@
     :param version: counts accepted changes from 1; 0 is the empty configuration.
     """
 
-    version: Whole = 0
+    version: NonNegative = 0
     weight_store: WeightStore = WeightStore()
     policy: Policy = Policy()
     sites: dict[Name, Site] = {}
--- a/src/arbutuspulley/configuration/store.py
+++ b/src/arbutuspulley/configuration/store.py
@@ -14,7 +14,7 @@
 from arbutuspulley.configuration import changes
 from arbutuspulley.configuration.changes import (
     Change,
-    Current,
+    CurrentConfiguration,
     FileReference,
     Head,
     Proposal,
@@ -32,7 +32,7 @@
 """Pages read of the waiting proposals; more are not listed."""
 
 
-class Start(Value, frozen=True):
+class ConfigurationSnapshot(Value, frozen=True):
     """Where a process that follows the configuration begins.
 
     :param revision: pass it to :func:`read_changes` to get what comes later.
@@ -71,11 +71,13 @@
     return 0 if row is None else changes.decode(row, Head).version
 
 
-def load_start(platform: Platform) -> Start:
+def load_snapshot(platform: Platform) -> ConfigurationSnapshot:
     """Return the newest accepted configuration and where to go on from it."""
     page = platform.table.scan(changes.HEAD_KEY, 0, 1)
     configuration, revision = _load_head(platform)
-    return Start(configuration=configuration, revision=revision, table_id=page.table_id)
+    return ConfigurationSnapshot(
+        configuration=configuration, revision=revision, table_id=page.table_id
+    )
 
 
 def read_changes(
@@ -91,7 +93,7 @@
     """
     page = platform.table.scan(changes.CHANGE_PREFIX, after_revision, PAGE_ROWS)
     if table_id and page.table_id != table_id:
-        start = load_start(platform)
+        start = load_snapshot(platform)
         return ChangePage(
             changes=(),
             revision=start.revision,
@@ -129,13 +131,15 @@
     return configuration
 
 
-def find_current(platform: Platform, *, in_force: Configuration = EMPTY) -> Current:
+def find_current(
+    platform: Platform, *, active: Configuration = EMPTY
+) -> CurrentConfiguration:
     """Return the newest configuration known.
 
-    :param in_force: the newest one that an instance is known to have in force.
+    :param active: the newest one that an instance is known to have in force.
     """
     stored, head_revision = _load_head(platform)
-    return changes.choose_current(stored, in_force, head_revision=head_revision)
+    return changes.choose_current(stored, active, head_revision=head_revision)
 
 
 def read_proposal(platform: Platform, proposal: str) -> Proposal:
@@ -145,7 +149,7 @@
     """
     row = find_proposal_row(platform, proposal)
     if row is None:
-        raise refuse_unknown(proposal)
+        raise build_unknown_proposal_error(proposal)
     return changes.decode(row, Proposal)
 
 
@@ -214,7 +218,7 @@
     return platform.table.read(changes.build_proposal_key(proposal))
 
 
-def refuse_unknown(proposal: str) -> ConfigurationError:
+def build_unknown_proposal_error(proposal: str) -> ConfigurationError:
     """Return the error for a proposal that does not wait."""
     return ConfigurationError(
         code=Code.UNKNOWN_PROPOSAL,
--- a/src/arbutuspulley/configuration/transactions.py
+++ b/src/arbutuspulley/configuration/transactions.py
@@ -2,7 +2,7 @@
 
 from arbutuspulley.configuration.changes import (
     HEAD_KEY,
-    Accepted,
+    AcceptedProposal,
     Change,
     Head,
     Proposal,
@@ -31,7 +31,7 @@
     :param expired: the change whose rows are no longer kept, if any.
     """
     key = build_change_key(change.version)
-    accepted = Accepted(
+    accepted = AcceptedProposal(
         version=change.version, digest=change.digest, approver=change.approver
     )
     head = Head(version=change.version, digest=change.digest)
--- a/src/arbutuspulley/controller/configuring.py
+++ b/src/arbutuspulley/controller/configuring.py
@@ -66,7 +66,7 @@
 
 
 async def _start(controller: Controller, following: Following) -> None:
-    start = await ask(controller, lambda: store.load_start(controller.platform))
+    start = await ask(controller, lambda: store.load_snapshot(controller.platform))
     _offer(controller, start.configuration)
     following.started = True
     following.revision, following.table_id = start.revision, start.table_id
--- a/src/arbutuspulley/programs/console_api.py
+++ b/src/arbutuspulley/programs/console_api.py
@@ -12,7 +12,7 @@
 
 from arbutuspulley.clock import read_wall
 from arbutuspulley.configuration import approval, store
-from arbutuspulley.configuration.changes import Change, Current, Proposal
+from arbutuspulley.configuration.changes import Change, CurrentConfiguration, Proposal
 from arbutuspulley.configuration.difference import compare
 from arbutuspulley.configuration.files import SourceFile
 from arbutuspulley.configuration.merge import FileSet
@@ -87,7 +87,7 @@
         now_ms=read_wall(),
         note=request.note,
         remove_sites=request.remove_sites,
-        in_force=_find_in_force(backend),
+        active=_find_in_force(backend),
     )
     _log_proposal(proposal)
     return show_proposal(backend, proposal.proposal)
@@ -102,7 +102,7 @@
         version=request.version,
         proposer=operator,
         now_ms=read_wall(),
-        in_force=_find_in_force(backend),
+        active=_find_in_force(backend),
     )
     _log_proposal(proposal)
     return show_proposal(backend, proposal.proposal)
@@ -143,7 +143,7 @@
             base_version=request.base_version,
             approver=operator,
             now_ms=read_wall(),
-            in_force=_find_in_force(backend),
+            active=_find_in_force(backend),
         )
     except ArbutusError as error:
         log_event(
@@ -225,11 +225,11 @@
     return choose_in_force(status, stored_version=stored_version)
 
 
-def _find_current(backend: Backend) -> Current:
-    return store.find_current(backend.platform, in_force=_find_in_force(backend))
+def _find_current(backend: Backend) -> CurrentConfiguration:
+    return store.find_current(backend.platform, active=_find_in_force(backend))
 
 
-def _build_view(record: Proposal, current: Current) -> ProposalView:
+def _build_view(record: Proposal, current: CurrentConfiguration) -> ProposalView:
     return ProposalView(
         proposal=record,
         is_stale=record.base_digest != current.digest,
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -28,12 +28,12 @@
     )
 
 
-def build_current(stored=V7, in_force=EMPTY):
-    return changes.choose_current(stored, in_force, head_revision=3)
+def build_current(stored=V7, active=EMPTY):
+    return changes.choose_current(stored, active, head_revision=3)
 
 
 @pytest.mark.parametrize(
-    ("stored", "in_force", "newest", "is_behind"),
+    ("stored", "active", "newest", "is_behind"),
     [
         (EMPTY, EMPTY, EMPTY, False),
         (V7, EMPTY, V7, False),
@@ -44,15 +44,15 @@
     ],
 )
 def test_the_newest_of_store_and_instances_is_the_base(
-    stored, in_force, newest, is_behind
+    stored, active, newest, is_behind
 ):
-    current = build_current(stored, in_force)
+    current = build_current(stored, active)
     assert current.configuration == newest
-    assert current.store_is_behind == is_behind
+    assert current.store_is_outdated == is_behind
 
 
 @pytest.mark.parametrize(
-    ("stored", "in_force", "base_version", "since"),
+    ("stored", "active", "base_version", "since"),
     [
         (V7, EMPTY, 7, None),
         (V7, V7, 7, None),
@@ -64,9 +64,9 @@
     ],
 )
 def test_an_approval_needs_the_newest_version_as_its_base(
-    stored, in_force, base_version, since
+    stored, active, base_version, since
 ):
-    current = build_current(stored, in_force)
+    current = build_current(stored, active)
     arguments = {"base_version": base_version, "base": V7}
     if since is None:
         changes.check_base(build_proposal(), current, **arguments)
@@ -80,15 +80,15 @@
 
 
 @pytest.mark.parametrize(
-    ("most_bytes", "in_force", "has_delta"),
+    ("most_bytes", "active", "has_delta"),
     [(changes.MAX_DELTA_BYTES, EMPTY, True), (10, EMPTY, False), (99, V8, False)],
 )
 def test_steps_are_stored_if_they_are_small_and_their_base_is_in_the_store(
-    monkeypatch, most_bytes, in_force, has_delta
+    monkeypatch, most_bytes, active, has_delta
 ):
     monkeypatch.setattr(changes, "MAX_DELTA_BYTES", most_bytes)
     change = changes.build_change(
-        build_proposal(), build_current(V7, in_force), V8, approver="janis", now_ms=1
+        build_proposal(), build_current(V7, active), V8, approver="janis", now_ms=1
     )
     assert (change.delta is not None) == has_delta
     if has_delta:
@@ -121,10 +121,10 @@
     sites = {"site-a": V7.sites["site-a"]}
     result = msgspec.structs.replace(V8, sites=sites)
     if not is_refused:
-        changes.check_sites(V7, result, removed=removed)
+        changes.check_removed_sites(V7, result, removed=removed)
         return
     with pytest.raises(ConfigurationError, match="site-b"):
-        changes.check_sites(V7, result, removed=removed)
+        changes.check_removed_sites(V7, result, removed=removed)
 
 
 def test_an_unreadable_row_is_refused_by_its_key():
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -8,7 +8,7 @@
 from arbutuspulley.configuration.canonical import normalize
 from arbutuspulley.configuration.difference import (
     HIDDEN,
-    SHOWN_CHARACTERS,
+    MAX_SHOWN_CHARACTERS,
     Delta,
     Edit,
     build_delta,
@@ -148,4 +148,4 @@
     addresses = tuple(f"127.0.0.1:{port}" for port in range(1000, 1100))
     site = Site(services={"s": Service(addresses=addresses)})
     last = compare(EMPTY, Configuration(sites={"a": site}))[-1]
-    assert len(last.after) < SHOWN_CHARACTERS + 50
+    assert len(last.after) < MAX_SHOWN_CHARACTERS + 50
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -26,19 +26,19 @@
     return FakePlatform()
 
 
-def propose(fake, size_mib=9000, *, in_force=EMPTY, **options):
+def propose(fake, size_mib=9000, *, active=EMPTY, **options):
     files = build_files(BASE.replace("9000", str(size_mib)))
     return approval.propose(
         fake.platform,
         files=options.pop("files", files),
         proposer="ayu",
         now_ms=1,
-        in_force=in_force,
+        active=active,
         **options,
     )
 
 
-def approve(fake, proposal, *, approver="ayu", in_force=EMPTY, base_version=None):
+def approve(fake, proposal, *, approver="ayu", active=EMPTY, base_version=None):
     base = proposal.base_version if base_version is None else base_version
     return approval.approve(
         fake.platform,
@@ -46,7 +46,7 @@
         base_version=base,
         approver=approver,
         now_ms=2,
-        in_force=in_force,
+        active=active,
     )
 
 
@@ -75,15 +75,15 @@
 
 def test_an_accepted_change_is_read_back_whole_and_as_steps(fake):
     assert store.load_latest(fake.platform) == EMPTY
-    start = store.load_start(fake.platform)
+    start = store.load_snapshot(fake.platform)
     newest = accept(fake, 9000, 9100, 9200)
     assert (newest.version, read_size(newest)) == (3, 9200)
-    assert store.load_start(fake.platform).configuration == newest
+    assert store.load_snapshot(fake.platform).configuration == newest
     state = ActivationState()
     page = store.read_changes(fake.platform, start.revision, table_id=start.table_id)
     assert apply_changes(state, page.changes).applied == (1, 2, 3)
     assert state.configuration == newest
-    after = store.load_start(fake.platform).revision
+    after = store.load_snapshot(fake.platform).revision
     assert not store.read_changes(fake.platform, after).changes
 
 
@@ -159,18 +159,18 @@
     accept(fake, 9000, 9100)
     backup = fake.state.revision
     old = propose(fake, 9900)
-    start = store.load_start(fake.platform)
-    in_force = accept(fake, 9200, 9300)
+    start = store.load_snapshot(fake.platform)
+    active = accept(fake, 9200, 9300)
     state = ActivationState()
-    activate_if_newer(state, in_force)
+    activate_if_newer(state, active)
     restore(fake.state, backup + 1)
     page = store.read_changes(fake.platform, 10_000, table_id=start.table_id)
     assert activate_if_newer(state, page.restored).ignored == (2,)
 
-    refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, old, in_force=in_force))
-    proposal = propose(fake, 9400, in_force=in_force)
+    refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, old, active=active))
+    proposal = propose(fake, 9400, active=active)
     assert (proposal.base_version, proposal.version) == (4, 5)
-    assert approve(fake, proposal, in_force=in_force).version == 5
+    assert approve(fake, proposal, active=active).version == 5
     page = store.read_changes(fake.platform, page.revision, table_id=page.table_id)
     progress = apply_changes(state, page.changes)
     if progress.missing:
@@ -191,11 +191,11 @@
     """
     accept(fake, 9000)
     backup = fake.state.revision
-    in_force = accept(fake, 9100)
+    active = accept(fake, 9100)
     restore(fake.state, backup)
-    knowing = propose(fake, 9200, in_force=in_force)
+    knowing = propose(fake, 9200, active=active)
     unknowing = propose(fake, 9300)
-    fake.before_transact = lambda: approve(fake, knowing, in_force=in_force)
+    fake.before_transact = lambda: approve(fake, knowing, active=active)
     refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, unknowing))
     assert store.read_head_version(fake.platform) == 3
 
@@ -208,15 +208,15 @@
     """
     accept(fake, 9000)
     backup = fake.state.revision
-    in_force = accept(fake, 9100)
+    active = accept(fake, 9100)
     restore(fake.state, backup)
     proposal = approval.roll_forward(
-        fake.platform, version=2, proposer="ayu", now_ms=1, in_force=in_force
+        fake.platform, version=2, proposer="ayu", now_ms=1, active=active
     )
-    assert approve(fake, proposal, in_force=in_force).version == 3
+    assert approve(fake, proposal, active=active).version == 3
     assert read_size(store.load_latest(fake.platform)) == 9100
     change = store.read_change(fake.platform, 3)
-    assert store.load_result(fake.platform, change.base_digest) == in_force
+    assert store.load_result(fake.platform, change.base_digest) == active
     assert change.delta is None
 
 
@@ -308,7 +308,7 @@
 
 
 def test_rows_of_old_changes_are_dropped(fake, monkeypatch):
-    monkeypatch.setattr(changes, "KEPT_CHANGES", 2)
+    monkeypatch.setattr(changes, "MAX_KEPT_CHANGES", 2)
     accept(fake, 9000, 9100, 9200, 9300)
     assert [version for version, _ in list_approvers(fake)] == [4, 3]
     rows = fake.platform.table.scan("config/", 0, 100).rows
