--- a/src/arbutuspulley/clock.py
+++ b/src/arbutuspulley/clock.py
@@ -7,17 +7,17 @@
 """Milliseconds in a second."""
 
 
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 """Times that a pause is doubled at most; each longest pause is reached before."""
 
 
-def double_pause(first_ms: int, *, longest_ms: int, count: int) -> int:
+def compute_backoff_ms(initial_ms: int, *, max_ms: int, count: int) -> int:
     """Return the pause after something has failed again, in ms.
 
-    :param first_ms: after the first time; doubled at each further one.
+    :param initial_ms: after the first time; doubled at each further one.
     :param count: how many times in a row it has failed, 1 at least.
     """
-    return min(longest_ms, first_ms * 2 ** min(count - 1, MOST_DOUBLINGS))
+    return min(max_ms, initial_ms * 2 ** min(count - 1, MAX_DOUBLINGS))
 
 
 class Clock:
--- a/src/arbutuspulley/events.py
+++ b/src/arbutuspulley/events.py
@@ -153,10 +153,10 @@
     )
 
 
-MOST_LINES_KEPT = 2_000
+MAX_BUFFERED_LINES = 2_000
 """Lines that wait for standard output at most; about 600 KB."""
 
-FLUSH_MS = 50
+FLUSH_INTERVAL_MS = 50
 """Time between writes to standard output, in ms: many lines to a system call."""
 
 FAILURE_FACTOR = 5
@@ -232,10 +232,10 @@
         if second != self._second:
             self._second = second
             self._ordinary = self._failures = 0
-        room = MOST_LINES_KEPT - len(self._lines)
+        room = MAX_BUFFERED_LINES - len(self._lines)
         if is_ordinary:
             self._ordinary += 1
-            return self._ordinary <= self._rate and room > MOST_LINES_KEPT // 2
+            return self._ordinary <= self._rate and room > MAX_BUFFERED_LINES // 2
         self._failures += 1
         return self._failures <= FAILURE_FACTOR * self._rate and room > 0
 
@@ -248,7 +248,7 @@
             self.flush()
             return
         self._is_flush_due = True
-        loop.call_later(FLUSH_MS / SECOND_MS, self.flush)
+        loop.call_later(FLUSH_INTERVAL_MS / SECOND_MS, self.flush)
 
 
 def set_up_stdout_logging(
--- a/src/arbutuspulley/membership/outage.py
+++ b/src/arbutuspulley/membership/outage.py
@@ -9,7 +9,7 @@
 
 import random
 
-from arbutuspulley.clock import double_pause
+from arbutuspulley.clock import compute_backoff_ms
 from arbutuspulley.data import State
 
 INITIAL_BACKOFF_MS = 250
@@ -86,7 +86,7 @@
 
 
 def _draw_wait(state: OutageState, chance: random.Random) -> int:
-    bound = double_pause(
-        INITIAL_BACKOFF_MS, longest_ms=state.max_backoff_ms, count=state.failures
+    bound = compute_backoff_ms(
+        INITIAL_BACKOFF_MS, max_ms=state.max_backoff_ms, count=state.failures
     )
     return chance.randint(bound // 2, bound)
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from arbutuspulley.admission.rate_limits import RateLimit, get_wait
-from arbutuspulley.clock import double_pause
+from arbutuspulley.clock import compute_backoff_ms
 from arbutuspulley.data import State, Value
 from arbutuspulley.pool.duration import DurationState, estimate_left, note_run_time
 from arbutuspulley.pool.prefill_speed import (
@@ -429,8 +429,8 @@
         return
     server.runs.pop(key, None)
     server.failures += 1
-    server.suspect_until = now + double_pause(
-        SUSPECT_MS, longest_ms=LONGEST_SUSPECT_MS, count=server.failures
+    server.suspect_until = now + compute_backoff_ms(
+        SUSPECT_MS, max_ms=LONGEST_SUSPECT_MS, count=server.failures
     )
     server.orders = None
 
--- a/src/arbutuspulley/programs/cli.py
+++ b/src/arbutuspulley/programs/cli.py
@@ -44,7 +44,7 @@
     check_all,
     check_present,
     check_range,
-    exit_refused,
+    exit_with_errors,
 )
 
 _Reply = TypeVar("_Reply", bound=Message)
@@ -105,7 +105,7 @@
     try:
         check_all((check_range("--every-s", every_s, least=0, most=86_400),))
     except SettingsError as error:
-        exit_refused(error)
+        exit_with_errors(error)
     raise SystemExit(print_causes(list(logs), every_s=every_s))
 
 
--- a/src/arbutuspulley/programs/console.py
+++ b/src/arbutuspulley/programs/console.py
@@ -24,7 +24,7 @@
     check_present,
     split_address,
 )
-from arbutuspulley.startup import LOG_LEVELS, check_and_log
+from arbutuspulley.startup import LOG_LEVELS, set_up_process
 from arbutuspulley.tracing import set_up_tracing
 
 _SHA256_CHARACTERS = 64
@@ -132,7 +132,7 @@
         log_level=log_level,
         trace=trace,
     )
-    check_and_log(_list_checks(settings), log_format=log_format, log_level=log_level)
+    set_up_process(_list_checks(settings), log_format=log_format, log_level=log_level)
     set_up_tracing(program="arbutus-console", instance=instance, target=trace)
     run(settings)
 
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -33,7 +33,7 @@
     check_present,
     check_range,
 )
-from arbutuspulley.startup import check_and_log
+from arbutuspulley.startup import set_up_process
 from arbutuspulley.tracing import set_up_tracing
 
 PROGRAM = "arbutus-controller"
@@ -167,7 +167,7 @@
         follow_ms=follow_ms,
     )
     checks = _list_checks(settings)
-    check_and_log(checks, log_format=log_format, log_level=log_level)
+    set_up_process(checks, log_format=log_format, log_level=log_level)
     set_up_tracing(program=PROGRAM, instance=instance, target=trace)
     run(settings)
 
--- a/src/arbutuspulley/programs/entry.py
+++ b/src/arbutuspulley/programs/entry.py
@@ -29,7 +29,7 @@
     check_range,
     split_address,
 )
-from arbutuspulley.startup import check_and_log
+from arbutuspulley.startup import set_up_process
 from arbutuspulley.tracing import set_up_tracing
 
 PROGRAM = "arbutus-entry"
@@ -83,7 +83,7 @@
         check_range("--max-body-bytes", max_body_bytes, least=1_024, most=1 << 26),
         check_range("--threads", threads, least=SPARE_THREADS + 1, most=2_000),
     ]
-    check_and_log(checks, log_format=log_format, log_level=log_level)
+    set_up_process(checks, log_format=log_format, log_level=log_level)
     set_up_tracing(program=PROGRAM, instance=instance, target=trace)
     settings = Settings(
         instance=instance,
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -40,7 +40,7 @@
     check_all,
     check_choice,
     check_range,
-    exit_refused,
+    exit_with_errors,
     split_address,
 )
 from arbutuspulley.startup import LOG_LEVELS
@@ -88,9 +88,9 @@
         path = find_settings()
         settings = read_settings(path)
     except SettingsError as error:
-        exit_refused(error)
+        exit_with_errors(error)
     except SettingError as error:
-        exit_refused(SettingsError("settings refused", [error]))
+        exit_with_errors(SettingsError("settings refused", [error]))
     metrics = NodeMetrics()
     set_up_stdout_logging(
         level=log_level,
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from arbutuspulley.clock import double_pause
+from arbutuspulley.clock import compute_backoff_ms
 from arbutuspulley.data import State
 from arbutuspulley.membership.limit_shares import get_instance_share
 from arbutuspulley.ports.fleet import ModelNeed, ServerEntry
@@ -200,8 +200,8 @@
     """A server could not be connected to."""
     record = get_stats(records, entry)
     record.failures += 1
-    record.backoff_until = now + double_pause(
-        SUSPECT_MS, longest_ms=LONGEST_SUSPECT_MS, count=record.failures
+    record.backoff_until = now + compute_backoff_ms(
+        SUSPECT_MS, max_ms=LONGEST_SUSPECT_MS, count=record.failures
     )
 
 
@@ -214,8 +214,8 @@
     if now < record.backoff_until:
         return
     record.refusals += 1
-    record.backoff_until = now + double_pause(
-        FULL_MS, longest_ms=LONGEST_FULL_MS, count=record.refusals
+    record.backoff_until = now + compute_backoff_ms(
+        FULL_MS, max_ms=LONGEST_FULL_MS, count=record.refusals
     )
 
 
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -14,7 +14,7 @@
 from arbutuspulley.data import Message, Value
 from arbutuspulley.results import ArbutusError, Code
 from arbutuspulley.rpc import messages
-from arbutuspulley.tracing import TRACEPARENT, open_span, read_bearing
+from arbutuspulley.tracing import TRACEPARENT, get_traceparent, open_span
 
 SERVICE = "arbutus.Controller"
 """Name of the one gRPC service."""
@@ -137,7 +137,7 @@
             raise _translate(self.address, error) from error
 
     def _build_metadata(self) -> tuple[tuple[str, str], ...]:
-        bearing = read_bearing()
+        bearing = get_traceparent()
         return (*self._metadata, (TRACEPARENT, bearing)) if bearing else self._metadata
 
     async def close(self) -> None:
--- a/src/arbutuspulley/settings.py
+++ b/src/arbutuspulley/settings.py
@@ -112,7 +112,7 @@
     return host.strip("[]"), int(port)
 
 
-def exit_refused(error: SettingsError) -> NoReturn:
+def exit_with_errors(error: SettingsError) -> NoReturn:
     """Show all wrong settings on standard error and end the process."""
     print(error.show(), file=sys.stderr)
     raise SystemExit(SETTINGS_EXIT_STATUS)
--- a/src/arbutuspulley/standins/engine.py
+++ b/src/arbutuspulley/standins/engine.py
@@ -26,7 +26,7 @@
 from arbutuspulley.standins.engine_state import EngineState
 from arbutuspulley.standins.routes import build_root
 from arbutuspulley.standins.server import build_standin_server, run_until_stopped
-from arbutuspulley.startup import check_and_log
+from arbutuspulley.startup import set_up_process
 
 DRAIN_MS = 60_000
 """Longest wait for runs in flight after SIGTERM."""
@@ -177,7 +177,7 @@
         check_range("--max-waiting", max_waiting, least=0, most=256),
         check_range("--report-lag-ms", report_lag_ms, least=0, most=_MAX_MS),
     ]
-    check_and_log(checks, log_format=log_format, log_level=log_level)
+    set_up_process(checks, log_format=log_format, log_level=log_level)
     host, port = split_address(listen)
     settings = EngineSettings(
         name=name,
--- a/src/arbutuspulley/standins/platform.py
+++ b/src/arbutuspulley/standins/platform.py
@@ -62,7 +62,7 @@
     read_body,
     run_until_stopped,
 )
-from arbutuspulley.startup import check_and_log
+from arbutuspulley.startup import set_up_process
 from arbutuspulley.web import WebServer
 
 DEFAULT_SCAN_LIMIT = 1_000
@@ -307,7 +307,7 @@
     checks = [
         check_address("--listen", listen),
     ]
-    check_and_log(checks, log_format=log_format, log_level=log_level)
+    set_up_process(checks, log_format=log_format, log_level=log_level)
     host, port = split_address(listen)
     server = build_server(host=host, port=port)
     log_event(Event.STARTED, program=app.name[0], listen=server.address)
--- a/src/arbutuspulley/standins/service.py
+++ b/src/arbutuspulley/standins/service.py
@@ -37,7 +37,7 @@
 from arbutuspulley.standins.control import copy_set, take
 from arbutuspulley.standins.routes import ANY, Incoming, Outgoing, Routes, build_root
 from arbutuspulley.standins.server import build_standin_server, run_until_stopped
-from arbutuspulley.startup import check_and_log
+from arbutuspulley.startup import set_up_process
 from arbutuspulley.web import WebServer
 
 Whole = Annotated[int, msgspec.Meta(ge=0)]
@@ -247,7 +247,7 @@
         check_present("--name", name),
         check_address("--listen", listen),
     ]
-    check_and_log(checks, log_format=log_format, log_level=log_level)
+    set_up_process(checks, log_format=log_format, log_level=log_level)
     host, port = split_address(listen)
     server = build_service(name=name, host=host, port=port)
     log_event(Event.STARTED, program=app.name[0], service=name, listen=server.address)
--- a/src/arbutuspulley/startup.py
+++ b/src/arbutuspulley/startup.py
@@ -8,7 +8,7 @@
     SettingsError,
     check_all,
     check_choice,
-    exit_refused,
+    exit_with_errors,
 )
 
 LOG_FORMATS = ("json", "text")
@@ -18,7 +18,7 @@
 """Values of ``--log-level``."""
 
 
-def check_and_log(checks: Iterable[Check], *, log_format: str, log_level: str) -> None:
+def set_up_process(checks: Iterable[Check], *, log_format: str, log_level: str) -> None:
     """Check all settings, those of the log included, and set up the log.
 
     A process with wrong settings ends here, with one message that names them all.
@@ -33,5 +33,5 @@
     try:
         check_all((*checks, *log_checks))
     except SettingsError as error:
-        exit_refused(error)
+        exit_with_errors(error)
     set_up_logging(log_format=log_format, level=log_level)
--- a/src/arbutuspulley/tracing.py
+++ b/src/arbutuspulley/tracing.py
@@ -51,10 +51,10 @@
     with _TRACER.start_as_current_span(name, context=context) as span:
         for key, value in attributes.items():
             span.set_attribute(f"arbutus.{key}", value)
-        yield read_bearing() or parent
+        yield get_traceparent() or parent
 
 
-def read_bearing() -> str:
+def get_traceparent() -> str:
     """Return the ``traceparent`` of the span that is open here, empty if none is.
 
     A coroutine that a worker hands to the loop runs in the worker's context, so the
--- a/src/arbutuspulley/web.py
+++ b/src/arbutuspulley/web.py
@@ -17,7 +17,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import Value
 
-ShowError = Callable[..., str | bytes]
+ErrorRenderer = Callable[..., str | bytes]
 """Renders CherryPy's own errors; called with ``status`` and ``message``."""
 
 _CONNECTION = "arbutus.connection"
@@ -77,7 +77,7 @@
 
 
 def build_application(
-    root: object, *, show_error: ShowError | None = None
+    root: object, *, show_error: ErrorRenderer | None = None
 ) -> cherrypy.Application:
     """Return a quiet application that leaves bodies to its handlers.
 
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -7,7 +7,7 @@
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.loop import LoopThread
 from arbutuspulley.rpc import channel, messages
-from arbutuspulley.tracing import open_span, read_bearing
+from arbutuspulley.tracing import get_traceparent, open_span
 from tests.ports import find_free_address
 from tests.proxy import FaultProxy
 
@@ -94,7 +94,7 @@
     seen = []
 
     async def tell(_request):
-        seen.append(read_bearing())
+        seen.append(get_traceparent())
         return messages.Acknowledged()
 
     async def start(address):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from arbutuspulley.clock import Clock, double_pause
+from arbutuspulley.clock import Clock, compute_backoff_ms
 
 
 def test_time_of_a_suspension_counts(monkeypatch):
@@ -22,4 +22,4 @@
     ("count", "expected"), [(1, 100), (2, 200), (4, 800), (5, 1_000), (90_000, 1_000)]
 )
 def test_a_pause_is_doubled_up_to_the_longest(count, expected):
-    assert double_pause(100, longest_ms=1_000, count=count) == expected
+    assert compute_backoff_ms(100, max_ms=1_000, count=count) == expected
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -5,7 +5,7 @@
 import os
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.events import MOST_LINES_KEPT, BoundedOutput, Event
+from arbutuspulley.events import MAX_BUFFERED_LINES, BoundedOutput, Event
 
 
 def build(descriptor, fates, *, now=lambda: 0, lines_per_s=10):
@@ -50,10 +50,10 @@
     seconds = iter(range(1_000_000))
     output = build(writer, fates, now=lambda: next(seconds) * 1_000)
     output._plan_flush = lambda: None
-    for _ in range(3 * MOST_LINES_KEPT):
+    for _ in range(3 * MAX_BUFFERED_LINES):
         emit(output, Event.REQUEST_LOST, text="x" * 100)
         output.flush()
-    assert len(output._lines) <= MOST_LINES_KEPT
+    assert len(output._lines) <= MAX_BUFFERED_LINES
     assert fates.count("dropped") > 0
     os.close(reader)
     output.flush()
