--- a/src/arbutuspulley/configuration/activation.py
+++ b/src/arbutuspulley/configuration/activation.py
@@ -73,8 +73,8 @@
             ignored.append(change.version)
         else:
             diverged = diverged or change.digest != state.digest
-    applied = _apply_waiting(state)
-    _bound_waiting(state)
+    applied = _apply_pending(state)
+    _evict_lowest_pending(state)
     return ActivationResult(
         applied=tuple(applied),
         ignored=tuple(ignored),
@@ -92,23 +92,23 @@
     if version < state.configuration.version:
         return ActivationResult(ignored=(version,))
     if version == state.configuration.version:
-        is_other = configuration != state.configuration
-        return ActivationResult(diverged=is_other)
-    _put_in_force(state, configuration, compute_digest(configuration))
-    applied = [version, *_apply_waiting(state)]
+        is_different = configuration != state.configuration
+        return ActivationResult(diverged=is_different)
+    _activate(state, configuration, compute_digest(configuration))
+    applied = [version, *_apply_pending(state)]
     return ActivationResult(
         applied=tuple(applied),
         missing=state.pending[max(state.pending)] if state.pending else None,
     )
 
 
-def _apply_waiting(state: ActivationState) -> list[int]:
+def _apply_pending(state: ActivationState) -> list[int]:
     applied: list[int] = []
     while (change := state.pending.get(state.configuration.version + 1)) is not None:
         result = _apply(state.configuration, change)
         if result is None:
             break
-        _put_in_force(state, result, change.digest)
+        _activate(state, result, change.digest)
         applied.append(change.version)
     return applied
 
@@ -130,7 +130,7 @@
     return result if compute_digest(result) == change.digest else None
 
 
-def _put_in_force(
+def _activate(
     state: ActivationState, configuration: Configuration, digest: str
 ) -> None:
     state.configuration = configuration
@@ -139,7 +139,7 @@
         del state.pending[version]
 
 
-def _bound_waiting(state: ActivationState) -> None:
+def _evict_lowest_pending(state: ActivationState) -> None:
     """Forget the lowest waiting changes; loading the highest one skips them."""
     for version in sorted(state.pending)[:-MAX_PENDING_CHANGES]:
         del state.pending[version]
--- a/src/arbutuspulley/configuration/approval.py
+++ b/src/arbutuspulley/configuration/approval.py
@@ -65,7 +65,7 @@
         store.put_file(platform.objects, file.name, file.text)
         for file in (files.base, *files.overlays)
     )
-    return _submit(
+    return _submit_proposal(
         platform, current, result, references, proposer=proposer, note=note, now=now_ms
     )
 
@@ -91,7 +91,7 @@
         change = store.read_change(platform, version)
         found = store.load_result(platform, change.digest)
     result = msgspec.structs.replace(found, version=current.configuration.version + 1)
-    return _submit(
+    return _submit_proposal(
         platform,
         current,
         result,
@@ -140,7 +140,7 @@
     )
     if not isinstance(commit(platform.table, transaction), Conflict):
         return Approval(version=change.version, digest=change.digest, approver=approver)
-    return _explain_conflict(platform, record, base_version=base_version, base=base)
+    return _resolve_conflict(platform, record, base_version=base_version, base=base)
 
 
 def withdraw(platform: Platform, *, proposal: str) -> None:
@@ -156,7 +156,7 @@
         raise store.build_unknown_proposal_error(proposal)
 
 
-def _submit(
+def _submit_proposal(
     platform: Platform,
     current: CurrentConfiguration,
     result: Configuration,
@@ -195,7 +195,7 @@
     return proposal
 
 
-def _explain_conflict(
+def _resolve_conflict(
     platform: Platform,
     record: Proposal,
     *,
--- a/src/arbutuspulley/configuration/canonical.py
+++ b/src/arbutuspulley/configuration/canonical.py
@@ -18,7 +18,7 @@
 def normalize(value: Any) -> Any:
     """Return an equal value in which defaults are in place, down to the lowest part."""
     if isinstance(value, dict):
-        return {name: normalize(below) for name, below in value.items()}
+        return {name: normalize(nested) for name, nested in value.items()}
     if not isinstance(value, msgspec.Struct):
         return value
     names = value.__struct_fields__
--- a/src/arbutuspulley/configuration/difference.py
+++ b/src/arbutuspulley/configuration/difference.py
@@ -76,7 +76,7 @@
         return f"~ {self.path}: {self.before} -> {self.after}{where}"
 
 
-class _Step(Value, frozen=True):
+class _ValueChange(Value, frozen=True):
     kind: DifferenceKind
     path: Path
     before: Any = None
@@ -95,7 +95,7 @@
 
 def build_delta(old: Configuration, new: Configuration) -> Delta:
     """Return the steps that turn ``old`` into ``new``."""
-    return Delta(edits=tuple(_build_edit(step) for step in _walk(old, new, ())))
+    return Delta(edits=tuple(_build_edit(change) for change in _walk(old, new, ())))
 
 
 def compare(old: Configuration, new: Configuration) -> tuple[Difference, ...]:
@@ -131,11 +131,11 @@
     """Compare part by part; a site that one of both lacks counts as an empty one."""
     folded: dict[tuple[DifferenceKind, str, str, str], list[str]] = {}
     names = old.sites.keys() | new.sites.keys()
-    for step in _walk(_fill_sites(old, names), _fill_sites(new, names), ()):
-        if step.path == _VERSION_PATH:
+    for change in _walk(_fill_sites(old, names), _fill_sites(new, names), ()):
+        if change.path == _VERSION_PATH:
             continue
-        site, path = _split_site(step.path)
-        key = (step.kind, ".".join(path), *_show_values(step))
+        site, path = _split_site_path(change.path)
+        key = (change.kind, ".".join(path), *_show_values(change))
         folded.setdefault(key, []).extend([site] if site else [])
     return tuple(
         Difference(kind=kind, path=path, before=before, after=after, sites=tuple(sites))
@@ -148,22 +148,28 @@
     return msgspec.structs.replace(configuration, sites=sites)
 
 
-def _walk(old: Any, new: Any, path: Path) -> Iterator[_Step]:
+def _walk(old: Any, new: Any, path: Path) -> Iterator[_ValueChange]:
     """Yield the lowest parts that differ; equal parts are not looked into."""
     if old == new:
         return
     old_parts, new_parts = _list_parts(old), _list_parts(new)
     if old_parts is None or new_parts is None:
-        yield _Step(kind=DifferenceKind.CHANGED, path=path, before=old, after=new)
+        yield _ValueChange(
+            kind=DifferenceKind.CHANGED, path=path, before=old, after=new
+        )
         return
     for name in sorted(old_parts.keys() | new_parts.keys()):
-        below = (*path, name)
+        nested_path = (*path, name)
         if name not in old_parts:
-            yield _Step(kind=DifferenceKind.ADDED, path=below, after=new_parts[name])
+            yield _ValueChange(
+                kind=DifferenceKind.ADDED, path=nested_path, after=new_parts[name]
+            )
         elif name not in new_parts:
-            yield _Step(kind=DifferenceKind.REMOVED, path=below, before=old_parts[name])
+            yield _ValueChange(
+                kind=DifferenceKind.REMOVED, path=nested_path, before=old_parts[name]
+            )
         else:
-            yield from _walk(old_parts[name], new_parts[name], below)
+            yield from _walk(old_parts[name], new_parts[name], nested_path)
 
 
 def _list_parts(value: Any) -> dict[str, Any] | None:
@@ -173,41 +179,41 @@
     return value if isinstance(value, dict) else None
 
 
-def _build_edit(step: _Step) -> Edit:
-    if step.kind is DifferenceKind.REMOVED:
-        return Edit(path=step.path, removed=True)
-    return Edit(path=step.path, value=msgspec.to_builtins(step.after))
+def _build_edit(change: _ValueChange) -> Edit:
+    if change.kind is DifferenceKind.REMOVED:
+        return Edit(path=change.path, removed=True)
+    return Edit(path=change.path, value=msgspec.to_builtins(change.after))
 
 
-def _spell_out(value: Any) -> Any:
+def _expand_and_redact(value: Any) -> Any:
     """Return a value with every default written out and keys hidden, for people."""
     parts = _list_parts(value)
     if parts is None:
         return value
     return {
-        name: HIDDEN if name in _HIDDEN_FIELDS else _spell_out(below)
-        for name, below in parts.items()
+        name: HIDDEN if name in _HIDDEN_FIELDS else _expand_and_redact(nested)
+        for name, nested in parts.items()
     }
 
 
-def _split_site(path: Path) -> tuple[str, Path]:
+def _split_site_path(path: Path) -> tuple[str, Path]:
     if path[0] != _SITES:
         return "", path
     return path[1], path[2:]
 
 
-def _show_values(step: _Step) -> tuple[str, str]:
-    if step.path[-1] in _HIDDEN_FIELDS:
+def _show_values(change: _ValueChange) -> tuple[str, str]:
+    if change.path[-1] in _HIDDEN_FIELDS:
         return HIDDEN, f"{HIDDEN}, another one"
-    added = step.kind is DifferenceKind.ADDED
-    removed = step.kind is DifferenceKind.REMOVED
-    before = "" if added else _show(step.before)
-    after = "" if removed else _show(step.after)
+    added = change.kind is DifferenceKind.ADDED
+    removed = change.kind is DifferenceKind.REMOVED
+    before = "" if added else _show(change.before)
+    after = "" if removed else _show(change.after)
     return before, after
 
 
 def _show(value: Any) -> str:
-    text = msgspec.json.encode(_spell_out(value)).decode()
+    text = msgspec.json.encode(_expand_and_redact(value)).decode()
     if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
     return f"{text[:MAX_SHOWN_CHARACTERS]}... ({len(text)} characters)"
--- a/src/arbutuspulley/configuration/files.py
+++ b/src/arbutuspulley/configuration/files.py
@@ -26,7 +26,7 @@
 
 _Document = TypeVar("_Document", bound=Document)
 _ScalarLoader: type = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-_TAG_OF_MERGE = "tag:yaml.org,2002:merge"
+_MERGE_TAG = "tag:yaml.org,2002:merge"
 
 
 class SourceFile(Value, frozen=True):
@@ -104,10 +104,14 @@
     try:
         msgspec.convert(content, kind)
     except msgspec.ValidationError as error:
-        yield from _find_below(content, _strip_optional(kind), key, str(error))
+        yield from _find_nested_problems(
+            content, _strip_optional(kind), key, str(error)
+        )
 
 
-def _find_below(content: Any, kind: Any, key: str, reason: str) -> Iterator[Problem]:
+def _find_nested_problems(
+    content: Any, kind: Any, key: str, reason: str
+) -> Iterator[Problem]:
     if isinstance(content, dict) and typing.get_origin(kind) is dict:
         yield from _find_in_mapping(content, kind, key)
     elif isinstance(content, dict) and _is_struct(kind):
@@ -118,19 +122,19 @@
 
 def _find_in_mapping(content: dict[Any, Any], kind: Any, key: str) -> Iterator[Problem]:
     name_kind, value_kind = typing.get_args(kind)
-    for name, below in content.items():
+    for name, nested in content.items():
         for problem in find_problems(name, name_kind, f"{key}.{name}"):
             yield Problem(key=problem.key, reason=f"name refused: {problem.reason}")
-        yield from find_problems(below, value_kind, f"{key}.{name}")
+        yield from find_problems(nested, value_kind, f"{key}.{name}")
 
 
 def _find_in_struct(
     content: dict[Any, Any], kind: type[msgspec.Struct], key: str
 ) -> Iterator[Problem]:
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-    for name, below in content.items():
+    for name, nested in content.items():
         if name in fields:
-            yield from find_problems(below, fields[name].type, f"{key}.{name}")
+            yield from find_problems(nested, fields[name].type, f"{key}.{name}")
         else:
             known = ", ".join(fields)
             yield Problem(key=f"{key}.{name}", reason=f"unknown key; known: {known}")
@@ -146,7 +150,7 @@
 def _strip_optional(kind: Any) -> Any:
     if typing.get_origin(kind) not in (typing.Union, types.UnionType):
         return kind
-    kinds = [one for one in typing.get_args(kind) if one is not type(None)]
+    kinds = [member for member in typing.get_args(kind) if member is not type(None)]
     return kinds[0] if len(kinds) == 1 else kind
 
 
@@ -161,10 +165,10 @@
         """
         seen = set()
         for name, _ in node.value:
-            if name.tag == _TAG_OF_MERGE:
-                raise _refuse_at(name, "merge keys are not taken")
+            if name.tag == _MERGE_TAG:
+                raise _build_yaml_error(name, "merge keys are not taken")
             if name.value in seen:
-                raise _refuse_at(name, f"key {name.value!r} is given twice")
+                raise _build_yaml_error(name, f"key {name.value!r} is given twice")
             seen.add(name.value)
         return super().construct_mapping(node, deep=deep)
 
@@ -173,18 +177,18 @@
     size = len(file.text.encode())
     if size > MAX_FILE_BYTES:
         detail = f"the file has {size} bytes, more than {MAX_FILE_BYTES}"
-        raise _refuse_syntax(file, detail, "$")
+        raise _build_syntax_error(file, detail, "$")
     try:
         _check_events(file.text)
         content = yaml.load(file.text, Loader=_Loader)
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         where = f"line {mark.line + 1}, column {mark.column + 1}" if mark else "$"
-        raise _refuse_syntax(file, str(error.problem), where) from None
+        raise _build_syntax_error(file, str(error.problem), where) from None
     except (yaml.YAMLError, ValueError) as error:
-        raise _refuse_syntax(file, str(error).splitlines()[0], "$") from None
+        raise _build_syntax_error(file, str(error).splitlines()[0], "$") from None
     if not isinstance(content, dict):
-        raise _refuse_syntax(file, "the file holds no mapping of keys", "$")
+        raise _build_syntax_error(file, "the file holds no mapping of keys", "$")
     return content
 
 
@@ -197,20 +201,20 @@
     depth = 0
     for event in yaml.parse(text, Loader=_ScalarLoader):
         if isinstance(event, yaml.AliasEvent):
-            raise _refuse_at(event, "anchors and aliases are not taken")
+            raise _build_yaml_error(event, "anchors and aliases are not taken")
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
         if isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            raise _refuse_at(event, f"nested deeper than {MAX_DEPTH}")
+            raise _build_yaml_error(event, f"nested deeper than {MAX_DEPTH}")
 
 
-def _refuse_at(node: Any, problem: str) -> yaml.MarkedYAMLError:
+def _build_yaml_error(node: Any, problem: str) -> yaml.MarkedYAMLError:
     return yaml.MarkedYAMLError(problem=problem, problem_mark=node.start_mark)
 
 
-def _refuse_syntax(file: SourceFile, detail: str, key: str) -> FilesError:
+def _build_syntax_error(file: SourceFile, detail: str, key: str) -> FilesError:
     error = ConfigurationError(
         code=Code.BAD_SYNTAX, detail=detail, file=file.name, key=key
     )
--- a/src/arbutuspulley/configuration/lookup.py
+++ b/src/arbutuspulley/configuration/lookup.py
@@ -57,8 +57,8 @@
     items: dict[str, Item] = {}
     for site in configuration.sites.values():
         for item in list_items(site).values():
-            known = items.get(item.key)
-            if known is None or known.copies < item.copies:
+            best = items.get(item.key)
+            if best is None or best.copies < item.copies:
                 items[item.key] = item
     return items
 
--- a/src/arbutuspulley/configuration/steps.py
+++ b/src/arbutuspulley/configuration/steps.py
@@ -19,7 +19,7 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 
-class _Pending(Value, frozen=True):
+class _PendingEdit(Value, frozen=True):
     """An edit and what is left of its path."""
 
     path: Path
@@ -32,7 +32,7 @@
     :raises ConfigurationError: if a step does not fit ``old`` or the result is no
         valid configuration; that is, the delta belongs to another one.
     """
-    pending = [_Pending(path=edit.path, edit=edit) for edit in delta.edits]
+    pending = [_PendingEdit(path=edit.path, edit=edit) for edit in delta.edits]
     try:
         result: Configuration = _rebuild(old, Configuration, pending)
     except (KeyError, msgspec.ValidationError) as error:
@@ -42,11 +42,11 @@
     return result
 
 
-def _rebuild(value: Any, kind: Any, pending: list[_Pending]) -> Any:
+def _rebuild(value: Any, kind: Any, pending: list[_PendingEdit]) -> Any:
     """Return a value with edits applied; its other parts are shared with the old."""
-    for one in pending:
-        if not one.path:
-            return normalize(msgspec.convert(one.edit.value, kind))
+    for item in pending:
+        if not item.path:
+            return normalize(msgspec.convert(item.edit.value, kind))
     if isinstance(value, msgspec.Struct):
         return _rebuild_struct(value, pending)
     if isinstance(value, dict):
@@ -54,40 +54,42 @@
     raise KeyError(pending[0].path[0])
 
 
-def _rebuild_struct(value: msgspec.Struct, pending: list[_Pending]) -> msgspec.Struct:
-    kinds = _list_kinds(type(value))
+def _rebuild_struct(
+    value: msgspec.Struct, pending: list[_PendingEdit]
+) -> msgspec.Struct:
+    kinds = _get_field_types(type(value))
     changed = {}
-    for name, below in _group(pending).items():
+    for name, nested in _group_by_name(pending).items():
         kind = kinds[name]
-        changed[name] = _rebuild(getattr(value, name), kind, below)
+        changed[name] = _rebuild(getattr(value, name), kind, nested)
     return normalize_fields(msgspec.structs.replace(value, **changed))
 
 
 def _rebuild_mapping(
-    value: dict[str, Any], kind: Any, pending: list[_Pending]
+    value: dict[str, Any], kind: Any, pending: list[_PendingEdit]
 ) -> dict[str, Any]:
     name_kind, part_kind = typing.get_args(kind)
     result = dict(value)
-    for name, below in _group(pending).items():
-        if any(one.edit.removed and not one.path for one in below):
+    for name, nested in _group_by_name(pending).items():
+        if any(item.edit.removed and not item.path for item in nested):
             del result[name]
             continue
         msgspec.convert(name, name_kind)
-        is_whole = any(not one.path for one in below)
-        before = None if is_whole else result[name]
-        result[name] = _rebuild(before, part_kind, below)
+        replaces_value = any(not item.path for item in nested)
+        previous = None if replaces_value else result[name]
+        result[name] = _rebuild(previous, part_kind, nested)
     return result
 
 
-def _group(pending: Iterable[_Pending]) -> dict[str, list[_Pending]]:
-    grouped: dict[str, list[_Pending]] = {}
-    for one in pending:
-        name, *rest = one.path
-        below = _Pending(path=tuple(rest), edit=one.edit)
-        grouped.setdefault(name, []).append(below)
+def _group_by_name(pending: Iterable[_PendingEdit]) -> dict[str, list[_PendingEdit]]:
+    grouped: dict[str, list[_PendingEdit]] = {}
+    for item in pending:
+        name, *rest = item.path
+        nested = _PendingEdit(path=tuple(rest), edit=item.edit)
+        grouped.setdefault(name, []).append(nested)
     return grouped
 
 
 @functools.cache
-def _list_kinds(kind: type[msgspec.Struct]) -> dict[str, Any]:
+def _get_field_types(kind: type[msgspec.Struct]) -> dict[str, Any]:
     return {field.name: field.type for field in msgspec.structs.fields(kind)}
--- a/src/arbutuspulley/configuration/store.py
+++ b/src/arbutuspulley/configuration/store.py
@@ -174,8 +174,8 @@
 
 def list_changes(platform: Platform, *, newest: int) -> tuple[Change, ...]:
     """Return the newest accepted changes, newest first."""
-    top = read_head_version(platform)
-    found = (find_change(platform, top - below) for below in range(newest))
+    head_version = read_head_version(platform)
+    found = (find_change(platform, head_version - offset) for offset in range(newest))
     return tuple(change for change in found if change is not None)
 
 
--- a/src/arbutuspulley/events.py
+++ b/src/arbutuspulley/events.py
@@ -98,10 +98,10 @@
     SERVER_LIMIT_REACHED = 809
 
 
-def _encode_line(record: logging.LogRecord, **first: object) -> bytes:
+def _encode_line(record: logging.LogRecord, **leading_fields: object) -> bytes:
     line = {
         "time_ms": read_wall(),
-        **first,
+        **leading_fields,
         "event": getattr(record, "event_number", 0),
         "name": record.getMessage(),
         **getattr(record, "event_fields", {}),
@@ -159,10 +159,10 @@
 FLUSH_INTERVAL_MS = 50
 """Time between writes to standard output, in ms: many lines to a system call."""
 
-FAILURE_FACTOR = 5
+FAILURE_RATE_FACTOR = 5
 """How many times as many lines a second may tell of failures as of ordinary events."""
 
-_ORDINARY = frozenset((Event.REQUEST_ENDED, Event.SERVER_GRANTED))
+_PER_REQUEST_EVENTS = frozenset((Event.REQUEST_ENDED, Event.SERVER_GRANTED))
 """Events that come with every request, also when nothing is wrong."""
 
 
@@ -189,65 +189,70 @@
         super().__init__()
         self._descriptor = descriptor
         self._instance = instance
-        self._rate = lines_per_s
+        self._lines_per_s = lines_per_s
         self._count_line = count_line
         self._clock = clock
         self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self._second = 0
-        self._ordinary = 0
-        self._failures = 0
-        self._is_flush_due = False
+        self._unwritten = b""
+        self._rate_window_s = 0
+        self._ordinary_count = 0
+        self._failure_count = 0
+        self._is_flush_scheduled = False
 
     def emit(self, record: logging.LogRecord) -> None:
         """Keep a line for writing, or drop it."""
         number = getattr(record, "event_number", 0)
-        if not self._may_keep(number in _ORDINARY):
+        if not self._try_admit(number in _PER_REQUEST_EVENTS):
             self._count_line("dropped")
             return
         self._lines.append(_encode_line(record, instance=self._instance) + b"\n")
         self._count_line("written")
-        self._plan_flush()
+        self._schedule_flush()
 
     def flush(self) -> None:
         """Write what the reader takes."""
-        self._is_flush_due = False
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = b"".join(self._lines)
+        self._is_flush_scheduled = False
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = b"".join(self._lines)
                 self._lines.clear()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
-                self._plan_flush()
+                self._schedule_flush()
                 return
             except OSError:
                 # Nobody reads any more; the counter of lines is all that is left.
-                self._rest = b""
+                self._unwritten = b""
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
-    def _may_keep(self, is_ordinary: bool) -> bool:
+    def _try_admit(self, is_ordinary: bool) -> bool:
         second = self._clock.now() // SECOND_MS
-        if second != self._second:
-            self._second = second
-            self._ordinary = self._failures = 0
+        if second != self._rate_window_s:
+            self._rate_window_s = second
+            self._ordinary_count = self._failure_count = 0
         room = MAX_BUFFERED_LINES - len(self._lines)
         if is_ordinary:
-            self._ordinary += 1
-            return self._ordinary <= self._rate and room > MAX_BUFFERED_LINES // 2
-        self._failures += 1
-        return self._failures <= FAILURE_FACTOR * self._rate and room > 0
-
-    def _plan_flush(self) -> None:
-        if self._is_flush_due:
+            self._ordinary_count += 1
+            return (
+                self._ordinary_count <= self._lines_per_s
+                and room > MAX_BUFFERED_LINES // 2
+            )
+        self._failure_count += 1
+        return (
+            self._failure_count <= FAILURE_RATE_FACTOR * self._lines_per_s and room > 0
+        )
+
+    def _schedule_flush(self) -> None:
+        if self._is_flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._is_flush_due = True
+        self._is_flush_scheduled = True
         loop.call_later(FLUSH_INTERVAL_MS / SECOND_MS, self.flush)
 
 
--- a/src/arbutuspulley/loop.py
+++ b/src/arbutuspulley/loop.py
@@ -36,7 +36,7 @@
 
     def stop(self) -> None:
         """Cancel what still runs on the loop and end the thread."""
-        asyncio.run_coroutine_threadsafe(_cancel_others(), self._loop).result(10)
+        asyncio.run_coroutine_threadsafe(_cancel_other_tasks(), self._loop).result(10)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10)
         self._pool.shutdown(wait=False, cancel_futures=True)
@@ -80,7 +80,7 @@
         return self._loop.run_in_executor(self._pool, function)
 
 
-async def _cancel_others() -> None:
+async def _cancel_other_tasks() -> None:
     current = asyncio.current_task()
     others = [task for task in asyncio.all_tasks() if task is not current]
     for task in others:
--- a/src/arbutuspulley/web.py
+++ b/src/arbutuspulley/web.py
@@ -20,7 +20,7 @@
 ErrorRenderer = Callable[..., str | bytes]
 """Renders CherryPy's own errors; called with ``status`` and ``message``."""
 
-_CONNECTION = "arbutus.connection"
+_CONNECTION_KEY = "arbutus.connection"
 
 
 class Limits(Value, frozen=True):
@@ -101,7 +101,7 @@
 
 def get_connection() -> socket.socket:
     """Return the connection of the request that this thread handles."""
-    connection: socket.socket = cherrypy.serving.request.wsgi_environ[_CONNECTION]
+    connection: socket.socket = cherrypy.serving.request.wsgi_environ[_CONNECTION_KEY]
     return connection
 
 
@@ -110,7 +110,7 @@
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
         environ: dict[str, Any] = super().get_environ()
-        environ[_CONNECTION] = self.req.conn.socket
+        environ[_CONNECTION_KEY] = self.req.conn.socket
         return environ
 
 
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -49,7 +49,7 @@
     fates = []
     seconds = iter(range(1_000_000))
     output = build(writer, fates, now=lambda: next(seconds) * 1_000)
-    output._plan_flush = lambda: None
+    output._schedule_flush = lambda: None
     for _ in range(3 * MAX_BUFFERED_LINES):
         emit(output, Event.REQUEST_LOST, text="x" * 100)
         output.flush()
