--- a/src/arbutuspulley/clock.py
+++ b/src/arbutuspulley/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, the only unit of time inside the system."""
+"""Clocks and retry backoff, in whole milliseconds: the system's unit of time."""
 
 import time
 from collections.abc import Callable
@@ -8,28 +8,29 @@
 
 
 MAX_DOUBLINGS = 16
-"""Times that a pause is doubled at most; each longest pause is reached before."""
+"""Limit of the exponent; every maximum backoff in use is reached below it."""
 
 
 def compute_backoff_ms(initial_ms: int, *, max_ms: int, count: int) -> int:
-    """Return the pause after something has failed again, in ms.
+    """Return the exponential backoff after consecutive failures, in ms.
 
-    :param initial_ms: after the first time; doubled at each further one.
-    :param count: how many times in a row it has failed, 1 at least.
+    :param initial_ms: backoff after the first failure; doubled after each further one.
+    :param max_ms: upper bound of the backoff.
+    :param count: consecutive failures, at least 1.
     """
     return min(max_ms, initial_ms * 2 ** min(count - 1, MAX_DOUBLINGS))
 
 
 class Clock:
-    """A steady clock read in milliseconds.
+    """A monotonic clock that is read in milliseconds.
 
-    Decisions never hold a clock: the shell around them reads one and passes
-    ``now`` along, so that a test can set any time it likes.
+    Decision functions hold no clock: their callers read one and pass ``now``, so that
+    tests can set any time.
 
     :param read: returns the current reading in milliseconds; it must never go
-        back. The default is the machine's boot-time clock, which unlike the
-        monotonic one also counts the time for which the machine was suspended: a
-        holder that wakes must find its lease and its deadlines past.
+        back. The default is ``CLOCK_BOOTTIME``, which unlike ``CLOCK_MONOTONIC``
+        also counts the time for which the machine was suspended: a lease holder that
+        resumes must find that its lease and its deadlines have expired.
     """
 
     __slots__ = ("_read",)
@@ -50,9 +51,9 @@
 
 
 def read_wall() -> int:
-    """Return the calendar time, for display and log lines only.
+    """Return the wall-clock time, for display and log lines only.
 
-    Wall clocks of two instances may disagree, so no decision uses this.
+    Wall clocks of two instances may disagree, so no decision uses this value.
 
     :return: milliseconds since the Unix epoch.
     """
--- a/src/arbutuspulley/configuration/__init__.py
+++ b/src/arbutuspulley/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: files, merging, changes, and the version in force."""
+"""Configuration: files, merging, changes, and activation of accepted versions."""
--- a/src/arbutuspulley/configuration/activation.py
+++ b/src/arbutuspulley/configuration/activation.py
@@ -1,7 +1,8 @@
-"""The version that this process has in force, which only ever goes up.
+"""The active configuration of a process, whose version never decreases.
 
-Changes come from the table in order of revision, whole configurations from peers or
-from the object store. Whatever the source, only a higher version is taken.
+Changes are read from the table in order of revision; full configurations come from
+peers or the object store. Only a version higher than the active one is activated,
+whatever its source.
 """
 
 from collections.abc import Iterable
@@ -14,14 +15,14 @@
 from arbutuspulley.results import ConfigurationError
 
 MAX_PENDING_CHANGES = 256
-"""Changes kept that wait for the ones before them."""
+"""Maximum number of accepted changes kept until the ones before them arrive."""
 
 
 class ActivationState(State):
-    """What is in force here.
+    """The active configuration and the changes that are still to be applied.
 
-    :param configuration: the configuration in force.
-    :param digest: its digest.
+    :param configuration: the active configuration.
+    :param digest: digest of the active configuration.
     :param accepted_version: the highest version known to be accepted.
     :param pending: accepted changes that cannot be applied yet, by version.
     """
@@ -33,15 +34,16 @@
 
 
 class ActivationResult(Value, frozen=True):
-    """What a step brought.
+    """The result of applying changes or a full configuration.
 
-    :param applied: versions that came into force, in order.
-    :param ignored: versions below the one in force; expected after a store was
+    :param applied: versions that were activated, in order.
+    :param ignored: versions below the active one; expected after the store was
         restored to an older state (event 506).
-    :param diverged: whether the store holds another content under the version in
-        force here; the next accepted version settles it.
-    :param missing: the change whose whole configuration must be loaded by its digest
-        and offered, because steps before it are missing or its own do not fit.
+    :param diverged: whether the active version has different content in the store;
+        the next accepted version resolves this.
+    :param missing: the change whose full configuration must be loaded by its digest
+        and passed to :func:`activate_if_newer`, because changes before it are missing
+        or its own delta cannot be applied.
     """
 
     applied: tuple[int, ...] = ()
@@ -51,10 +53,10 @@
 
 
 def is_ready(state: ActivationState) -> bool:
-    """Return whether any accepted version is in force.
+    """Return whether any accepted version is active.
 
-    A new instance that can reach neither the store nor a peer must not serve: what it
-    would serve under, the empty configuration, was never accepted.
+    A new instance that can reach neither the store nor a peer must not serve requests:
+    its configuration is the empty one, which was never accepted.
     """
     return state.configuration.version > 0
 
@@ -62,7 +64,7 @@
 def apply_changes(
     state: ActivationState, changes: Iterable[Change]
 ) -> ActivationResult:
-    """Bring accepted changes into force, strictly upward and without a gap."""
+    """Activate accepted changes in strictly ascending order and without gaps."""
     ignored = []
     diverged = False
     for change in changes:
@@ -86,7 +88,7 @@
 def activate_if_newer(
     state: ActivationState, configuration: Configuration
 ) -> ActivationResult:
-    """Take a whole configuration, from a peer or the object store, if it is newer."""
+    """Activate a full configuration of a peer or the object store if it is newer."""
     version = configuration.version
     state.accepted_version = max(state.accepted_version, version)
     if version < state.configuration.version:
@@ -114,12 +116,12 @@
 
 
 def _apply(configuration: Configuration, change: Change) -> Configuration | None:
-    """Return the result of a change, or ``None`` if its steps cannot be used.
+    """Return the result of a change, or ``None`` if its delta cannot be applied.
 
-    The steps belong to the content that the change was based on. After a store was
-    restored, this instance may hold other content under the same version; applied to
-    it, they would make a configuration that nobody approved. The digest shows that,
-    and the whole configuration is then loaded instead.
+    A delta is valid only for the content that the change was based on. After the store
+    was restored, this instance may hold different content under the same version; the
+    delta applied to it would give a configuration that nobody approved. The digest
+    detects this, and the full configuration is then loaded instead.
     """
     if change.delta is None:
         return None
@@ -140,6 +142,6 @@
 
 
 def _evict_lowest_pending(state: ActivationState) -> None:
-    """Forget the lowest waiting changes; loading the highest one skips them."""
+    """Evict the lowest pending changes; loading the highest one skips them."""
     for version in sorted(state.pending)[:-MAX_PENDING_CHANGES]:
         del state.pending[version]
--- a/src/arbutuspulley/configuration/approval.py
+++ b/src/arbutuspulley/configuration/approval.py
@@ -1,10 +1,10 @@
-"""Proposing a change and approving it.
+"""Proposal, approval and withdrawal of configuration changes.
 
-The functions block on the platform and run on worker threads; what they decide is
-decided by :mod:`.changes`. They raise
-:class:`~arbutuspulley.results.PlatformUnavailableError` if nothing happened and
-:class:`~arbutuspulley.results.OutcomeUnknownError` if the outcome stayed unknown, in
-which case calling again with the same arguments is safe.
+The functions block on calls to the platform and run on worker threads; the decision
+logic is in :mod:`.changes`. They raise
+:class:`~arbutuspulley.results.PlatformUnavailableError` if the call had no effect and
+:class:`~arbutuspulley.results.OutcomeUnknownError` if the outcome is unknown. They are
+idempotent: a retry with the same arguments is safe.
 """
 
 from collections.abc import Sequence
@@ -29,9 +29,12 @@
 
 
 class Approval(Value, frozen=True):
-    """A change is accepted.
+    """The result of an approval.
 
-    :param repeated: whether it had been accepted before this call.
+    :param version: the accepted version.
+    :param digest: digest of the accepted configuration.
+    :param approver: the operator who approved it first.
+    :param repeated: whether the change was already accepted before this call.
     """
 
     version: int
@@ -50,13 +53,14 @@
     remove_sites: Sequence[str] = (),
     active: Configuration = EMPTY,
 ) -> Proposal:
-    """Lay down a set of files for approval.
-
-    :param now_ms: wall clock, for display only.
-    :param remove_sites: sites whose overlay is left out on purpose.
-    :param active: the newest configuration known to be in force.
-    :raises FilesError: with every problem of the files.
-    :raises ConfigurationError: if they cannot be served or change nothing.
+    """Propose a set of configuration files for approval.
+
+    :param now_ms: wall-clock time, for display only.
+    :param remove_sites: sites whose overlay is omitted on purpose.
+    :param active: the newest configuration known to be active on an instance.
+    :raises FilesError: with all problems of the files.
+    :raises ConfigurationError: if the result does not fit the servers' memory, lacks a
+        site that is not named in ``remove_sites``, or changes nothing.
     """
     current = store.find_current(platform, active=active)
     result = merge_files(files, version=current.configuration.version + 1)
@@ -78,12 +82,14 @@
     now_ms: int,
     active: Configuration = EMPTY,
 ) -> Proposal:
-    """Propose the content of an earlier version as the next one.
+    """Propose the content of an earlier version as the next version.
 
-    With the version that is in force while the store holds an older one, this writes
-    the lost content back to the store.
+    If the store holds a version older than the active one, a roll-forward to the
+    active version writes the lost content back to the store.
 
-    :raises ConfigurationError: if that version is not known or changes nothing.
+    :param now_ms: wall-clock time, for display only.
+    :param active: the newest configuration known to be active on an instance.
+    :raises ConfigurationError: if the version is unknown or changes nothing.
     """
     current = store.find_current(platform, active=active)
     found = current.configuration
@@ -111,14 +117,17 @@
     now_ms: int,
     active: Configuration = EMPTY,
 ) -> Approval:
-    """Accept a proposal, if nothing else was accepted since it was made.
+    """Accept a proposal if no other change was accepted since it was made.
 
-    Calling again, after a lost reply or from another phone, gives the same result and
-    makes no second change.
+    The call is idempotent: a retry, after a lost reply or from another device, returns
+    the same result and makes no second change.
 
-    :param base_version: the base version that the operator saw.
+    :param base_version: the base version that was shown to the operator.
+    :param now_ms: wall-clock time, for display only.
+    :param active: the newest configuration known to be active on an instance.
     :raises StaleBaseError: if another change was accepted first.
-    :raises ConfigurationError: if the proposal is unknown or cannot be served.
+    :raises ConfigurationError: if the proposal is unknown or its result does not fit
+        the servers' memory.
     """
     row = store.find_proposal_row(platform, proposal)
     if row is None:
@@ -144,9 +153,9 @@
 
 
 def withdraw(platform: Platform, *, proposal: str) -> None:
-    """Take a waiting proposal back.
+    """Withdraw a pending proposal.
 
-    :raises ConfigurationError: if it does not wait any longer.
+    :raises ConfigurationError: if the proposal is no longer pending.
     """
     row = store.find_proposal_row(platform, proposal)
     if row is None:
@@ -202,9 +211,12 @@
     base_version: int,
     base: Configuration | None,
 ) -> Approval:
-    """Tell an approval that someone was faster: with this change or with another.
+    """Return the result of an approval whose transaction met a conflict.
+
+    Either the same proposal or another one was approved concurrently.
 
-    :raises StaleBaseError: if it was another change.
+    :raises StaleBaseError: if another change was accepted.
+    :raises ConfigurationError: if the proposal was withdrawn.
     """
     if store.find_proposal_row(platform, record.proposal) is None:
         return _read_accepted(platform, record.proposal)
@@ -214,9 +226,9 @@
 
 
 def _read_accepted(platform: Platform, proposal: str) -> Approval:
-    """Return what became of a proposal that no longer waits.
+    """Return the earlier approval of a proposal that is no longer pending.
 
-    :raises ConfigurationError: if it was not accepted either.
+    :raises ConfigurationError: if the proposal was not accepted.
     """
     row = platform.table.read(changes.build_accepted_key(proposal))
     if row is None:
--- a/src/arbutuspulley/configuration/canonical.py
+++ b/src/arbutuspulley/configuration/canonical.py
@@ -1,10 +1,10 @@
-"""One encoding for equal configurations, so that equal ones have one digest.
+"""Canonical form of configurations: equal ones have one encoding and one digest.
 
-Encoding leaves out a field that *is* its default, and msgspec decides that by
-identity: a target written out in a file with the very numbers of the default would be
-encoded, and left out if the file does not mention it. Two processes would hold equal
-configurations with different digests. So defaults are put in place of equal values
-where values come in; decoding and sharing of parts keep them.
+msgspec omits a field from the encoding if its value *is* the default, compared by
+identity. A target that a file spells out with the default's numbers would be encoded,
+but omitted if the file does not mention it, so that two processes would hold equal
+configurations with different digests. Values that equal the default are therefore
+replaced by the default object on input; decoding and structural sharing preserve it.
 """
 
 import functools
@@ -16,7 +16,7 @@
 
 
 def normalize(value: Any) -> Any:
-    """Return an equal value in which defaults are in place, down to the lowest part."""
+    """Return an equal value with defaults substituted for equal values, recursively."""
     if isinstance(value, dict):
         return {name: normalize(nested) for name, nested in value.items()}
     if not isinstance(value, msgspec.Struct):
@@ -27,7 +27,7 @@
 
 
 def normalize_fields(value: _Kind) -> _Kind:
-    """Return an equal struct in which fields that equal their default are it."""
+    """Return an equal struct with the default object in fields that equal it."""
     replaced = {
         name: default
         for name, default in _list_defaults(type(value))
@@ -38,9 +38,10 @@
 
 @functools.cache
 def _list_defaults(kind: type[msgspec.Struct]) -> tuple[tuple[str, Any], ...]:
-    """Return name and default of the fields that have one.
+    """Return name and default value of each field that has a default.
 
-    An empty mapping needs no replacing: it is left out whichever it is.
+    Fields with a default factory are not listed: msgspec omits an empty mapping from
+    the encoding whichever object it is.
     """
     return tuple(
         (field.name, field.default)
--- a/src/arbutuspulley/configuration/changes.py
+++ b/src/arbutuspulley/configuration/changes.py
@@ -1,9 +1,10 @@
-"""Records of accepted changes and of proposals, and the approval decision.
+"""Stored records of changes and proposals, and the decision logic of approvals.
 
-The table holds one row for each accepted change, a head row that names the newest
-one, and a row for each waiting proposal. The object store holds the whole of every
-proposed configuration under its digest, so that a change too large for a row, a gap
-or a start needs one object and no replay. This module does no I/O; see :mod:`.store`.
+The table has one row for each accepted change, a head row with the newest version, and
+one row for each pending proposal. The object store has every proposed configuration in
+full under its digest, so that a process that starts, has a gap, or reads a change too
+large for a row loads one object instead of replaying changes. This module does no I/O;
+see :mod:`.store`.
 """
 
 import hashlib
@@ -28,25 +29,25 @@
 """Row of :class:`Head`."""
 
 CHANGE_PREFIX = "config/change/"
-"""Rows of :class:`Change`, by version with leading zeros."""
+"""Rows of :class:`Change`, by version, padded with zeros."""
 
 PROPOSAL_PREFIX = "config/proposal/"
-"""Rows of waiting :class:`Proposal` records, by id."""
+"""Rows of pending :class:`Proposal` records, by id."""
 
 ACCEPTED_PREFIX = "config/accepted/"
-"""Rows of :class:`AcceptedProposal`, by the id of the proposal."""
+"""Rows of :class:`AcceptedProposal`, by proposal id."""
 
 RESULT_PREFIX = "config/result/"
-"""Objects with whole configurations, by digest."""
+"""Objects with full configurations, by digest."""
 
 FILE_PREFIX = "config/file/"
 """Objects with the text of proposed files, by SHA-256."""
 
 MAX_DELTA_BYTES = 32 * 1024
-"""Largest delta kept in a row; for a larger change readers load the object."""
+"""Maximum size of a delta in a row; readers of a larger change load the object."""
 
 MAX_KEPT_CHANGES = 10_000
-"""Accepted changes whose rows stay; older ones are deleted as new ones come."""
+"""Number of newest accepted changes kept; each new change deletes an older one."""
 
 _ID_CHARACTERS = 16
 
@@ -63,11 +64,11 @@
 class Change(Message, frozen=True):
     """One accepted change.
 
-    :param base_version: the version that the operator saw it compared with.
-    :param delta: steps from the base version, or ``None`` to load the object.
-    :param digest: of the configuration that it results in.
-    :param base_digest: of the configuration that it was based on.
-    :param approved_at_ms: wall clock of the console, for display only.
+    :param base_version: the version that the change was compared with for the operator.
+    :param delta: delta from the base version, or ``None`` if the object must be loaded.
+    :param digest: digest of the resulting configuration.
+    :param base_digest: digest of the base configuration.
+    :param approved_at_ms: wall-clock time of the console, for display only.
     """
 
     version: int
@@ -83,21 +84,22 @@
 
 
 class FileReference(Message, frozen=True):
-    """A proposed file; its text is the object with this SHA-256."""
+    """A proposed file; its text is stored as the object with this SHA-256."""
 
     name: str
     sha256: str
 
 
 class Proposal(Message, frozen=True):
-    """A change that waits for approval.
-
-    :param proposal: its id, the same whenever the same result is proposed on the
-        same base.
-    :param base_version: the newest version as it was proposed.
-    :param version: the version that it becomes if approved.
-    :param digest: of the configuration that it results in.
-    :param proposed_at_ms: wall clock of the console, for display only.
+    """A change that is pending approval.
+
+    :param proposal: id of the proposal; the same result proposed on the same base has
+        the same id.
+    :param base_version: the newest version at the time of the proposal.
+    :param base_digest: digest of the base configuration.
+    :param version: the version that the change gets if it is approved.
+    :param digest: digest of the resulting configuration.
+    :param proposed_at_ms: wall-clock time of the console, for display only.
     """
 
     proposal: str
@@ -112,7 +114,7 @@
 
 
 class AcceptedProposal(Message, frozen=True):
-    """Tells what became of a proposal, to whoever approves it again."""
+    """The outcome of an accepted proposal, returned to repeated approvals."""
 
     version: int
     digest: str
@@ -120,9 +122,10 @@
 
 
 class CurrentConfiguration(Value, frozen=True):
-    """The newest configuration known, which a change must be based on.
+    """The newest known configuration, which a change must be based on.
 
-    :param stored_version: the store's newest version. It lies below that of
+    :param digest: digest of ``configuration``.
+    :param stored_version: the newest version in the store. It is lower than that of
         ``configuration`` after the store was restored to an older state.
     :param head_revision: revision of the head row.
     """
@@ -134,14 +137,14 @@
 
     @property
     def store_is_outdated(self) -> bool:
-        """Whether an instance has a newer version in force than the store holds."""
+        """Whether an instance has activated a newer version than the store holds."""
         return self.configuration.version > self.stored_version
 
 
 class StaleBaseError(ConfigurationError):
-    """Another change was accepted since this one was proposed.
+    """Another change was accepted after this one was proposed.
 
-    :param differences: what was accepted in between.
+    :param differences: differences between the proposal's base and the newest version.
     """
 
     def __init__(self, *, detail: str, differences: tuple[Difference, ...]) -> None:
@@ -155,38 +158,39 @@
 
 
 def build_proposal_key(proposal: str) -> str:
-    """Return the row key of a waiting proposal."""
+    """Return the row key of a pending proposal."""
     return f"{PROPOSAL_PREFIX}{proposal}"
 
 
 def build_accepted_key(proposal: str) -> str:
-    """Return the row key that tells what became of a proposal."""
+    """Return the row key of an accepted proposal."""
     return f"{ACCEPTED_PREFIX}{proposal}"
 
 
 def build_result_name(digest: str) -> str:
-    """Return the name of the object with a whole configuration."""
+    """Return the name of the object with a full configuration."""
     return f"{RESULT_PREFIX}{digest}"
 
 
 def build_proposal_id(*, base_digest: str, digest: str) -> str:
-    """Return the id of the proposal of this result on this base.
+    """Return the id of a proposal, derived from its base and its result.
 
-    Proposing twice after a lost reply gives the same proposal, not two.
+    A proposal repeated after a lost reply therefore has the same id and is no second
+    proposal.
     """
     joined = f"{base_digest}/{digest}".encode()
     return hashlib.sha256(joined).hexdigest()[:_ID_CHARACTERS]
 
 
 def encode(record: Message) -> bytes:
-    """Return a record as stored in a row."""
+    """Encode a record as the value of a row."""
     return msgspec.json.encode(record)
 
 
 def decode(row: Row, kind: type[_Record]) -> _Record:
-    """Return the record of a row.
+    """Decode the value of a row.
 
-    :raises ConfigurationError: if the row holds something else.
+    :raises ConfigurationError: if the row holds no valid record of this type.
     """
     try:
         return msgspec.json.decode(row.value, type=kind)
@@ -199,12 +203,13 @@
 def choose_current(
     stored: Configuration, active: Configuration, *, head_revision: int
 ) -> CurrentConfiguration:
-    """Return the newest of the store's configuration and one that is in force.
+    """Return the newer of the stored and the active configuration.
 
-    A store that was restored from a backup may hold version 7 while instances have
-    9 in force. A change approved on 7 would make another version 8, which every
-    instance ignores for being lower, and the operator would see it accepted and never
-    in force. Counting on from the higher of both keeps versions strictly upward.
+    A store that was restored from a backup may hold version 7 while version 9 is active
+    on the instances. A change approved on 7 would become another version 8, which every
+    instance ignores as lower: the operator would see it accepted but it would never
+    become active. Continuing from the higher of the two keeps versions strictly
+    increasing.
     """
     newest = active if active.version > stored.version else stored
     return CurrentConfiguration(
@@ -218,13 +223,13 @@
 def check_removed_sites(
     current: Configuration, result: Configuration, *, removed: Collection[str]
 ) -> None:
-    """Check that no site is dropped by mistake.
+    """Check that no site is removed by mistake.
 
-    A forgotten overlay would take a whole site out of service, and on a phone the
-    removal is one line among many.
+    A forgotten overlay would take an entire site out of service, and on a phone's
+    screen the removal is one line among many.
 
-    :param removed: sites that are left out on purpose.
-    :raises ConfigurationError: if another site is missing from the result.
+    :param removed: sites that are removed on purpose.
+    :raises ConfigurationError: if any other site is missing from the result.
     """
     missing = sorted(current.sites.keys() - result.sites.keys() - set(removed))
     if not missing:
@@ -233,7 +238,7 @@
         code=Code.BAD_REFERENCE,
         detail=(
             f"version {current.version} has the site {', '.join(missing)} and no "
-            "overlay was given for it; name it as removed if that is meant"
+            "overlay was given for it; list it as removed if this is intended"
         ),
     )
 
@@ -245,10 +250,10 @@
     base_version: int,
     base: Configuration | None,
 ) -> None:
-    """Check that nothing was accepted since a change was proposed.
+    """Check that no other change was accepted after a change was proposed.
 
-    :param base_version: the base version that the operator saw when approving.
-    :param base: the configuration that the proposal is based on, if still known.
+    :param base_version: the base version that was shown to the approving operator.
+    :param base: the configuration that the proposal is based on, if still stored.
     :raises StaleBaseError: if the base is no longer the newest version.
     """
     is_newest = proposal.base_digest == current.digest
@@ -260,7 +265,7 @@
             f"proposal {proposal.proposal} is based on version "
             f"{proposal.base_version}, approval was given for base {base_version}, "
             f"and version {current.configuration.version} is the newest; "
-            "propose it again on that one"
+            "propose it again based on that version"
         ),
         differences=differences,
     )
--- a/src/arbutuspulley/configuration/difference.py
+++ b/src/arbutuspulley/configuration/difference.py
@@ -1,8 +1,8 @@
-"""Differences between two configurations: for people to read, and to store.
+"""Differences between two configurations, as readable text and as deltas.
 
-People see :class:`Difference`, with keys hidden and equal differences at several
-sites folded into one. What is stored and sent is a :class:`Delta`, which turns the
-old configuration into exactly the new one; :mod:`.steps` applies it.
+:class:`Difference` is for display: API keys are hidden and equal differences of several
+sites are merged into one. :class:`Delta` is stored and sent: it turns the old
+configuration into exactly the new one; :mod:`.steps` applies it.
 """
 
 import enum
@@ -16,21 +16,21 @@
 from arbutuspulley.data import Message, Value
 
 HIDDEN = "(hidden)"
-"""Shown in place of a key's hash."""
+"""Shown instead of the hash of an API key."""
 
 MAX_SHOWN_CHARACTERS = 400
-"""Longest value that a difference shows; the rest is cut off."""
+"""Maximum length of a value shown in a difference; longer ones are truncated."""
 
 _HIDDEN_FIELDS = frozenset({"key_sha256"})
 _VERSION_PATH = ("version",)
 _SITES = "sites"
 
 Path = tuple[str, ...]
-"""Names from the top of a configuration down to one value."""
+"""Names of fields and mapping keys from the root of a configuration to a value."""
 
 
 class Edit(Message, frozen=True):
-    """One step of a delta: set or remove the value at a path."""
+    """One edit of a delta: sets or removes the value at a path."""
 
     path: Path
     value: Any = None
@@ -38,13 +38,13 @@
 
 
 class Delta(Message, frozen=True):
-    """All steps from one configuration to another, version number included."""
+    """All edits from one configuration to another, version number included."""
 
     edits: tuple[Edit, ...] = ()
 
 
 class DifferenceKind(enum.StrEnum):
-    """What happened to a value."""
+    """How a value differs between two configurations."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -52,12 +52,12 @@
 
 
 class Difference(Message, frozen=True):
-    """One difference, for a person.
+    """One difference, for display.
 
-    :param path: dotted path, below the site if it lies in one.
+    :param path: dotted path; within a site it is relative to the site.
     :param before: the old value as text, empty if there was none.
     :param after: the new value as text, empty if there is none.
-    :param sites: the sites where it holds; empty if it belongs to no site.
+    :param sites: the sites that have this difference; empty outside sites.
     """
 
     kind: DifferenceKind
@@ -86,25 +86,26 @@
 def compute_digest(configuration: Configuration) -> str:
     """Return the hex SHA-256 of a configuration, version number included.
 
-    It is the same whatever the order in which names were written. The configuration
-    must come from files, from a delta or from its encoding; see :mod:`.canonical`.
+    The digest does not depend on the order of names. The configuration must come from
+    files, from a delta or from its encoding, so that it is in canonical form; see
+    :mod:`.canonical`.
     """
     encoded = msgspec.json.encode(configuration, order="sorted")
     return hashlib.sha256(encoded).hexdigest()
 
 
 def build_delta(old: Configuration, new: Configuration) -> Delta:
-    """Return the steps that turn ``old`` into ``new``."""
+    """Return the delta that turns ``old`` into ``new``."""
     return Delta(edits=tuple(_build_edit(change) for change in _walk(old, new, ())))
 
 
 def compare(old: Configuration, new: Configuration) -> tuple[Difference, ...]:
-    """Return what differs, for a person; version numbers are left out."""
+    """Return the differences for display, without that of the version numbers."""
     return (*_compare_sites(old, new), *_compare_content(old, new))
 
 
 def has_same_content(old: Configuration, new: Configuration) -> bool:
-    """Return whether two configurations differ in nothing but their version."""
+    """Return whether two configurations differ at most in their version."""
     return msgspec.structs.replace(old, version=new.version) == new
 
 
@@ -128,7 +129,7 @@
 
 
 def _compare_content(old: Configuration, new: Configuration) -> tuple[Difference, ...]:
-    """Compare part by part; a site that one of both lacks counts as an empty one."""
+    """Compare value by value; a site missing on one side is compared as empty."""
     folded: dict[tuple[DifferenceKind, str, str, str], list[str]] = {}
     names = old.sites.keys() | new.sites.keys()
     for change in _walk(_fill_sites(old, names), _fill_sites(new, names), ()):
@@ -149,7 +150,7 @@
 
 
 def _walk(old: Any, new: Any, path: Path) -> Iterator[_ValueChange]:
-    """Yield the lowest parts that differ; equal parts are not looked into."""
+    """Yield the innermost values that differ; equal subtrees are not traversed."""
     if old == new:
         return
     old_parts, new_parts = _list_parts(old), _list_parts(new)
@@ -173,7 +174,7 @@
 
 
 def _list_parts(value: Any) -> dict[str, Any] | None:
-    """Return fields or entries by name, or ``None`` if a value has none."""
+    """Return the fields or mapping entries of a value, ``None`` for other types."""
     if isinstance(value, msgspec.Struct):
         return {name: getattr(value, name) for name in value.__struct_fields__}
     return value if isinstance(value, dict) else None
@@ -186,7 +187,7 @@
 
 
 def _expand_and_redact(value: Any) -> Any:
-    """Return a value with every default written out and keys hidden, for people."""
+    """Return a value with all defaults included and API keys hidden, for display."""
     parts = _list_parts(value)
     if parts is None:
         return value
--- a/src/arbutuspulley/configuration/files.py
+++ b/src/arbutuspulley/configuration/files.py
@@ -1,7 +1,7 @@
-"""Reading of configuration files: YAML checked against the typed schema.
+"""Parsing of configuration files: YAML validated against the typed schema.
 
-Every problem of a file is reported, each with the file, the path of the key and the
-reason, so that an operator mends a file in one go.
+All problems of a file are reported together, each with the file, the path of the key
+and the reason, so that an operator can correct a file in one go.
 """
 
 import types
@@ -16,13 +16,13 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
-"""Largest configuration file taken."""
+"""Maximum size of a configuration file."""
 
 MAX_DEPTH = 16
-"""Deepest nesting taken; the schema needs far less."""
+"""Maximum nesting depth; the schema needs far less."""
 
 MAX_PROBLEMS = 50
-"""Problems listed for one file; the first ones are enough to go on with."""
+"""Maximum number of problems reported per file; the first ones are sufficient."""
 
 _Document = TypeVar("_Document", bound=Document)
 _ScalarLoader: type = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
@@ -30,9 +30,9 @@
 
 
 class SourceFile(Value, frozen=True):
-    """A configuration file as its author wrote it.
+    """The source text of a configuration file.
 
-    :param name: shown in error messages; nothing is opened by it.
+    :param name: name for error messages; no file is opened by this name.
     """
 
     name: str
@@ -43,7 +43,7 @@
     """All problems of a set of files; nothing was changed."""
 
     def show(self) -> str:
-        """Return the message for a person, one line a problem."""
+        """Return a readable message with one line per problem."""
         lines = [f"{self.message}:"]
         lines.extend(f"  {error.show()}" for error in self.list_errors())
         return "\n".join(lines)
@@ -56,7 +56,7 @@
 
 
 class Problem(Value, frozen=True):
-    """One wrong value in a file.
+    """One invalid value in a file.
 
     :param key: path of the key, for example ``$.models.a.size_mib``.
     """
@@ -66,7 +66,7 @@
 
 
 def raise_errors(errors: list[ConfigurationError]) -> None:
-    """Raise all errors together, if there are any.
+    """Raise all errors as one group; do nothing if there are none.
 
     :raises FilesError: with the errors.
     """
@@ -75,9 +75,11 @@
 
 
 def parse_document(file: SourceFile, kind: type[_Document]) -> _Document:
-    """Read one file.
+    """Parse one file.
 
-    :raises FilesError: with every problem of the file.
+    :param kind: type of the document.
+    :raises FilesError: with all problems of the file, at most :data:`MAX_PROBLEMS` of
+        the schema.
     """
     content = _load(file)
     problems = list(find_problems(content, kind))[:MAX_PROBLEMS]
@@ -96,10 +98,10 @@
 
 
 def find_problems(content: Any, kind: Any, key: str = "$") -> Iterator[Problem]:
-    """Yield what in ``content`` does not fit the type, down to the lowest key.
+    """Yield all values in ``content`` that do not match the type, at any depth.
 
-    The conversion by itself reports only the first problem and does not name the key
-    of a mapping, so a failed one is repeated part by part.
+    msgspec's conversion reports only the first problem and does not name mapping keys,
+    so a failed conversion is repeated for each nested value.
     """
     try:
         msgspec.convert(content, kind)
@@ -124,7 +126,7 @@
     name_kind, value_kind = typing.get_args(kind)
     for name, nested in content.items():
         for problem in find_problems(name, name_kind, f"{key}.{name}"):
-            yield Problem(key=problem.key, reason=f"name refused: {problem.reason}")
+            yield Problem(key=problem.key, reason=f"invalid name: {problem.reason}")
         yield from find_problems(nested, value_kind, f"{key}.{name}")
 
 
@@ -155,20 +157,20 @@
 
 
 class _Loader(_ScalarLoader):
-    """Loads plain YAML; refuses what hides mistakes or grows without bound."""
+    """Loads plain YAML; rejects duplicate keys and merge keys."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> dict[Any, Any]:
-        """Build a mapping whose keys are all different.
+        """Build a mapping and reject duplicate keys.
 
-        PyYAML keeps the last of two equal keys in silence: of two servers pasted
-        under one name the first would vanish from the configuration.
+        PyYAML silently keeps the last of two equal keys: of two servers entered under
+        one name, the first would be missing from the configuration.
         """
         seen = set()
         for name, _ in node.value:
             if name.tag == _MERGE_TAG:
-                raise _build_yaml_error(name, "merge keys are not taken")
+                raise _build_yaml_error(name, "merge keys are not supported")
             if name.value in seen:
-                raise _build_yaml_error(name, f"key {name.value!r} is given twice")
+                raise _build_yaml_error(name, f"duplicate key {name.value!r}")
             seen.add(name.value)
         return super().construct_mapping(node, deep=deep)
 
@@ -176,7 +178,7 @@
 def _load(file: SourceFile) -> Any:
     size = len(file.text.encode())
     if size > MAX_FILE_BYTES:
-        detail = f"the file has {size} bytes, more than {MAX_FILE_BYTES}"
+        detail = f"the file has {size} bytes, the limit is {MAX_FILE_BYTES}"
         raise _build_syntax_error(file, detail, "$")
     try:
         _check_events(file.text)
@@ -188,26 +190,26 @@
     except (yaml.YAMLError, ValueError) as error:
         raise _build_syntax_error(file, str(error).splitlines()[0], "$") from None
     if not isinstance(content, dict):
-        raise _build_syntax_error(file, "the file holds no mapping of keys", "$")
+        raise _build_syntax_error(file, "the file does not contain a mapping", "$")
     return content
 
 
 def _check_events(text: str) -> None:
-    """Refuse aliases and deep nesting before anything is built.
+    """Reject aliases and deep nesting before any object is constructed.
 
-    A few nested aliases stand for billions of values once they are written out, and
-    deep nesting exhausts the stack: either would take the console down.
+    A few nested aliases can expand to billions of values, and deep nesting exhausts the
+    stack: either would crash the console.
     """
     depth = 0
     for event in yaml.parse(text, Loader=_ScalarLoader):
         if isinstance(event, yaml.AliasEvent):
-            raise _build_yaml_error(event, "anchors and aliases are not taken")
+            raise _build_yaml_error(event, "anchors and aliases are not supported")
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
         if isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            raise _build_yaml_error(event, f"nested deeper than {MAX_DEPTH}")
+            raise _build_yaml_error(event, f"nested deeper than {MAX_DEPTH} levels")
 
 
 def _build_yaml_error(node: Any, problem: str) -> yaml.MarkedYAMLError:
--- a/src/arbutuspulley/configuration/lookup.py
+++ b/src/arbutuspulley/configuration/lookup.py
@@ -1,4 +1,4 @@
-"""Questions that other aggregates ask of a configuration."""
+"""Lookup functions for items, servers and callers of a configuration."""
 
 import hashlib
 
@@ -14,13 +14,13 @@
 
 
 class Item(Value, frozen=True):
-    """Something that is loaded into a server's memory.
+    """A model or an adapter, which is loaded into a server's memory.
 
-    :param name: the name callers use.
+    :param name: the name that callers use.
     :param key: ``name@version``, as servers report it.
-    :param base_key: for an adapter, the key of the model it extends.
-    :param memory_mib: all that it occupies, KV cache floor included.
-    :param copies: servers that should hold it, at least.
+    :param base_key: for an adapter, the key of the model that it extends.
+    :param memory_mib: memory that it occupies, minimum KV cache included.
+    :param copies: minimum number of servers that should have it loaded.
     """
 
     name: str
@@ -31,12 +31,12 @@
 
 
 def build_item_key(*, name: str, version: str) -> str:
-    """Return the name under which servers know an item."""
+    """Return the key by which servers identify an item."""
     return f"{name}@{version}"
 
 
 def list_items(site: Site) -> dict[str, Item]:
-    """Return all items of a site by the name callers use."""
+    """Return all items of a site by the name that callers use."""
     items = {name: _build_model(name, model) for name, model in site.models.items()}
     for name, adapter in site.adapters.items():
         items[name] = _build_adapter(name, adapter, site.models[adapter.model])
@@ -53,7 +53,7 @@
 
 
 def list_configured_items(configuration: Configuration) -> dict[str, Item]:
-    """Return the items of all sites by key; ``copies`` is the largest asked for."""
+    """Return the items of all sites by key, with the largest ``copies`` of any site."""
     items: dict[str, Item] = {}
     for site in configuration.sites.values():
         for item in list_items(site).values():
@@ -64,12 +64,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hex SHA-256 of a caller's key, as configuration files hold it."""
+    """Return the hex SHA-256 of an API key, as configuration files contain it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def find_caller(site: Site, key: str) -> tuple[str, Caller] | None:
-    """Return name and settings of the caller whose key this is, or ``None``."""
+    """Return name and settings of the caller with this API key, or ``None``."""
     digest = hash_key(key)
     for name, caller in site.callers.items():
         if caller.key_sha256 == digest:
--- a/src/arbutuspulley/configuration/merge.py
+++ b/src/arbutuspulley/configuration/merge.py
@@ -1,4 +1,4 @@
-"""Merging of a base file and the overlays of its sites into one configuration."""
+"""Merging of a base file and site overlays into one configuration."""
 
 from collections.abc import Callable, Iterator, Sequence
 from functools import partial
@@ -30,40 +30,40 @@
 _Document = TypeVar("_Document", Base, Overlay)
 
 MAX_OVERLAYS = 64
-"""Overlays taken in one set."""
+"""Maximum number of overlays in one set of files."""
 
 
 class FileSet(Value, frozen=True):
-    """All files of one proposal."""
+    """The base file and the overlays of one proposal."""
 
     base: SourceFile
     overlays: tuple[SourceFile, ...]
 
 
 def parse_base(text: str, *, file: str) -> Base:
-    """Read a base file.
+    """Parse a base file.
 
-    :param file: its name, for error messages.
-    :raises FilesError: with every problem of the file.
+    :param file: name of the file, for error messages.
+    :raises FilesError: with all problems of the file.
     """
     return parse_document(SourceFile(name=file, text=text), Base)
 
 
 def parse_overlay(text: str, *, file: str) -> Overlay:
-    """Read the overlay of a site.
+    """Parse the overlay of a site.
 
-    :param file: its name, for error messages.
-    :raises FilesError: with every problem of the file.
+    :param file: name of the file, for error messages.
+    :raises FilesError: with all problems of the file.
     """
     return parse_document(SourceFile(name=file, text=text), Overlay)
 
 
 def merge_files(files: FileSet, *, version: int) -> Configuration:
-    """Read and merge a set of files.
+    """Parse and merge a set of files.
 
-    :param version: the version that the result will have.
-    :raises FilesError: with every problem of every file; where a file
-        cannot be read, references from and to it are not looked at.
+    :param version: version number of the result.
+    :raises FilesError: with all problems of all files; references between files are
+        checked only if every file can be parsed.
     """
     errors = list(_count_overlays(files))
     base = _collect(partial(parse_base, files.base.text, file=files.base.name), errors)
@@ -91,11 +91,11 @@
 ) -> Configuration:
     """Apply each overlay to the base.
 
-    :param version: the version that the result will have.
+    :param version: version number of the result.
     :param base_file: name of the base file, for error messages.
-    :param overlay_files: names of the overlays' files, in the same order.
-    :raises FilesError: with every reference that leads nowhere and every
-        name, address or key that is there twice.
+    :param overlay_files: names of the overlay files, in the order of ``overlays``.
+    :raises FilesError: with all unresolved references and all duplicate names,
+        addresses and keys.
     """
     names = overlay_files or [f"overlay of {overlay.site}" for overlay in overlays]
     sources = [
@@ -116,7 +116,7 @@
 def _collect(
     parse: Callable[[], _Document], errors: list[ConfigurationError]
 ) -> _Document | None:
-    """Return what is parsed, or add to the errors why it cannot be."""
+    """Return the parsed document, or add its problems to ``errors``."""
     try:
         return parse()
     except FilesError as refused:
@@ -129,7 +129,7 @@
     if not 0 < count <= MAX_OVERLAYS:
         yield ConfigurationError(
             code=Code.BAD_REFERENCE,
-            detail=f"{count} overlays given, from 1 to {MAX_OVERLAYS} are taken",
+            detail=f"{count} overlays given, must be 1 to {MAX_OVERLAYS}",
         )
 
 
--- a/src/arbutuspulley/configuration/references.py
+++ b/src/arbutuspulley/configuration/references.py
@@ -1,4 +1,4 @@
-"""Checks across configuration files: what refers to what, and what is there twice."""
+"""Checks across configuration files: unresolved references and duplicates."""
 
 from collections.abc import Iterable, Iterator, Sequence
 
@@ -9,14 +9,14 @@
 
 
 class OverlaySource(Value, frozen=True):
-    """An overlay and the file that it came from."""
+    """An overlay and the name of its file."""
 
     file: str
     overlay: Overlay
 
 
 class _Location(Value, frozen=True):
-    """Where something stands: a file and the path of a key."""
+    """The location of a value: a file and the path of a key."""
 
     file: str
     key: str
@@ -30,7 +30,7 @@
 def find_reference_errors(
     base: Base, base_file: str, sources: Sequence[OverlaySource]
 ) -> Iterator[ConfigurationError]:
-    """Yield every wrong reference and every double in a set of files."""
+    """Yield all invalid references and all duplicates in a set of files."""
     yield from _check_base(base, base_file)
     for source in sources:
         yield from _check_overlay(base, source)
@@ -42,7 +42,7 @@
         location = _Location(file=file, key=f"$.adapters.{name}")
         if name in base.models:
             yield location.build_error(
-                "a model has the same name; callers could not tell"
+                "a model has the same name; names of models and adapters must be unique"
             )
         if adapter.model not in base.models:
             yield location.build_error(f"there is no model {adapter.model!r}")
@@ -79,7 +79,9 @@
             yield location.build_error("a service needs at least one address")
         for method in service.repeatable_methods:
             if not method.isupper():
-                yield location.build_error(f"{method!r} is no HTTP method in capitals")
+                yield location.build_error(
+                    f"{method!r} is not an upper-case HTTP method"
+                )
     for address, location in (
         *_list_server_addresses(source),
         *_list_service_addresses(source),
@@ -95,10 +97,10 @@
 
 
 def _check_duplicates(sources: Sequence[OverlaySource]) -> Iterator[ConfigurationError]:
-    """Check what must be there only once across all sites.
+    """Check for values that must be unique across all sites.
 
-    One server under two names would have two memory ledgers, and each would count
-    its memory as free while the other fills it.
+    A server listed under two names would have two memory ledgers, and each would treat
+    as free the memory that the other one assigns.
     """
     yield from _find_duplicates(
         (
@@ -150,5 +152,5 @@
         if known is not location:
             shown = "" if is_secret else f" ({value})"
             yield location.build_error(
-                f"{what}{shown} is already at {known.file}: {known.key}"
+                f"{what}{shown} is already used at {known.file}: {known.key}"
             )
--- a/src/arbutuspulley/configuration/schema.py
+++ b/src/arbutuspulley/configuration/schema.py
@@ -1,7 +1,7 @@
 """The typed schema of configuration files and of the merged configuration.
 
-An operator writes one base file and one overlay for each site, in YAML. The
-merge of both is what the system runs on; see :mod:`.merge`.
+An operator writes one base file and one overlay for each site, in YAML. The system
+uses the merged configuration; see :mod:`.merge`.
 """
 
 from typing import Annotated
@@ -19,10 +19,10 @@
 
 
 class Target(Document, frozen=True):
-    """When a request counts as answered in time.
+    """Latency targets of a model.
 
-    :param first_token_ms: longest time to the first token.
-    :param between_tokens_ms: longest mean time between tokens.
+    :param first_token_ms: maximum time to first token.
+    :param between_tokens_ms: maximum mean time between tokens.
     """
 
     first_token_ms: Positive = 1_100
@@ -30,13 +30,14 @@
 
 
 class Model(Document, frozen=True):
-    """One version of a model to keep reachable.
-
-    :param version: any name; a new one is loaded beside the old before a switch.
-    :param size_mib: memory of its weights (unit to be confirmed by the users).
-    :param kv_floor_mib: least KV cache it needs to answer one request.
-    :param copies: how many servers should hold it, at least.
-    :param target: when an answer counts as in time.
+    """One version of a model that the system keeps available.
+
+    :param version: any name; a new version is loaded in addition to the old one before
+        requests are switched over.
+    :param size_mib: memory of the weights (unit to be confirmed by the users).
+    :param kv_floor_mib: minimum KV cache needed to answer one request.
+    :param copies: minimum number of servers that should have it loaded.
+    :param target: latency targets.
     """
 
     version: Name
@@ -47,7 +48,7 @@
 
 
 class Adapter(Document, frozen=True):
-    """An adapter, called like a model by its own name.
+    """An adapter, which callers request by its own name like a model.
 
     :param model: the model that it extends.
     """
@@ -58,12 +59,14 @@
 
 
 class Caller(Document, frozen=True):
-    """Someone who may call: a host's desk, an organiser.
-
-    :param key_sha256: hex SHA-256 of the key it sends as ``Authorization: Bearer``.
-    :param weight: its part of shared hardware, relative to other callers.
-    :param models: names it may call; empty means all.
-    :param live: whether its requests go before summaries.
+    """A client that may send requests, for example a host's desk or an organiser.
+
+    :param key_sha256: hex SHA-256 of the key that it sends as
+        ``Authorization: Bearer``.
+    :param weight: its share of the hardware, relative to other callers.
+    :param models: names of the models and adapters that it may use; empty for all.
+    :param live: whether its requests have priority over those of callers that are not
+        live, such as summaries.
     """
 
     key_sha256: Sha256
@@ -73,10 +76,10 @@
 
 
 class Server(Document, frozen=True):
-    """A model engine.
+    """A backend server with a model engine.
 
-    :param checks_orders: whether it refuses an order with an old fencing number.
-    :param slots: requests it runs at once within the targets.
+    :param checks_orders: whether it refuses orders with an outdated fencing number.
+    :param slots: number of concurrent requests that it runs within the latency targets.
     """
 
     address: Address
@@ -86,10 +89,10 @@
 
 
 class Service(Document, frozen=True):
-    """A plain service, reached by name as ``/services/<name>/...``.
+    """An HTTP service other than a model, available as ``/services/<name>/...``.
 
-    :param addresses: its servers.
-    :param repeatable_methods: methods that may be sent again after a failure.
+    :param addresses: addresses of its servers.
+    :param repeatable_methods: HTTP methods that may be retried after a failure.
     """
 
     addresses: tuple[Address, ...]
@@ -97,10 +100,10 @@
 
 
 class WeightStore(Document, frozen=True):
-    """What the weight store allows, for the whole configuration.
+    """Limits of the weight store, shared by all sites.
 
-    :param loads_per_minute: loads it allows to begin.
-    :param loads_at_once: loads it serves at full speed.
+    :param loads_per_minute: maximum number of loads started per minute.
+    :param loads_at_once: maximum number of concurrent loads served at full speed.
     """
 
     loads_per_minute: Positive = 60
@@ -108,11 +111,13 @@
 
 
 class Policy(Document, frozen=True):
-    """What is weighed against what.
+    """Trade-offs and lifetimes, shared by all sites.
 
-    :param moves_weight: 0 looks at attainment alone, 1 avoids moves the most.
-    :param address_lifetime_s: how long callers may keep an address answer.
-    :param answer_lifetime_s: how long stored answers to unrepeatable requests stay.
+    :param moves_weight: weight of avoiding moves in placement: 0 considers attainment
+        of latency targets only, 1 avoids moves the most.
+    :param address_lifetime_s: time for which callers may cache an address list, in s.
+    :param answer_lifetime_s: time for which answers to requests that cannot be repeated
+        are stored, in s.
     """
 
     moves_weight: Fraction = 0.5
@@ -121,7 +126,7 @@
 
 
 class Base(Document, frozen=True):
-    """The base file: what holds at every site, unless its overlay says otherwise."""
+    """The base file: settings of all sites, which an overlay may override."""
 
     models: dict[Name, Model] = {}
     adapters: dict[Name, Adapter] = {}
@@ -131,21 +136,21 @@
 
 
 class ModelOverlay(Document, frozen=True):
-    """What a site may set differently for a model."""
+    """Settings of a model that a site may override."""
 
     copies: Positive | None = None
     target: Target | None = None
 
 
 class CallerOverlay(Document, frozen=True):
-    """What a site may set differently for a caller."""
+    """Settings of a caller that a site may override."""
 
     weight: Positive | None = None
     live: bool | None = None
 
 
 class Overlay(Document, frozen=True):
-    """A site's file: its servers and services, and what differs there."""
+    """The overlay file of a site: its servers, its services and its overrides."""
 
     site: Name
     servers: dict[Name, Server] = {}
@@ -155,7 +160,7 @@
 
 
 class Site(Document, frozen=True):
-    """The merged view of one site: the base with its overlay applied."""
+    """The merged configuration of one site: the base with its overlay applied."""
 
     models: dict[Name, Model] = {}
     adapters: dict[Name, Adapter] = {}
@@ -165,9 +170,9 @@
 
 
 class Configuration(Document, frozen=True):
-    """One accepted version, merged.
+    """One merged version of the configuration of all sites.
 
-    :param version: counts accepted changes from 1; 0 is the empty configuration.
+    :param version: number of the accepted change, from 1; 0 is the empty configuration.
     """
 
     version: NonNegative = 0
@@ -177,4 +182,4 @@
 
 
 EMPTY = Configuration()
-"""What is in force before the first change is accepted."""
+"""The configuration before the first change is accepted."""
--- a/src/arbutuspulley/configuration/steps.py
+++ b/src/arbutuspulley/configuration/steps.py
@@ -1,8 +1,8 @@
-"""Applying the steps of a delta.
+"""Application of deltas to configurations.
 
-Only the parts on the way to a changed value are built anew. A configuration of the
-largest size takes a quarter of a second to build whole, which every process would
-spend on its one loop for each change.
+Only objects on the path to a changed value are rebuilt; all others are shared with the
+old configuration. To rebuild a configuration of maximum size in full takes a quarter of
+a second, for which each change would block the event loop of every process.
 """
 
 import functools
@@ -20,30 +20,30 @@
 
 
 class _PendingEdit(Value, frozen=True):
-    """An edit and what is left of its path."""
+    """An edit and the remaining part of its path."""
 
     path: Path
     edit: Edit
 
 
 def apply_delta(old: Configuration, delta: Delta) -> Configuration:
-    """Apply the steps of a delta.
+    """Apply a delta to a configuration.
 
-    :raises ConfigurationError: if a step does not fit ``old`` or the result is no
-        valid configuration; that is, the delta belongs to another one.
+    :raises ConfigurationError: if an edit cannot be applied to ``old`` or the result is
+        invalid; the delta then belongs to another configuration.
     """
     pending = [_PendingEdit(path=edit.path, edit=edit) for edit in delta.edits]
     try:
         result: Configuration = _rebuild(old, Configuration, pending)
     except (KeyError, msgspec.ValidationError) as error:
         raise ConfigurationError(
-            code=Code.BAD_SCHEMA, detail=f"the delta does not fit: {error}"
+            code=Code.BAD_SCHEMA, detail=f"the delta cannot be applied: {error}"
         ) from error
     return result
 
 
 def _rebuild(value: Any, kind: Any, pending: list[_PendingEdit]) -> Any:
-    """Return a value with edits applied; its other parts are shared with the old."""
+    """Return a value with edits applied; unchanged nested values are shared."""
     for item in pending:
         if not item.path:
             return normalize(msgspec.convert(item.edit.value, kind))
--- a/src/arbutuspulley/configuration/store.py
+++ b/src/arbutuspulley/configuration/store.py
@@ -1,6 +1,6 @@
-"""Reading and storing of configurations, changes and proposals in the platform.
+"""Access to configurations, changes and proposals stored in the platform.
 
-All functions block on the platform and run on worker threads. They raise
+All functions block on calls to the platform and run on worker threads. They raise
 :class:`~arbutuspulley.results.PlatformUnavailableError` if the platform does not
 answer.
 """
@@ -26,17 +26,17 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 PAGE_ROWS = 200
-"""Rows asked for in one scan."""
+"""Rows per page of a scan."""
 
 MAX_PAGES = 50
-"""Pages read of the waiting proposals; more are not listed."""
+"""Maximum number of pages of pending proposals read; later ones are not listed."""
 
 
 class ConfigurationSnapshot(Value, frozen=True):
-    """Where a process that follows the configuration begins.
+    """The newest accepted configuration, from which a process follows later changes.
 
-    :param revision: pass it to :func:`read_changes` to get what comes later.
-    :param table_id: history of the table that the revision belongs to.
+    :param revision: revision to pass to :func:`read_changes` to read later changes.
+    :param table_id: id of the table's history that the revision belongs to.
     """
 
     configuration: Configuration
@@ -45,12 +45,15 @@
 
 
 class ChangePage(Value, frozen=True):
-    """Accepted changes after a revision.
+    """A page of accepted changes after a revision.
 
-    :param revision: pass it to the next call.
+    :param revision: revision to pass to the next call.
+    :param table_id: id of the table's history that the revision belongs to.
     :param more: whether another page is known to follow.
     :param restored: the store's newest configuration, if the table was restored from
-        a backup since the last call. Offer it; it may well be an older one.
+        a backup since the last call. Pass it to
+        :func:`~arbutuspulley.configuration.activation.activate_if_newer`; it may be
+        older than the active one.
     """
 
     changes: tuple[Change, ...]
@@ -61,18 +64,18 @@
 
 
 def load_latest(platform: Platform) -> Configuration:
-    """Return the newest accepted configuration; the empty one before the first."""
+    """Return the newest accepted configuration, the empty one if there is none."""
     return _load_head(platform)[0]
 
 
 def read_head_version(platform: Platform) -> int:
-    """Return the newest version that the store holds; 0 before the first."""
+    """Return the newest version in the store, 0 if there is none."""
     row = platform.table.read(changes.HEAD_KEY)
     return 0 if row is None else changes.decode(row, Head).version
 
 
 def load_snapshot(platform: Platform) -> ConfigurationSnapshot:
-    """Return the newest accepted configuration and where to go on from it."""
+    """Return the newest accepted configuration and the revision to continue from."""
     page = platform.table.scan(changes.HEAD_KEY, 0, 1)
     configuration, revision = _load_head(platform)
     return ConfigurationSnapshot(
@@ -85,11 +88,12 @@
 ) -> ChangePage:
     """Return accepted changes whose rows were written after a revision.
 
-    A restored table may have fewer revisions than this process has already seen, so
-    that going on from there would miss every change for a long while. The table's id
-    shows it, and reading then begins anew at the head.
+    A restored table may have lower revisions than this process has already seen, so
+    that continuing from the old revision would miss all changes for a long time. The
+    table id detects this, and reading then restarts from the head.
 
-    :param table_id: history that the revision belongs to; empty if not known.
+    :param table_id: id of the table's history that the revision belongs to, empty if
+        unknown.
     """
     page = platform.table.scan(changes.CHANGE_PREFIX, after_revision, PAGE_ROWS)
     if table_id and page.table_id != table_id:
@@ -110,14 +114,16 @@
 
 
 def load_result(platform: Platform, digest: str) -> Configuration:
-    """Return the whole configuration with this digest.
+    """Return the configuration with this digest from the object store.
 
-    :raises ConfigurationError: if the object is missing or holds something else.
+    :raises ConfigurationError: if the object is missing or its content does not match
+        the digest.
     """
     data = platform.objects.get(changes.build_result_name(digest))
     if data is None:
         raise ConfigurationError(
-            code=Code.NOT_FOUND, detail=f"the object store has no version {digest}"
+            code=Code.NOT_FOUND,
+            detail=f"the object store has no configuration {digest}",
         )
     try:
         configuration = msgspec.json.decode(zlib.decompress(data), type=Configuration)
@@ -126,7 +132,7 @@
     if compute_digest(configuration) != digest:
         raise ConfigurationError(
             code=Code.BAD_SCHEMA,
-            detail=f"the object of version {digest} cannot be used",
+            detail=f"the object of configuration {digest} is corrupt",
         )
     return configuration
 
@@ -134,18 +140,18 @@
 def find_current(
     platform: Platform, *, active: Configuration = EMPTY
 ) -> CurrentConfiguration:
-    """Return the newest configuration known.
+    """Return the newest known configuration, stored or active.
 
-    :param active: the newest one that an instance is known to have in force.
+    :param active: the newest configuration known to be active on an instance.
     """
     stored, head_revision = _load_head(platform)
     return changes.choose_current(stored, active, head_revision=head_revision)
 
 
 def read_proposal(platform: Platform, proposal: str) -> Proposal:
-    """Return a waiting proposal.
+    """Return a pending proposal.
 
-    :raises ConfigurationError: if there is none with this id.
+    :raises ConfigurationError: if there is no pending proposal with this id.
     """
     row = find_proposal_row(platform, proposal)
     if row is None:
@@ -154,7 +160,7 @@
 
 
 def list_proposals(platform: Platform) -> tuple[Proposal, ...]:
-    """Return the waiting proposals, oldest first."""
+    """Return the pending proposals, oldest first."""
     rows = _scan_all(platform, changes.PROPOSAL_PREFIX)
     return tuple(changes.decode(row, Proposal) for row in rows)
 
@@ -162,25 +168,28 @@
 def read_change(platform: Platform, version: int) -> Change:
     """Return the record of an accepted version.
 
-    :raises ConfigurationError: if it is unknown or no longer kept.
+    :raises ConfigurationError: if the version is unknown or its record was deleted.
     """
     change = find_change(platform, version)
     if change is None:
         raise ConfigurationError(
-            code=Code.NOT_FOUND, detail=f"version {version} is not known"
+            code=Code.NOT_FOUND, detail=f"version {version} is unknown"
         )
     return change
 
 
 def list_changes(platform: Platform, *, newest: int) -> tuple[Change, ...]:
-    """Return the newest accepted changes, newest first."""
+    """Return the newest accepted changes, newest first.
+
+    :param newest: number of versions to look up.
+    """
     head_version = read_head_version(platform)
     found = (find_change(platform, head_version - offset) for offset in range(newest))
     return tuple(change for change in found if change is not None)
 
 
 def find_result(platform: Platform, digest: str) -> Configuration | None:
-    """Return the whole configuration with this digest, or ``None``."""
+    """Return the configuration with this digest, or ``None`` if it cannot be loaded."""
     try:
         return load_result(platform, digest)
     except ConfigurationError:
@@ -188,14 +197,14 @@
 
 
 def find_base(platform: Platform, proposal: Proposal) -> Configuration | None:
-    """Return the configuration that a proposal is based on, or ``None``."""
+    """Return the base configuration of a proposal, or ``None`` if it is unavailable."""
     if proposal.base_version == 0:
         return EMPTY
     return find_result(platform, proposal.base_digest)
 
 
 def put_file(objects: Objects, name: str, text: str) -> FileReference:
-    """Store the text of a proposed file under its hash."""
+    """Store the text of a proposed file under its SHA-256."""
     data = text.encode()
     sha256 = hashlib.sha256(data).hexdigest()
     objects.put_if_absent(f"{changes.FILE_PREFIX}{sha256}", zlib.compress(data))
@@ -203,9 +212,9 @@
 
 
 def put_result(objects: Objects, configuration: Configuration) -> str:
-    """Store a whole configuration and return its digest.
+    """Store a configuration in full and return its digest.
 
-    Storing it again, after a lost reply, changes nothing.
+    The call is idempotent, so that it can be retried after a lost reply.
     """
     digest = compute_digest(configuration)
     data = msgspec.json.encode(configuration, order="sorted")
@@ -214,15 +223,15 @@
 
 
 def find_proposal_row(platform: Platform, proposal: str) -> Row | None:
-    """Return the row of a waiting proposal, or ``None``."""
+    """Return the row of a pending proposal, or ``None``."""
     return platform.table.read(changes.build_proposal_key(proposal))
 
 
 def build_unknown_proposal_error(proposal: str) -> ConfigurationError:
-    """Return the error for a proposal that does not wait."""
+    """Return the error for a proposal that is not pending."""
     return ConfigurationError(
         code=Code.UNKNOWN_PROPOSAL,
-        detail=f"no proposal {proposal!r} waits; it may have been withdrawn",
+        detail=f"no proposal {proposal!r} is pending; it may have been withdrawn",
     )
 
 
--- a/src/arbutuspulley/configuration/transactions.py
+++ b/src/arbutuspulley/configuration/transactions.py
@@ -1,4 +1,4 @@
-"""The transactions that propose, accept and withdraw a change."""
+"""Table transactions that propose, accept and withdraw a change."""
 
 from arbutuspulley.configuration.changes import (
     HEAD_KEY,
@@ -23,12 +23,14 @@
 ) -> Transaction:
     """Return the transaction that accepts a change.
 
-    Its token comes from the proposal: if the reply is lost and the operator presses
-    again, the token in the change's row tells that the first press took effect. The
-    change's row is written first because it is never written again, so the token
-    stays readable there whatever is accepted later.
+    The token is derived from the proposal: if the reply is lost and the operator
+    approves again, the token in the change's row shows that the first approval took
+    effect. The change's row is the first write because it is never overwritten, so the
+    token stays readable there regardless of later changes.
 
-    :param expired: the change whose rows are no longer kept, if any.
+    :param head_revision: expected revision of the head row.
+    :param proposal_revision: expected revision of the proposal's row.
+    :param expired: the change whose rows are to be deleted, if any.
     """
     key = build_change_key(change.version)
     accepted = AcceptedProposal(
@@ -58,10 +60,10 @@
 
 
 def build_submission(proposal: Proposal) -> Transaction:
-    """Return the transaction that lays a proposal down for approval.
+    """Return the transaction that submits a proposal for approval.
 
-    A copy of it that arrives late must not bring an accepted proposal back among the
-    waiting ones, so it also asks that the proposal was not accepted.
+    A duplicate that arrives late must not make an accepted proposal pending again, so
+    a precondition requires that the proposal has not been accepted.
     """
     key = build_proposal_key(proposal.proposal)
     accepted_key = build_accepted_key(proposal.proposal)
@@ -76,7 +78,10 @@
 
 
 def build_withdrawal(proposal: str, *, revision: int) -> Transaction:
-    """Return the transaction that takes a waiting proposal back."""
+    """Return the transaction that withdraws a pending proposal.
+
+    :param revision: expected revision of the proposal's row.
+    """
     key = build_proposal_key(proposal)
     return Transaction(
         token=f"withdraw-{proposal}-{revision}",
--- a/src/arbutuspulley/data.py
+++ b/src/arbutuspulley/data.py
@@ -1,4 +1,4 @@
-"""Base classes of all data: slotted, typed, keyword-only."""
+"""Base classes of data types: slotted, typed, keyword-only."""
 
 import msgspec
 
@@ -10,14 +10,14 @@
 class Message(Value, frozen=True, omit_defaults=True):
     """A value sent between processes; unknown fields are ignored on decode.
 
-    Ignoring them lets an older process read a newer one's message during a
-    rolling replacement of instances.
+    Ignoring them lets a process with an older release decode messages of a newer one
+    during a rolling replacement of instances.
     """
 
 
 class Document(Value, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A value read from a file that a person writes; unknown keys are refused."""
+    """A value read from a file that a person writes; unknown keys are rejected."""
 
 
 class State(msgspec.Struct, kw_only=True):
-    """Mutable state of one aggregate; only that aggregate's functions change it."""
+    """Mutable state of one aggregate; only its own functions modify it."""
--- a/src/arbutuspulley/events.py
+++ b/src/arbutuspulley/events.py
@@ -1,8 +1,8 @@
-"""Numbered log events and how they are written.
+"""Numbered log events and their output.
 
-Each line of a process's log is one event with a number from :class:`Event`; the
-catalogue with meaning and what to do is ``docs/EVENTS.md``. Keys, prompts and
-answers are never logged.
+Each log line of a process is one event with a number from :class:`Event`.
+``docs/EVENTS.md`` lists the events with their meaning and the operator's action. API
+keys, prompts and answers are never logged.
 """
 
 import asyncio
@@ -110,14 +110,14 @@
 
 
 class _JsonFormatter(logging.Formatter):
-    """Writes one JSON object a line."""
+    """Formats an event as one line of JSON."""
 
     def format(self, record: logging.LogRecord) -> str:
         return _encode_line(record, level=record.levelname.lower()).decode()
 
 
 class _TextFormatter(logging.Formatter):
-    """Writes one readable line an event."""
+    """Formats an event as one line of readable text."""
 
     def format(self, record: logging.LogRecord) -> str:
         fields = getattr(record, "event_fields", {})
@@ -127,7 +127,7 @@
 
 
 def set_up_logging(*, log_format: str, level: str = "info") -> None:
-    """Send numbered events to standard error.
+    """Write log events to standard error.
 
     :param log_format: ``json`` or ``text``.
     :param level: a level name of :mod:`logging`.
@@ -140,11 +140,10 @@
 
 
 def log_event(event: Event, *, level: int = logging.INFO, **fields: object) -> None:
-    """Write one numbered event.
+    """Log one event.
 
-    :param event: which event.
     :param level: a level of :mod:`logging`.
-    :param fields: what the line tells besides; never keys, prompts or answers.
+    :param fields: further fields of the log line; never API keys, prompts or answers.
     """
     _LOGGER.log(
         level,
@@ -154,27 +153,27 @@
 
 
 MAX_BUFFERED_LINES = 2_000
-"""Lines that wait for standard output at most; about 600 KB."""
+"""Maximum number of lines buffered for standard output; about 600 KB."""
 
 FLUSH_INTERVAL_MS = 50
-"""Time between writes to standard output, in ms: many lines to a system call."""
+"""Time between writes to standard output, in ms; batches lines per system call."""
 
 FAILURE_RATE_FACTOR = 5
-"""How many times as many lines a second may tell of failures as of ordinary events."""
+"""Rate limit of failure events, as a multiple of that of per-request events."""
 
 _PER_REQUEST_EVENTS = frozenset((Event.REQUEST_ENDED, Event.SERVER_GRANTED))
-"""Events that come with every request, also when nothing is wrong."""
+"""Events that every request logs, successful ones included."""
 
 
 class BoundedOutput(logging.Handler):
-    """Writes lines to a descriptor, bounded in rate and never blocking.
+    """A rate-limited, non-blocking log handler that writes to a file descriptor.
 
-    Lines that come with every request are dropped first: beyond a rate, and when
-    the reader falls behind. Lines on failures have a larger rate of their own. What
-    was dropped is counted.
+    Per-request lines are dropped first: above their rate limit, and when the buffer
+    is half full because the reader is slow. Failure lines have a higher rate limit of
+    their own. Dropped lines are counted.
 
-    :param lines_per_s: most ordinary lines a second.
-    :param count_line: called with the fate of each line, ``written`` or ``dropped``.
+    :param lines_per_s: rate limit of per-request lines.
+    :param count_line: called with ``written`` or ``dropped`` for each line.
     """
 
     def __init__(
@@ -200,7 +199,7 @@
         self._is_flush_scheduled = False
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line for writing, or drop it."""
+        """Buffer a line for writing, or drop it."""
         number = getattr(record, "event_number", 0)
         if not self._try_admit(number in _PER_REQUEST_EVENTS):
             self._count_line("dropped")
@@ -210,7 +209,7 @@
         self._schedule_flush()
 
     def flush(self) -> None:
-        """Write what the reader takes."""
+        """Write buffered lines until the descriptor would block."""
         self._is_flush_scheduled = False
         while self._unwritten or self._lines:
             if not self._unwritten:
@@ -222,7 +221,8 @@
                 self._schedule_flush()
                 return
             except OSError:
-                # Nobody reads any more; the counter of lines is all that is left.
+                # The reader has closed the pipe: discard the lines. Only the line
+                # counter still reports them.
                 self._unwritten = b""
                 return
             self._unwritten = self._unwritten[written:]
@@ -263,10 +263,12 @@
     lines_per_s: int,
     count_line: Callable[[str], None],
 ) -> None:
-    """Send numbered events to standard output, one JSON object a line.
+    """Write log events to standard output, one JSON object per line.
 
     :param level: a level name of :mod:`logging`.
-    :param instance: named in each line.
+    :param instance: name of the instance, included in each line.
+    :param lines_per_s: rate limit of per-request lines.
+    :param count_line: called with ``written`` or ``dropped`` for each line.
     """
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
--- a/src/arbutuspulley/loop.py
+++ b/src/arbutuspulley/loop.py
@@ -1,7 +1,7 @@
-"""The one loop on one thread that all decisions and shared state live on.
+"""The event loop thread that runs all decisions and owns all shared state.
 
-CherryPy answers on worker threads. They carry bytes only: a worker that needs a
-decision hands a function to the loop and waits for its result.
+CherryPy handles requests on worker threads, which only transfer bytes: a worker that
+needs a decision submits a function to the loop and waits for its result.
 """
 
 import asyncio
@@ -14,9 +14,10 @@
 
 
 class LoopThread:
-    """An asyncio loop on a thread of its own.
+    """An asyncio event loop on a thread of its own.
 
-    :param workers: threads for blocking calls made by :meth:`run_blocking`.
+    :param name: prefix of the names of the threads.
+    :param workers: number of threads for blocking calls of :meth:`run_blocking`.
     """
 
     __slots__ = ("_loop", "_pool", "_thread")
@@ -31,11 +32,11 @@
         )
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the loop thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Cancel what still runs on the loop and end the thread."""
+        """Cancel all tasks on the loop and end the thread."""
         asyncio.run_coroutine_threadsafe(_cancel_other_tasks(), self._loop).result(10)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10)
@@ -44,7 +45,12 @@
     def call(
         self, function: Callable[[], _Result], *, timeout_s: float = 30
     ) -> _Result:
-        """Run a quick function on the loop, from another thread, and wait for it."""
+        """Run a short, non-blocking function on the loop and return its result.
+
+        To be called from another thread.
+
+        :raises TimeoutError: if there is no result within the timeout.
+        """
 
         async def run() -> _Result:
             return function()
@@ -54,7 +60,12 @@
     def wait_for(
         self, coroutine: Coroutine[Any, Any, _Result], *, timeout_s: float | None = 30
     ) -> _Result:
-        """Run a coroutine on the loop, from another thread, and wait for it."""
+        """Run a coroutine on the loop and return its result.
+
+        To be called from another thread.
+
+        :raises TimeoutError: if there is no result within the timeout.
+        """
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         return future.result(timeout_s)
 
@@ -63,12 +74,12 @@
     ) -> "concurrent.futures.Future[_Result]":
         """Start a coroutine on the loop, from another thread.
 
-        :return: its future; cancelling that cancels the coroutine.
+        :return: a future; cancelling it cancels the coroutine.
         """
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def post(self, function: Callable[[], object]) -> None:
-        """Run a quick function on the loop soon, without waiting for it."""
+        """Schedule a short, non-blocking function on the loop without waiting."""
         self._loop.call_soon_threadsafe(function)
 
     def spawn(self, coroutine: Coroutine[Any, Any, object]) -> None:
@@ -76,7 +87,7 @@
         asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def run_blocking(self, function: Callable[[], _Result]) -> Awaitable[_Result]:
-        """Run a blocking call on an I/O thread; to be awaited on the loop."""
+        """Run a blocking call on an I/O thread; await the result on the loop."""
         return self._loop.run_in_executor(self._pool, function)
 
 
--- a/src/arbutuspulley/results.py
+++ b/src/arbutuspulley/results.py
@@ -1,17 +1,18 @@
 """Numbered result codes, run states and the error hierarchy.
 
-Every refusal or failure that leaves the system carries one of these codes; the
-table for operators and callers is ``docs/RESULTS.md``.
+Every refusal or failure that is returned to a caller or operator carries one of these
+codes; ``docs/RESULTS.md`` documents them.
 """
 
 import enum
 
 
 class RunState(enum.StrEnum):
-    """Whether a request was run by a backend server.
+    """Whether a backend server ran a request.
 
-    ``NOT_RUN`` is a promise: no byte of the request reached a backend server, or
-    the server refused it before admission. Everything uncertain is ``UNKNOWN``.
+    ``NOT_RUN`` is a guarantee: no byte of the request reached a backend server, or the
+    server refused it before admission. If this is not certain, the state is
+    ``UNKNOWN``.
     """
 
     NOT_RUN = "not_run"
@@ -22,8 +23,8 @@
 class Code(enum.IntEnum):
     """Result codes. Numbers are never reused.
 
-    1xxx: the request is wrong; 2xxx: the system cannot serve it now;
-    3xxx: the outcome is not known or an answer broke off; 4xxx: configuration;
+    1xxx: invalid request; 2xxx: the system cannot serve it now;
+    3xxx: outcome unknown or answer incomplete; 4xxx: configuration;
     5xxx: settings; 6xxx: platform and peers.
     """
 
@@ -71,7 +72,7 @@
 
 
 class ArbutusError(Exception):
-    """Base of all errors that the system raises on purpose.
+    """Base class of the errors that the system raises deliberately.
 
     :param code: the numbered result code.
     :param detail: one sentence in plain English, safe to show to a caller.
@@ -83,18 +84,18 @@
         self.detail = detail
 
     def show(self) -> str:
-        """Return the error as one line for a person."""
+        """Return the error as one readable line."""
         return f"error {self.code.value} ({self.code.name.lower()}): {self.detail}"
 
 
 class RequestError(ArbutusError):
-    """A caller's request ended without a whole answer.
+    """A caller's request ended without a complete answer.
 
     :param status: the HTTP status to answer with.
     :param run_state: whether a backend server ran the request.
-    :param retry_after_ms: when to come back, or ``None`` if coming back with the
-        same request cannot help.
-    :param addresses: other entries to go to instead, best first.
+    :param retry_after_ms: time to wait before a retry, or ``None`` if a retry of the
+        same request cannot succeed.
+    :param addresses: other entries that the caller can use instead, best first.
     """
 
     def __init__(
@@ -117,8 +118,8 @@
 class ConfigurationError(ArbutusError):
     """A configuration file or proposal was refused; nothing was changed.
 
-    :param file: the name of the file at fault, empty if none is.
-    :param key: the path of the key at fault, for example ``$.models.a.size_mib``.
+    :param file: the name of the invalid file, empty if the error is in no file.
+    :param key: the path of the invalid key, for example ``$.models.a.size_mib``.
     """
 
     def __init__(
@@ -129,14 +130,14 @@
         self.key = key
 
     def show(self) -> str:
-        """Return the error as one line that begins with file and key."""
+        """Return the error as one readable line that starts with file and key."""
         where = ": ".join(part for part in (self.file, self.key) if part)
         shown = super().show()
         return f"{where}: {shown}" if where else shown
 
 
 class SettingError(ArbutusError):
-    """A flag or environment variable has a value that cannot be used."""
+    """A flag or environment variable has an invalid value."""
 
     def __init__(self, *, setting: str, detail: str) -> None:
         super().__init__(code=Code.BAD_SETTING, detail=f"{setting}: {detail}")
@@ -144,14 +145,14 @@
 
 
 class PlatformUnavailableError(ArbutusError):
-    """The platform did not take the call; it certainly had no effect."""
+    """The platform did not accept the call, which therefore had no effect."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.PLATFORM_UNAVAILABLE, detail=detail)
 
 
 class OutcomeUnknownError(ArbutusError):
-    """The call may or may not have taken effect; its reply was lost."""
+    """The reply to a call was lost; the call may or may not have taken effect."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.PLATFORM_OUTCOME_UNKNOWN, detail=detail)
--- a/src/arbutuspulley/settings.py
+++ b/src/arbutuspulley/settings.py
@@ -1,8 +1,8 @@
-"""Checks of settings, all at once, before a process starts.
+"""Validation of settings before a process starts.
 
-A setting is a flag of the program and an environment variable: ``--listen`` of
-``arbutus-entry`` is also ``ARBUTUS_ENTRY_LISTEN``. Parsing is cyclopts' work; the
-checks here look at the parsed values and name every wrong one together.
+A setting is a command-line flag and an environment variable: ``--listen`` of
+``arbutus-entry`` is also ``ARBUTUS_ENTRY_LISTEN``. cyclopts parses them; the checks
+here validate the parsed values and report all invalid settings together.
 """
 
 import ipaddress
@@ -13,14 +13,14 @@
 from arbutuspulley.results import SettingError
 
 SETTINGS_EXIT_STATUS = 2
-"""Exit status of a process whose settings were refused."""
+"""Exit status of a process with invalid settings."""
 
 
 class SettingsError(ExceptionGroup[SettingError]):
-    """All wrong settings of one process."""
+    """All invalid settings of one process."""
 
     def show(self) -> str:
-        """Return the message for a person, one line a wrong setting."""
+        """Return a readable message with one line per invalid setting."""
         lines = [f"{self.message}:"]
         for error in self.exceptions:
             shown = error.show() if isinstance(error, SettingError) else str(error)
@@ -29,13 +29,13 @@
 
 
 Check = Callable[[], None]
-"""Raises :class:`SettingError` if a setting is wrong."""
+"""Raises :class:`SettingError` if a setting is invalid."""
 
 
 def check_all(checks: Iterable[Check]) -> None:
-    """Make every check and report all failures together.
+    """Run all checks and report all failures together.
 
-    :raises SettingsError: if any failed.
+    :raises SettingsError: if any check failed.
     """
     errors: list[SettingError] = []
     for check in checks:
@@ -48,7 +48,7 @@
 
 
 def check_address(setting: str, value: str) -> Check:
-    """Return a check that a value is ``host:port`` with an IP number as host."""
+    """Return a check that a value is ``host:port`` with an IP address as host."""
 
     def check() -> None:
         split_address(value, setting=setting)
@@ -57,12 +57,12 @@
 
 
 def check_addresses(setting: str, values: Iterable[str]) -> list[Check]:
-    """Return a check for each of several addresses."""
+    """Return a check for each address."""
     return [check_address(setting, value) for value in values]
 
 
 def check_range(setting: str, value: int, *, least: int, most: int) -> Check:
-    """Return a check that a number lies within bounds."""
+    """Return a check that a number is between two bounds, both included."""
 
     def check() -> None:
         if not least <= value <= most:
@@ -74,7 +74,7 @@
 
 
 def check_choice(setting: str, value: str, *, choices: Sequence[str]) -> Check:
-    """Return a check that a value is one of a few words."""
+    """Return a check that a value is one of the given choices."""
 
     def check() -> None:
         if value not in choices:
@@ -86,7 +86,7 @@
 
 
 def check_present(setting: str, value: str) -> Check:
-    """Return a check that a value is not empty; the value is never shown."""
+    """Return a check that a value is not empty; errors never include the value."""
 
     def check() -> None:
         if not value:
@@ -98,21 +98,21 @@
 def split_address(address: str, *, setting: str = "address") -> tuple[str, int]:
     """Split ``host:port``.
 
-    :raises SettingError: if the host is no IP number or the port no port.
+    :raises SettingError: if the host is not an IP address or the port is invalid.
     """
     host, separator, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
         raise SettingError(
-            setting=setting, detail=f"{address!r} is not an IP number and a port"
+            setting=setting, detail=f"{address!r} is not an IP address and a port"
         ) from None
     if not separator or not port.isdigit() or not 0 < int(port) < 65_536:
-        raise SettingError(setting=setting, detail=f"{address!r} has no usable port")
+        raise SettingError(setting=setting, detail=f"{address!r} has no valid port")
     return host.strip("[]"), int(port)
 
 
 def exit_with_errors(error: SettingsError) -> NoReturn:
-    """Show all wrong settings on standard error and end the process."""
+    """Print all invalid settings to standard error and exit."""
     print(error.show(), file=sys.stderr)
     raise SystemExit(SETTINGS_EXIT_STATUS)
--- a/src/arbutuspulley/startup.py
+++ b/src/arbutuspulley/startup.py
@@ -1,4 +1,4 @@
-"""What every program does first: check its settings, then open its log."""
+"""Startup of every program: validation of its settings and logging setup."""
 
 from collections.abc import Iterable
 
@@ -19,12 +19,13 @@
 
 
 def set_up_process(checks: Iterable[Check], *, log_format: str, log_level: str) -> None:
-    """Check all settings, those of the log included, and set up the log.
+    """Validate all settings, those of logging included, and set up logging.
 
-    A process with wrong settings ends here, with one message that names them all.
+    If any setting is invalid, the process exits with one message that lists all of
+    them.
 
     :param checks: the program's own checks.
-    :raises SystemExit: if any setting is wrong.
+    :raises SystemExit: if any setting is invalid.
     """
     log_checks = (
         check_choice("--log-format", log_format, choices=LOG_FORMATS),
--- a/src/arbutuspulley/tracing.py
+++ b/src/arbutuspulley/tracing.py
@@ -1,4 +1,4 @@
-"""Traces: one span for each hop, with W3C trace context carried on."""
+"""Tracing: one span per hop, with propagation of the W3C trace context."""
 
 import sys
 from collections.abc import Iterator
@@ -21,12 +21,14 @@
 _TRACER = trace.get_tracer("arbutuspulley")
 
 TRACEPARENT = "traceparent"
-"""Name of the header that carries the context."""
+"""Name of the header that carries the trace context."""
 
 
 def set_up_tracing(*, program: str, instance: str, target: str) -> None:
-    """Choose where finished spans go.
+    """Set the output of finished spans.
 
+    :param program: value of ``service.name``.
+    :param instance: value of ``service.instance.id``.
     :param target: ``off``, ``stderr`` or the path of a file to append to.
     """
     if target == "off":
@@ -41,11 +43,12 @@
 
 @contextmanager
 def open_span(name: str, *, parent: str = "", **attributes: str | int) -> Iterator[str]:
-    """Time one hop.
+    """Record one hop as a span.
 
-    :param parent: the ``traceparent`` that came with the call, if any.
-    :param attributes: what the span tells besides; never keys or bodies.
-    :return: the ``traceparent`` to send with the next hop, empty if tracing is off.
+    :param parent: the ``traceparent`` received with the call, if any.
+    :param attributes: attributes of the span; never API keys or bodies.
+    :return: the ``traceparent`` to send to the next hop: that of the new span, or
+        ``parent`` if tracing is off.
     """
     context = _PROPAGATOR.extract({TRACEPARENT: parent}) if parent else None
     with _TRACER.start_as_current_span(name, context=context) as span:
@@ -55,10 +58,10 @@
 
 
 def get_traceparent() -> str:
-    """Return the ``traceparent`` of the span that is open here, empty if none is.
+    """Return the ``traceparent`` of the current span, empty if there is none.
 
-    A coroutine that a worker hands to the loop runs in the worker's context, so the
-    span that the worker opened is open there, too.
+    A coroutine that a worker thread submits to the loop runs in the worker's context,
+    so the worker's span is the current span there as well.
     """
     carrier: dict[str, str] = {}
     _PROPAGATOR.inject(carrier)
--- a/src/arbutuspulley/web.py
+++ b/src/arbutuspulley/web.py
@@ -1,8 +1,9 @@
-"""How every program serves HTTP: CherryPy on a server of its own, quiet.
+"""HTTP servers of all programs: CherryPy applications on separate servers.
 
-CherryPy's global engine allows one server a process and takes over signals; each
-program, and each stand-in within a test, mounts its application on its own server
-instead. The log has the numbered events only, so CherryPy writes none of its lines.
+CherryPy's global engine allows only one server per process and handles signals.
+Therefore each program, and each stand-in in a test, mounts its application on a server
+of its own. The log contains numbered events only, so CherryPy's own logging is
+disabled.
 """
 
 import logging
@@ -18,22 +19,26 @@
 from arbutuspulley.data import Value
 
 ErrorRenderer = Callable[..., str | bytes]
-"""Renders CherryPy's own errors; called with ``status`` and ``message``."""
+"""Renders errors raised by CherryPy itself; called with ``status`` and ``message``."""
 
 _CONNECTION_KEY = "arbutus.connection"
 
 
 class Limits(Value, frozen=True):
-    """Bounds of a server.
-
-    :param threads: requests handled at once.
-    :param stop_timeout_ms: how long a stopping server waits for what is in flight.
-    :param socket_timeout_ms: a client that stalls for this long counts as gone.
-    :param header_bytes: largest request line and headers taken.
-    :param body_bytes: largest body read, 0 for any; handlers check their own limit.
-    :param backlog: connections that may wait to be taken.
-    :param idle_connections: idle connections kept open; they hold no thread.
-    :param poll_ms: how often an idle server looks whether it was stopped.
+    """Limits and timeouts of a server.
+
+    :param threads: maximum number of requests handled concurrently.
+    :param stop_timeout_ms: time for which a stopping server waits for requests in
+        flight.
+    :param socket_timeout_ms: a client that stalls for this long is considered
+        disconnected.
+    :param header_bytes: maximum size of request line and headers.
+    :param body_bytes: maximum size of a body, 0 for no limit; handlers enforce their
+        own limits.
+    :param backlog: maximum number of connections waiting to be accepted.
+    :param idle_connections: maximum number of idle keep-alive connections; they occupy
+        no thread.
+    :param poll_ms: interval at which an idle server checks whether it was stopped.
     """
 
     threads: int
@@ -47,9 +52,9 @@
 
 
 class WebServer:
-    """An application's server on a thread of its own.
+    """An HTTP server that runs an application on a thread of its own.
 
-    :param port: 0 takes a free one; see :attr:`address`.
+    :param port: 0 selects a free port; see :attr:`address`.
     """
 
     __slots__ = ("_limits", "_server", "_thread", "address")
@@ -67,11 +72,11 @@
         )
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to accept connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop listening, finish what is in flight and end the thread."""
+        """Stop listening, finish requests in flight and end the thread."""
         self._server.stop()
         self._thread.join(self._limits.stop_timeout_ms / SECOND_MS)
 
@@ -79,10 +84,10 @@
 def build_application(
     root: object, *, show_error: ErrorRenderer | None = None
 ) -> cherrypy.Application:
-    """Return a quiet application that leaves bodies to its handlers.
+    """Return an application without logging whose handlers read the bodies.
 
     :param root: CherryPy handlers.
-    :param show_error: renders what CherryPy itself refuses.
+    :param show_error: renders errors raised by CherryPy itself.
     """
     settings: dict[str, Any] = {
         "request.process_request_body": False,
@@ -94,19 +99,19 @@
     application = cherrypy.Application(root, "", {"/": settings})
     application.log.screen = False
     application.log.error_log.setLevel(logging.CRITICAL)
-    # Silenced by level alone, CherryPy would still put each line together.
+    # With the level alone, CherryPy would still format each access log line.
     application.log.access = lambda: None
     return application
 
 
 def get_connection() -> socket.socket:
-    """Return the connection of the request that this thread handles."""
+    """Return the socket of the request that the current thread handles."""
     connection: socket.socket = cherrypy.serving.request.wsgi_environ[_CONNECTION_KEY]
     return connection
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Lets a handler reach its connection."""
+    """Adds the socket of the connection to the WSGI environment."""
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
         environ: dict[str, Any] = super().get_environ()
