--- a/src/arbutuspulley/configuration/activation.py
+++ b/src/arbutuspulley/configuration/activation.py
@@ -9,8 +9,8 @@
 
 from arbutuspulley.configuration.changes import Change
 from arbutuspulley.configuration.difference import compute_digest
+from arbutuspulley.configuration.patch import apply_delta
 from arbutuspulley.configuration.schema import EMPTY, Configuration
-from arbutuspulley.configuration.steps import apply_delta
 from arbutuspulley.data import State, Value
 from arbutuspulley.results import ConfigurationError
 
--- a/src/arbutuspulley/configuration/difference.py
+++ b/src/arbutuspulley/configuration/difference.py
@@ -2,7 +2,7 @@
 
 :class:`Difference` is for display: API keys are hidden and equal differences of several
 sites are merged into one. :class:`Delta` is stored and sent: it turns the old
-configuration into exactly the new one; :mod:`.steps` applies it.
+configuration into exactly the new one; :mod:`.patch` applies it.
 """
 
 import enum
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -5,8 +5,8 @@
 
 from arbutuspulley.configuration import changes, transactions
 from arbutuspulley.configuration.difference import compute_digest
+from arbutuspulley.configuration.patch import apply_delta
 from arbutuspulley.configuration.schema import EMPTY
-from arbutuspulley.configuration.steps import apply_delta
 from arbutuspulley.ports.platform import ABSENT, Row
 from arbutuspulley.results import Code, ConfigurationError
 from tests.fakes import build_configuration
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -16,6 +16,7 @@
     compute_digest,
 )
 from arbutuspulley.configuration.merge import merge_files
+from arbutuspulley.configuration.patch import apply_delta
 from arbutuspulley.configuration.schema import (
     EMPTY,
     Caller,
@@ -26,7 +27,6 @@
     Service,
     Site,
 )
-from arbutuspulley.configuration.steps import apply_delta
 from arbutuspulley.results import ConfigurationError
 from tests.fakes import BASE, build_configuration, build_files
 
