--- a/tests/test_activation.py
+++ b/tests/test_activation.py
@@ -24,7 +24,7 @@
 ]
 """Accepted configurations by version."""
 
-OTHER_8 = build_configuration(8, 8888)
+DIFFERENT_8 = build_configuration(8, 8888)
 """What was accepted as version 8 after the store had been restored to version 7."""
 
 
@@ -45,14 +45,14 @@
 }
 
 
-def start(version):
+def build_state(version):
     state = ActivationState()
     activate_if_newer(state, VERSIONS[version])
     return state
 
 
 @pytest.mark.parametrize(
-    ("begin", "arriving", "in_force", "expected"),
+    ("start_version", "arriving", "expected_version", "expected"),
     [
         (0, [1, 2, 3], 3, ActivationResult(applied=(1, 2, 3))),
         (2, [3], 3, ActivationResult(applied=(3,))),
@@ -67,56 +67,58 @@
         (5, [], 5, ActivationResult()),
     ],
 )
-def test_changes_apply_upward_and_without_a_gap(begin, arriving, in_force, expected):
-    state = start(begin)
+def test_changes_are_applied_in_order_without_gaps(
+    start_version, arriving, expected_version, expected
+):
+    state = build_state(start_version)
     progress = apply_changes(state, [CHANGES[number] for number in arriving])
     assert progress == expected
-    assert state.configuration == VERSIONS[in_force]
-    assert state.accepted_version == max([begin, *arriving])
+    assert state.configuration == VERSIONS[expected_version]
+    assert state.accepted_version == max([start_version, *arriving])
 
 
-def test_a_gap_is_closed_by_the_change_between_or_by_a_whole_configuration():
-    late, loaded = start(2), start(2)
-    for state in (late, loaded):
+def test_missing_change_or_full_configuration_closes_a_gap():
+    waiting, loaded = build_state(2), build_state(2)
+    for state in (waiting, loaded):
         apply_changes(state, [CHANGES[4], CHANGES[5]])
-    assert apply_changes(late, [CHANGES[3]]).applied == (3, 4, 5)
+    assert apply_changes(waiting, [CHANGES[3]]).applied == (3, 4, 5)
     assert activate_if_newer(loaded, VERSIONS[4]).applied == (4, 5)
-    assert not late.pending
+    assert not waiting.pending
     assert not loaded.pending
 
 
-def test_a_change_without_steps_waits_for_its_whole_configuration():
+def test_change_without_delta_requires_full_configuration():
     large = build_change(VERSIONS[2], VERSIONS[3], has_delta=False)
-    state = start(2)
+    state = build_state(2)
     assert apply_changes(state, [large]).missing == large
     assert apply_changes(state, []).missing == large
     assert activate_if_newer(state, VERSIONS[3]).applied == (3,)
 
 
-def test_steps_for_another_content_are_not_applied():
+def test_delta_for_different_base_content_is_not_applied():
     """An operator sees version 9 accepted and one instance runs what nobody approved.
 
     The store was restored to version 7 while this instance had 8 in force and could
     be reached by nobody; another version 8 was accepted, then 9 with steps from that
     one. The digest of the result tells, and the whole of 9 is loaded.
     """
-    state = start(8)
-    assert apply_changes(state, [build_change(VERSIONS[7], OTHER_8)]).diverged
+    state = build_state(8)
+    assert apply_changes(state, [build_change(VERSIONS[7], DIFFERENT_8)]).diverged
     policy = Policy(moves_weight=1.0)
-    newest = msgspec.structs.replace(OTHER_8, version=9, policy=policy)
-    change = build_change(OTHER_8, newest)
+    newest = msgspec.structs.replace(DIFFERENT_8, version=9, policy=policy)
+    change = build_change(DIFFERENT_8, newest)
     assert apply_changes(state, [change]).missing == change
     assert state.configuration == VERSIONS[8]
     assert activate_if_newer(state, newest).applied == (9,)
 
 
-def test_an_older_store_or_peer_takes_nothing_back():
+def test_older_versions_are_ignored():
     """A model that an operator took in yesterday is gone again.
 
     The store was restored from a backup. Read anew, it offers version 3 while 5 is in
     force, whole or as a change; both are ignored and counted.
     """
-    state = start(5)
+    state = build_state(5)
     assert activate_if_newer(state, VERSIONS[3]) == ActivationResult(ignored=(3,))
     assert apply_changes(state, [CHANGES[3]]) == ActivationResult(ignored=(3,))
     assert activate_if_newer(state, VERSIONS[5]) == ActivationResult()
@@ -126,22 +128,22 @@
     assert state.configuration == VERSIONS[5]
 
 
-def test_a_cut_off_instance_learns_from_a_peer_and_a_new_one_waits_for_it():
+def test_instances_activate_a_full_configuration_from_a_peer():
     """A change is accepted and one site goes on serving under the old version.
 
     Its instances reach a peer but not the store. The peer's whole configuration
     counts as much as the store's; before any came, a new instance is not ready.
     """
-    cut_off, new = start(2), ActivationState()
+    disconnected, new = build_state(2), ActivationState()
     assert not is_ready(new)
-    for state in (cut_off, new):
+    for state in (disconnected, new):
         assert activate_if_newer(state, VERSIONS[4]).applied == (4,)
         assert is_ready(state)
         assert apply_changes(state, [CHANGES[3], CHANGES[5]]).applied == (5,)
 
 
-def test_waiting_changes_are_bounded():
-    state = start(2)
+def test_pending_changes_are_bounded():
+    state = build_state(2)
     template = CHANGES[5]
     many = [
         msgspec.structs.replace(template, version=number)
@@ -157,7 +159,7 @@
         max_size=12,
     )
 )
-def test_whatever_arrives_the_version_never_goes_back(steps):
+def test_version_never_decreases(steps):
     state = ActivationState()
     for step in steps:
         before = state.configuration.version
--- a/tests/test_base_modules.py
+++ b/tests/test_base_modules.py
@@ -12,7 +12,7 @@
 from arbutuspulley.tracing import open_span
 
 
-def test_clock_reads_whole_milliseconds_that_never_go_back():
+def test_clock_returns_non_decreasing_whole_milliseconds():
     clock = Clock()
     first = clock.now()
     assert isinstance(first, int)
@@ -45,11 +45,11 @@
         ),
     ],
 )
-def test_errors_show_themselves_with_their_number(error, shown):
+def test_shown_error_includes_its_number(error, shown):
     assert error.show() == shown
 
 
-def test_a_refusal_is_not_run_unless_it_says_otherwise():
+def test_run_state_of_a_refusal_defaults_to_not_run():
     error = RequestError(code=Code.OVERLOADED, detail="full", status=503)
     assert error.run_state is RunState.NOT_RUN
 
@@ -70,7 +70,7 @@
     assert read(result.stderr)["event"] == 101
 
 
-def test_span_context_is_passed_on_when_tracing_is_off():
+def test_span_context_is_propagated_when_tracing_is_off():
     parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
     with open_span("hop", parent=parent) as traceparent:
         assert traceparent.split("-")[1] == parent.split("-")[1]
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stored", "active", "newest", "is_behind"),
+    ("stored", "active", "newest", "is_outdated"),
     [
         (EMPTY, EMPTY, EMPTY, False),
         (V7, EMPTY, V7, False),
@@ -43,16 +43,16 @@
         (V7, build_configuration(version=7), V7, False),
     ],
 )
-def test_the_newest_of_store_and_instances_is_the_base(
-    stored, active, newest, is_behind
+def test_newer_of_stored_and_active_configuration_is_current(
+    stored, active, newest, is_outdated
 ):
     current = build_current(stored, active)
     assert current.configuration == newest
-    assert current.store_is_outdated == is_behind
+    assert current.store_is_outdated == is_outdated
 
 
 @pytest.mark.parametrize(
-    ("stored", "active", "base_version", "since"),
+    ("stored", "active", "base_version", "expected_difference"),
     [
         (V7, EMPTY, 7, None),
         (V7, V7, 7, None),
@@ -63,30 +63,30 @@
         (build_configuration(version=7, size_mib=7001), EMPTY, 7, "7000 -> 7001"),
     ],
 )
-def test_an_approval_needs_the_newest_version_as_its_base(
-    stored, active, base_version, since
+def test_approval_requires_the_newest_version_as_its_base(
+    stored, active, base_version, expected_difference
 ):
     current = build_current(stored, active)
     arguments = {"base_version": base_version, "base": V7}
-    if since is None:
+    if expected_difference is None:
         changes.check_base(build_proposal(), current, **arguments)
         return
     with pytest.raises(changes.StaleBaseError) as refused:
         changes.check_base(build_proposal(), current, **arguments)
     assert refused.value.code == Code.BASE_VERSION_STALE
     shown = [difference.show() for difference in refused.value.differences]
-    assert len(shown) == bool(since)
-    assert since in "".join(shown)
+    assert len(shown) == bool(expected_difference)
+    assert expected_difference in "".join(shown)
 
 
 @pytest.mark.parametrize(
-    ("most_bytes", "active", "has_delta"),
+    ("max_bytes", "active", "has_delta"),
     [(changes.MAX_DELTA_BYTES, EMPTY, True), (10, EMPTY, False), (99, V8, False)],
 )
-def test_steps_are_stored_if_they_are_small_and_their_base_is_in_the_store(
-    monkeypatch, most_bytes, active, has_delta
+def test_delta_is_stored_if_small_and_based_on_the_store(
+    monkeypatch, max_bytes, active, has_delta
 ):
-    monkeypatch.setattr(changes, "MAX_DELTA_BYTES", most_bytes)
+    monkeypatch.setattr(changes, "MAX_DELTA_BYTES", max_bytes)
     change = changes.build_change(
         build_proposal(), build_current(V7, active), V8, approver="janis", now_ms=1
     )
@@ -95,7 +95,7 @@
         assert apply_delta(V7, change.delta) == V8
 
 
-def test_one_proposal_has_one_token_whoever_approves_it_and_when():
+def test_approval_token_depends_on_the_proposal_only():
     built = [
         transactions.build_approval(
             changes.build_change(
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize(
     ("removed", "is_refused"), [((), True), (("site-a",), True), (("site-b",), False)]
 )
-def test_a_site_is_dropped_only_if_that_is_said(removed, is_refused):
+def test_site_can_be_removed_only_explicitly(removed, is_refused):
     sites = {"site-a": V7.sites["site-a"]}
     result = msgspec.structs.replace(V8, sites=sites)
     if not is_refused:
@@ -127,7 +127,7 @@
         changes.check_removed_sites(V7, result, removed=removed)
 
 
-def test_an_unreadable_row_is_refused_by_its_key():
+def test_error_for_an_invalid_row_names_its_key():
     row = Row(key=changes.HEAD_KEY, value=b"{", revision=1)
     with pytest.raises(ConfigurationError, match=changes.HEAD_KEY):
         changes.decode(row, changes.Head)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,7 +7,7 @@
 from arbutuspulley.clock import Clock, compute_backoff_ms
 
 
-def test_time_of_a_suspension_counts(monkeypatch):
+def test_clock_includes_time_suspended(monkeypatch):
     """A machine is suspended for 4 s. The monotonic clock stands still meanwhile; a
     holder that read it believed in a lease that others had taken over long ago."""
     readings = {time.CLOCK_MONOTONIC: 5_000, time.CLOCK_BOOTTIME: 9_000}
@@ -21,5 +21,5 @@
 @pytest.mark.parametrize(
     ("count", "expected"), [(1, 100), (2, 200), (4, 800), (5, 1_000), (90_000, 1_000)]
 )
-def test_a_pause_is_doubled_up_to_the_longest(count, expected):
+def test_backoff_doubles_up_to_the_maximum(count, expected):
     assert compute_backoff_ms(100, max_ms=1_000, count=count) == expected
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -73,7 +73,7 @@
     result = apply_delta(old, delta)
     assert result == new
     again = msgspec.json.decode(msgspec.json.encode(new), type=Configuration)
-    digests = {compute_digest(one) for one in (result, new, again)}
+    digests = {compute_digest(configuration) for configuration in (result, new, again)}
     assert len(digests) == 1
     assert (compute_digest(old) == compute_digest(new)) == (old == new)
     shown = "".join(difference.show() for difference in compare(old, new))
@@ -83,7 +83,7 @@
     assert (not compare(old, new)) == same
 
 
-def test_a_default_that_is_written_out_makes_no_other_configuration():
+def test_explicit_default_does_not_change_the_digest():
     """An accepted version is never in force at half of the instances.
 
     One of them took it from the files, where a default is written out, and others
@@ -115,7 +115,7 @@
         apply_delta(build_configuration(), Delta(edits=(edit,)))
 
 
-def test_people_see_equal_differences_of_several_sites_as_one_and_no_keys():
+def test_display_merges_equal_differences_and_hides_keys():
     old = build_configuration()
     new = build_configuration(version=2, size_mib=9100)
     site = new.sites["site-b"]
@@ -136,7 +136,7 @@
     ]
 
 
-def test_a_new_site_is_shown_part_by_part_and_a_long_value_is_cut():
+def test_new_site_is_listed_by_entry_and_long_values_are_truncated():
     shown = [difference.show() for difference in compare(EMPTY, build_configuration())]
     counts = "1 models, 1 adapters, 2 callers, 1 servers"
     assert shown[:2] == [
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -22,13 +22,13 @@
 @pytest.mark.parametrize(
     ("page", "known", "columns"), [("RESULTS.md", Code, 7), ("EVENTS.md", Event, 4)]
 )
-def test_every_number_stands_once_in_its_table(page, known, columns):
-    expected = [(one.value, one.name.lower(), columns) for one in known]
+def test_table_lists_every_number_exactly_once(page, known, columns):
+    expected = [(member.value, member.name.lower(), columns) for member in known]
     rows = [(int(row[0]), row[1], len(row)) for row in _read_rows(page)]
     assert sorted(rows) == sorted(expected)
 
 
-def test_statuses_stand_as_entries_and_console_send_them():
+def test_documented_statuses_match_entries_and_console():
     documented = {Code(int(row[0])): row[2] for row in _read_rows("RESULTS.md")}
     for code, shown in documented.items():
         is_answer = 1_000 < code < 4_000 or code is Code.INTERNAL
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -8,12 +8,12 @@
 from arbutuspulley.events import MAX_BUFFERED_LINES, BoundedOutput, Event
 
 
-def build(descriptor, fates, *, now=lambda: 0, lines_per_s=10):
+def build(descriptor, outcomes, *, now=lambda: 0, lines_per_s=10):
     return BoundedOutput(
         descriptor=descriptor,
         instance="n1",
         lines_per_s=lines_per_s,
-        count_line=fates.append,
+        count_line=outcomes.append,
         clock=Clock(read=now),
     )
 
@@ -25,12 +25,12 @@
     output.emit(record)
 
 
-def test_ordinary_lines_are_dropped_first():
+def test_per_request_lines_are_dropped_first():
     """A busy second brings hundreds of requests, and one that failed. Its line must be
     among those that are written."""
     reader, writer = os.pipe()
-    fates = []
-    output = build(writer, fates)
+    outcomes = []
+    output = build(writer, outcomes)
     for number in range(100):
         emit(output, Event.REQUEST_ENDED, id=f"r{number}")
     emit(output, Event.REQUEST_LOST, id="lost")
@@ -39,22 +39,22 @@
         written = [json.loads(line) for line in lines]
     assert len(written) == 11
     assert written[-1]["id"] == "lost"
-    assert (fates.count("written"), fates.count("dropped")) == (11, 90)
+    assert (outcomes.count("written"), outcomes.count("dropped")) == (11, 90)
 
 
 def test_a_full_pipe_does_not_block():
     """Nobody reads standard output. Writing must return, and memory stay bounded."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
-    fates = []
+    outcomes = []
     seconds = iter(range(1_000_000))
-    output = build(writer, fates, now=lambda: next(seconds) * 1_000)
+    output = build(writer, outcomes, now=lambda: next(seconds) * 1_000)
     output._schedule_flush = lambda: None
     for _ in range(3 * MAX_BUFFERED_LINES):
         emit(output, Event.REQUEST_LOST, text="x" * 100)
         output.flush()
     assert len(output._lines) <= MAX_BUFFERED_LINES
-    assert fates.count("dropped") > 0
+    assert outcomes.count("dropped") > 0
     os.close(reader)
     output.flush()
     os.close(writer)
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -76,7 +76,7 @@
         ),
     ],
 )
-def test_a_wrong_base_file_is_refused_with_its_key(base, key, code):
+def test_error_in_a_base_file_names_its_key(base, key, code):
     assert list_refusals(base, ["site: a\n"]) == [("base.yaml", key, code)]
 
 
@@ -107,14 +107,14 @@
         ),
     ],
 )
-def test_a_wrong_overlay_is_refused_with_its_key(overlay, key, code):
+def test_error_in_an_overlay_names_its_key(overlay, key, code):
     assert list_refusals(overlays=[OVERLAY_A, overlay]) == [
         ("overlay-2.yaml", key, code)
     ]
 
 
-@pytest.mark.parametrize("kept", range(1, len(OVERLAY_B.splitlines())))
-def test_a_half_written_overlay_is_refused_or_shows_what_it_lacks(kept):
+@pytest.mark.parametrize("kept_lines", range(1, len(OVERLAY_B.splitlines())))
+def test_truncated_overlay_is_refused_or_differs(kept_lines):
     """An operator's editor was still writing when the file was proposed.
 
     Cut in a line, the file is refused with the place. Cut between two lines it may
@@ -122,17 +122,19 @@
     """
     lines = OVERLAY_B.splitlines()
     whole = build_configuration().sites["site-b"]
-    cut_in_line = "\n".join([*lines[:kept], lines[kept][: len(lines[kept]) - 2]])
+    cut_in_line = "\n".join(
+        [*lines[:kept_lines], lines[kept_lines][: len(lines[kept_lines]) - 2]]
+    )
     for file, _, _ in list_refusals(overlays=[OVERLAY_A, cut_in_line]):
         assert file == "overlay-2.yaml"
     try:
-        between = build_files(overlays=[OVERLAY_A, "\n".join(lines[:kept])])
-        assert merge_files(between, version=1).sites["site-b"] != whole
+        truncated = build_files(overlays=[OVERLAY_A, "\n".join(lines[:kept_lines])])
+        assert merge_files(truncated, version=1).sites["site-b"] != whole
     except FilesError as refused:
         assert refused.list_errors()[0].file == "overlay-2.yaml"
 
 
-def test_all_problems_of_all_files_come_together():
+def test_all_problems_of_all_files_are_reported_together():
     base = "x: 1\nmodels: {a: {version: 1, size_mib: 0, copies: 0}}\n"
     overlays = ["site: [\n", "site: X\nservers: {s: {memory_mib: 1}}\n"]
     assert list_refusals(base, overlays) == [
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -25,14 +25,14 @@
 @pytest.mark.parametrize(
     "address", ["localhost:80", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:70000", ":80"]
 )
-def test_wrong_address_is_refused(address):
+def test_invalid_address_is_refused(address):
     with pytest.raises(SettingError) as raised:
         split_address(address, setting="--listen")
     assert raised.value.code is Code.BAD_SETTING
     assert "--listen" in raised.value.show()
 
 
-def test_all_wrong_settings_are_named_in_one_message():
+def test_all_invalid_settings_are_reported_in_one_message():
     checks = [
         check_address("--listen", "nowhere"),
         check_range("--lease-ms", 5, least=1_000, most=60_000),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -66,14 +66,14 @@
     return [(change.version, change.approver) for change in listed]
 
 
-def refuse(code, work):
+def assert_refused(code, call):
     with pytest.raises(ConfigurationError) as refused:
-        work()
+        call()
     assert refused.value.code == code
     return refused.value
 
 
-def test_an_accepted_change_is_read_back_whole_and_as_steps(fake):
+def test_accepted_changes_are_readable_in_full_and_as_deltas(fake):
     assert store.load_latest(fake.platform) == EMPTY
     start = store.load_snapshot(fake.platform)
     newest = accept(fake, 9000, 9100, 9200)
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("fault", ["lost_replies", "lost_requests"])
 @pytest.mark.parametrize("count", [1, 2, 3])
-def test_a_lost_approval_is_found_out(fake, fault, count):
+def test_approval_succeeds_despite_lost_requests_or_replies(fake, fault, count):
     """An operator presses "approve" and the phone shows an error.
 
     The platform's reply, or the request, was lost on the way. The token in the
@@ -102,7 +102,7 @@
     assert list_approvers(fake) == [(2, "ayu"), (1, "ayu")]
 
 
-def test_pressing_again_after_a_lost_reply_gives_the_same_result(fake):
+def test_repeated_approval_after_a_lost_reply_is_idempotent(fake):
     """An operator presses "approve", sees an error, and presses again.
 
     The first press took effect, then the platform went away before it could be read
@@ -122,7 +122,7 @@
     assert list_approvers(fake) == [(2, "ayu"), (1, "ayu")]
 
 
-def test_two_phones_approve_different_changes_at_the_same_moment(fake):
+def test_concurrent_approvals_of_different_changes(fake):
     """Two operators each see "accepted", and one of the changes is gone.
 
     Both changes were based on version 1 and written at the same moment. The head's
@@ -131,16 +131,16 @@
     accept(fake, 9000)
     ours, theirs = propose(fake, 9100), propose(fake, 9200)
     fake.before_transact = lambda: approve(fake, theirs, approver="janis")
-    refused = refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, ours))
+    refused = assert_refused(Code.BASE_VERSION_STALE, lambda: approve(fake, ours))
     (difference,) = refused.differences
     assert difference.show().startswith("~ models.draft.size_mib: 9000 -> 9200")
     assert list_approvers(fake)[0] == (2, "janis")
-    refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, ours, base_version=2))
+    assert_refused(Code.BASE_VERSION_STALE, lambda: approve(fake, ours, base_version=2))
     again = propose(fake, 9100)
     assert approve(fake, again).version == 3
 
 
-def test_two_phones_approve_the_same_change_at_the_same_moment(fake):
+def test_concurrent_approvals_of_the_same_change(fake):
     """The slower of two operators gets an error for what both wanted."""
     proposal = propose(fake)
     fake.before_transact = lambda: approve(fake, proposal, approver="janis")
@@ -149,7 +149,7 @@
     assert list_approvers(fake) == [(1, "janis")]
 
 
-def test_a_restored_store_does_not_take_an_accepted_version_back(fake):
+def test_change_after_a_restore_gets_a_version_above_the_active_one(fake):
     """An operator approves a change, sees it accepted, and it never comes into force.
 
     The store was restored from a backup: it holds version 2, the instances have 4 in
@@ -167,7 +167,7 @@
     page = store.read_changes(fake.platform, 10_000, table_id=start.table_id)
     assert activate_if_newer(state, page.restored).ignored == (2,)
 
-    refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, old, active=active))
+    assert_refused(Code.BASE_VERSION_STALE, lambda: approve(fake, old, active=active))
     proposal = propose(fake, 9400, active=active)
     assert (proposal.base_version, proposal.version) == (4, 5)
     assert approve(fake, proposal, active=active).version == 5
@@ -181,7 +181,7 @@
     assert read_size(state.configuration) == 9400
 
 
-def test_the_head_never_goes_back_to_a_lower_version(fake):
+def test_head_version_never_decreases(fake):
     """An accepted change is in force, and new instances start without it.
 
     The store was restored to version 1 while 2 is in force. One console knows that
@@ -193,14 +193,14 @@
     backup = fake.state.revision
     active = accept(fake, 9100)
     restore(fake.state, backup)
-    knowing = propose(fake, 9200, active=active)
-    unknowing = propose(fake, 9300)
-    fake.before_transact = lambda: approve(fake, knowing, active=active)
-    refuse(Code.BASE_VERSION_STALE, lambda: approve(fake, unknowing))
+    aware = propose(fake, 9200, active=active)
+    unaware = propose(fake, 9300)
+    fake.before_transact = lambda: approve(fake, aware, active=active)
+    assert_refused(Code.BASE_VERSION_STALE, lambda: approve(fake, unaware))
     assert store.read_head_version(fake.platform) == 3
 
 
-def test_the_lost_content_can_be_written_back_to_a_restored_store(fake):
+def test_roll_forward_writes_lost_content_back_to_a_restored_store(fake):
     """New instances start with last week's configuration.
 
     The store was restored to version 1 while 2 is in force. Rolling forward to the
@@ -220,13 +220,13 @@
     assert change.delta is None
 
 
-def test_an_older_content_comes_back_as_a_new_version_only(fake):
+def test_roll_forward_to_older_content_creates_a_new_version(fake):
     accept(fake, 9000, 9100)
     proposal = approval.roll_forward(fake.platform, version=1, proposer="ayu", now_ms=1)
     assert approve(fake, proposal).version == 3
     assert read_size(store.load_latest(fake.platform)) == 9000
     for version, code in ((3, Code.NO_DIFFERENCE), (9, Code.NOT_FOUND)):
-        refuse(
+        assert_refused(
             code,
             lambda version=version: approval.roll_forward(
                 fake.platform, version=version, proposer="ayu", now_ms=1
@@ -242,24 +242,24 @@
         ({"files": build_files(overlays=[OVERLAY_A])}, Code.BAD_REFERENCE),
     ],
 )
-def test_a_proposal_that_cannot_be_accepted_is_refused_at_once(fake, options, code):
+def test_unacceptable_proposal_is_refused_immediately(fake, options, code):
     accept(fake, 9000)
-    refuse(code, lambda: propose(fake, **options))
+    assert_refused(code, lambda: propose(fake, **options))
     assert not store.list_proposals(fake.platform)
 
 
-def test_fit_is_checked_again_at_the_approval(fake, monkeypatch):
+def test_fit_is_checked_again_at_approval(fake, monkeypatch):
     proposal = propose(fake)
 
     def refuse_all(_configuration):
         raise ConfigurationError(code=Code.DOES_NOT_FIT, detail="too much")
 
     monkeypatch.setattr(approval, "check_fit", refuse_all)
-    refuse(Code.DOES_NOT_FIT, lambda: approve(fake, proposal))
+    assert_refused(Code.DOES_NOT_FIT, lambda: approve(fake, proposal))
     assert store.load_latest(fake.platform) == EMPTY
 
 
-def test_proposing_twice_makes_one_proposal_and_a_late_copy_none(fake):
+def test_repeated_or_late_submission_creates_no_second_proposal(fake):
     """An accepted proposal waits for approval again.
 
     The request that laid it down was sent twice, and the second copy arrived after
@@ -277,37 +277,37 @@
 def test_a_withdrawn_proposal_cannot_be_accepted(fake):
     proposal = propose(fake)
     approval.withdraw(fake.platform, proposal=proposal.proposal)
-    refuse(Code.UNKNOWN_PROPOSAL, lambda: approve(fake, proposal))
-    refuse(
+    assert_refused(Code.UNKNOWN_PROPOSAL, lambda: approve(fake, proposal))
+    assert_refused(
         Code.UNKNOWN_PROPOSAL,
         lambda: approval.withdraw(fake.platform, proposal=proposal.proposal),
     )
 
 
-def test_nothing_is_proposed_or_accepted_while_the_platform_is_out(fake):
+def test_nothing_is_proposed_or_accepted_during_a_platform_outage(fake):
     proposal = propose(fake)
     fake.down = True
-    for work in (lambda: propose(fake, 9100), lambda: approve(fake, proposal)):
+    for call in (lambda: propose(fake, 9100), lambda: approve(fake, proposal)):
         with pytest.raises(PlatformUnavailableError):
-            work()
+            call()
     fake.down = False
     assert store.load_latest(fake.platform) == EMPTY
     assert store.list_proposals(fake.platform) == (proposal,)
 
 
 @pytest.mark.parametrize("data", [b"", b"x", None])
-def test_an_altered_object_is_never_taken_for_a_configuration(fake, data):
+def test_corrupt_or_missing_object_is_refused(fake, data):
     newest = accept(fake, 9000)
     name = changes.build_result_name(store.read_change(fake.platform, 1).digest)
     fake.stored[name] = data
-    refuse(
+    assert_refused(
         Code.NOT_FOUND if data is None else Code.BAD_SCHEMA,
         lambda: store.load_latest(fake.platform),
     )
     assert newest.version == 1
 
 
-def test_rows_of_old_changes_are_dropped(fake, monkeypatch):
+def test_rows_of_old_changes_are_deleted(fake, monkeypatch):
     monkeypatch.setattr(changes, "MAX_KEPT_CHANGES", 2)
     accept(fake, 9000, 9100, 9200, 9300)
     assert [version for version, _ in list_approvers(fake)] == [4, 3]
