--- a/tests/test_activation.py
+++ b/tests/test_activation.py
@@ -1,4 +1,4 @@
-"""The version in force goes strictly upward, whatever arrives in whatever order."""
+"""The active version increases strictly, whatever arrives in whatever order."""
 
 import msgspec
 import pytest
@@ -22,10 +22,10 @@
     EMPTY,
     *(build_configuration(number, 9000 + number) for number in range(1, 9)),
 ]
-"""Accepted configurations by version."""
+"""Accepted configurations, indexed by version."""
 
 DIFFERENT_8 = build_configuration(8, 8888)
-"""What was accepted as version 8 after the store had been restored to version 7."""
+"""The configuration accepted as version 8 after the store was restored to version 7."""
 
 
 def build_change(old, new, *, has_delta=True):
@@ -96,11 +96,11 @@
 
 
 def test_delta_for_different_base_content_is_not_applied():
-    """An operator sees version 9 accepted and one instance runs what nobody approved.
+    """Guards against activating a configuration that nobody approved.
 
-    The store was restored to version 7 while this instance had 8 in force and could
-    be reached by nobody; another version 8 was accepted, then 9 with steps from that
-    one. The digest of the result tells, and the whole of 9 is loaded.
+    The store was restored to version 7 while this instance had version 8 active and was
+    unreachable. A different version 8 was accepted, then 9 with a delta from it. The
+    digest of the result detects the mismatch, and version 9 is loaded in full.
     """
     state = build_state(8)
     assert apply_changes(state, [build_change(VERSIONS[7], DIFFERENT_8)]).diverged
@@ -113,10 +113,10 @@
 
 
 def test_older_versions_are_ignored():
-    """A model that an operator took in yesterday is gone again.
+    """Guards against losing an accepted change, such as a newly added model.
 
-    The store was restored from a backup. Read anew, it offers version 3 while 5 is in
-    force, whole or as a change; both are ignored and counted.
+    The store was restored from a backup. Read again, it returns version 3 while 5 is
+    active, in full or as a change; both are ignored and reported as such.
     """
     state = build_state(5)
     assert activate_if_newer(state, VERSIONS[3]) == ActivationResult(ignored=(3,))
@@ -129,10 +129,10 @@
 
 
 def test_instances_activate_a_full_configuration_from_a_peer():
-    """A change is accepted and one site goes on serving under the old version.
+    """Guards against a site that keeps serving with an old version.
 
-    Its instances reach a peer but not the store. The peer's whole configuration
-    counts as much as the store's; before any came, a new instance is not ready.
+    Its instances reach a peer but not the store. A full configuration from a peer is as
+    valid as one from the store; a new instance is not ready before it has received one.
     """
     disconnected, new = build_state(2), ActivationState()
     assert not is_ready(new)
--- a/tests/test_base_modules.py
+++ b/tests/test_base_modules.py
@@ -1,4 +1,4 @@
-"""The small ground modules: clock, loop, errors, events and traces."""
+"""Base modules: clock, event loop thread, errors, log events and tracing."""
 
 import json
 import subprocess
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""The approval decision and its records, without a platform."""
+"""Decision logic and records of approvals, without a platform."""
 
 import msgspec
 import pytest
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases and deadlines go by."""
+"""The clock used for leases and deadlines, and the retry backoff."""
 
 import time
 
@@ -8,8 +8,11 @@
 
 
 def test_clock_includes_time_suspended(monkeypatch):
-    """A machine is suspended for 4 s. The monotonic clock stands still meanwhile; a
-    holder that read it believed in a lease that others had taken over long ago."""
+    """A machine is suspended for 4 s, during which ``CLOCK_MONOTONIC`` stands still.
+
+    A lease holder that used it would still consider its lease valid after another
+    instance had long taken it over.
+    """
     readings = {time.CLOCK_MONOTONIC: 5_000, time.CLOCK_BOOTTIME: 9_000}
     monkeypatch.setattr(
         time, "clock_gettime_ns", lambda clock: readings[clock] * 1_000_000
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -1,4 +1,4 @@
-"""Differences: for people with keys hidden, and as deltas that reproduce the new."""
+"""Differences for display with keys hidden, and deltas that give the new version."""
 
 import msgspec
 import pytest
@@ -84,11 +84,11 @@
 
 
 def test_explicit_default_does_not_change_the_digest():
-    """An accepted version is never in force at half of the instances.
+    """Guards against an accepted version that half of the instances never activate.
 
-    One of them took it from the files, where a default is written out, and others
-    from steps. Equal configurations had two encodings and so two digests, and the
-    others kept taking their own result for a wrong one.
+    One instance read it from files that spell out a default, others applied deltas.
+    Equal configurations had two encodings and therefore two digests, and the other
+    instances kept rejecting their own result.
     """
     explicit = BASE.replace(
         "kv_floor_mib: 500}",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The tables in ``docs`` hold each number and name that the code knows, and no more."""
+"""The tables in ``docs`` list exactly the numbers and names defined in the code."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 def _read_rows(page):
-    """Return the cells of the rows that begin with a number."""
+    """Return the cells of the table rows that start with a number."""
     lines = (DOCS / page).read_text().splitlines()
     rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
     return [row for row in rows if row[0].isdigit()]
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output: bounded, and never in the way."""
+"""Log lines on standard output: bounded in rate and memory, without blocking."""
 
 import json
 import logging
@@ -26,8 +26,10 @@
 
 
 def test_per_request_lines_are_dropped_first():
-    """A busy second brings hundreds of requests, and one that failed. Its line must be
-    among those that are written."""
+    """Hundreds of requests end in the same second, and one is lost.
+
+    The line of the lost request must be among those that are written.
+    """
     reader, writer = os.pipe()
     outcomes = []
     output = build(writer, outcomes)
@@ -43,7 +45,7 @@
 
 
 def test_a_full_pipe_does_not_block():
-    """Nobody reads standard output. Writing must return, and memory stay bounded."""
+    """Nothing reads standard output: writes must return and memory stay bounded."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     outcomes = []
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -1,4 +1,4 @@
-"""Configuration files: what is read, merged, and refused with file, key and reason."""
+"""Parsing, merging and validation of configuration files."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def list_refusals(base=BASE, overlays=(OVERLAY_A, OVERLAY_B)):
-    """Return (file, key, code) of every problem."""
+    """Merge files that must be refused; return (file, key, code) of each problem."""
     with pytest.raises(FilesError) as refused:
         merge_files(build_files(base, overlays), version=1)
     errors = refused.value.list_errors()
@@ -115,10 +115,11 @@
 
 @pytest.mark.parametrize("kept_lines", range(1, len(OVERLAY_B.splitlines())))
 def test_truncated_overlay_is_refused_or_differs(kept_lines):
-    """An operator's editor was still writing when the file was proposed.
+    """A file is proposed while an editor is still writing it.
 
-    Cut in a line, the file is refused with the place. Cut between two lines it may
-    still be valid; then the missing rest must show in the difference.
+    Truncated within a line, the file is refused with the location of the problem.
+    Truncated between two lines it may be valid; then the result must differ, so that
+    the missing rest is visible in the difference.
     """
     lines = OVERLAY_B.splitlines()
     whole = build_configuration().sites["site-b"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked together and every wrong one is named."""
+"""Settings are validated together and all invalid ones are reported."""
 
 import pytest
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Proposing and approving over a platform that loses replies, stops and goes back."""
+"""Proposals and approvals on a platform with lost replies, outages and restores."""
 
 import pytest
 
@@ -51,7 +51,7 @@
 
 
 def accept(fake, *sizes):
-    """Accept one change after another; return what is then the newest."""
+    """Accept one change after another and return the newest configuration."""
     for size in sizes:
         approve(fake, propose(fake, size))
     return store.load_latest(fake.platform)
@@ -90,10 +90,10 @@
 @pytest.mark.parametrize("fault", ["lost_replies", "lost_requests"])
 @pytest.mark.parametrize("count", [1, 2, 3])
 def test_approval_succeeds_despite_lost_requests_or_replies(fake, fault, count):
-    """An operator presses "approve" and the phone shows an error.
+    """Guards against an error shown to an operator for a lost request or reply.
 
-    The platform's reply, or the request, was lost on the way. The token in the
-    change's row tells which, and there is one change either way.
+    The platform's reply, or the request, is lost. The token in the change's row shows
+    which of them it was, and one change is made in either case.
     """
     accept(fake, 9000)
     proposal = propose(fake, 9100)
@@ -103,11 +103,11 @@
 
 
 def test_repeated_approval_after_a_lost_reply_is_idempotent(fake):
-    """An operator presses "approve", sees an error, and presses again.
+    """Guards against a second change when an operator approves again after an error.
 
-    The first press took effect, then the platform went away before it could be read
-    back. The second press, a minute later and after yet another change, and a third
-    one from another phone, tell of the first; none makes a second change.
+    The first approval took effect, but the platform became unavailable before its
+    result could be read back. A second approval, and a third one from another device
+    after yet another change, return the result of the first; neither makes a change.
     """
     proposal = propose(fake)
     fake.lost_replies, fake.down_after_lost_reply = 1, True
@@ -123,10 +123,10 @@
 
 
 def test_concurrent_approvals_of_different_changes(fake):
-    """Two operators each see "accepted", and one of the changes is gone.
+    """Guards against losing one of two changes that are both shown as accepted.
 
-    Both changes were based on version 1 and written at the same moment. The head's
-    revision lets one through; the other operator is told what was accepted instead.
+    Both changes are based on version 1 and written concurrently. The precondition on
+    the head's revision admits one; the other operator gets the accepted differences.
     """
     accept(fake, 9000)
     ours, theirs = propose(fake, 9100), propose(fake, 9200)
@@ -141,7 +141,7 @@
 
 
 def test_concurrent_approvals_of_the_same_change(fake):
-    """The slower of two operators gets an error for what both wanted."""
+    """Guards against an error for the slower of two operators with the same change."""
     proposal = propose(fake)
     fake.before_transact = lambda: approve(fake, proposal, approver="janis")
     outcome = approve(fake, proposal)
@@ -150,11 +150,11 @@
 
 
 def test_change_after_a_restore_gets_a_version_above_the_active_one(fake):
-    """An operator approves a change, sees it accepted, and it never comes into force.
+    """Guards against an accepted change that never becomes active.
 
-    The store was restored from a backup: it holds version 2, the instances have 4 in
-    force. A change numbered 3 would be ignored by all of them for being lower. Based
-    on what is in force it becomes 5, and a proposal from before the restore is stale.
+    The store was restored from a backup: it holds version 2 while 4 is active on the
+    instances, which would ignore a change numbered 3 as lower. Based on the active
+    version the change becomes 5, and a proposal from before the restore is stale.
     """
     accept(fake, 9000, 9100)
     backup = fake.state.revision
@@ -182,12 +182,12 @@
 
 
 def test_head_version_never_decreases(fake):
-    """An accepted change is in force, and new instances start without it.
+    """Guards against new instances that start without an active change.
 
-    The store was restored to version 1 while 2 is in force. One console knows that
-    and approves version 3; another, cut off from all instances with 2, approves
-    another version 2 at the same moment. Their rows differ, so only the head's
-    revision tells the two apart; the slower one is refused.
+    The store was restored to version 1 while 2 is active. One console is aware of that
+    and approves version 3; another one, disconnected from all instances with version 2,
+    concurrently approves a different version 2. Their rows differ, so only the
+    precondition on the head's revision detects the conflict; the slower one is refused.
     """
     accept(fake, 9000)
     backup = fake.state.revision
@@ -201,10 +201,10 @@
 
 
 def test_roll_forward_writes_lost_content_back_to_a_restored_store(fake):
-    """New instances start with last week's configuration.
+    """Guards against new instances that start with an outdated configuration.
 
-    The store was restored to version 1 while 2 is in force. Rolling forward to the
-    version in force writes its content back, as version 3.
+    The store was restored to version 1 while 2 is active. A roll-forward to the active
+    version writes its content back as version 3.
     """
     accept(fake, 9000)
     backup = fake.state.revision
@@ -260,10 +260,10 @@
 
 
 def test_repeated_or_late_submission_creates_no_second_proposal(fake):
-    """An accepted proposal waits for approval again.
+    """Guards against an accepted proposal that becomes pending again.
 
-    The request that laid it down was sent twice, and the second copy arrived after
-    the approval.
+    The request that submitted it was sent twice, and the second copy arrived after the
+    approval.
     """
     proposal = propose(fake)
     fake.lost_replies = 1
