--- a/src/arbutuspulley/configuration/files.py
+++ b/src/arbutuspulley/configuration/files.py
@@ -170,7 +170,7 @@
             if name.tag == _MERGE_TAG:
                 raise _build_yaml_error(name, "merge keys are not supported")
             if name.value in seen:
-                raise _build_yaml_error(name, f"duplicate key {name.value!r}")
+                raise _build_yaml_error(name, f"key {name.value!r} is duplicated")
             seen.add(name.value)
         return super().construct_mapping(node, deep=deep)
 
--- a/src/arbutuspulley/configuration/merge.py
+++ b/src/arbutuspulley/configuration/merge.py
@@ -129,7 +129,7 @@
     if not 0 < count <= MAX_OVERLAYS:
         yield ConfigurationError(
             code=Code.BAD_REFERENCE,
-            detail=f"{count} overlays given, must be 1 to {MAX_OVERLAYS}",
+            detail=f"{count} overlays given, from 1 to {MAX_OVERLAYS} are allowed",
         )
 
 
