--- a/src/arbutuspulley/configuration/files.py
+++ b/src/arbutuspulley/configuration/files.py
@@ -209,7 +209,7 @@
         if isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            raise _build_yaml_error(event, f"nested deeper than {MAX_DEPTH} levels")
+            raise _build_yaml_error(event, f"nested deeper than {MAX_DEPTH}")
 
 
 def _build_yaml_error(node: Any, problem: str) -> yaml.MarkedYAMLError:
