--- a/src/arbutuspulley/configuration/lookup.py
+++ b/src/arbutuspulley/configuration/lookup.py
@@ -57,8 +57,8 @@
     items: dict[str, Item] = {}
     for site in configuration.sites.values():
         for item in list_items(site).values():
-            best = items.get(item.key)
-            if best is None or best.copies < item.copies:
+            existing = items.get(item.key)
+            if existing is None or existing.copies < item.copies:
                 items[item.key] = item
     return items
 
