--- a/src/arbutuspulley/configuration/difference.py
+++ b/src/arbutuspulley/configuration/difference.py
@@ -1,8 +1,8 @@
-"""Differences between two configurations: for people to read, and to store.
+"""Differences between two configurations, as readable text and as deltas.
 
-People see :class:`Difference`, with keys hidden and equal differences at several
-sites folded into one. What is stored and sent is a :class:`Delta`, which turns the
-old configuration into exactly the new one; :mod:`.steps` applies it.
+:class:`Difference` is for display: API keys are hidden and equal differences of several
+sites are merged into one. :class:`Delta` is stored and sent: it turns the old
+configuration into exactly the new one; :mod:`.patch` applies it.
 """
 
 import enum
@@ -16,21 +16,21 @@
 from arbutuspulley.data import Message, Value
 
 HIDDEN = "(hidden)"
-"""Shown in place of a key's hash."""
+"""Shown instead of the hash of an API key."""
 
-SHOWN_CHARACTERS = 400
-"""Longest value that a difference shows; the rest is cut off."""
+MAX_SHOWN_CHARACTERS = 400
+"""Maximum length of a value shown in a difference; longer ones are truncated."""
 
 _HIDDEN_FIELDS = frozenset({"key_sha256"})
 _VERSION_PATH = ("version",)
 _SITES = "sites"
 
 Path = tuple[str, ...]
-"""Names from the top of a configuration down to one value."""
+"""Names of fields and mapping keys from the root of a configuration to a value."""
 
 
 class Edit(Message, frozen=True):
-    """One step of a delta: set or remove the value at a path."""
+    """One edit of a delta: sets or removes the value at a path."""
 
     path: Path
     value: Any = None
@@ -38,13 +38,13 @@
 
 
 class Delta(Message, frozen=True):
-    """All steps from one configuration to another, version number included."""
+    """All edits from one configuration to another, version number included."""
 
     edits: tuple[Edit, ...] = ()
 
 
 class DifferenceKind(enum.StrEnum):
-    """What happened to a value."""
+    """How a value differs between two configurations."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -52,12 +52,12 @@
 
 
 class Difference(Message, frozen=True):
-    """One difference, for a person.
+    """One difference, for display.
 
-    :param path: dotted path, below the site if it lies in one.
+    :param path: dotted path; within a site it is relative to the site.
     :param before: the old value as text, empty if there was none.
     :param after: the new value as text, empty if there is none.
-    :param sites: the sites where it holds; empty if it belongs to no site.
+    :param sites: the sites that have this difference; empty outside sites.
     """
 
     kind: DifferenceKind
@@ -76,7 +76,7 @@
         return f"~ {self.path}: {self.before} -> {self.after}{where}"
 
 
-class _Step(Value, frozen=True):
+class _ValueChange(Value, frozen=True):
     kind: DifferenceKind
     path: Path
     before: Any = None
@@ -86,25 +86,26 @@
 def compute_digest(configuration: Configuration) -> str:
     """Return the hex SHA-256 of a configuration, version number included.
 
-    It is the same whatever the order in which names were written. The configuration
-    must come from files, from a delta or from its encoding; see :mod:`.canonical`.
+    The digest does not depend on the order of names. The configuration must come from
+    files, from a delta or from its encoding, so that it is in canonical form; see
+    :mod:`.canonical`.
     """
     encoded = msgspec.json.encode(configuration, order="sorted")
     return hashlib.sha256(encoded).hexdigest()
 
 
 def build_delta(old: Configuration, new: Configuration) -> Delta:
-    """Return the steps that turn ``old`` into ``new``."""
-    return Delta(edits=tuple(_build_edit(step) for step in _walk(old, new, ())))
+    """Return the delta that turns ``old`` into ``new``."""
+    return Delta(edits=tuple(_build_edit(change) for change in _walk(old, new, ())))
 
 
 def compare(old: Configuration, new: Configuration) -> tuple[Difference, ...]:
-    """Return what differs, for a person; version numbers are left out."""
+    """Return the differences for display, without that of the version numbers."""
     return (*_compare_sites(old, new), *_compare_content(old, new))
 
 
 def has_same_content(old: Configuration, new: Configuration) -> bool:
-    """Return whether two configurations differ in nothing but their version."""
+    """Return whether two configurations differ at most in their version."""
     return msgspec.structs.replace(old, version=new.version) == new
 
 
@@ -128,14 +129,14 @@
 
 
 def _compare_content(old: Configuration, new: Configuration) -> tuple[Difference, ...]:
-    """Compare part by part; a site that one of both lacks counts as an empty one."""
+    """Compare value by value; a site missing on one side is compared as empty."""
     folded: dict[tuple[DifferenceKind, str, str, str], list[str]] = {}
     names = old.sites.keys() | new.sites.keys()
-    for step in _walk(_fill_sites(old, names), _fill_sites(new, names), ()):
-        if step.path == _VERSION_PATH:
+    for change in _walk(_fill_sites(old, names), _fill_sites(new, names), ()):
+        if change.path == _VERSION_PATH:
             continue
-        site, path = _split_site(step.path)
-        key = (step.kind, ".".join(path), *_show_values(step))
+        site, path = _split_site_path(change.path)
+        key = (change.kind, ".".join(path), *_show_values(change))
         folded.setdefault(key, []).extend([site] if site else [])
     return tuple(
         Difference(kind=kind, path=path, before=before, after=after, sites=tuple(sites))
@@ -148,66 +149,72 @@
     return msgspec.structs.replace(configuration, sites=sites)
 
 
-def _walk(old: Any, new: Any, path: Path) -> Iterator[_Step]:
-    """Yield the lowest parts that differ; equal parts are not looked into."""
+def _walk(old: Any, new: Any, path: Path) -> Iterator[_ValueChange]:
+    """Yield the innermost values that differ; equal subtrees are not traversed."""
     if old == new:
         return
     old_parts, new_parts = _list_parts(old), _list_parts(new)
     if old_parts is None or new_parts is None:
-        yield _Step(kind=DifferenceKind.CHANGED, path=path, before=old, after=new)
+        yield _ValueChange(
+            kind=DifferenceKind.CHANGED, path=path, before=old, after=new
+        )
         return
     for name in sorted(old_parts.keys() | new_parts.keys()):
-        below = (*path, name)
+        nested_path = (*path, name)
         if name not in old_parts:
-            yield _Step(kind=DifferenceKind.ADDED, path=below, after=new_parts[name])
+            yield _ValueChange(
+                kind=DifferenceKind.ADDED, path=nested_path, after=new_parts[name]
+            )
         elif name not in new_parts:
-            yield _Step(kind=DifferenceKind.REMOVED, path=below, before=old_parts[name])
+            yield _ValueChange(
+                kind=DifferenceKind.REMOVED, path=nested_path, before=old_parts[name]
+            )
         else:
-            yield from _walk(old_parts[name], new_parts[name], below)
+            yield from _walk(old_parts[name], new_parts[name], nested_path)
 
 
 def _list_parts(value: Any) -> dict[str, Any] | None:
-    """Return fields or entries by name, or ``None`` if a value has none."""
+    """Return the fields or mapping entries of a value, ``None`` for other types."""
     if isinstance(value, msgspec.Struct):
         return {name: getattr(value, name) for name in value.__struct_fields__}
     return value if isinstance(value, dict) else None
 
 
-def _build_edit(step: _Step) -> Edit:
-    if step.kind is DifferenceKind.REMOVED:
-        return Edit(path=step.path, removed=True)
-    return Edit(path=step.path, value=msgspec.to_builtins(step.after))
+def _build_edit(change: _ValueChange) -> Edit:
+    if change.kind is DifferenceKind.REMOVED:
+        return Edit(path=change.path, removed=True)
+    return Edit(path=change.path, value=msgspec.to_builtins(change.after))
 
 
-def _spell_out(value: Any) -> Any:
-    """Return a value with every default written out and keys hidden, for people."""
+def _expand_and_redact(value: Any) -> Any:
+    """Return a value with all defaults included and API keys hidden, for display."""
     parts = _list_parts(value)
     if parts is None:
         return value
     return {
-        name: HIDDEN if name in _HIDDEN_FIELDS else _spell_out(below)
-        for name, below in parts.items()
+        name: HIDDEN if name in _HIDDEN_FIELDS else _expand_and_redact(nested)
+        for name, nested in parts.items()
     }
 
 
-def _split_site(path: Path) -> tuple[str, Path]:
+def _split_site_path(path: Path) -> tuple[str, Path]:
     if path[0] != _SITES:
         return "", path
     return path[1], path[2:]
 
 
-def _show_values(step: _Step) -> tuple[str, str]:
-    if step.path[-1] in _HIDDEN_FIELDS:
+def _show_values(change: _ValueChange) -> tuple[str, str]:
+    if change.path[-1] in _HIDDEN_FIELDS:
         return HIDDEN, f"{HIDDEN}, another one"
-    added = step.kind is DifferenceKind.ADDED
-    removed = step.kind is DifferenceKind.REMOVED
-    before = "" if added else _show(step.before)
-    after = "" if removed else _show(step.after)
+    added = change.kind is DifferenceKind.ADDED
+    removed = change.kind is DifferenceKind.REMOVED
+    before = "" if added else _show(change.before)
+    after = "" if removed else _show(change.after)
     return before, after
 
 
 def _show(value: Any) -> str:
-    text = msgspec.json.encode(_spell_out(value)).decode()
-    if len(text) <= SHOWN_CHARACTERS:
+    text = msgspec.json.encode(_expand_and_redact(value)).decode()
+    if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
-    return f"{text[:SHOWN_CHARACTERS]}... ({len(text)} characters)"
+    return f"{text[:MAX_SHOWN_CHARACTERS]}... ({len(text)} characters)"
--- a/src/arbutuspulley/configuration/files.py
+++ b/src/arbutuspulley/configuration/files.py
@@ -1,7 +1,7 @@
-"""Reading of configuration files: YAML checked against the typed schema.
+"""Parsing of configuration files: YAML validated against the typed schema.
 
-Every problem of a file is reported, each with the file, the path of the key and the
-reason, so that an operator mends a file in one go.
+All problems of a file are reported together, each with the file, the path of the key
+and the reason, so that an operator can correct a file in one go.
 """
 
 import types
@@ -16,23 +16,23 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
-"""Largest configuration file taken."""
+"""Maximum size of a configuration file."""
 
 MAX_DEPTH = 16
-"""Deepest nesting taken; the schema needs far less."""
+"""Maximum nesting depth; the schema needs far less."""
 
 MAX_PROBLEMS = 50
-"""Problems listed for one file; the first ones are enough to go on with."""
+"""Maximum number of problems reported per file; the first ones are sufficient."""
 
 _Document = TypeVar("_Document", bound=Document)
 _ScalarLoader: type = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-_TAG_OF_MERGE = "tag:yaml.org,2002:merge"
+_MERGE_TAG = "tag:yaml.org,2002:merge"
 
 
 class SourceFile(Value, frozen=True):
-    """A configuration file as its author wrote it.
+    """The source text of a configuration file.
 
-    :param name: shown in error messages; nothing is opened by it.
+    :param name: name for error messages; no file is opened by this name.
     """
 
     name: str
@@ -43,7 +43,7 @@
     """All problems of a set of files; nothing was changed."""
 
     def show(self) -> str:
-        """Return the message for a person, one line a problem."""
+        """Return a readable message with one line per problem."""
         lines = [f"{self.message}:"]
         lines.extend(f"  {error.show()}" for error in self.list_errors())
         return "\n".join(lines)
@@ -56,7 +56,7 @@
 
 
 class Problem(Value, frozen=True):
-    """One wrong value in a file.
+    """One invalid value in a file.
 
     :param key: path of the key, for example ``$.models.a.size_mib``.
     """
@@ -65,8 +65,8 @@
     reason: str
 
 
-def refuse(errors: list[ConfigurationError]) -> None:
-    """Raise all errors together, if there are any.
+def raise_errors(errors: list[ConfigurationError]) -> None:
+    """Raise all errors as one group; do nothing if there are none.
 
     :raises FilesError: with the errors.
     """
@@ -75,13 +75,15 @@
 
 
 def parse_document(file: SourceFile, kind: type[_Document]) -> _Document:
-    """Read one file.
+    """Parse one file.
 
-    :raises FilesError: with every problem of the file.
+    :param kind: type of the document.
+    :raises FilesError: with all problems of the file, at most :data:`MAX_PROBLEMS` of
+        the schema.
     """
     content = _load(file)
     problems = list(find_problems(content, kind))[:MAX_PROBLEMS]
-    refuse(
+    raise_errors(
         [
             ConfigurationError(
                 code=Code.BAD_SCHEMA,
@@ -96,18 +98,22 @@
 
 
 def find_problems(content: Any, kind: Any, key: str = "$") -> Iterator[Problem]:
-    """Yield what in ``content`` does not fit the type, down to the lowest key.
+    """Yield all values in ``content`` that do not match the type, at any depth.
 
-    The conversion by itself reports only the first problem and does not name the key
-    of a mapping, so a failed one is repeated part by part.
+    msgspec's conversion reports only the first problem and does not name mapping keys,
+    so a failed conversion is repeated for each nested value.
     """
     try:
         msgspec.convert(content, kind)
     except msgspec.ValidationError as error:
-        yield from _find_below(content, _strip_optional(kind), key, str(error))
+        yield from _find_nested_problems(
+            content, _strip_optional(kind), key, str(error)
+        )
 
 
-def _find_below(content: Any, kind: Any, key: str, reason: str) -> Iterator[Problem]:
+def _find_nested_problems(
+    content: Any, kind: Any, key: str, reason: str
+) -> Iterator[Problem]:
     if isinstance(content, dict) and typing.get_origin(kind) is dict:
         yield from _find_in_mapping(content, kind, key)
     elif isinstance(content, dict) and _is_struct(kind):
@@ -118,19 +124,19 @@
 
 def _find_in_mapping(content: dict[Any, Any], kind: Any, key: str) -> Iterator[Problem]:
     name_kind, value_kind = typing.get_args(kind)
-    for name, below in content.items():
+    for name, nested in content.items():
         for problem in find_problems(name, name_kind, f"{key}.{name}"):
-            yield Problem(key=problem.key, reason=f"name refused: {problem.reason}")
-        yield from find_problems(below, value_kind, f"{key}.{name}")
+            yield Problem(key=problem.key, reason=f"invalid name: {problem.reason}")
+        yield from find_problems(nested, value_kind, f"{key}.{name}")
 
 
 def _find_in_struct(
     content: dict[Any, Any], kind: type[msgspec.Struct], key: str
 ) -> Iterator[Problem]:
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-    for name, below in content.items():
+    for name, nested in content.items():
         if name in fields:
-            yield from find_problems(below, fields[name].type, f"{key}.{name}")
+            yield from find_problems(nested, fields[name].type, f"{key}.{name}")
         else:
             known = ", ".join(fields)
             yield Problem(key=f"{key}.{name}", reason=f"unknown key; known: {known}")
@@ -146,25 +152,25 @@
 def _strip_optional(kind: Any) -> Any:
     if typing.get_origin(kind) not in (typing.Union, types.UnionType):
         return kind
-    kinds = [one for one in typing.get_args(kind) if one is not type(None)]
+    kinds = [member for member in typing.get_args(kind) if member is not type(None)]
     return kinds[0] if len(kinds) == 1 else kind
 
 
 class _Loader(_ScalarLoader):
-    """Loads plain YAML; refuses what hides mistakes or grows without bound."""
+    """Loads plain YAML; rejects duplicate keys and merge keys."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> dict[Any, Any]:
-        """Build a mapping whose keys are all different.
+        """Build a mapping and reject duplicate keys.
 
-        PyYAML keeps the last of two equal keys in silence: of two servers pasted
-        under one name the first would vanish from the configuration.
+        PyYAML silently keeps the last of two equal keys: of two servers entered under
+        one name, the first would be missing from the configuration.
         """
         seen = set()
         for name, _ in node.value:
-            if name.tag == _TAG_OF_MERGE:
-                raise _refuse_at(name, "merge keys are not taken")
+            if name.tag == _MERGE_TAG:
+                raise _build_yaml_error(name, "merge keys are not supported")
             if name.value in seen:
-                raise _refuse_at(name, f"key {name.value!r} is given twice")
+                raise _build_yaml_error(name, f"key {name.value!r} is duplicated")
             seen.add(name.value)
         return super().construct_mapping(node, deep=deep)
 
@@ -172,45 +178,45 @@
 def _load(file: SourceFile) -> Any:
     size = len(file.text.encode())
     if size > MAX_FILE_BYTES:
-        detail = f"the file has {size} bytes, more than {MAX_FILE_BYTES}"
-        raise _refuse_syntax(file, detail, "$")
+        detail = f"the file has {size} bytes, the limit is {MAX_FILE_BYTES}"
+        raise _build_syntax_error(file, detail, "$")
     try:
         _check_events(file.text)
         content = yaml.load(file.text, Loader=_Loader)
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         where = f"line {mark.line + 1}, column {mark.column + 1}" if mark else "$"
-        raise _refuse_syntax(file, str(error.problem), where) from None
+        raise _build_syntax_error(file, str(error.problem), where) from None
     except (yaml.YAMLError, ValueError) as error:
-        raise _refuse_syntax(file, str(error).splitlines()[0], "$") from None
+        raise _build_syntax_error(file, str(error).splitlines()[0], "$") from None
     if not isinstance(content, dict):
-        raise _refuse_syntax(file, "the file holds no mapping of keys", "$")
+        raise _build_syntax_error(file, "the file does not contain a mapping", "$")
     return content
 
 
 def _check_events(text: str) -> None:
-    """Refuse aliases and deep nesting before anything is built.
+    """Reject aliases and deep nesting before any object is constructed.
 
-    A few nested aliases stand for billions of values once they are written out, and
-    deep nesting exhausts the stack: either would take the console down.
+    A few nested aliases can expand to billions of values, and deep nesting exhausts the
+    stack: either would crash the console.
     """
     depth = 0
     for event in yaml.parse(text, Loader=_ScalarLoader):
         if isinstance(event, yaml.AliasEvent):
-            raise _refuse_at(event, "anchors and aliases are not taken")
+            raise _build_yaml_error(event, "anchors and aliases are not supported")
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
         if isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            raise _refuse_at(event, f"nested deeper than {MAX_DEPTH}")
+            raise _build_yaml_error(event, f"nested deeper than {MAX_DEPTH}")
 
 
-def _refuse_at(node: Any, problem: str) -> yaml.MarkedYAMLError:
+def _build_yaml_error(node: Any, problem: str) -> yaml.MarkedYAMLError:
     return yaml.MarkedYAMLError(problem=problem, problem_mark=node.start_mark)
 
 
-def _refuse_syntax(file: SourceFile, detail: str, key: str) -> FilesError:
+def _build_syntax_error(file: SourceFile, detail: str, key: str) -> FilesError:
     error = ConfigurationError(
         code=Code.BAD_SYNTAX, detail=detail, file=file.name, key=key
     )
--- a/src/arbutuspulley/events.py
+++ b/src/arbutuspulley/events.py
@@ -1,8 +1,8 @@
-"""Numbered log events and how they are written.
+"""Numbered log events and their output.
 
-Each line of a process's log is one event with a number from :class:`Event`; the
-catalogue with meaning and what to do is ``docs/EVENTS.md``. Keys, prompts and
-answers are never logged.
+Each log line of a process is one event with a number from :class:`Event`.
+``docs/EVENTS.md`` lists the events with their meaning and the operator's action. API
+keys, prompts and answers are never logged.
 """
 
 import asyncio
@@ -98,10 +98,10 @@
     SERVER_LIMIT_REACHED = 809
 
 
-def _encode_line(record: logging.LogRecord, **first: object) -> bytes:
+def _encode_line(record: logging.LogRecord, **leading_fields: object) -> bytes:
     line = {
         "time_ms": read_wall(),
-        **first,
+        **leading_fields,
         "event": getattr(record, "event_number", 0),
         "name": record.getMessage(),
         **getattr(record, "event_fields", {}),
@@ -110,14 +110,14 @@
 
 
 class _JsonFormatter(logging.Formatter):
-    """Writes one JSON object a line."""
+    """Formats an event as one line of JSON."""
 
     def format(self, record: logging.LogRecord) -> str:
         return _encode_line(record, level=record.levelname.lower()).decode()
 
 
 class _TextFormatter(logging.Formatter):
-    """Writes one readable line an event."""
+    """Formats an event as one line of readable text."""
 
     def format(self, record: logging.LogRecord) -> str:
         fields = getattr(record, "event_fields", {})
@@ -127,7 +127,7 @@
 
 
 def set_up_logging(*, log_format: str, level: str = "info") -> None:
-    """Send numbered events to standard error.
+    """Write log events to standard error.
 
     :param log_format: ``json`` or ``text``.
     :param level: a level name of :mod:`logging`.
@@ -140,11 +140,10 @@
 
 
 def log_event(event: Event, *, level: int = logging.INFO, **fields: object) -> None:
-    """Write one numbered event.
+    """Log one event.
 
-    :param event: which event.
     :param level: a level of :mod:`logging`.
-    :param fields: what the line tells besides; never keys, prompts or answers.
+    :param fields: further fields of the log line; never API keys, prompts or answers.
     """
     _LOGGER.log(
         level,
@@ -153,28 +152,28 @@
     )
 
 
-MOST_LINES_KEPT = 2_000
-"""Lines that wait for standard output at most; about 600 KB."""
+MAX_BUFFERED_LINES = 2_000
+"""Maximum number of lines buffered for standard output; about 600 KB."""
 
-FLUSH_MS = 50
-"""Time between writes to standard output, in ms: many lines to a system call."""
+FLUSH_INTERVAL_MS = 50
+"""Time between writes to standard output, in ms; batches lines per system call."""
 
-FAILURE_FACTOR = 5
-"""How many times as many lines a second may tell of failures as of ordinary events."""
+FAILURE_RATE_FACTOR = 5
+"""Rate limit of failure events, as a multiple of that of per-request events."""
 
-_ORDINARY = frozenset((Event.REQUEST_ENDED, Event.SERVER_GRANTED))
-"""Events that come with every request, also when nothing is wrong."""
+_PER_REQUEST_EVENTS = frozenset((Event.REQUEST_ENDED, Event.SERVER_GRANTED))
+"""Events that every request logs, successful ones included."""
 
 
 class BoundedOutput(logging.Handler):
-    """Writes lines to a descriptor, bounded in rate and never blocking.
+    """A rate-limited, non-blocking log handler that writes to a file descriptor.
 
-    Lines that come with every request are dropped first: beyond a rate, and when
-    the reader falls behind. Lines on failures have a larger rate of their own. What
-    was dropped is counted.
+    Per-request lines are dropped first: above their rate limit, and when the buffer
+    is half full because the reader is slow. Failure lines have a higher rate limit of
+    their own. Dropped lines are counted.
 
-    :param lines_per_s: most ordinary lines a second.
-    :param count_line: called with the fate of each line, ``written`` or ``dropped``.
+    :param lines_per_s: rate limit of per-request lines.
+    :param count_line: called with ``written`` or ``dropped`` for each line.
     """
 
     def __init__(
@@ -189,66 +188,72 @@
         super().__init__()
         self._descriptor = descriptor
         self._instance = instance
-        self._rate = lines_per_s
+        self._lines_per_s = lines_per_s
         self._count_line = count_line
         self._clock = clock
         self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self._second = 0
-        self._ordinary = 0
-        self._failures = 0
-        self._is_flush_due = False
+        self._unwritten = b""
+        self._rate_window_s = 0
+        self._ordinary_count = 0
+        self._failure_count = 0
+        self._is_flush_scheduled = False
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line for writing, or drop it."""
+        """Buffer a line for writing, or drop it."""
         number = getattr(record, "event_number", 0)
-        if not self._may_keep(number in _ORDINARY):
+        if not self._try_admit(number in _PER_REQUEST_EVENTS):
             self._count_line("dropped")
             return
         self._lines.append(_encode_line(record, instance=self._instance) + b"\n")
         self._count_line("written")
-        self._plan_flush()
+        self._schedule_flush()
 
     def flush(self) -> None:
-        """Write what the reader takes."""
-        self._is_flush_due = False
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = b"".join(self._lines)
+        """Write buffered lines until the descriptor would block."""
+        self._is_flush_scheduled = False
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = b"".join(self._lines)
                 self._lines.clear()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
-                self._plan_flush()
+                self._schedule_flush()
                 return
             except OSError:
-                # Nobody reads any more; the counter of lines is all that is left.
-                self._rest = b""
+                # The reader has closed the pipe: discard the lines. Only the line
+                # counter still reports them.
+                self._unwritten = b""
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
-    def _may_keep(self, is_ordinary: bool) -> bool:
+    def _try_admit(self, is_ordinary: bool) -> bool:
         second = self._clock.now() // SECOND_MS
-        if second != self._second:
-            self._second = second
-            self._ordinary = self._failures = 0
-        room = MOST_LINES_KEPT - len(self._lines)
+        if second != self._rate_window_s:
+            self._rate_window_s = second
+            self._ordinary_count = self._failure_count = 0
+        room = MAX_BUFFERED_LINES - len(self._lines)
         if is_ordinary:
-            self._ordinary += 1
-            return self._ordinary <= self._rate and room > MOST_LINES_KEPT // 2
-        self._failures += 1
-        return self._failures <= FAILURE_FACTOR * self._rate and room > 0
-
-    def _plan_flush(self) -> None:
-        if self._is_flush_due:
+            self._ordinary_count += 1
+            return (
+                self._ordinary_count <= self._lines_per_s
+                and room > MAX_BUFFERED_LINES // 2
+            )
+        self._failure_count += 1
+        return (
+            self._failure_count <= FAILURE_RATE_FACTOR * self._lines_per_s and room > 0
+        )
+
+    def _schedule_flush(self) -> None:
+        if self._is_flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._is_flush_due = True
-        loop.call_later(FLUSH_MS / SECOND_MS, self.flush)
+        self._is_flush_scheduled = True
+        loop.call_later(FLUSH_INTERVAL_MS / SECOND_MS, self.flush)
 
 
 def set_up_stdout_logging(
@@ -258,10 +263,12 @@
     lines_per_s: int,
     count_line: Callable[[str], None],
 ) -> None:
-    """Send numbered events to standard output, one JSON object a line.
+    """Write log events to standard output, one JSON object per line.
 
     :param level: a level name of :mod:`logging`.
-    :param instance: named in each line.
+    :param instance: name of the instance, included in each line.
+    :param lines_per_s: rate limit of per-request lines.
+    :param count_line: called with ``written`` or ``dropped`` for each line.
     """
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from arbutuspulley.admission.rate_limits import RateLimit, get_wait
-from arbutuspulley.clock import double_pause
+from arbutuspulley.clock import compute_backoff_ms
 from arbutuspulley.data import State, Value
 from arbutuspulley.pool.duration import (
     DurationState,
@@ -458,8 +458,8 @@
         return
     server.runs.pop(key, None)
     server.failures += 1
-    server.backoff_until = now + double_pause(
-        INITIAL_BACKOFF_MS, longest_ms=MAX_BACKOFF_MS, count=server.failures
+    server.backoff_until = now + compute_backoff_ms(
+        INITIAL_BACKOFF_MS, max_ms=MAX_BACKOFF_MS, count=server.failures
     )
     server.accepted_orders = None
 
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from arbutuspulley.clock import double_pause
+from arbutuspulley.clock import compute_backoff_ms
 from arbutuspulley.data import State
 from arbutuspulley.membership.limit_shares import get_instance_share
 from arbutuspulley.ports.fleet import ModelNeed, ServerEntry
@@ -213,9 +213,9 @@
     """Start a backoff for a server to which the connection failed."""
     server = get_stats(stats, entry)
     server.failures += 1
-    server.backoff_until = now + double_pause(
+    server.backoff_until = now + compute_backoff_ms(
         UNREACHABLE_BACKOFF_MS,
-        longest_ms=MAX_UNREACHABLE_BACKOFF_MS,
+        max_ms=MAX_UNREACHABLE_BACKOFF_MS,
         count=server.failures,
     )
 
@@ -229,8 +229,8 @@
     if now < server.backoff_until:
         return
     server.refusals += 1
-    server.backoff_until = now + double_pause(
-        REFUSED_BACKOFF_MS, longest_ms=MAX_REFUSED_BACKOFF_MS, count=server.refusals
+    server.backoff_until = now + compute_backoff_ms(
+        REFUSED_BACKOFF_MS, max_ms=MAX_REFUSED_BACKOFF_MS, count=server.refusals
     )
 
 
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -14,7 +14,7 @@
 from arbutuspulley.data import Message, Value
 from arbutuspulley.results import ArbutusError, Code
 from arbutuspulley.rpc import messages
-from arbutuspulley.tracing import TRACEPARENT, open_span, read_bearing
+from arbutuspulley.tracing import TRACEPARENT, get_traceparent, open_span
 
 SERVICE = "arbutus.Controller"
 """Name of the gRPC service."""
@@ -139,7 +139,7 @@
             raise _build_error(self.address, error) from error
 
     def _build_metadata(self) -> tuple[tuple[str, str], ...]:
-        traceparent = read_bearing()
+        traceparent = get_traceparent()
         return (
             (*self._metadata, (TRACEPARENT, traceparent))
             if traceparent
--- a/src/arbutuspulley/startup.py
+++ b/src/arbutuspulley/startup.py
@@ -1,4 +1,4 @@
-"""What every program does first: check its settings, then open its log."""
+"""Startup of every program: validation of its settings and logging setup."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
     SettingsError,
     check_all,
     check_choice,
-    exit_refused,
+    exit_with_errors,
 )
 
 LOG_FORMATS = ("json", "text")
@@ -18,13 +18,14 @@
 """Values of ``--log-level``."""
 
 
-def check_and_log(checks: Iterable[Check], *, log_format: str, log_level: str) -> None:
-    """Check all settings, those of the log included, and set up the log.
+def set_up_process(checks: Iterable[Check], *, log_format: str, log_level: str) -> None:
+    """Validate all settings, those of logging included, and set up logging.
 
-    A process with wrong settings ends here, with one message that names them all.
+    If any setting is invalid, the process exits with one message that lists all of
+    them.
 
     :param checks: the program's own checks.
-    :raises SystemExit: if any setting is wrong.
+    :raises SystemExit: if any setting is invalid.
     """
     log_checks = (
         check_choice("--log-format", log_format, choices=LOG_FORMATS),
@@ -33,5 +34,5 @@
     try:
         check_all((*checks, *log_checks))
     except SettingsError as error:
-        exit_refused(error)
+        exit_with_errors(error)
     set_up_logging(log_format=log_format, level=log_level)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,12 +1,12 @@
-"""The approval decision and its records, without a platform."""
+"""Decision logic and records of approvals, without a platform."""
 
 import msgspec
 import pytest
 
 from arbutuspulley.configuration import changes, transactions
 from arbutuspulley.configuration.difference import compute_digest
+from arbutuspulley.configuration.patch import apply_delta
 from arbutuspulley.configuration.schema import EMPTY
-from arbutuspulley.configuration.steps import apply_delta
 from arbutuspulley.ports.platform import ABSENT, Row
 from arbutuspulley.results import Code, ConfigurationError
 from tests.fakes import build_configuration
@@ -28,12 +28,12 @@
     )
 
 
-def build_current(stored=V7, in_force=EMPTY):
-    return changes.choose_current(stored, in_force, head_revision=3)
+def build_current(stored=V7, active=EMPTY):
+    return changes.choose_current(stored, active, head_revision=3)
 
 
 @pytest.mark.parametrize(
-    ("stored", "in_force", "newest", "is_behind"),
+    ("stored", "active", "newest", "is_outdated"),
     [
         (EMPTY, EMPTY, EMPTY, False),
         (V7, EMPTY, V7, False),
@@ -43,16 +43,16 @@
         (V7, build_configuration(version=7), V7, False),
     ],
 )
-def test_the_newest_of_store_and_instances_is_the_base(
-    stored, in_force, newest, is_behind
+def test_newer_of_stored_and_active_configuration_is_current(
+    stored, active, newest, is_outdated
 ):
-    current = build_current(stored, in_force)
+    current = build_current(stored, active)
     assert current.configuration == newest
-    assert current.store_is_behind == is_behind
+    assert current.store_is_outdated == is_outdated
 
 
 @pytest.mark.parametrize(
-    ("stored", "in_force", "base_version", "since"),
+    ("stored", "active", "base_version", "expected_difference"),
     [
         (V7, EMPTY, 7, None),
         (V7, V7, 7, None),
@@ -63,39 +63,39 @@
         (build_configuration(version=7, size_mib=7001), EMPTY, 7, "7000 -> 7001"),
     ],
 )
-def test_an_approval_needs_the_newest_version_as_its_base(
-    stored, in_force, base_version, since
+def test_approval_requires_the_newest_version_as_its_base(
+    stored, active, base_version, expected_difference
 ):
-    current = build_current(stored, in_force)
+    current = build_current(stored, active)
     arguments = {"base_version": base_version, "base": V7}
-    if since is None:
+    if expected_difference is None:
         changes.check_base(build_proposal(), current, **arguments)
         return
     with pytest.raises(changes.StaleBaseError) as refused:
         changes.check_base(build_proposal(), current, **arguments)
     assert refused.value.code == Code.BASE_VERSION_STALE
     shown = [difference.show() for difference in refused.value.differences]
-    assert len(shown) == bool(since)
-    assert since in "".join(shown)
+    assert len(shown) == bool(expected_difference)
+    assert expected_difference in "".join(shown)
 
 
 @pytest.mark.parametrize(
-    ("most_bytes", "in_force", "has_delta"),
+    ("max_bytes", "active", "has_delta"),
     [(changes.MAX_DELTA_BYTES, EMPTY, True), (10, EMPTY, False), (99, V8, False)],
 )
-def test_steps_are_stored_if_they_are_small_and_their_base_is_in_the_store(
-    monkeypatch, most_bytes, in_force, has_delta
+def test_delta_is_stored_if_small_and_based_on_the_store(
+    monkeypatch, max_bytes, active, has_delta
 ):
-    monkeypatch.setattr(changes, "MAX_DELTA_BYTES", most_bytes)
+    monkeypatch.setattr(changes, "MAX_DELTA_BYTES", max_bytes)
     change = changes.build_change(
-        build_proposal(), build_current(V7, in_force), V8, approver="janis", now_ms=1
+        build_proposal(), build_current(V7, active), V8, approver="janis", now_ms=1
     )
     assert (change.delta is not None) == has_delta
     if has_delta:
         assert apply_delta(V7, change.delta) == V8
 
 
-def test_one_proposal_has_one_token_whoever_approves_it_and_when():
+def test_approval_token_depends_on_the_proposal_only():
     built = [
         transactions.build_approval(
             changes.build_change(
@@ -117,17 +117,17 @@
 @pytest.mark.parametrize(
     ("removed", "is_refused"), [((), True), (("site-a",), True), (("site-b",), False)]
 )
-def test_a_site_is_dropped_only_if_that_is_said(removed, is_refused):
+def test_site_can_be_removed_only_explicitly(removed, is_refused):
     sites = {"site-a": V7.sites["site-a"]}
     result = msgspec.structs.replace(V8, sites=sites)
     if not is_refused:
-        changes.check_sites(V7, result, removed=removed)
+        changes.check_removed_sites(V7, result, removed=removed)
         return
     with pytest.raises(ConfigurationError, match="site-b"):
-        changes.check_sites(V7, result, removed=removed)
+        changes.check_removed_sites(V7, result, removed=removed)
 
 
-def test_an_unreadable_row_is_refused_by_its_key():
+def test_error_for_an_invalid_row_names_its_key():
     row = Row(key=changes.HEAD_KEY, value=b"{", revision=1)
     with pytest.raises(ConfigurationError, match=changes.HEAD_KEY):
         changes.decode(row, changes.Head)
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -1,4 +1,4 @@
-"""Differences: for people with keys hidden, and as deltas that reproduce the new."""
+"""Differences for display with keys hidden, and deltas that give the new version."""
 
 import msgspec
 import pytest
@@ -8,7 +8,7 @@
 from arbutuspulley.configuration.canonical import normalize
 from arbutuspulley.configuration.difference import (
     HIDDEN,
-    SHOWN_CHARACTERS,
+    MAX_SHOWN_CHARACTERS,
     Delta,
     Edit,
     build_delta,
@@ -16,6 +16,7 @@
     compute_digest,
 )
 from arbutuspulley.configuration.merge import merge_files
+from arbutuspulley.configuration.patch import apply_delta
 from arbutuspulley.configuration.schema import (
     EMPTY,
     Caller,
@@ -26,7 +27,6 @@
     Service,
     Site,
 )
-from arbutuspulley.configuration.steps import apply_delta
 from arbutuspulley.results import ConfigurationError
 from tests.fakes import BASE, build_configuration, build_files
 
@@ -73,7 +73,7 @@
     result = apply_delta(old, delta)
     assert result == new
     again = msgspec.json.decode(msgspec.json.encode(new), type=Configuration)
-    digests = {compute_digest(one) for one in (result, new, again)}
+    digests = {compute_digest(configuration) for configuration in (result, new, again)}
     assert len(digests) == 1
     assert (compute_digest(old) == compute_digest(new)) == (old == new)
     shown = "".join(difference.show() for difference in compare(old, new))
@@ -83,12 +83,12 @@
     assert (not compare(old, new)) == same
 
 
-def test_a_default_that_is_written_out_makes_no_other_configuration():
-    """An accepted version is never in force at half of the instances.
+def test_explicit_default_does_not_change_the_digest():
+    """Guards against an accepted version that half of the instances never activate.
 
-    One of them took it from the files, where a default is written out, and others
-    from steps. Equal configurations had two encodings and so two digests, and the
-    others kept taking their own result for a wrong one.
+    One instance read it from files that spell out a default, others applied deltas.
+    Equal configurations had two encodings and therefore two digests, and the other
+    instances kept rejecting their own result.
     """
     explicit = BASE.replace(
         "kv_floor_mib: 500}",
@@ -115,7 +115,7 @@
         apply_delta(build_configuration(), Delta(edits=(edit,)))
 
 
-def test_people_see_equal_differences_of_several_sites_as_one_and_no_keys():
+def test_display_merges_equal_differences_and_hides_keys():
     old = build_configuration()
     new = build_configuration(version=2, size_mib=9100)
     site = new.sites["site-b"]
@@ -136,7 +136,7 @@
     ]
 
 
-def test_a_new_site_is_shown_part_by_part_and_a_long_value_is_cut():
+def test_new_site_is_listed_by_entry_and_long_values_are_truncated():
     shown = [difference.show() for difference in compare(EMPTY, build_configuration())]
     counts = "1 models, 1 adapters, 2 callers, 1 servers"
     assert shown[:2] == [
@@ -148,4 +148,4 @@
     addresses = tuple(f"127.0.0.1:{port}" for port in range(1000, 1100))
     site = Site(services={"s": Service(addresses=addresses)})
     last = compare(EMPTY, Configuration(sites={"a": site}))[-1]
-    assert len(last.after) < SHOWN_CHARACTERS + 50
+    assert len(last.after) < MAX_SHOWN_CHARACTERS + 50
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,19 +1,19 @@
-"""Log lines on standard output: bounded, and never in the way."""
+"""Log lines on standard output: bounded in rate and memory, without blocking."""
 
 import json
 import logging
 import os
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.events import MOST_LINES_KEPT, BoundedOutput, Event
+from arbutuspulley.events import MAX_BUFFERED_LINES, BoundedOutput, Event
 
 
-def build(descriptor, fates, *, now=lambda: 0, lines_per_s=10):
+def build(descriptor, outcomes, *, now=lambda: 0, lines_per_s=10):
     return BoundedOutput(
         descriptor=descriptor,
         instance="n1",
         lines_per_s=lines_per_s,
-        count_line=fates.append,
+        count_line=outcomes.append,
         clock=Clock(read=now),
     )
 
@@ -25,12 +25,14 @@
     output.emit(record)
 
 
-def test_ordinary_lines_are_dropped_first():
-    """A busy second brings hundreds of requests, and one that failed. Its line must be
-    among those that are written."""
+def test_per_request_lines_are_dropped_first():
+    """Hundreds of requests end in the same second, and one is lost.
+
+    The line of the lost request must be among those that are written.
+    """
     reader, writer = os.pipe()
-    fates = []
-    output = build(writer, fates)
+    outcomes = []
+    output = build(writer, outcomes)
     for number in range(100):
         emit(output, Event.REQUEST_ENDED, id=f"r{number}")
     emit(output, Event.REQUEST_LOST, id="lost")
@@ -39,22 +41,22 @@
         written = [json.loads(line) for line in lines]
     assert len(written) == 11
     assert written[-1]["id"] == "lost"
-    assert (fates.count("written"), fates.count("dropped")) == (11, 90)
+    assert (outcomes.count("written"), outcomes.count("dropped")) == (11, 90)
 
 
 def test_a_full_pipe_does_not_block():
-    """Nobody reads standard output. Writing must return, and memory stay bounded."""
+    """Nothing reads standard output: writes must return and memory stay bounded."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
-    fates = []
+    outcomes = []
     seconds = iter(range(1_000_000))
-    output = build(writer, fates, now=lambda: next(seconds) * 1_000)
-    output._plan_flush = lambda: None
-    for _ in range(3 * MOST_LINES_KEPT):
+    output = build(writer, outcomes, now=lambda: next(seconds) * 1_000)
+    output._schedule_flush = lambda: None
+    for _ in range(3 * MAX_BUFFERED_LINES):
         emit(output, Event.REQUEST_LOST, text="x" * 100)
         output.flush()
-    assert len(output._lines) <= MOST_LINES_KEPT
-    assert fates.count("dropped") > 0
+    assert len(output._lines) <= MAX_BUFFERED_LINES
+    assert outcomes.count("dropped") > 0
     os.close(reader)
     output.flush()
     os.close(writer)
