--- a/src/arbutuspulley/node/access.py
+++ b/src/arbutuspulley/node/access.py
@@ -38,26 +38,26 @@
             return
         now = state.clock.now()
         if not state.may_admit:
-            self._note(Event.WORD_TOO_OLD, now)
-            raise self._build_unsure("the configuration may be out of date")
+            self._record_refusal(Event.WORD_TOO_OLD, now)
+            raise self._build_unavailable("the configuration may be out of date")
         self.team = find_team(state.keys, self._key)
         if self.team is not None:
             return
-        self._note(Event.KEY_REFUSED, now)
+        self._record_refusal(Event.KEY_REFUSED, now)
         # A key that was just added is not in force everywhere yet: only a word younger
         # than the time that this may take says that there is no such key.
         if state.settings.revocation_ms is not None and not state.freshness.is_within(
             state.settings.apply_ms, now=now
         ):
-            raise self._build_unsure("the key may be new")
+            raise self._build_unavailable("the key may be new")
         raise RequestFailedError(status=401, reason="unknown or missing key")
 
-    def _build_unsure(self, reason: str) -> RequestFailedError:
+    def _build_unavailable(self, reason: str) -> RequestFailedError:
         return RequestFailedError(
             status=503, reason=reason, retry_after_ms=RETRY_AFTER_MS
         )
 
-    def _note(self, event: Event, now: int) -> None:
+    def _record_refusal(self, event: Event, now: int) -> None:
         state = self._state
         why = "age" if event is Event.WORD_TOO_OLD else "key"
         state.metrics.refusals.labels("", why).inc()
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -6,13 +6,13 @@
 from arbutuspulley.node.messages import AttemptEnded, Granted, GrantRequest
 from arbutuspulley.node.pending_requests import LinkLostError, RefusedError
 from arbutuspulley.node.progress import (
-    MOST_REFUSED,
+    MAX_REFUSALS,
     Progress,
     RequestFailedError,
-    get_patience,
+    get_first_part_timeout_ms,
     get_priority,
 )
-from arbutuspulley.node.quota_charging import Payment, QuotaCharger
+from arbutuspulley.node.quota_charging import QuotaCharge, QuotaCharger
 from arbutuspulley.node.server_choice import CoordinatorFoundError, ServerChoice
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import (
@@ -44,19 +44,19 @@
     """One request's servers, one after another.
 
     :param access: the admission by the caller's key.
-    :param accounts: pay for the request, once.
+    :param charger: pay for the request, once.
     :param limits: tell which servers may get it by the rate limits that they name.
     :param left_ms: how long the caller waits for the whole answer.
     """
 
     __slots__ = (
         "_access",
-        "_accounts",
+        "_charged",
+        "_charger",
         "_choice",
         "_cost",
+        "_first_part_timeout_ms",
         "_link",
-        "_paid",
-        "_patience_ms",
         "_progress",
         "_request",
         "_route",
@@ -70,7 +70,7 @@
         state: NodeState,
         link: Link,
         access: Access,
-        accounts: QuotaCharger,
+        charger: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
@@ -80,13 +80,13 @@
         self._state = state
         self._link = link
         self._access = access
-        self._accounts = accounts
+        self._charger = charger
         self._route = route
         self._request = request
         self._progress = progress
-        self._cost = accounts.get_cost(access.team, request)
-        self._paid: Payment | None = None
-        self._patience_ms = get_patience(route, left_ms)
+        self._cost = charger.get_cost(access.team, request)
+        self._charged: QuotaCharge | None = None
+        self._first_part_timeout_ms = get_first_part_timeout_ms(route, left_ms)
         self._choice = ServerChoice(
             state=state,
             link=link,
@@ -94,23 +94,23 @@
             route=route,
             request=request,
             progress=progress,
-            patience_ms=self._patience_ms,
+            first_part_timeout_ms=self._first_part_timeout_ms,
         )
         self.priority = get_priority(route, access.team)
 
-    def pay_plain(self) -> None:
+    def charge_plain(self) -> None:
         """Pay for a request that needs no coordinator.
 
         :raises RequestFailedError: if the team's quota is used up.
         """
         if not self._needs_coordinator():
-            self._pay()
+            self._charge_once()
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return what was paid, if no server may have run the request."""
-        if self._paid is not None and not self._progress.may_have_run:
-            self._accounts.give_back(self._paid)
-            self._paid = None
+        if self._charged is not None and not self._progress.may_have_run:
+            self._charger.refund(self._charged)
+            self._charged = None
 
     async def get_server(self) -> ServerEntry:
         """Return the server that the request goes to now.
@@ -129,10 +129,10 @@
             raise NoServerError(
                 "no server has it", retry_after_ms=self._choice.get_retry_after()
             )
-        self._check_access(entry)
+        self._recheck_access(entry)
         return entry
 
-    def tell_end(self, incarnation: str, how: AttemptOutcome) -> None:
+    def report_end(self, incarnation: str, how: AttemptOutcome) -> None:
         """Tell the coordinator how a try at a server ended."""
         if self._request.need is None:
             return
@@ -149,11 +149,11 @@
     def _needs_coordinator(self) -> bool:
         return self._request.need is not None and self._choice.has_models()
 
-    def _pay(self) -> None:
+    def _charge_once(self) -> None:
         team = self._access.team
-        if team is None or not self._cost or self._paid is not None:
+        if team is None or not self._cost or self._charged is not None:
             return
-        self._paid = self._accounts.pay(
+        self._charged = self._charger.charge(
             team, self._cost, attempt_id=self._request.attempt_id
         )
 
@@ -161,9 +161,9 @@
         progress = self._progress
         now = self._state.clock.now()
         try:
-            granted = await self._ask(self._build_ask(need, now))
+            granted = await self._request_grant(self._build_grant_request(need, now))
         except LinkLostError:
-            return await self._choose_alone(need)
+            return await self._choose_uncoordinated(need)
         except RefusedError as error:
             raise NoServerError(
                 "refused", retry_after_ms=error.retry_after_ms
@@ -173,15 +173,15 @@
         progress.is_late = granted.is_late
         entry = self._state.by_incarnation.get(granted.incarnation)
         if entry is None:
-            self.tell_end(granted.incarnation, AttemptOutcome.UNUSED)
+            self.report_end(granted.incarnation, AttemptOutcome.UNUSED)
             progress.avoid.add(granted.incarnation)
             progress.refused += 1
-            if progress.refused > MOST_REFUSED:
+            if progress.refused > MAX_REFUSALS:
                 raise NoServerError("granted server is gone")
             raise RetryError
         return entry
 
-    def _build_ask(self, need: ModelNeed, now: int) -> GrantRequest:
+    def _build_grant_request(self, need: ModelNeed, now: int) -> GrantRequest:
         progress, route, team = self._progress, self._route, self._access.team
         # A caller that has events waits for the next one, not for the first.
         is_begun = progress.first_ms is not None
@@ -194,51 +194,53 @@
             zone=self._state.settings.site,
             priority=self.priority,
             aim_ms=since + aim_ms - now,
-            left_ms=min(progress.ends_at, since + self._patience_ms) - now,
+            left_ms=min(progress.ends_at, since + self._first_part_timeout_ms) - now,
             avoid=tuple(progress.avoid),
             is_repeat=bool(progress.server),
             pause_ms=route.gap_target_ms,
             team=team.name if team is not None else "",
-            cost=0 if self._paid is not None else self._cost,
+            cost=0 if self._charged is not None else self._cost,
         )
 
-    async def _ask(self, ask: GrantRequest) -> Granted:
+    async def _request_grant(self, request: GrantRequest) -> Granted:
         """Ask the coordinator, which charges the request."""
-        if ask.cost:
-            self._paid = Payment(team=ask.team, cost=ask.cost, is_local=False)
+        if request.cost:
+            self._charged = QuotaCharge(
+                team=request.team, cost=request.cost, is_local=False
+            )
         try:
-            granted = await self._link.request_grant(ask)
+            granted = await self._link.request_grant(request)
         except LinkLostError:
             # Whether it was charged there is not known, and it counts as spent.
-            if ask.cost:
-                self._paid = None
+            if request.cost:
+                self._charged = None
             raise
         except RefusedError as error:
             if not error.is_over_quota:
                 raise
-            self._paid = None
-            raise self._accounts.refuse(
-                ask.team, ask.key, error.retry_after_ms
+            self._charged = None
+            raise self._charger.build_refusal(
+                request.team, request.key, error.retry_after_ms
             ) from None
-        self._accounts.note_coordinated()
+        self._charger.record_coordinated()
         return granted
 
-    async def _choose_alone(self, need: ModelNeed) -> ServerEntry | None:
+    async def _choose_uncoordinated(self, need: ModelNeed) -> ServerEntry | None:
         """Choose a server without a coordinator."""
         if await self._choice.wait_for_coordinator():
             raise RetryError
-        self._pay()
+        self._charge_once()
         try:
-            return await self._choice.choose_alone(need)
+            return await self._choice.choose_uncoordinated(need)
         except CoordinatorFoundError:
             raise RetryError from None
 
-    def _check_access(self, entry: ServerEntry) -> None:
+    def _recheck_access(self, entry: ServerEntry) -> None:
         """Check once more that the caller may be served, before any server runs it."""
         if self._progress.may_have_run:
             return
         try:
             self._access.check()
         except RequestFailedError:
-            self.tell_end(entry.incarnation, AttemptOutcome.UNUSED)
+            self.report_end(entry.incarnation, AttemptOutcome.UNUSED)
             raise
--- a/src/arbutuspulley/node/bootstrap.py
+++ b/src/arbutuspulley/node/bootstrap.py
@@ -20,14 +20,14 @@
 SNAPSHOT_PATH = "/snapshot"
 """Path at an instance's link address."""
 
-FIRST_ASK_MS = 600
+STORE_HEAD_START_MS = 600
 """How long the store alone is asked after the start, in ms; it usually answers in a few
 ms."""
 
-ASK_EVERY_MS = 700
+POLL_INTERVAL_MS = 700
 """Time between rounds of asking, in ms."""
 
-ASK_TIMEOUT_S = 0.5
+REQUEST_TIMEOUT_S = 0.5
 """How long one instance may take to answer, in s."""
 
 
@@ -57,18 +57,20 @@
 
 async def bootstrap_from_neighbours(state: NodeState, link: Link) -> None:
     """Ask the instances named in the settings until a configuration is known."""
-    await asyncio.sleep(FIRST_ASK_MS / SECOND_MS)
+    await asyncio.sleep(STORE_HEAD_START_MS / SECOND_MS)
     while state.configuration is None:
         for address in state.settings.seeds:
             if address == state.settings.link or state.configuration is not None:
                 continue
             snapshot = await _fetch(state, address)
             if snapshot is not None:
-                _take(state, link, snapshot, address)
-        await asyncio.sleep(ASK_EVERY_MS / SECOND_MS)
+                _apply_snapshot(state, link, snapshot, address)
+        await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
 
 
-def _take(state: NodeState, link: Link, snapshot: Snapshot, address: str) -> None:
+def _apply_snapshot(
+    state: NodeState, link: Link, snapshot: Snapshot, address: str
+) -> None:
     if not snapshot.configuration:
         return
     activate_configuration(state, snapshot.configuration, by="neighbour")
@@ -79,7 +81,7 @@
 
 
 async def _fetch(state: NodeState, address: str) -> Snapshot | None:
-    timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     url = f"http://{address}{SNAPSHOT_PATH}"
     try:
         async with state.session.get(url, timeout=timeout) as answer:
--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -54,8 +54,8 @@
             [one for one in nodes if one.region == region],
         ):
             if len(area) >= MIN_NEARBY_INSTANCES:
-                return _name(select_advertised(area))
-        return _name(nodes)
+                return _list_frontends(select_advertised(area))
+        return _list_frontends(nodes)
 
     def _get_ttl(self) -> float:
         return min(TTL_S, self._state.settings.directory_ttl_s)
@@ -78,5 +78,5 @@
         return nodes
 
 
-def _name(nodes: list[NodeInfo]) -> list[str]:
+def _list_frontends(nodes: list[NodeInfo]) -> list[str]:
     return [one.frontend for one in nodes[:MAX_ADDRESSES]]
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -16,9 +16,9 @@
 from arbutuspulley.node.messages import ResponseStarted
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.progress import (
-    ANSWER_TIME_MS,
-    MOST_REFUSED,
-    MOST_UNREACHED,
+    ANSWER_MARGIN_MS,
+    MAX_REFUSALS,
+    MAX_UNREACHABLE,
     RETRY_AFTER_MS,
     CutError,
     Progress,
@@ -58,7 +58,7 @@
     """One request on its way.
 
     :param access: the admission by the caller's key.
-    :param accounts: pay for it.
+    :param charger: pay for it.
     :param limits: take in what servers' answers say of their rate limits.
     :param client: the caller's side.
     """
@@ -85,7 +85,7 @@
         link: Link,
         poison: PoisonGuard,
         access: Access,
-        accounts: QuotaCharger,
+        charger: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
@@ -107,18 +107,18 @@
             left = min(left, request.wait_ms)
         self.progress = Progress(
             started_at=started_at,
-            ends_at=started_at + left - ANSWER_TIME_MS,
+            ends_at=started_at + left - ANSWER_MARGIN_MS,
         )
         self._acquisition = Acquisition(
             state=state,
             link=link,
             access=access,
-            accounts=accounts,
+            charger=charger,
             limits=limits,
             route=route,
             request=request,
             progress=self.progress,
-            left_ms=left - ANSWER_TIME_MS,
+            left_ms=left - ANSWER_MARGIN_MS,
         )
 
     async def run(self) -> web.StreamResponse:
@@ -139,17 +139,17 @@
         now = self._state.clock.now()
         record_request(self._state.get_budget(progress.service), now=now)
         try:
-            self._acquisition.pay_plain()
+            self._acquisition.charge_plain()
             async with asyncio.timeout((progress.ends_at - now) / SECOND_MS):
                 while True:
                     try:
-                        return await self._try_once()
+                        return await self._attempt()
                     except RetryError:
                         continue
         except TimeoutError:
             raise self._build_timeout() from None
         finally:
-            self._acquisition.give_back()
+            self._acquisition.refund()
 
     def _build_timeout(self) -> Exception:
         if self._answer is not None:
@@ -160,11 +160,11 @@
             status=503, reason="no server in time", retry_after_ms=RETRY_AFTER_MS
         )
 
-    async def _try_once(self) -> web.StreamResponse:
+    async def _attempt(self) -> web.StreamResponse:
         try:
             entry = await self._acquisition.get_server()
         except NoServerError as error:
-            raise self._give_up(
+            raise self._build_failure(
                 error.reason, retry_after_ms=error.retry_after_ms
             ) from None
         return await self._send(entry)
@@ -182,7 +182,7 @@
         progress.events = 0
         if state.limits.get(entry.incarnation) is not None:
             state.metrics.limited_attempts.inc()
-        known_breaks = self._poison.count_known(self._request)
+        known_crashes = self._poison.count_crashes(self._request)
         how = AttemptOutcome.FAILED
         took: int | None = None
         try:
@@ -193,15 +193,15 @@
                 headers=self._build_headers(entry, now),
             )
             try:
-                answer = await self._take_answer(entry, response)
+                answer = await self._handle_answer(entry, response)
                 how = AttemptOutcome.DONE
-                self._poison.note_whole(self._request)
+                self._poison.clear(self._request)
                 took = state.clock.now() - now
                 return answer
             except _NotRunError:
                 how = AttemptOutcome.NOT_RUN
                 progress.may_have_run -= 1
-                raise self._note_refused(entry) from None
+                raise self._handle_refusal(entry) from None
             finally:
                 if how is not AttemptOutcome.DONE:
                     response.close()
@@ -209,12 +209,12 @@
             how = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
             record_unreachable(record, entry, now=state.clock.now())
-            raise self._note_unreached(entry) from None
+            raise self._handle_unreachable(entry) from None
         except BrokenError as error:
-            self._poison.note_break(
-                self._request, incarnation=entry.incarnation, known=known_breaks
+            self._poison.record_crash(
+                self._request, incarnation=entry.incarnation, known=known_crashes
             )
-            raise self._note_broken(entry, str(error)) from None
+            raise self._handle_broken(entry, str(error)) from None
         except asyncio.CancelledError:
             # The caller left or the time is up; that says nothing of the server.
             how = AttemptOutcome.LEFT
@@ -231,7 +231,7 @@
                     now=state.clock.now(),
                 )
             state.metrics.attempts.labels(how.value).inc()
-            self._acquisition.tell_end(entry.incarnation, how)
+            self._acquisition.report_end(entry.incarnation, how)
 
     def _build_headers(self, entry: ServerEntry, now: int) -> list[tuple[str, str]]:
         priority: int | None = None
@@ -247,31 +247,31 @@
             team=self._access.team.name if self._access.team is not None else "",
         )
 
-    async def _take_answer(
+    async def _handle_answer(
         self, entry: ServerEntry, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         sent_at = self.progress.sent_at
         if is_not_run(response.status, response.headers):
             if not is_misdirected(response.status):
-                self._limits.note_answer(entry, response.headers, sent_at=sent_at)
+                self._limits.update_from_answer(
+                    entry, response.headers, sent_at=sent_at
+                )
             raise _NotRunError
         if not is_answer_to(self._request, response.headers):
             raise BrokenError("not the answer to this request")
-        self._limits.note_answer(entry, response.headers, sent_at=sent_at)
+        self._limits.update_from_answer(entry, response.headers, sent_at=sent_at)
         if self.route.is_stream and response.status < 300:
             return await self._relay_stream(entry, response)
-        return await self._relay_whole(response)
+        return await self._relay_body(response)
 
-    async def _relay_whole(
-        self, response: aiohttp.ClientResponse
-    ) -> web.StreamResponse:
+    async def _relay_body(self, response: aiohttp.ClientResponse) -> web.StreamResponse:
         try:
             body = await response.read()
         except (aiohttp.ClientError, ConnectionError) as error:
             raise BrokenError(f"{type(error).__name__}: {error}") from error
         # A server's own error counts as run, so only what may run again goes on:
         # another server may well not make that error.
-        if response.status >= 500 and self._may_go_on():
+        if response.status >= 500 and self._may_retry():
             self.progress.avoid.add(self.progress.server)
             raise RetryError
         if self._answer is not None:
@@ -282,7 +282,7 @@
             headers=select_answer_headers(response.headers.items()),
             body=body,
         )
-        self._note_first()
+        self._record_first_part()
         return answer
 
     async def _relay_stream(
@@ -299,17 +299,17 @@
             events = cut_events(self._cutter, chunk)
             if not events:
                 continue
-            self._note_events(entry, events)
-            answer = await self._open_answer(response)
+            self._record_events(entry, events)
+            answer = await self._start_answer(response)
             await answer.write(events)
             self.progress.last_event_id = self._cutter.last_id
-        answer = await self._open_answer(response)
+        answer = await self._start_answer(response)
         if self._cutter.rest:
             await answer.write(self._cutter.rest)
         await answer.write_eof()
         return answer
 
-    async def _open_answer(
+    async def _start_answer(
         self, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         """Send the head of the answer, once; a resumed stream keeps its first one."""
@@ -323,12 +323,12 @@
             await answer.prepare(self._client)
         return self._answer
 
-    def _note_events(self, entry: ServerEntry, events: bytes) -> None:
+    def _record_events(self, entry: ServerEntry, events: bytes) -> None:
         """Count events of a stream and measure the pause before them."""
         progress = self.progress
         now = self._state.clock.now()
         if progress.first_ms is None:
-            self._note_first()
+            self._record_first_part()
         else:
             pause_ms = now - progress.last_event_at
             progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
@@ -343,12 +343,12 @@
         progress.events += count_events(events)
         progress.last_event_at = now
 
-    def _note_first(self) -> None:
+    def _record_first_part(self) -> None:
         progress = self.progress
         progress.first_ms = self._state.clock.now() - progress.started_at
         self._state.metrics.first_part.observe(progress.first_ms / SECOND_MS)
 
-    def _note_refused(self, entry: ServerEntry) -> Exception:
+    def _handle_refusal(self, entry: ServerEntry) -> Exception:
         progress = self.progress
         progress.refused += 1
         log_event(
@@ -361,11 +361,11 @@
         if self._request.need is None:
             progress.avoid.add(entry.incarnation)
             record_refused(self._state.records, entry, now=self._state.clock.now())
-        if progress.refused <= MOST_REFUSED and self._take_repeat():
+        if progress.refused <= MAX_REFUSALS and self._try_spend_retry():
             return RetryError()
-        return self._give_up("servers refused")
+        return self._build_failure("servers refused")
 
-    def _note_unreached(self, entry: ServerEntry) -> Exception:
+    def _handle_unreachable(self, entry: ServerEntry) -> Exception:
         progress = self.progress
         progress.unreached += 1
         progress.avoid.add(entry.incarnation)
@@ -376,11 +376,11 @@
             why="out of reach",
             tries=progress.unreached,
         )
-        if progress.unreached <= MOST_UNREACHED:
+        if progress.unreached <= MAX_UNREACHABLE:
             return RetryError()
-        return self._give_up("servers out of reach")
+        return self._build_failure("servers out of reach")
 
-    def _note_broken(self, entry: ServerEntry, detail: str) -> Exception:
+    def _handle_broken(self, entry: ServerEntry, detail: str) -> Exception:
         progress = self.progress
         progress.avoid.add(entry.incarnation)
         log_event(
@@ -390,7 +390,7 @@
             why=detail,
             repeat=self.route.retry_policy.value,
         )
-        if self._may_go_on():
+        if self._may_retry():
             self._cutter.rest = b""
             progress.resumes += self._answer is not None
             return RetryError()
@@ -398,29 +398,31 @@
             return CutError(detail)
         return RequestFailedError(status=502, reason="the server broke off")
 
-    def _may_go_on(self) -> bool:
+    def _may_retry(self) -> bool:
         """Tell whether a request that may have run may be sent again."""
         if self.route.retry_policy is RetryPolicy.ONCE:
             return False
         if self._answer is not None and not self.progress.last_event_id:
             return False
-        return self._may_repeat()
+        return self._is_within_retry_limits()
 
-    def _may_repeat(self) -> bool:
+    def _is_within_retry_limits(self) -> bool:
         if self.progress.may_have_run >= self.route.max_attempts:
             return False
         if self._poison.get_refusal(self._request) is not None:
             return False
-        return self._take_repeat()
+        return self._try_spend_retry()
 
-    def _take_repeat(self) -> bool:
+    def _try_spend_retry(self) -> bool:
         return try_spend_retry(
             self._state.get_budget(self.progress.service),
             instances=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
-    def _give_up(self, reason: str, *, retry_after_ms: int | None = None) -> Exception:
+    def _build_failure(
+        self, reason: str, *, retry_after_ms: int | None = None
+    ) -> Exception:
         """Build the end of a request that is not sent to a server any more."""
         if self._answer is not None:
             return CutError(reason)
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -22,7 +22,7 @@
 BODY_TIMEOUT_S = 10.0
 """How long a body may take to arrive, in s: a caller's whole deadline is 8 to 15."""
 
-STREAMS_UNTIL_MS = 2_800
+STREAM_ACCEPT_MS = 2_800
 """How long after SIGTERM new streams are taken, in ms. A later one may outlast the
 time until SIGKILL; until then callers with an old address are still served."""
 
@@ -34,10 +34,10 @@
 class Frontend:
     """Takes callers' requests."""
 
-    __slots__ = ("_accounts", "_limits", "_link", "_poison", "_state")
+    __slots__ = ("_charger", "_limits", "_link", "_poison", "_state")
 
     def __init__(self, *, state: NodeState, link: Link, poison: PoisonGuard) -> None:
-        self._accounts = QuotaCharger(state=state, link=link)
+        self._charger = QuotaCharger(state=state, link=link)
         self._limits = LimitGuard(state=state, link=link)
         self._state = state
         self._link = link
@@ -57,19 +57,19 @@
         try:
             exchange = await self._begin(client, request, started_at)
             answer = await exchange.run()
-            self._note_end("done", request, exchange, status=answer.status)
+            self._record_end("done", request, exchange, status=answer.status)
         except RequestFailedError as error:
             answer = _build_failure(request, error)
             how = "refused" if error.status in (429, 503) else "failed"
-            self._note_end(
+            self._record_end(
                 how, request, exchange, status=error.status, why=error.reason
             )
         except CutError as error:
-            self._note_end("cut", request, exchange, status=0, why=str(error))
-            _cut(client)
+            self._record_end("cut", request, exchange, status=0, why=str(error))
+            _abort_connection(client)
             raise asyncio.CancelledError from None
         except (ConnectionError, asyncio.CancelledError):
-            self._note_end("left", request, exchange, status=0)
+            self._record_end("left", request, exchange, status=0)
             raise
         finally:
             self._state.in_flight -= 1
@@ -100,7 +100,7 @@
         access = Access(state=state, route=route, request=request)
         access.check()
         request.body = await _read_body(client, limits.body_bytes)
-        if route.is_stream and self._is_past_streams():
+        if route.is_stream and self._refuses_streams():
             raise RequestFailedError(
                 status=503, reason="this instance is stopping", retry_after_ms=1
             )
@@ -109,7 +109,7 @@
             link=self._link,
             poison=self._poison,
             access=access,
-            accounts=self._accounts,
+            charger=self._charger,
             limits=self._limits,
             route=route,
             request=request,
@@ -117,16 +117,16 @@
             started_at=started_at,
         )
 
-    def _is_past_streams(self) -> bool:
+    def _refuses_streams(self) -> bool:
         stopping_at = self._state.stopping_at
         if stopping_at is None:
             return False
-        return self._state.clock.now() - stopping_at > STREAMS_UNTIL_MS
+        return self._state.clock.now() - stopping_at > STREAM_ACCEPT_MS
 
     def _is_closing(self) -> bool:
         return self._state.stopping_at is not None
 
-    def _note_end(
+    def _record_end(
         self,
         how: str,
         request: InboundRequest,
@@ -178,7 +178,7 @@
     )
 
 
-async def _read_body(client: web.BaseRequest, most: int) -> bytes:
+async def _read_body(client: web.BaseRequest, max_bytes: int) -> bytes:
     if not client.body_exists:
         return b""
     if client.headers.get("Expect", "").lower() == "100-continue":
@@ -189,7 +189,7 @@
         async with asyncio.timeout(BODY_TIMEOUT_S):
             while chunk := await client.content.readany():
                 size += len(chunk)
-                if size > most:
+                if size > max_bytes:
                     raise RequestFailedError(status=413, reason="body too large")
                 parts.append(chunk)
     except TimeoutError:
@@ -208,6 +208,6 @@
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
-def _cut(client: web.BaseRequest) -> None:
+def _abort_connection(client: web.BaseRequest) -> None:
     if client.transport is not None:
         client.transport.abort()
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -28,10 +28,10 @@
         self._link = link
         self._local = LocalRateLimits()
         self._confirmed: dict[str, float] = {}
-        link.on_rate_limits = self._take_told
-        state.on_change.append(self._forget_gone)
+        link.on_rate_limits = self._apply_server_limits
+        state.on_change.append(self._evict_unlisted)
 
-    def note_answer(
+    def update_from_answer(
         self, entry: ServerEntry, headers: Mapping[str, str], *, sent_at: int
     ) -> None:
         """Take in a server's answer.
@@ -49,12 +49,14 @@
         incarnation = entry.incarnation
         before = limits.get(incarnation)
         if limits.update_from_answer(incarnation, per_s, sent_at=sent_at, now=now):
-            self._note_change(incarnation, before, by="answer")
+            self._record_change(incarnation, before, by="answer")
         # Told until the coordinator confirms it: messages are lost with a link.
         if per_s == limits.get(incarnation) != self._confirmed.get(incarnation):
             self._link.send(ServerLimit(incarnation=incarnation, per_s=per_s))
 
-    async def ask(self, entry: ServerEntry, request: InboundRequest) -> int:
+    async def request_permission(
+        self, entry: ServerEntry, request: InboundRequest
+    ) -> int:
         """Ask whether a request that no coordinator has granted may be sent now.
 
         :return: 0, or in how many ms to ask again.
@@ -88,33 +90,35 @@
             )
         return wait_ms
 
-    def _take_told(self, message: ServerLimits) -> None:
+    def _apply_server_limits(self, message: ServerLimits) -> None:
         """Take in what the coordinator tells."""
         limits = self._state.limits
-        told = {one.incarnation: one.per_s for one in message.limits}
+        received = {one.incarnation: one.per_s for one in message.limits}
         if message.are_all:
-            told = dict.fromkeys(limits.list_limits()) | told
+            received = dict.fromkeys(limits.list_limits()) | received
             self._confirmed.clear()
         now = self._state.clock.now()
-        for incarnation, per_s in told.items():
+        for incarnation, per_s in received.items():
             if per_s is None:
                 self._confirmed.pop(incarnation, None)
             else:
                 self._confirmed[incarnation] = per_s
             before = limits.get(incarnation)
             if limits.update_from_coordinator(incarnation, per_s, now=now):
-                self._note_change(incarnation, before, by="coordinator")
+                self._record_change(incarnation, before, by="coordinator")
 
-    def _forget_gone(self) -> None:
+    def _evict_unlisted(self) -> None:
         state = self._state
         state.limits.evict_unlisted(state.by_incarnation)
         self._local.evict_unlisted(state.by_incarnation)
-        self._count()
+        self._update_gauge()
 
-    def _note_change(self, incarnation: str, before: float | None, *, by: str) -> None:
+    def _record_change(
+        self, incarnation: str, before: float | None, *, by: str
+    ) -> None:
         limits = self._state.limits
         clear_rate_limited(self._state.records, incarnation)
-        self._count()
+        self._update_gauge()
         log_event(
             Event.SERVER_LIMIT_CHANGED,
             server=incarnation,
@@ -123,7 +127,7 @@
             by=by,
         )
 
-    def _count(self) -> None:
+    def _update_gauge(self) -> None:
         state = self._state
         listed = [
             one for one in state.limits.list_limits() if one in state.by_incarnation
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -35,7 +35,11 @@
     decode_from_coordinator,
     encode_frame,
 )
-from arbutuspulley.node.pending_requests import LinkLostError, Questions, RefusedError
+from arbutuspulley.node.pending_requests import (
+    LinkLostError,
+    PendingRequests,
+    RefusedError,
+)
 from arbutuspulley.node.roster import RosterCopy, apply_change
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.node.store_watch import (
@@ -85,18 +89,18 @@
     __slots__ = (
         "_address",
         "_confirmation",
-        "_echo",
-        "_heard_at",
+        "_coordinator_version",
+        "_heartbeats",
         "_is_closed",
+        "_last_heard_at",
         "_opened_at",
         "_outgoing",
-        "_questions",
+        "_pending",
         "_roster",
         "_running",
-        "_spent",
         "_state",
         "_task",
-        "_version_there",
+        "_usage",
         "_wake",
         "deliver_local",
         "on_quota_exceeded",
@@ -109,16 +113,16 @@
         self._state = state
         self._address = ""
         self._confirmation = Confirmation(state=state)
-        self._echo = HeartbeatTracker(now=state.clock.now())
-        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self._heartbeats = HeartbeatTracker(now=state.clock.now())
+        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
         # The coordinator's configuration; None until it has told on this connection.
-        self._version_there: int | None = None
+        self._coordinator_version: int | None = None
         self._opened_at = 0
         self._outgoing: list[ToCoordinator] = []
-        self._questions = Questions()
+        self._pending = PendingRequests()
         self._roster = RosterCopy()
-        self._spent: dict[str, int] = {}
+        self._usage: dict[str, int] = {}
         self._running: dict[str, tuple[int, RunningRequest]] = {}
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
@@ -127,15 +131,15 @@
         self.on_quota_exceeded: Callable[[QuotaExceeded], None] = _ignore
         self.on_rate_limits: Callable[[ServerLimits], None] = _ignore
         self.deliver_local: Callable[[list[ToCoordinator]], None] | None = None
-        state.on_store_update.append(self._hand_on)
-        state.on_store_lost.append(self._tell_lost)
+        state.on_store_update.append(self._relay_store_update)
+        state.on_store_lost.append(self._report_store_lost)
 
     @property
     def is_up(self) -> bool:
         """Whether a coordinator was heard of lately."""
         if self.deliver_local is not None:
             return True
-        return self._state.clock.now() - self._heard_at < COORDINATOR_TIMEOUT_MS
+        return self._state.clock.now() - self._last_heard_at < COORDINATOR_TIMEOUT_MS
 
     @property
     def is_store_relayed(self) -> bool:
@@ -146,13 +150,13 @@
         return (
             self._confirmation.is_fresh
             and self.status.is_store_followed
-            and not self._follows
+            and not self._is_follower
             and self.status.configuration <= state.configuration_version
-            and self._echo.get_age(state.clock.now()) < MAX_RELAY_AGE_MS
+            and self._heartbeats.get_age(state.clock.now()) < MAX_RELAY_AGE_MS
         )
 
     @property
-    def _follows(self) -> bool:
+    def _is_follower(self) -> bool:
         """Whether this instance follows the store beside the coordinator."""
         status = self.status
         return status is not None and self._state.settings.name in status.followers
@@ -176,27 +180,29 @@
             for begun_at, run in self._running.values()
         ]
 
-    async def request_grant(self, ask: GrantRequest) -> Granted:
+    async def request_grant(self, request: GrantRequest) -> Granted:
         """Wait until a server is granted.
 
         :raises LinkLostError: if no coordinator answers.
         :raises RefusedError: if the coordinator gives the request up.
         """
         if self._is_closed:
-            raise RefusedError(Refused(key=ask.key, retry_after_ms=1))
+            raise RefusedError(Refused(key=request.key, retry_after_ms=1))
         if not self.is_up:
             raise LinkLostError("no coordinator")
         try:
-            granted = await self._questions.ask(ask.key, lambda: self.send(ask))
+            granted = await self._pending.send_and_wait(
+                request.key, lambda: self.send(request)
+            )
         except asyncio.CancelledError:
-            self.send(CancelRequest(key=ask.key, service=ask.service))
+            self.send(CancelRequest(key=request.key, service=request.service))
             raise
         self.add_run(
             RunningRequest(
-                key=ask.key,
+                key=request.key,
                 incarnation=granted.incarnation,
-                need=ask.need,
-                pause_ms=0 if granted.is_late else ask.pause_ms,
+                need=request.need,
+                pause_ms=0 if granted.is_late else request.pause_ms,
             )
         )
         return granted
@@ -211,7 +217,9 @@
             raise LinkLostError("no coordinator")
         try:
             async with asyncio.timeout(PERMISSION_TIMEOUT_S):
-                await self._questions.ask(message.key, lambda: self.send(message))
+                await self._pending.send_and_wait(
+                    message.key, lambda: self.send(message)
+                )
         except TimeoutError:
             raise LinkLostError("no answer in time") from None
 
@@ -238,13 +246,13 @@
         if self.deliver_local is not None:
             self.deliver_local([QuotaUsage(team=team, cost=cost)])
             return
-        self._spent[team] = self._spent.get(team, 0) + cost
+        self._usage[team] = self._usage.get(team, 0) + cost
 
     def receive(self, messages: list[ToNode]) -> None:
         """Take in what the coordinator sent."""
         for message in messages:
             if isinstance(message, CoordinatorStatus):
-                self._take_digest(message)
+                self._apply_status(message)
                 continue
             if isinstance(message, CoordinatorEstimates):
                 self._state.estimates = message
@@ -259,7 +267,7 @@
                 self.on_rate_limits(message)
                 continue
             if isinstance(message, RosterChange):
-                self._take_roster(message)
+                self._apply_roster(message)
                 continue
             if isinstance(message, StoreUpdate):
                 apply_store_update(self._state, message, by="coordinator")
@@ -267,60 +275,60 @@
             if isinstance(message, ConfigurationDelta):
                 apply_configuration_delta(self._state, message, by="coordinator")
                 continue
-            self._take_decision(message)
+            self._resolve_decision(message)
 
-    def _take_decision(self, decision: Granted | Refused) -> None:
-        if not self._questions.take(decision) and isinstance(decision, Granted):
-            self._return_grant(decision)
+    def _resolve_decision(self, decision: Granted | Refused) -> None:
+        if not self._pending.resolve(decision) and isinstance(decision, Granted):
+            self._return_unused_grant(decision)
 
-    def _take_roster(self, change: RosterChange) -> None:
+    def _apply_roster(self, change: RosterChange) -> None:
         if not apply_change(self._roster, change):
             log_event(Event.ROSTER_LOST, base=change.base, known=self._roster.version)
             return
         self._state.nodes = tuple(self._roster.nodes.values())
 
-    def _tell_lost(self) -> None:
+    def _report_store_lost(self) -> None:
         """Tell the coordinator at once that the store is lost here."""
-        if self.deliver_local is None and self._follows:
+        if self.deliver_local is None and self._is_follower:
             self.send(self.build_heartbeat())
 
-    def _hand_on(self, news: StoreUpdate) -> None:
+    def _relay_store_update(self, update: StoreUpdate) -> None:
         """Tell the coordinator what the store has told this instance."""
         if self.deliver_local is not None:
             return
-        if self._follows and news.rows:
-            self.send(msgspec.structs.replace(news, configuration=b""))
-        self._hand_up()
+        if self._is_follower and update.rows:
+            self.send(msgspec.structs.replace(update, configuration=b""))
+        self._send_newer_configuration()
 
-    def _hand_up(self) -> None:
+    def _send_newer_configuration(self) -> None:
         """Tell the coordinator of a newer configuration than it is known to have.
 
         It has just taken over, or is cut off from the store and has not noticed; all
         others would wait for it.
         """
-        known, version = self._version_there, self._state.configuration_version
+        known, version = self._coordinator_version, self._state.configuration_version
         if self.deliver_local is not None or known is None or known >= version:
             return
         if known:
             self.send(self._state.versions.build_delta(known))
-        elif self._follows:
+        elif self._is_follower:
             self.send(StoreUpdate(configuration=self._state.configuration_body))
         else:
             return
-        self._version_there = version
+        self._coordinator_version = version
 
     def connect_to(self, address: str) -> None:
         """Let the link lead to another coordinator; nothing if it already does."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
-        is_silent = now - max(self._heard_at, self._opened_at) > RECONNECT_MS
+        is_silent = now - max(self._last_heard_at, self._opened_at) > RECONNECT_MS
         if address == self._address and is_alive and not is_silent:
             return
         self.disconnect()
         self._address = address
         self._opened_at = now
         if address:
-            self._task = asyncio.create_task(self._keep(address))
+            self._task = asyncio.create_task(self._run(address))
 
     def disconnect(self) -> None:
         """End the link; whoever waits is told."""
@@ -328,14 +336,14 @@
             self._task.cancel()
             self._task = None
         self._address = ""
-        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     def fail_pending(self) -> None:
         """Tell all that wait for a grant that none will come."""
-        self._questions.drop()
+        self._pending.fail_all()
         self._outgoing.clear()
-        self._spent.clear()
+        self._usage.clear()
 
     def close(self) -> None:
         """Refuse all that wait and whoever asks from now on, as the process ends.
@@ -344,14 +352,14 @@
         without an answer, though it has not run and another instance could serve it.
         """
         self._is_closed = True
-        self._questions.refuse()
+        self._pending.refuse_all()
 
     def check_timeout(self) -> None:
         """Give up on a coordinator that has fallen silent; call at intervals."""
-        if self.deliver_local is None and self._questions and not self.is_up:
+        if self.deliver_local is None and self._pending and not self.is_up:
             self.fail_pending()
 
-    def _return_grant(self, granted: Granted) -> None:
+    def _return_unused_grant(self, granted: Granted) -> None:
         # Its caller left, or stopped waiting, as the grant was on its way.
         self.send(
             AttemptEnded(
@@ -361,38 +369,41 @@
             )
         )
 
-    def _take_digest(self, status: CoordinatorStatus) -> None:
+    def _apply_status(self, status: CoordinatorStatus) -> None:
         self.status = status
-        self._heard_at = self._state.clock.now()
-        self._echo.record_acknowledged(status.beat)
-        if self._version_there is None or status.configuration > self._version_there:
-            self._version_there = status.configuration
+        self._last_heard_at = self._state.clock.now()
+        self._heartbeats.record_acknowledged(status.beat)
+        if (
+            self._coordinator_version is None
+            or status.configuration > self._coordinator_version
+        ):
+            self._coordinator_version = status.configuration
         state = self._state
         if self.deliver_local is None:
-            self._confirmation.record_status(status, at=self._heard_at)
-            age_ms = self._echo.get_age(self._heard_at)
+            self._confirmation.record_status(status, at=self._last_heard_at)
+            age_ms = self._heartbeats.get_age(self._last_heard_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = status.instances
         state.advertised = status.takers
-        state.nodes_updated_at = self._heard_at
+        state.nodes_updated_at = self._last_heard_at
         state.store_version = max(state.store_version, status.store_version)
-        self._hand_up()
+        self._send_newer_configuration()
 
-    async def _keep(self, address: str) -> None:
+    async def _run(self, address: str) -> None:
         """Serve the link; open it anew as long as it brought something.
 
         Where only connections are reset, the coordinator is still there: found again
         through the lease, each instance went without it for up to half a second.
         """
-        while await self._serve(address):
+        while await self._serve_connection(address):
             continue
 
-    async def _serve(self, address: str) -> bool:
+    async def _serve_connection(self, address: str) -> bool:
         """Serve one connection to a coordinator.
 
         :return: whether it was heard on it.
         """
-        is_known = False
+        is_connected = False
         opened_at = self._state.clock.now()
         try:
             timeout = aiohttp.ClientWSTimeout(ws_close=0.1)
@@ -400,7 +411,7 @@
                 socket = await self._state.session.ws_connect(
                     f"http://{address}{LINK_PATH}", timeout=timeout, compress=0
                 )
-            is_known = True
+            is_connected = True
             log_event(Event.COORDINATOR_FOLLOWED, link=address)
             async with socket, asyncio.TaskGroup() as group:
                 group.create_task(self._write(socket))
@@ -410,15 +421,18 @@
             detail = type(error).__name__
         except ExceptionGroup as error:
             detail = ",".join(type(one).__name__ for one in error.exceptions)
-        was_heard = self._heard_at >= opened_at
-        self._note_lost(address, detail, is_known=is_known)
+        was_heard = self._last_heard_at >= opened_at
+        self._handle_lost(address, detail, is_connected=is_connected)
         return was_heard
 
-    def _note_lost(self, address: str, detail: str, *, is_known: bool) -> None:
+    def _handle_lost(self, address: str, detail: str, *, is_connected: bool) -> None:
         log_event(
-            Event.COORDINATOR_UNREACHABLE, link=address, detail=detail, was_up=is_known
+            Event.COORDINATOR_UNREACHABLE,
+            link=address,
+            detail=detail,
+            was_up=is_connected,
         )
-        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     async def _read(self, socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -436,36 +450,36 @@
         # Each coordinator counts the changes of its list for itself, and the beats of
         # each connection.
         self._roster.version = 0
-        self._echo = HeartbeatTracker(now=self._state.clock.now())
+        self._heartbeats = HeartbeatTracker(now=self._state.clock.now())
         self._confirmation = Confirmation(state=self._state)
-        self._version_there = None
+        self._coordinator_version = None
 
     async def _write(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         self.reset_coordinator_state()
         first: list[ToCoordinator] = [self.build_hello(), self.build_heartbeat()]
         await socket.send_bytes(encode_frame(first))
         clock = self._state.clock
-        beat_at = clock.now() + HEARTBEAT_MS
+        heartbeat_at = clock.now() + HEARTBEAT_MS
         while True:
             try:
-                async with asyncio.timeout((beat_at - clock.now()) / SECOND_MS):
+                async with asyncio.timeout((heartbeat_at - clock.now()) / SECOND_MS):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             self._wake.clear()
             # Other messages are no beat: while callers kept it busy, an instance's
             # word that it missed the store never went out.
-            if clock.now() >= beat_at:
+            if clock.now() >= heartbeat_at:
                 self._outgoing.append(self.build_heartbeat())
-                beat_at = clock.now() + HEARTBEAT_MS
+                heartbeat_at = clock.now() + HEARTBEAT_MS
             frame, self._outgoing = self._outgoing, []
             if frame:
-                frame.extend(self._take_spent())
+                frame.extend(self._take_usage())
                 await socket.send_bytes(encode_frame(frame))
 
-    def _take_spent(self) -> list[QuotaUsage]:
-        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._spent.items()]
-        self._spent.clear()
+    def _take_usage(self) -> list[QuotaUsage]:
+        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
+        self._usage.clear()
         return spent
 
     def build_hello(self) -> Hello:
@@ -487,7 +501,7 @@
         """Return what this instance says of itself."""
         state = self._state
         now = state.clock.now()
-        number = self._echo.record_sent(now)
+        number = self._heartbeats.record_sent(now)
         self._confirmation.record_heartbeat(number, at=now)
         return Heartbeat(
             is_ready=state.is_ready,
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -12,10 +12,10 @@
 """Bounds of latency histograms in s: around the usual aims, 0.1 to 2 s."""
 
 
-MOST_TEAMS = 100
+MAX_TEAMS = 100
 """Teams that are counted by name, so that a scrape stays small."""
 
-OTHERS = "(others)"
+OTHER_TEAMS = "(others)"
 """Stands for all teams beyond."""
 
 
@@ -130,9 +130,9 @@
 
     def count_refusal(self, team: str, why: str) -> None:
         """Count a refusal; teams beyond the first ones count together."""
-        if len(self._teams) < MOST_TEAMS:
+        if len(self._teams) < MAX_TEAMS:
             self._teams.add(team)
-        self.refusals.labels(team if team in self._teams else OTHERS, why).inc()
+        self.refusals.labels(team if team in self._teams else OTHER_TEAMS, why).inc()
 
     def write(self) -> bytes:
         """Return all metrics as text."""
--- a/src/arbutuspulley/node/pending_requests.py
+++ b/src/arbutuspulley/node/pending_requests.py
@@ -19,7 +19,7 @@
         self.is_over_quota = refused.is_over_quota
 
 
-class Questions:
+class PendingRequests:
     """The questions that wait, by the attempt that each is about."""
 
     __slots__ = ("_waiting",)
@@ -30,7 +30,7 @@
     def __bool__(self) -> bool:
         return bool(self._waiting)
 
-    async def ask(self, key: str, send: Callable[[], None]) -> Granted:
+    async def send_and_wait(self, key: str, send: Callable[[], None]) -> Granted:
         """Send a question and wait until it is answered.
 
         :raises LinkLostError: if the link is lost before.
@@ -44,7 +44,7 @@
         finally:
             self._waiting.pop(key, None)
 
-    def take(self, answer: Granted | Refused) -> bool:
+    def resolve(self, answer: Granted | Refused) -> bool:
         """Take in an answer.
 
         :return: whether anyone waits for it.
@@ -58,13 +58,13 @@
             future.set_exception(RefusedError(answer))
         return True
 
-    def drop(self) -> None:
+    def fail_all(self) -> None:
         """Tell all that wait that no answer will come."""
         for future in self._waiting.values():
             if not future.done():
                 future.set_exception(LinkLostError("link lost"))
 
-    def refuse(self) -> None:
+    def refuse_all(self) -> None:
         """Refuse all that wait; another instance may serve them at once."""
         for key, future in self._waiting.items():
             if not future.done():
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -25,14 +25,14 @@
 from arbutuspulley.ports.fleet import InboundRequest
 from arbutuspulley.rpc.messages import Suspicion
 
-MOST_DEATHS = 3
+MAX_CRASHES = 3
 """Servers that one request may cost. A bystander, sent twice at most, meets two: with
 a limit of two, one that was twice beside the cause was condemned with it."""
 
-MOST_KEPT = 2_000
+MAX_SUSPECTS = 2_000
 """Most suspects that are kept; a server that crashes makes 64 at once."""
 
-FORGET_EVERY_MS = 10_000
+EVICT_INTERVAL_MS = 10_000
 """Time between looks for suspects that are old, in ms: a look at 2,000 takes 7 ms, and
 a server that crashes makes 64 at once."""
 
@@ -43,29 +43,29 @@
     :param link: by which all instances are told.
     """
 
-    __slots__ = ("_forget_at", "_link", "_state", "_suspects")
+    __slots__ = ("_evict_at", "_link", "_state", "_suspects")
 
     def __init__(self, *, state: NodeState, link: Link) -> None:
         self._state = state
         self._link = link
-        self._forget_at = 0
+        self._evict_at = 0
         self._suspects = SuspectState(suspicions={}, seen_at={})
-        link.on_suspicions = self.take
+        link.on_suspicions = self.merge_suspicions
 
-    def count_known(self, request: InboundRequest) -> int:
+    def count_crashes(self, request: InboundRequest) -> int:
         """Return how many breaks with a request in flight are known."""
         return count_deaths(self._find(request))
 
     def get_refusal(self, request: InboundRequest) -> int | None:
         """Return when a request may come back, in ms, if it must not be run."""
         suspicion = self._find(request)
-        judgement = judge(suspicion, most_deaths=MOST_DEATHS)
+        judgement = judge(suspicion, most_deaths=MAX_CRASHES)
         if suspicion is None or judgement is not Judgement.QUARANTINED:
             return None
         now = self._state.clock.now()
         return get_return_ms(self._suspects, suspicion.fingerprint, now=now)
 
-    def note_break(
+    def record_crash(
         self, request: InboundRequest, *, incarnation: str, known: int
     ) -> None:
         """A server broke off with a request in flight.
@@ -74,11 +74,11 @@
             several copies of it were on their way at once, or several servers failed
             at once; that counts as one.
         """
-        if self.count_known(request) != known:
+        if self.count_crashes(request) != known:
             return
         now = self._state.clock.now()
-        self._forget_old(now)
-        if len(self._suspects.suspicions) >= MOST_KEPT:
+        self._evict_old(now)
+        if len(self._suspects.suspicions) >= MAX_SUSPECTS:
             return
         suspicion = note_death(
             self._suspects,
@@ -89,12 +89,12 @@
         )
         deaths = count_deaths(suspicion)
         event = Event.SUSPECT_RECORDED
-        if deaths >= MOST_DEATHS:
+        if deaths >= MAX_CRASHES:
             event = Event.REQUEST_QUARANTINED
         log_event(event, id=request.attempt_id, server=incarnation, deaths=deaths)
         self._link.send(SuspicionUpdate(suspicions=(suspicion,)))
 
-    def note_whole(self, request: InboundRequest) -> None:
+    def clear(self, request: InboundRequest) -> None:
         """A request ran whole; it is no cause of any break."""
         suspicion = self._find(request)
         if suspicion is None or not count_deaths(suspicion):
@@ -104,15 +104,15 @@
         cleared = self._suspects.suspicions[fingerprint]
         self._link.send(SuspicionUpdate(suspicions=(cleared,)))
 
-    def take(self, suspicions: tuple[Suspicion, ...]) -> None:
+    def merge_suspicions(self, suspicions: tuple[Suspicion, ...]) -> None:
         """Take in what another instance found."""
         now = self._state.clock.now()
-        self._forget_old(now)
-        merge(self._suspects, suspicions[:MOST_KEPT], now=now)
+        self._evict_old(now)
+        merge(self._suspects, suspicions[:MAX_SUSPECTS], now=now)
 
-    def _forget_old(self, now: int) -> None:
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_EVERY_MS
+    def _evict_old(self, now: int) -> None:
+        if now >= self._evict_at:
+            self._evict_at = now + EVICT_INTERVAL_MS
             forget_old(self._suspects, now=now)
 
     def _find(self, request: InboundRequest) -> Suspicion | None:
--- a/src/arbutuspulley/node/progress.py
+++ b/src/arbutuspulley/node/progress.py
@@ -5,15 +5,15 @@
 from arbutuspulley.data import State
 from arbutuspulley.ports.fleet import Route, Team
 
-MOST_REFUSED = 3
+MAX_REFUSALS = 3
 """How many servers may refuse a request as not run before it is given up."""
 
-MOST_UNREACHED = 4
+MAX_UNREACHABLE = 4
 """How many servers may be out of reach before a request is given up."""
 
-LEAST_PATIENCE_MS = 2_000
-PATIENCE_AIMS = 4
-PATIENCE_GAPS = 8
+MIN_FIRST_PART_TIMEOUT_MS = 2_000
+LATENCY_TARGETS_PER_TIMEOUT = 4
+GAP_TARGETS_PER_TIMEOUT = 8
 """Callers leave a stream without its first event after the longest of these: so many
 ms, so many times its aim, so many times the pause that is still on time."""
 
@@ -21,7 +21,7 @@
 """When a refused caller should come back if nothing better is known, in ms: a model
 takes 0.4 to 1.2 s to load, and callers heed no more than a third of their time."""
 
-ANSWER_TIME_MS = 60
+ANSWER_MARGIN_MS = 60
 """Kept back from the time left, in ms, so that an answer that the time has run out
 still reaches the caller in time."""
 
@@ -67,7 +67,7 @@
     unreached: int = 0
     may_have_run: int = 0
     avoid: set[str] = msgspec.field(default_factory=set)
-    avoid_alone: set[str] = msgspec.field(default_factory=set)
+    avoid_uncoordinated: set[str] = msgspec.field(default_factory=set)
     server: str = ""
     sent_at: int = 0
     waited_ms: int = 0
@@ -87,7 +87,7 @@
     return team.priority
 
 
-def get_patience(route: Route, left_ms: int) -> int:
+def get_first_part_timeout_ms(route: Route, left_ms: int) -> int:
     """Return how long a caller waits for the first part of an answer, in ms.
 
     :param left_ms: how long it waits for the whole one.
@@ -95,8 +95,8 @@
     if not route.is_stream:
         return left_ms
     longest = max(
-        LEAST_PATIENCE_MS,
-        PATIENCE_AIMS * route.latency_target_ms,
-        PATIENCE_GAPS * route.gap_target_ms,
+        MIN_FIRST_PART_TIMEOUT_MS,
+        LATENCY_TARGETS_PER_TIMEOUT * route.latency_target_ms,
+        GAP_TARGETS_PER_TIMEOUT * route.gap_target_ms,
     )
     return min(left_ms, longest)
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -15,7 +15,7 @@
 from arbutuspulley.ports.fleet import InboundRequest, NodeSettings, Team
 
 
-class Payment(Value, frozen=True):
+class QuotaCharge(Value, frozen=True):
     """What was taken for a request.
 
     :param is_local: whether it was taken here, without a coordinator.
@@ -43,7 +43,7 @@
     which teams are in debt. Without a coordinator the instance charges by itself.
     """
 
-    __slots__ = ("_debts", "_link", "_local", "_state")
+    __slots__ = ("_link", "_local", "_refused_until", "_state")
 
     def __init__(self, *, state: NodeState, link: Link) -> None:
         self._state = state
@@ -53,7 +53,7 @@
             now=state.clock.now(),
             chance=state.chance,
         )
-        self._debts: dict[str, int] = {}
+        self._refused_until: dict[str, int] = {}
         link.on_quota_exceeded = self._take_overdrawn
 
     def get_cost(self, team: Team | None, request: InboundRequest) -> int:
@@ -62,7 +62,7 @@
             return 0
         return get_cost(team, request.usage_tokens)
 
-    def pay(self, team: Team, cost: int, *, attempt_id: str) -> Payment:
+    def charge(self, team: Team, cost: int, *, attempt_id: str) -> QuotaCharge:
         """Pay for a request that no coordinator is asked about.
 
         :raises RequestFailedError: if its team has used up its quota.
@@ -70,11 +70,11 @@
         now = self._state.clock.now()
         if self._link.is_up:
             self._local.record_coordinated(now)
-            wait_ms = self._debts.get(team.name, now) - now
+            wait_ms = self._refused_until.get(team.name, now) - now
             if wait_ms > 0:
-                raise self.refuse(team.name, attempt_id, wait_ms)
+                raise self.build_refusal(team.name, attempt_id, wait_ms)
             self._link.report_usage(team.name, cost)
-            return Payment(team=team.name, cost=cost, is_local=False)
+            return QuotaCharge(team=team.name, cost=cost, is_local=False)
         part = get_disconnected_fraction(
             self._local.get_uncoordinated_ms(now),
             decay_ms=self._state.settings.revocation_ms,
@@ -83,21 +83,23 @@
         self._local.tolerance = build_tolerance(self._state.settings)
         wait_ms = self._local.charge(team, cost, fraction=part, now=now)
         if wait_ms:
-            raise self.refuse(team.name, attempt_id, wait_ms)
-        return Payment(team=team.name, cost=cost, is_local=True)
+            raise self.build_refusal(team.name, attempt_id, wait_ms)
+        return QuotaCharge(team=team.name, cost=cost, is_local=True)
 
-    def note_coordinated(self) -> None:
+    def record_coordinated(self) -> None:
         """Note that a coordinator counts at present."""
         self._local.record_coordinated(self._state.clock.now())
 
-    def give_back(self, payment: Payment) -> None:
+    def refund(self, payment: QuotaCharge) -> None:
         """Return what was paid for a request that did not run."""
         if payment.is_local:
             self._local.refund(payment.team, payment.cost)
         else:
             self._link.report_usage(payment.team, -payment.cost)
 
-    def refuse(self, team: str, attempt_id: str, wait_ms: int) -> RequestFailedError:
+    def build_refusal(
+        self, team: str, attempt_id: str, wait_ms: int
+    ) -> RequestFailedError:
         """Build the refusal of a request over its team's quota.
 
         :param wait_ms: in how long the team has enough.
@@ -116,4 +118,4 @@
         )
 
     def _take_overdrawn(self, message: QuotaExceeded) -> None:
-        self._debts[message.team] = self._state.clock.now() + message.wait_ms
+        self._refused_until[message.team] = self._state.clock.now() + message.wait_ms
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -22,24 +22,24 @@
     set_rate_limited,
 )
 
-ALONE_WAIT_MS = 1_500
+COORDINATOR_WAIT_MS = 1_500
 """How long a request without a server waits for a coordinator, in ms: another
 one takes over within that time unless the store is away, and then nobody knows when."""
 
-FIRST_WAIT_PART = 0.6
+FIRST_COORDINATOR_WAIT_FRACTION = 0.6
 """Part of its aim for which a request waits for a coordinator that this process has
 not heard of yet. After all instances have lost power, each of those that are back first
 would send prompts that no other knows of to the same servers, and all streams there
 would pause. One is heard of within some 0.3 s."""
 
-ROOM_WAIT_PART = 0.25
+SLOT_WAIT_FRACTION = 0.25
 """Part of its aim for which a request waits for room at a server of its service that
 runs no models. Callers come in clumps; what waits for longer would be late."""
 
-ROOM_TICK_MS = 10
+SLOT_POLL_MS = 10
 """Time between looks for room, in ms: little against the work on a request."""
 
-LINK_TICK_MS = 50
+LINK_POLL_MS = 50
 """Time between looks for a new coordinator, in ms."""
 
 
@@ -55,9 +55,9 @@
     """
 
     __slots__ = (
+        "_first_part_timeout_ms",
         "_limits",
         "_link",
-        "_patience_ms",
         "_progress",
         "_request",
         "_route",
@@ -73,7 +73,7 @@
         route: Route,
         request: InboundRequest,
         progress: Progress,
-        patience_ms: int,
+        first_part_timeout_ms: int,
     ) -> None:
         self._state = state
         self._link = link
@@ -81,7 +81,7 @@
         self._route = route
         self._request = request
         self._progress = progress
-        self._patience_ms = patience_ms
+        self._first_part_timeout_ms = first_part_timeout_ms
 
     def has_models(self) -> bool:
         """Tell whether the request's service runs models."""
@@ -99,7 +99,7 @@
 
         :param is_plain: whether the service runs no models.
         """
-        avoid = self._progress.avoid | self._progress.avoid_alone
+        avoid = self._progress.avoid | self._progress.avoid_uncoordinated
         service = self._get_service()
         connections = service.max_connections if service else 0
         return choose_server(
@@ -121,7 +121,7 @@
             entry = self.choose(is_plain=is_plain)
             if entry is None:
                 return None
-            wait_ms = await self._limits.ask(entry, self._request)
+            wait_ms = await self._limits.request_permission(entry, self._request)
             if not wait_ms:
                 return entry
             now = self._state.clock.now()
@@ -133,10 +133,10 @@
         :return: ``None`` if no server's rate limit keeps it from being served.
         """
         now = self._state.clock.now()
-        waits = [until - now for until in self._list_limited() if until > now]
+        waits = [until - now for until in self._list_limit_ends() if until > now]
         return min(waits, default=None)
 
-    def _list_limited(self) -> list[int]:
+    def _list_limit_ends(self) -> list[int]:
         """Return until when limits keep the service's servers from more requests."""
         return [
             get_stats(self._state.records, entry).rate_limited_until
@@ -147,17 +147,17 @@
     async def choose_plain(self) -> ServerEntry | None:
         """Choose a server of a service that runs no models, or wait for room at one."""
         until = self._state.clock.now() + int(
-            self._route.latency_target_ms * ROOM_WAIT_PART
+            self._route.latency_target_ms * SLOT_WAIT_FRACTION
         )
         while True:
             entry = await self._choose_within_limits(is_plain=True)
             if entry is not None or self._state.clock.now() >= until:
                 return entry
-            if all(limited > until for limited in self._list_limited()):
+            if all(limited > until for limited in self._list_limit_ends()):
                 return None
-            await asyncio.sleep(ROOM_TICK_MS / SECOND_MS)
+            await asyncio.sleep(SLOT_POLL_MS / SECOND_MS)
 
-    async def choose_alone(self, need: ModelNeed) -> ServerEntry | None:
+    async def choose_uncoordinated(self, need: ModelNeed) -> ServerEntry | None:
         """Choose a server without a coordinator, or wait for one that can load.
 
         :raises CoordinatorFoundError: if there is one to ask now.
@@ -176,11 +176,13 @@
             )
             # Whether it has the adapter is not known here. If it refuses, it gets this
             # request again only from a coordinator, which can have the adapter loaded.
-            self._progress.avoid_alone.add(entry.incarnation)
+            self._progress.avoid_uncoordinated.add(entry.incarnation)
             return entry
-        until = self._state.clock.now() + min(ALONE_WAIT_MS, self._patience_ms)
+        until = self._state.clock.now() + min(
+            COORDINATOR_WAIT_MS, self._first_part_timeout_ms
+        )
         while not self._link.can_request and self._state.clock.now() < until:
-            await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
+            await asyncio.sleep(LINK_POLL_MS / SECOND_MS)
         if self._link.can_request:
             raise CoordinatorFoundError
         return None
@@ -191,10 +193,11 @@
         :return: whether there is one now.
         """
         until = (
-            self._progress.started_at + self._route.latency_target_ms * FIRST_WAIT_PART
+            self._progress.started_at
+            + self._route.latency_target_ms * FIRST_COORDINATOR_WAIT_FRACTION
         )
         while self._link.status is None and self._state.clock.now() < until:
-            await asyncio.sleep(LINK_TICK_MS / SECOND_MS)
+            await asyncio.sleep(LINK_POLL_MS / SECOND_MS)
             if self._link.can_request:
                 return True
         return False
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -14,15 +14,15 @@
 from arbutuspulley.ports.fleet import ServerEntry
 from arbutuspulley.routing.local_choice import evict_unlisted
 
-RETURN_MS = 1_800
+LAPSED_ENTRY_GRACE_MS = 1_800
 """How long a lapsed entry is believed in after the store's return, in ms. Entries of
 living servers are back within about 2 s; a server that left meanwhile must get no
 request later than 2 s after its leaving was seen."""
 
-MOST_REFUSED = 1_000
+MAX_REJECTED_ROWS = 1_000
 """Most rows that are remembered for naming no server; beyond, they are told again."""
 
-MOST_REMOVED = 10_000
+MAX_REMOVED_VERSIONS = 10_000
 """Most removed rows whose versions are remembered, about 1 MB: those of a month where
 some hundred servers are replaced a day."""
 
@@ -43,26 +43,30 @@
     :param version: of the store as it gave these rows; 0: not known.
     """
     if is_whole:
-        rows = [*rows, *_list_vanished(state, rows, version)]
-    news = [row for row in rows if _is_news(state, row)]
-    gone = [row.key for row in news if row.value is None]
-    for row in news:
+        rows = [*rows, *_list_missing(state, rows, version)]
+    newer = [row for row in rows if _is_newer(state, row)]
+    gone = [row.key for row in newer if row.value is None]
+    for row in newer:
         state.row_versions[row.key] = row.version
         if row.value is not None:
-            _take_entry(state, row.key, row.value)
+            _apply_entry(state, row.key, row.value)
     state.store_version = max(state.store_version, version)
     if was_away and gone:
         asyncio.get_running_loop().call_later(
-            RETURN_MS / SECOND_MS, _drop_lapsed, state, gone, dict(state.entries)
+            LAPSED_ENTRY_GRACE_MS / SECOND_MS,
+            _drop_lapsed,
+            state,
+            gone,
+            dict(state.entries),
         )
     else:
         _drop_entries(state, gone, state.entries)
-    if news:
-        _forget_removed(state)
-        _index(state)
+    if newer:
+        _evict_removed_versions(state)
+        _rebuild_indexes(state)
     relayed = tuple(
         RelayedRow(key=row.key, version=row.version, value=row.value or b"")
-        for row in news
+        for row in newer
     )
     return StoreUpdate(rows=relayed, was_away=was_away)
 
@@ -76,7 +80,7 @@
     )
 
 
-def _list_vanished(
+def _list_missing(
     state: NodeState, rows: list[StoredRow], version: int
 ) -> list[StoredRow]:
     """Return removals of the entries that all rows of the store no longer show."""
@@ -88,7 +92,7 @@
     ]
 
 
-def _is_news(state: NodeState, row: StoredRow) -> bool:
+def _is_newer(state: NodeState, row: StoredRow) -> bool:
     known = state.row_versions.get(row.key, -1)
     if row.version != known:
         return row.version > known
@@ -97,8 +101,8 @@
     return state.entry_bodies.get(row.key) != row.value
 
 
-def _forget_removed(state: NodeState) -> None:
-    excess = len(state.row_versions) - len(state.entries) - MOST_REMOVED
+def _evict_removed_versions(state: NodeState) -> None:
+    excess = len(state.row_versions) - len(state.entries) - MAX_REMOVED_VERSIONS
     if excess <= 0:
         return
     removed = (key for key in state.row_versions if key not in state.entries)
@@ -113,16 +117,16 @@
         return
     for server_id, body in bodies.items():
         state.row_versions.setdefault(server_id, 0)
-        _take_entry(state, server_id, body)
-    _index(state)
+        _apply_entry(state, server_id, body)
+    _rebuild_indexes(state)
 
 
-def _take_entry(state: NodeState, server_id: str, value: bytes) -> None:
+def _apply_entry(state: NodeState, server_id: str, value: bytes) -> None:
     before = state.entries.get(server_id)
     try:
         entry = decode_server(server_id, value)
     except (msgspec.MsgspecError, InvalidServerEntryError) as error:
-        _refuse_entry(state, server_id, str(error))
+        _reject_entry(state, server_id, str(error))
         return
     if before is not None and entry.started_ms < before.started_ms:
         # A row from before the server's start, written late. Taken, it would bring
@@ -139,7 +143,7 @@
     else:
         state.deferrable_rows.discard(server_id)
     if before is None or before.incarnation != entry.incarnation:
-        _note_start(state, entry, before)
+        _record_start(state, entry, before)
     if entry.is_leaving and (before is None or not before.is_leaving):
         log_event(Event.SERVER_LEAVING, server=server_id, service=entry.service)
 
@@ -148,7 +152,7 @@
     return msgspec.structs.replace(before, loaded_models=entry.loaded_models) == entry
 
 
-def _refuse_entry(state: NodeState, server_id: str, why: str) -> None:
+def _reject_entry(state: NodeState, server_id: str, why: str) -> None:
     """Take a row that names no server; it is told once for as long as it says so.
 
     A server whose row another writer has overwritten is not used until it writes
@@ -158,13 +162,13 @@
         state.entry_bodies.pop(server_id, None)
     if state.refused_entries.get(server_id) == why:
         return
-    if len(state.refused_entries) >= MOST_REFUSED:
+    if len(state.refused_entries) >= MAX_REJECTED_ROWS:
         state.refused_entries.clear()
     state.refused_entries[server_id] = why
     log_event(Event.SERVER_ENTRY_REFUSED, server=server_id, detail=why)
 
 
-def _note_start(
+def _record_start(
     state: NodeState, entry: ServerEntry, before: ServerEntry | None
 ) -> None:
     if before is not None and state.session is not None:
@@ -181,11 +185,11 @@
 
 
 def _drop_lapsed(
-    state: NodeState, gone: list[str], then: dict[str, ServerEntry]
+    state: NodeState, gone: list[str], snapshot: dict[str, ServerEntry]
 ) -> None:
     """Drop entries whose servers have not written again after the store's return."""
-    dropped = [one for one in gone if state.entries.get(one) is then.get(one)]
-    _drop_entries(state, gone, then)
+    dropped = [one for one in gone if state.entries.get(one) is snapshot.get(one)]
+    _drop_entries(state, gone, snapshot)
     rows = tuple(
         RelayedRow(key=key, version=state.row_versions.get(key, 0)) for key in dropped
     )
@@ -194,24 +198,24 @@
 
 
 def _drop_entries(
-    state: NodeState, gone: list[str], then: dict[str, ServerEntry]
+    state: NodeState, gone: list[str], snapshot: dict[str, ServerEntry]
 ) -> None:
     """Drop entries that have not been written again since ``then``."""
     is_changed = False
     for server_id in gone:
         state.refused_entries.pop(server_id, None)
         entry = state.entries.get(server_id)
-        if entry is not None and then.get(server_id) is entry:
+        if entry is not None and snapshot.get(server_id) is entry:
             del state.entries[server_id]
             state.entry_bodies.pop(server_id, None)
             state.deferrable_rows.discard(server_id)
             is_changed = True
             log_event(Event.SERVER_GONE, server=server_id, service=entry.service)
     if is_changed:
-        _index(state)
+        _rebuild_indexes(state)
 
 
-def _index(state: NodeState) -> None:
+def _rebuild_indexes(state: NodeState) -> None:
     by_service: dict[str, list[ServerEntry]] = {}
     for entry in state.entries.values():
         by_service.setdefault(entry.service, []).append(entry)
--- a/src/arbutuspulley/node/settings_reload.py
+++ b/src/arbutuspulley/node/settings_reload.py
@@ -13,10 +13,10 @@
 from arbutuspulley.results import SettingError
 from arbutuspulley.settings import SettingsError
 
-LOOK_EVERY_MS = 2_000
+POLL_INTERVAL_MS = 2_000
 """Time between looks at the file's time of change, in ms; it may change unannounced."""
 
-FIXED = frozenset(
+FIXED_SETTINGS = frozenset(
     ("name", "site", "region", "frontend", "ready", "directory", "link", "store")
 )
 """Settings that hold for the life of a process: its names and addresses."""
@@ -28,7 +28,7 @@
     :param read: reads and checks the file.
     """
 
-    __slots__ = ("_path", "_read", "_seen", "_state")
+    __slots__ = ("_loaded_mtime_ns", "_path", "_read", "_state")
 
     def __init__(
         self, *, state: NodeState, path: Path, read: Callable[[Path], NodeSettings]
@@ -36,39 +36,39 @@
         self._state = state
         self._path = path
         self._read = read
-        self._seen = self._get_time()
+        self._loaded_mtime_ns = self._get_mtime_ns()
 
     async def watch(self) -> None:
         """Reload whenever the file has changed, for ever."""
         while True:
-            await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
-            if self._get_time() != self._seen:
+            await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
+            if self._get_mtime_ns() != self._loaded_mtime_ns:
                 self.reload()
 
     def reload(self) -> None:
         """Take over what may change; wrong settings leave all as it is."""
-        self._seen = self._get_time()
+        self._loaded_mtime_ns = self._get_mtime_ns()
         try:
             read = self._read(self._path)
         except (SettingsError, SettingError) as error:
             log_event(Event.SETTINGS_REFUSED, detail=error.show())
             return
-        present = self._state.settings
+        current = self._state.settings
         changed = [
             name
             for name in NodeSettings.__struct_fields__
-            if getattr(read, name) != getattr(present, name)
+            if getattr(read, name) != getattr(current, name)
         ]
-        kept = {name: getattr(present, name) for name in FIXED}
+        kept = {name: getattr(current, name) for name in FIXED_SETTINGS}
         self._state.settings = msgspec.structs.replace(read, **kept)
         self._state.budgets.clear()
         log_event(
             Event.SETTINGS_RELOADED,
-            changed=[name for name in changed if name not in FIXED],
-            ignored=[name for name in changed if name in FIXED],
+            changed=[name for name in changed if name not in FIXED_SETTINGS],
+            ignored=[name for name in changed if name in FIXED_SETTINGS],
         )
 
-    def _get_time(self) -> int:
+    def _get_mtime_ns(self) -> int:
         try:
             return self._path.stat().st_mtime_ns
         except OSError:
--- a/src/arbutuspulley/node/shutdown.py
+++ b/src/arbutuspulley/node/shutdown.py
@@ -7,14 +7,14 @@
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.state import NodeState
 
-SERVE_ON_PART = 0.8
+SERVE_FRACTION = 0.8
 """Part of the time until SIGKILL for which callers with an old address are served.
 Some keep an answer of the directory for 6 s."""
 
-LAST_PART = 0.95
+EXIT_FRACTION = 0.95
 """Part of the time until SIGKILL at which the process ends whatever is in flight."""
 
-TICK_MS = 50
+POLL_INTERVAL_MS = 50
 """Time between looks at what is in flight, in ms."""
 
 
@@ -24,20 +24,20 @@
     """Return once nothing is in flight, at the latest shortly before SIGKILL."""
     begun_at = state.stopping_at or state.clock.now()
     link.send(link.build_heartbeat())
-    serve_until = begun_at + int(state.settings.grace_ms * SERVE_ON_PART)
-    last = begun_at + int(state.settings.grace_ms * LAST_PART)
-    is_given_back = False
+    serve_until = begun_at + int(state.settings.grace_ms * SERVE_FRACTION)
+    exit_at = begun_at + int(state.settings.grace_ms * EXIT_FRACTION)
+    is_lease_released = False
     while state.clock.now() < serve_until:
         # While the store is away nobody can take the lease over: callers found no
         # coordinator for 5 s, and waited in vain until they left.
-        if not is_given_back and not state.store.is_failing:
+        if not is_lease_released and not state.store.is_failing:
             await election.release_lease()
-            is_given_back = True
-        await asyncio.sleep(TICK_MS / SECOND_MS)
-    if not is_given_back:
+            is_lease_released = True
+        await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
+    if not is_lease_released:
         await election.release_lease()
     link.close()
     for server in servers:
         server.close()
-    while state.in_flight and state.clock.now() < last:
-        await asyncio.sleep(TICK_MS / SECOND_MS)
+    while state.in_flight and state.clock.now() < exit_at:
+        await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -14,7 +14,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import ConfigurationDelta, StoreUpdate
-from arbutuspulley.node.server_rows import RETURN_MS, apply_server_rows
+from arbutuspulley.node.server_rows import LAPSED_ENTRY_GRACE_MS, apply_server_rows
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform import names
 from arbutuspulley.platform.messages import (
@@ -30,10 +30,10 @@
 from arbutuspulley.results import ConfigurationError, PlatformUnavailableError
 from arbutuspulley.routing.route_table import build_route_table
 
-RETRY_MS = 250
+INITIAL_BACKOFF_MS = 250
 """First pause after a failed call to the store, in ms; doubled up to the longest."""
 
-MAX_RETRY_MS = 1_000
+MAX_BACKOFF_MS = 1_000
 """Longest pause between tries, in ms: a configuration must be in force 2 s after it
 was accepted, also right after the store came back."""
 
@@ -43,7 +43,7 @@
 one. A server that leaves may get requests for 2 s more, and a new one takes 1.2 s to
 load its first model, so neither is noticed."""
 
-OUTAGE_MS = 1_000
+MIN_OUTAGE_MS = 1_000
 """A store that was away longer than this, in ms, may have let entries lapse of
 servers that live: they could not write to it either."""
 
@@ -84,16 +84,16 @@
     :param is_relayed: tells whether another instance hands on what the store tells.
     :param is_starting: tells whether no coordinator was heard of yet that might.
     """
-    await _Follower(
+    await _TableFollower(
         state=state,
         table=names.OPERATOR_TABLE,
-        take_rows=lambda state, rows, **_how: apply_configuration_rows(state, rows),
+        apply_rows=lambda state, rows, **_how: apply_configuration_rows(state, rows),
         get_version=lambda: None,
         is_store_relayed=is_store_relayed,
         is_starting=is_starting,
-        gather_ms=0,
+        batch_ms=0,
         wants_newest_only=True,
-        note_confirmed=lambda at: state.freshness.confirm(at, source="store"),
+        record_confirmed=lambda at: state.freshness.confirm(at, source="store"),
     ).follow()
 
 
@@ -108,14 +108,14 @@
     :param is_relayed: as for :func:`follow_configuration`.
     :param is_starting: likewise.
     """
-    await _Follower(
+    await _TableFollower(
         state=state,
         table=names.SERVERS_TABLE,
-        take_rows=apply_server_rows,
+        apply_rows=apply_server_rows,
         get_version=lambda: state.store_version or None,
         is_store_relayed=is_store_relayed,
         is_starting=is_starting,
-        gather_ms=CHANGE_BATCH_MS,
+        batch_ms=CHANGE_BATCH_MS,
         wants_newest_only=False,
     ).follow()
 
@@ -139,7 +139,7 @@
     return min(MAX_FALLBACK_DELAY_MS, MIN_FALLBACK_DELAY_MS + spread)
 
 
-class TakeRows(Protocol):
+class ApplyRows(Protocol):
     """Takes rows of a table in.
 
     ``is_whole`` says whether these are all rows of the table as of ``version``,
@@ -158,7 +158,7 @@
         """Take the rows in and return what of them was new."""
 
 
-class _Follower:
+class _TableFollower:
     """One table's reader.
 
     The store tells each change of a row, with its whole value. Where only the newest
@@ -174,17 +174,17 @@
     """
 
     __slots__ = (
+        "_apply_rows",
+        "_batch_ms",
         "_failed_at",
-        "_gather_ms",
         "_get_version",
         "_is_behind",
-        "_is_relayed",
         "_is_starting",
-        "_note_confirmed",
-        "_returned_at",
+        "_is_store_relayed",
+        "_record_confirmed",
+        "_recovered_at",
         "_state",
         "_table",
-        "_take_rows",
         "_wants_newest_only",
     )
 
@@ -193,65 +193,65 @@
         *,
         state: NodeState,
         table: str,
-        take_rows: TakeRows,
+        apply_rows: ApplyRows,
         get_version: Callable[[], int | None],
         is_store_relayed: Callable[[], bool],
         is_starting: Callable[[], bool],
-        gather_ms: int,
+        batch_ms: int,
         wants_newest_only: bool,
-        note_confirmed: Callable[[int], None] = lambda _at: None,
+        record_confirmed: Callable[[int], None] = lambda _at: None,
     ) -> None:
         self._state = state
-        self._note_confirmed = note_confirmed
+        self._record_confirmed = record_confirmed
         self._is_behind = False
         self._wants_newest_only = wants_newest_only
         self._get_version = get_version
-        self._is_relayed = is_store_relayed
+        self._is_store_relayed = is_store_relayed
         self._is_starting = is_starting
-        self._gather_ms = gather_ms
+        self._batch_ms = batch_ms
         self._table = table
-        self._take_rows = take_rows
+        self._apply_rows = apply_rows
         self._failed_at: int | None = None
-        self._returned_at = -RETURN_MS
+        self._recovered_at = -LAPSED_ENTRY_GRACE_MS
 
     async def follow(self) -> None:
         """Read all rows, then wait for changes; begin anew whenever that fails."""
-        pause = RETRY_MS
-        has_lost_history = False
+        backoff_ms = INITIAL_BACKOFF_MS
+        is_history_lost = False
         version: int | None = None
         began_at = self._state.clock.now()
         while True:
-            if self._is_relayed():
-                await self._rest()
+            if self._is_store_relayed():
+                await self._wait_while_relayed()
                 version = self._get_version()
             try:
-                asked_after, version = version, await self._read_on(version)
+                asked_after, version = version, await self._read_changes(version)
                 if asked_after is not None:
-                    has_lost_history = False
-                if not has_lost_history:
-                    pause = RETRY_MS
-                await asyncio.sleep(self._gather_ms / SECOND_MS)
+                    is_history_lost = False
+                if not is_history_lost:
+                    backoff_ms = INITIAL_BACKOFF_MS
+                await asyncio.sleep(self._batch_ms / SECOND_MS)
                 await self._wait_for_coordinator(since=began_at)
             except HistoryLostError:
                 log_event(Event.HISTORY_LOST, table=self._table, version=version)
                 version = None
-                if has_lost_history:
-                    pause = await self._pause(pause)
-                has_lost_history = True
+                if is_history_lost:
+                    backoff_ms = await self._back_off(backoff_ms)
+                is_history_lost = True
             except PlatformUnavailableError as error:
-                self._note_failure(error.detail)
-                pause = await self._pause(pause)
+                self._record_failure(error.detail)
+                backoff_ms = await self._back_off(backoff_ms)
                 version = self._get_version()
 
-    async def _pause(self, pause: int) -> int:
+    async def _back_off(self, backoff_ms: int) -> int:
         """Wait before the next try.
 
         :param pause: for how long at most, in ms.
         :return: the same for the time after.
         """
         jitter = self._state.chance.uniform(0.5, 1.0)
-        await asyncio.sleep(pause * jitter / SECOND_MS)
-        return min(MAX_RETRY_MS, pause * 2)
+        await asyncio.sleep(backoff_ms * jitter / SECOND_MS)
+        return min(MAX_BACKOFF_MS, backoff_ms * 2)
 
     async def _wait_for_coordinator(self, *, since: int) -> None:
         """Wait a moment for the first that is heard of.
@@ -262,18 +262,18 @@
         while self._is_starting() and self._state.clock.now() < until:
             await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
 
-    async def _rest(self) -> None:
+    async def _wait_while_relayed(self) -> None:
         """Return once the relay has been lost for a moment."""
         self._state.followed_at.pop(self._table, None)
         self._failed_at = None
-        while self._is_relayed():
-            while self._is_relayed():
+        while self._is_store_relayed():
+            while self._is_store_relayed():
                 await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
             longest = get_max_fallback_delay_ms(self._state.instances)
             wait = self._state.chance.uniform(MIN_FALLBACK_DELAY_MS, longest)
             await asyncio.sleep(wait / SECOND_MS)
 
-    async def _read_on(self, version: int | None) -> int | None:
+    async def _read_changes(self, version: int | None) -> int | None:
         """Make one call.
 
         :param version: after which changes are asked for; ``None``: all rows are read.
@@ -285,25 +285,25 @@
             answer = await store.read(self._table)
         else:
             answer = await store.wait_for_changes(self._table, after=version)
-        self._note_answer()
+        self._record_answer()
         now = self._state.clock.now()
         self._state.followed_at[self._table] = now
-        news = self._take_rows(
+        update = self._apply_rows(
             self._state,
             answer.rows,
             is_whole=version is None,
-            was_away=now - self._returned_at < RETURN_MS,
+            was_away=now - self._recovered_at < LAPSED_ENTRY_GRACE_MS,
             version=answer.version,
         )
-        self._note_confirmed(asked_at)
-        if news.configuration or news.rows:
-            self._state.notify_store_update(news)
-        if self._wants_newest_only and self._note_behind(answer, news, version):
+        self._record_confirmed(asked_at)
+        if update.configuration or update.rows:
+            self._state.notify_store_update(update)
+        if self._wants_newest_only and self._update_behind(answer, update, version):
             return None
         return answer.version
 
-    def _note_behind(
-        self, answer: RowsAnswer, news: StoreUpdate, version: int | None
+    def _update_behind(
+        self, answer: RowsAnswer, update: StoreUpdate, version: int | None
     ) -> bool:
         """Tell whether more has changed than one answer in time would have brought.
 
@@ -311,25 +311,25 @@
         """
         if version is not None:
             self._is_behind = len(answer.rows) > 1
-        elif not news.configuration:
+        elif not update.configuration:
             self._is_behind = False
         return self._is_behind
 
-    def _note_failure(self, detail: str) -> None:
+    def _record_failure(self, detail: str) -> None:
         if self._state.followed_at.pop(self._table, None) is not None:
             self._state.notify_store_lost()
         if self._failed_at is None:
             self._failed_at = self._state.clock.now()
             log_event(Event.PLATFORM_DOWN, table=self._table, detail=detail)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         if self._failed_at is None:
             return
         now = self._state.clock.now()
         away_ms = now - self._failed_at
         self._failed_at = None
-        if away_ms >= OUTAGE_MS:
-            self._returned_at = now
+        if away_ms >= MIN_OUTAGE_MS:
+            self._recovered_at = now
         log_event(Event.PLATFORM_UP, table=self._table, away_ms=away_ms)
 
 
@@ -360,13 +360,13 @@
     except ConfigurationError as error:
         log_event(Event.CONFIGURATION_REFUSED, detail=error.show(), code=error.code)
         return False
-    present = state.configuration
-    if present is not None and configuration.version <= present.version:
-        if configuration.version < present.version:
+    current = state.configuration
+    if current is not None and configuration.version <= current.version:
+        if configuration.version < current.version:
             log_event(
                 Event.OLDER_CONFIGURATION_IGNORED,
                 offered=configuration.version,
-                in_force=present.version,
+                in_force=current.version,
                 by=by,
             )
         return False
@@ -411,17 +411,19 @@
     return activate_configuration(state, body, by=by)
 
 
-def apply_store_update(state: NodeState, news: StoreUpdate, *, by: str) -> StoreUpdate:
+def apply_store_update(
+    state: NodeState, update: StoreUpdate, *, by: str
+) -> StoreUpdate:
     """Take in what the store has told another instance.
 
     :param by: which: the ``coordinator`` or a ``follower``.
     :return: what of it was new here.
     """
-    body = news.configuration
+    body = update.configuration
     is_newer = bool(body) and activate_configuration(state, body, by=by)
     rows = [
         StoredRow(key=one.key, version=one.version, value=one.value or None)
-        for one in news.rows
+        for one in update.rows
     ]
-    taken = apply_server_rows(state, rows, is_whole=False, was_away=news.was_away)
-    return msgspec.structs.replace(taken, configuration=body if is_newer else b"")
+    applied = apply_server_rows(state, rows, is_whole=False, was_away=update.was_away)
+    return msgspec.structs.replace(applied, configuration=body if is_newer else b"")
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -82,7 +82,7 @@
             state=self.state,
             link=self.link,
             access=access,
-            accounts=QuotaCharger(state=self.state, link=self.link),
+            charger=QuotaCharger(state=self.state, link=self.link),
             limits=LimitGuard(state=self.state, link=self.link),
             route=route,
             request=request,
@@ -126,15 +126,15 @@
     assert trial.get_server() is ENTRY
     assert trial.get_server() is ENTRY
     trial.progress.may_have_run = 1
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, 0]
 
 
 def test_a_request_that_no_server_ran_is_given_back_once():
     trial = Trial(grant)
     trial.get_server()
-    trial.acquisition.give_back()
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
@@ -143,7 +143,7 @@
     with pytest.raises(NoServerError) as raised:
         trial.get_server()
     assert raised.value.retry_after_ms == 700
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
@@ -152,7 +152,7 @@
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert (raised.value.status, raised.value.retry_after_ms) == (429, 700)
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST]
 
 
@@ -164,7 +164,7 @@
     assert raised.value.status == 401
     ended = [one for one in trial.told if isinstance(one, AttemptEnded)]
     assert [one.how for one in ended] == [AttemptOutcome.UNUSED]
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
@@ -178,7 +178,7 @@
 
     trial = Trial(lambda _trial: None)
     asyncio.run(leave(trial))
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
@@ -188,8 +188,8 @@
     trial.link.status = CoordinatorStatus(is_holder=True)
     trial.state.by_service["llm"] = [ENTRY]
     assert trial.get_server() is ENTRY
-    assert trial.acquisition._paid.is_local
-    trial.acquisition.give_back()
-    assert trial.acquisition._paid is None
+    assert trial.acquisition._charged.is_local
+    trial.acquisition.refund()
+    assert trial.acquisition._charged is None
     assert trial.list_costs() == []
-    assert trial.link._take_spent() == []
+    assert trial.link._take_usage() == []
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -64,7 +64,7 @@
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]))
     link = Link(state=state)
-    link._echo.record_sent(0)
+    link._heartbeats.record_sent(0)
     now[0] = 1_500
     link.receive([CoordinatorStatus(is_holder=True, beat=1)])
     assert state.metrics.registry.get_sample_value("arbutus_link_age_seconds") == 1.5
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -46,11 +46,11 @@
             self.link.deliver_local = self.told.extend
         self.guard = LimitGuard(state=self.state, link=self.link)
 
-    def note_answer(self, headers, *, sent_ago=0):
-        self.guard.note_answer(A, headers, sent_at=self.now[0] - sent_ago)
+    def update_from_answer(self, headers, *, sent_ago=0):
+        self.guard.update_from_answer(A, headers, sent_at=self.now[0] - sent_ago)
 
     def ask(self):
-        return asyncio.run(self.guard.ask(A, REQUEST))
+        return asyncio.run(self.guard.request_permission(A, REQUEST))
 
 
 def build_coordinator(*, limits=()):
@@ -81,22 +81,22 @@
     """Guards against a limit that is lost with a link and never told again."""
     instance = Instance()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
-    instance.note_answer(LIMITED)
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     assert instance.told == [limit, limit]
     instance.link.receive([ServerLimits(limits=(limit,))])
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     assert instance.told == [limit, limit]
     instance.now[0] += 10
-    instance.note_answer({})
+    instance.update_from_answer({})
     assert instance.told[2:] == [ServerLimit(incarnation=A.incarnation)]
 
 
 def test_a_limit_that_is_no_number_changes_nothing():
     instance = Instance()
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     instance.now[0] += 10
-    instance.note_answer({names.SERVER_LIMIT: "many"})
+    instance.update_from_answer({names.SERVER_LIMIT: "many"})
     assert instance.state.limits.get(A.incarnation) == 2.0
 
 
@@ -112,7 +112,7 @@
 def test_an_instance_without_a_coordinator_sends_only_its_own_part():
     """Guards against instances that each use a whole limit without a coordinator."""
     instance = Instance(is_linked=False)
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     assert instance.ask() == MAX_RECHECK_MS
     instance.state.instances = 2
     assert instance.ask() > 0
@@ -145,7 +145,7 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(instance.link.receive, [answer])
 
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     instance.link.deliver_local = reply
     assert instance.ask() == wait_ms
 
@@ -153,14 +153,14 @@
 def test_a_coordinator_that_does_not_answer_counts_as_none():
     """Guards against plain requests that wait for a coordinator of another version."""
     instance = Instance()
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     assert instance.ask() == MAX_RECHECK_MS
 
 
 def test_a_link_that_has_ended_lets_an_instance_go_by_its_own_part():
     instance = Instance(is_linked=False)
     instance.link.receive([CoordinatorStatus(is_holder=True, instances=1)])
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     instance.link.disconnect()
     assert instance.ask() == 500
     instance.now[0] += 500
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -4,7 +4,7 @@
 
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.node.messages import SuspicionUpdate
-from arbutuspulley.node.poison import MOST_DEATHS, MOST_KEPT, PoisonGuard
+from arbutuspulley.node.poison import MAX_CRASHES, MAX_SUSPECTS, PoisonGuard
 from arbutuspulley.platform.requests import decode_request
 
 
@@ -25,7 +25,7 @@
             return
         for other in self.group:
             if not other.is_cut:
-                other.guard.take(message.suspicions)
+                other.guard.merge_suspicions(message.suspicions)
 
 
 def build_group(count=2):
@@ -41,8 +41,8 @@
 
 def crash(instance, server, request):
     """Send a request to a server that crashes."""
-    known = instance.guard.count_known(request)
-    instance.guard.note_break(request, incarnation=server, known=known)
+    known = instance.guard.count_crashes(request)
+    instance.guard.record_crash(request, incarnation=server, known=known)
 
 
 def test_the_third_server_is_the_last_one_whichever_instance_it_comes_through():
@@ -62,22 +62,22 @@
     first, second = build_group()
     request = build_request()
     sent = [
-        (instance, instance.guard.count_known(request))
+        (instance, instance.guard.count_crashes(request))
         for instance in (first, second, first, second)
     ]
     for number, (instance, known) in enumerate(sent):
-        instance.guard.note_break(request, incarnation=f"s{number}", known=known)
-    assert first.guard.count_known(request) == 1
+        instance.guard.record_crash(request, incarnation=f"s{number}", known=known)
+    assert first.guard.count_crashes(request) == 1
 
 
 def test_a_bystander_is_cleared_as_it_runs_whole():
     first, second = build_group()
     request = build_request(b"bystander")
-    for number in range(MOST_DEATHS - 1):
+    for number in range(MAX_CRASHES - 1):
         crash(first, f"s{number}", request)
-    second.guard.note_whole(request)
-    assert first.guard.count_known(request) == 0
-    for number in range(MOST_DEATHS - 1):
+    second.guard.clear(request)
+    assert first.guard.count_crashes(request) == 0
+    for number in range(MAX_CRASHES - 1):
         crash(second, f"t{number}", request)
     assert first.guard.get_refusal(request) is None
 
@@ -86,7 +86,7 @@
     first, second = build_group()
     first.is_cut = True
     request = build_request()
-    for number in range(MOST_DEATHS):
+    for number in range(MAX_CRASHES):
         crash(first, f"s{number}", request)
     assert first.guard.get_refusal(request) is not None
     assert second.guard.get_refusal(request) is None
@@ -95,8 +95,8 @@
 @pytest.mark.parametrize("passed_ms", [0, 24 * 3_600 * SECOND_MS])
 def test_suspects_are_bounded_and_forgotten(passed_ms):
     (only,) = build_group(1)
-    for number in range(MOST_KEPT + 10):
+    for number in range(MAX_SUSPECTS + 10):
         crash(only, "s1", build_request(b"%d" % number))
     only.now += passed_ms
     crash(only, "s1", build_request(b"last"))
-    assert only.guard.count_known(build_request(b"last")) == int(passed_ms > 0)
+    assert only.guard.count_crashes(build_request(b"last")) == int(passed_ms > 0)
--- a/tests/test_quota_charging.py
+++ b/tests/test_quota_charging.py
@@ -39,16 +39,16 @@
         self.told = []
         if coordinates:
             self.link.deliver_local = self.told.extend
-        self.accounts = QuotaCharger(state=self.state, link=self.link)
+        self.charger = QuotaCharger(state=self.state, link=self.link)
 
-    def pay(self, cost):
-        return self.accounts.pay(TEAM, cost, attempt_id="a")
+    def charge(self, cost):
+        return self.charger.charge(TEAM, cost, attempt_id="a")
 
 
 def test_plain_requests_are_told_to_the_coordinator_and_given_back_once():
     instance = Instance(coordinates=True)
-    payment = instance.pay(200)
-    instance.accounts.give_back(payment)
+    quota_charge = instance.charge(200)
+    instance.charger.refund(quota_charge)
     assert instance.told == [
         QuotaUsage(team="t", cost=200),
         QuotaUsage(team="t", cost=-200),
@@ -58,39 +58,39 @@
 def test_what_was_spent_goes_out_with_the_next_frame():
     instance = Instance()
     instance.link.receive([CoordinatorStatus(is_holder=True)])
-    instance.pay(200)
-    instance.pay(300)
-    assert instance.link._take_spent() == [QuotaUsage(team="t", cost=500)]
-    assert instance.link._take_spent() == []
+    instance.charge(200)
+    instance.charge(300)
+    assert instance.link._take_usage() == [QuotaUsage(team="t", cost=500)]
+    assert instance.link._take_usage() == []
 
 
 def test_a_team_in_debt_is_refused_until_that_is_paid():
     instance = Instance(coordinates=True)
     instance.link.receive([QuotaExceeded(team="t", wait_ms=700)])
     with pytest.raises(RequestFailedError) as raised:
-        instance.pay(200)
+        instance.charge(200)
     error = raised.value
     assert (error.status, error.retry_after_ms) == (429, 700)
     instance.now[0] += 700
-    instance.pay(200)
+    instance.charge(200)
     assert instance.told == [QuotaUsage(team="t", cost=200)]
 
 
 def test_without_a_coordinator_an_instance_pays_by_its_own_part():
     instance = Instance()
-    assert instance.pay(500).is_local
+    assert instance.charge(500).is_local
     with pytest.raises(RequestFailedError) as raised:
-        instance.pay(500)
+        instance.charge(500)
     assert raised.value.status == 429
     instance.now[0] += raised.value.retry_after_ms
-    instance.pay(500)
+    instance.charge(500)
 
 
 def test_what_is_given_back_after_the_link_was_closed_is_lost():
     instance = Instance(coordinates=True)
-    payment = instance.pay(200)
+    quota_charge = instance.charge(200)
     instance.link.close()
-    instance.accounts.give_back(payment)
+    instance.charger.refund(quota_charge)
     assert instance.told == [QuotaUsage(team="t", cost=200)]
 
 
@@ -98,7 +98,7 @@
 def test_only_teams_with_a_quota_pay(team, cost):
     headers = [("X-Arbutuspulley-Token-Usage", "100,50")]
     request = decode_request(method="POST", path="/", headers=headers)
-    assert Instance().accounts.get_cost(team, request) == cost
+    assert Instance().charger.get_cost(team, request) == cost
 
 
 def build_quotas(instance, *, linked=1):
@@ -233,7 +233,7 @@
     assert parts == [0.5, 0.75, 1]
     for cost in (5_000, 1):
         with pytest.raises(RequestFailedError):
-            instance.pay(cost)
+            instance.charge(cost)
 
 
 def test_messages_between_versions_are_understood_without_the_new_fields():
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -29,7 +29,7 @@
         route=route,
         request=None,
         progress=progress,
-        patience_ms=2_000,
+        first_part_timeout_ms=2_000,
     )
 
 
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -121,7 +121,7 @@
     """The store is away for longer than entries live. At its return no server is
     listed, though all of them live and write again within two seconds; dropped at
     once, every request was refused. One that does not come back is gone then."""
-    monkeypatch.setattr(server_rows, "RETURN_MS", 60)
+    monkeypatch.setattr(server_rows, "LAPSED_ENTRY_GRACE_MS", 60)
 
     async def scenario():
         state = build_state()
@@ -248,7 +248,7 @@
 def test_after_a_break_the_newest_configuration_is_asked_for(monkeypatch):
     """Guards against a link that is filled by all versions that came in the break, so
     that the newest is in force seconds late, again and again."""
-    monkeypatch.setattr(store_watch, "RETRY_MS", 1)
+    monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, in_force = follow_script(
         follow_configuration, (1,), (2,), swallowed, swallowed, (30,)
@@ -269,7 +269,7 @@
 
 def test_servers_are_followed_on_after_a_break(monkeypatch):
     """Each row of a server matters, and what was removed shows in the changes only."""
-    monkeypatch.setattr(store_watch, "RETRY_MS", 1)
+    monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, _in_force = follow_script(follow_servers, (1,), swallowed, (5, 6))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -10,7 +10,7 @@
     decode_from_coordinator,
     encode_frame,
 )
-from arbutuspulley.node.versions import MOST_KEPT, MOST_KEPT_BYTES, Versions
+from arbutuspulley.node.versions import MAX_OLDER_BYTES, MAX_VERSIONS, Versions
 from scripts.platform_stage import build_configuration, build_route
 
 
@@ -116,8 +116,8 @@
     for number in range(1, 40):
         versions.add(number, b"%d" % number)
     assert versions.newest == 39
-    assert len(versions._bodies) <= MOST_KEPT
-    large = b"x" * (MOST_KEPT_BYTES + 1)
+    assert len(versions._bodies) <= MAX_VERSIONS
+    large = b"x" * (MAX_OLDER_BYTES + 1)
     versions.add(40, large)
     versions.add(41, large)
     assert list(versions._bodies) == [41]
--- a/tests/test_without_coordinator.py
+++ b/tests/test_without_coordinator.py
@@ -65,7 +65,7 @@
         route=ROUTE,
         request=request,
         progress=Progress(started_at=now, ends_at=now + 5_000, service="llm"),
-        patience_ms=2_000,
+        first_part_timeout_ms=2_000,
     )
 
 
@@ -92,7 +92,7 @@
         state = build_state()
         started_at = state.clock.now()
         choice = build_choice(state, Link(state=state))
-        entry = await choice.choose_alone(NEED)
+        entry = await choice.choose_uncoordinated(NEED)
         return entry, state.clock.now() - started_at
 
     entry, waited_ms = asyncio.run(scenario())
@@ -108,7 +108,7 @@
         state = build_state()
         link = Link(state=state)
         link.receive([CoordinatorStatus(is_holder=True)])
-        await build_choice(state, link).choose_alone(NEED)
+        await build_choice(state, link).choose_uncoordinated(NEED)
         return link.running
 
     (run,) = asyncio.run(scenario())
