--- a/src/arbutuspulley/node/access.py
+++ b/src/arbutuspulley/node/access.py
@@ -1,4 +1,4 @@
-"""Decides whether a caller's key admits it here and now."""
+"""Admission of requests by the caller's API key."""
 
 from arbutuspulley.admission.keys import find_team, redact_key
 from arbutuspulley.events import Event, log_event
@@ -8,9 +8,9 @@
 
 
 class Access:
-    """One request's admission by its key.
+    """Admission of one request by its API key.
 
-    :param key: as the caller sent it; empty if it sent none or several.
+    The key is the one that the caller sent; empty if it sent none or several.
     """
 
     __slots__ = ("_attempt_id", "_key", "_route", "_state", "team")
@@ -25,13 +25,13 @@
         self.team: Team | None = None
 
     def check(self) -> None:
-        """Find the caller's team by the configuration in force.
+        """Find the caller's team in the active configuration.
 
-        Asked again before the request is handed to a server: meanwhile the key may
-        have been withdrawn, or the word on the configuration grown too old.
+        Called again before the request is sent to a server: in the meantime the key may
+        have been revoked, or the confirmation of the configuration may have expired.
 
-        :raises RequestFailedError: if the key admits nobody, or nobody knows now
-            whether it still does.
+        :raises RequestFailedError: if the key is unknown, or if it is not known at
+            present whether the key is still valid.
         """
         state = self._state
         if self._route.is_public or state.keys is None:
@@ -44,8 +44,9 @@
         if self.team is not None:
             return
         self._record_refusal(Event.KEY_REFUSED, now)
-        # A key that was just added is not in force everywhere yet: only a word younger
-        # than the time that this may take says that there is no such key.
+        # A key that was just added is not active on all instances yet. Only a
+        # confirmation that is younger than the time for applying a configuration proves
+        # that there is no such key.
         if state.settings.revocation_ms is not None and not state.freshness.is_within(
             state.settings.apply_ms, now=now
         ):
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -1,4 +1,4 @@
-"""Gets a server for a request, from the coordinator or without, and pays for it."""
+"""Selection of a server for a request, with or without a coordinator, and charging."""
 
 from arbutuspulley.node.access import Access
 from arbutuspulley.node.limits import LimitGuard
@@ -25,13 +25,13 @@
 
 
 class RetryError(Exception):
-    """The request goes on at another server."""
+    """The request is retried at another server."""
 
 
 class NoServerError(Exception):
-    """No server will be had for the request.
+    """No server is available for the request.
 
-    :param retry_after_ms: when to come back; ``None``: not known.
+    :param retry_after_ms: when the caller should retry, in ms; ``None``: not known.
     """
 
     def __init__(self, reason: str, *, retry_after_ms: int | None = None) -> None:
@@ -41,12 +41,12 @@
 
 
 class Acquisition:
-    """One request's servers, one after another.
+    """Gets a server for each attempt of one request.
 
-    :param access: the admission by the caller's key.
-    :param charger: pay for the request, once.
-    :param limits: tell which servers may get it by the rate limits that they name.
-    :param left_ms: how long the caller waits for the whole answer.
+    :param access: admission by the caller's key.
+    :param charger: charges the request, once.
+    :param limits: rate limits of the servers.
+    :param left_ms: time left for the complete answer, in ms.
     """
 
     __slots__ = (
@@ -99,7 +99,7 @@
         self.priority = get_priority(route, access.team)
 
     def charge_plain(self) -> None:
-        """Pay for a request that needs no coordinator.
+        """Charge a request that needs no coordinator.
 
         :raises RequestFailedError: if the team's quota is used up.
         """
@@ -107,18 +107,19 @@
             self._charge_once()
 
     def refund(self) -> None:
-        """Return what was paid, if no server may have run the request."""
+        """Refund the charge unless a server may have run the request."""
         if self._charged is not None and not self._progress.may_have_run:
             self._charger.refund(self._charged)
             self._charged = None
 
     async def get_server(self) -> ServerEntry:
-        """Return the server that the request goes to now.
+        """Return the server for the next attempt.
 
-        :raises NoServerError: if none will be had.
-        :raises RetryError: if the one that was granted is not there any more.
+        :raises NoServerError: if no server is available.
+        :raises RetryError: if the granted server no longer exists, or if a coordinator
+            has been found that must be asked.
         :raises RequestFailedError: if the team's quota is used up, or the caller's key
-            admits it no more.
+            is no longer valid.
         """
         need = self._request.need
         if need is not None and self._needs_coordinator():
@@ -133,7 +134,7 @@
         return entry
 
     def report_end(self, incarnation: str, how: AttemptOutcome) -> None:
-        """Tell the coordinator how a try at a server ended."""
+        """Report the outcome of an attempt to the coordinator."""
         if self._request.need is None:
             return
         self._link.remove_run(self._request.attempt_id)
@@ -183,7 +184,7 @@
 
     def _build_grant_request(self, need: ModelNeed, now: int) -> GrantRequest:
         progress, route, team = self._progress, self._route, self._access.team
-        # A caller that has events waits for the next one, not for the first.
+        # After the first event the caller waits for the next one.
         is_begun = progress.first_ms is not None
         since = progress.last_event_at if is_begun else progress.started_at
         aim_ms = route.gap_target_ms if is_begun else route.latency_target_ms
@@ -203,7 +204,7 @@
         )
 
     async def _request_grant(self, request: GrantRequest) -> Granted:
-        """Ask the coordinator, which charges the request."""
+        """Request a grant from the coordinator, which charges the request."""
         if request.cost:
             self._charged = QuotaCharge(
                 team=request.team, cost=request.cost, is_local=False
@@ -211,7 +212,7 @@
         try:
             granted = await self._link.request_grant(request)
         except LinkLostError:
-            # Whether it was charged there is not known, and it counts as spent.
+            # Whether the coordinator charged it is unknown; it counts as charged.
             if request.cost:
                 self._charged = None
             raise
@@ -236,7 +237,7 @@
             raise RetryError from None
 
     def _recheck_access(self, entry: ServerEntry) -> None:
-        """Check once more that the caller may be served, before any server runs it."""
+        """Check the key again before the first server runs the request."""
         if self._progress.may_have_run:
             return
         try:
--- a/src/arbutuspulley/node/bootstrap.py
+++ b/src/arbutuspulley/node/bootstrap.py
@@ -1,7 +1,7 @@
-"""What a process learns from other instances while the store is away.
+"""Start-up from another instance's snapshot while the store is unavailable.
 
-A process that starts during an outage of the store knows no configuration, and
-without one it may serve nobody. Other instances still know it.
+A process that starts during an outage of the store has no configuration, and without
+one it can't serve callers. Other instances still have the configuration.
 """
 
 import asyncio
@@ -21,22 +21,22 @@
 """Path at an instance's link address."""
 
 STORE_HEAD_START_MS = 600
-"""How long the store alone is asked after the start, in ms; it usually answers in a few
-ms."""
+"""How long only the store is called after the start, in ms; it usually answers within a
+few ms."""
 
 POLL_INTERVAL_MS = 700
-"""Time between rounds of asking, in ms."""
+"""Time between rounds of snapshot requests, in ms."""
 
 REQUEST_TIMEOUT_S = 0.5
-"""How long one instance may take to answer, in s."""
+"""Timeout of a snapshot request, in s."""
 
 
 class Snapshot(Message, frozen=True):
-    """What an instance knows.
+    """Snapshot of an instance's configuration and server entries.
 
-    :param configuration: as the store holds it; empty if it knows none.
-    :param servers: entries by the servers' ids, as the store holds them.
-    :param coordinator: link address of the coordinator, empty if it knows none.
+    :param configuration: configuration as stored; empty: none.
+    :param servers: server entries as stored, by server id.
+    :param coordinator: link address of the coordinator; empty: unknown.
     """
 
     configuration: bytes
@@ -45,7 +45,7 @@
 
 
 def build_snapshot(state: NodeState, link: Link) -> bytes:
-    """Encode what this instance knows."""
+    """Encode a snapshot of this instance."""
     own = state.settings.link if link.deliver_local is not None else ""
     snapshot = Snapshot(
         configuration=state.configuration_body,
@@ -56,7 +56,7 @@
 
 
 async def bootstrap_from_neighbours(state: NodeState, link: Link) -> None:
-    """Ask the instances named in the settings until a configuration is known."""
+    """Request snapshots from the seeds in the settings until a configuration is active."""
     await asyncio.sleep(STORE_HEAD_START_MS / SECOND_MS)
     while state.configuration is None:
         for address in state.settings.seeds:
--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -1,4 +1,4 @@
-"""Tells callers where to connect, and the platform whether this instance is ready."""
+"""Directory of instances for callers, and the readiness probe."""
 
 import msgspec
 from aiohttp import web
@@ -9,18 +9,18 @@
 from arbutuspulley.platform import names
 
 TTL_S = 1
-"""How long callers keep an answer, in s. Some keep it three times as long: after 3 s an
-instance that stops is out of use, and from then on it takes no more streams."""
+"""Time to live of an answer, in s. Some callers keep it three times as long: a stopping
+instance gets no more callers after 3 s, and then accepts no more streams."""
 
 MAX_ADDRESSES = 64
-"""Most addresses in an answer; callers read no more."""
+"""Maximum number of addresses in an answer; callers read no more."""
 
 ROSTER_TIMEOUT_MS = 5_000
-"""How long a list of instances is believed in, in ms, when no newer one comes."""
+"""How long a roster stays valid if no newer one arrives, in ms."""
 
 
 class Directory:
-    """Answers both."""
+    """Answers directory queries and readiness probes."""
 
     __slots__ = ("_state",)
 
@@ -28,7 +28,7 @@
         self._state = state
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer where to connect."""
+        """Answer a directory query with instances' addresses."""
         if request.path != names.RESOLVE_PATH:
             return web.Response(status=404)
         addresses = self.list_addresses(
@@ -40,13 +40,17 @@
         return web.Response(body=body, content_type="application/json")
 
     async def handle_ready(self, _request: web.BaseRequest) -> web.StreamResponse:
-        """Answer whether this instance takes callers."""
+        """Answer whether this instance serves callers."""
         return web.Response(status=200 if self._state.is_ready else 503)
 
     def list_addresses(self, *, site: str, region: str) -> list[str]:
-        """Return the instances that a caller should use: those of the nearest area.
+        """Return addresses of instances that a caller should use.
+
+        They are in the caller's data centre, else in its region, else anywhere: the
+        nearest area that has enough instances.
 
         :param site: the caller's data centre.
+        :param region: the caller's region.
         """
         nodes = self._list_ready()
         for area in (
@@ -72,7 +76,8 @@
                 for node in state.nodes
                 if node.is_ready and node.name != state.settings.name
             ]
-        # An instance that refuses all keys sends callers to those that it last knew.
+        # An instance that refuses all keys directs callers to the instances that were
+        # last on its roster.
         if state.is_ready and (state.may_admit or not nodes):
             nodes.append(state.build_info())
         return nodes
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -1,4 +1,4 @@
-"""One request's life: wait for a server, send, bring back an answer or say why not."""
+"""Handling of one request: wait for a server, send, relay the answer, retry."""
 
 import asyncio
 
@@ -51,16 +51,16 @@
 from arbutuspulley.routing.route_table import choose_service
 
 LATE_PRIORITY = 8
-"""Rank at a server of a request that is past its aim: it gives way to all others."""
+"""Priority at the server of a request past its latency target: the lowest of all."""
 
 
 class Exchange:
-    """One request on its way.
+    """Handles one request.
 
-    :param access: the admission by the caller's key.
-    :param charger: pay for it.
-    :param limits: take in what servers' answers say of their rate limits.
-    :param client: the caller's side.
+    :param access: admission by the caller's key.
+    :param charger: charges the request to its team's quota.
+    :param limits: rate limits of the servers, updated from their answers.
+    :param client: the caller's HTTP request.
     """
 
     __slots__ = (
@@ -122,10 +122,10 @@
         )
 
     async def run(self) -> web.StreamResponse:
-        """Bring back an answer.
+        """Return the answer to the caller.
 
-        :raises RequestFailedError: if there is none.
-        :raises CutError: if there is only a part.
+        :raises RequestFailedError: if the request failed without an answer.
+        :raises CutError: if the answer has begun and can't be completed.
         """
         refused_ms = self._poison.get_refusal(self._request)
         if refused_ms is not None:
@@ -175,8 +175,8 @@
         now = state.clock.now()
         record = state.records
         record_sent(record, entry)
-        # Counted before the first byte may leave: time may run out, or the caller go,
-        # while nothing has come back yet.
+        # Counted before the first byte may be sent: the time may run out, or the caller
+        # may disconnect, before anything is received.
         progress.may_have_run += 1
         progress.sent_at = now
         progress.events = 0
@@ -216,7 +216,7 @@
             )
             raise self._handle_broken(entry, str(error)) from None
         except asyncio.CancelledError:
-            # The caller left or the time is up; that says nothing of the server.
+            # The caller disconnected or the time is up; neither is the server's fault.
             how = AttemptOutcome.LEFT
             raise
         finally:
@@ -269,8 +269,8 @@
             body = await response.read()
         except (aiohttp.ClientError, ConnectionError) as error:
             raise BrokenError(f"{type(error).__name__}: {error}") from error
-        # A server's own error counts as run, so only what may run again goes on:
-        # another server may well not make that error.
+        # A server error counts as run, so only requests that may run twice are retried:
+        # another server may not have that error.
         if response.status >= 500 and self._may_retry():
             self.progress.avoid.add(self.progress.server)
             raise RetryError
@@ -312,7 +312,7 @@
     async def _start_answer(
         self, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
-        """Send the head of the answer, once; a resumed stream keeps its first one."""
+        """Send the headers of the answer once; a resumed stream keeps the first ones."""
         if self._answer is None:
             answer = web.StreamResponse(
                 status=response.status,
@@ -324,7 +324,7 @@
         return self._answer
 
     def _record_events(self, entry: ServerEntry, events: bytes) -> None:
-        """Count events of a stream and measure the pause before them."""
+        """Count events of a stream and measure the time since the previous ones."""
         progress = self.progress
         now = self._state.clock.now()
         if progress.first_ms is None:
@@ -399,7 +399,7 @@
         return RequestFailedError(status=502, reason="the server broke off")
 
     def _may_retry(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Return whether a request that may have run may be sent again."""
         if self.route.retry_policy is RetryPolicy.ONCE:
             return False
         if self._answer is not None and not self.progress.last_event_id:
@@ -423,7 +423,7 @@
     def _build_failure(
         self, reason: str, *, retry_after_ms: int | None = None
     ) -> Exception:
-        """Build the end of a request that is not sent to a server any more."""
+        """Build the error of a request that is not retried any more."""
         if self._answer is not None:
             return CutError(reason)
         if self.progress.may_have_run:
@@ -434,4 +434,4 @@
 
 
 class _NotRunError(Exception):
-    """The server proved that it did not run the request."""
+    """The server confirmed that it did not run the request."""
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -1,4 +1,4 @@
-"""An instance's side of servers' rate limits: what is read, and who may send."""
+"""Enforcement of servers' rate limits on an instance."""
 
 from collections.abc import Mapping
 
@@ -14,11 +14,11 @@
 
 
 class LimitGuard:
-    """Keeps this instance's requests within the limits that servers name.
+    """Keeps this instance's requests within the servers' rate limits.
 
-    The coordinator counts for all instances: model servers' requests as it grants them,
-    those of plain servers as it is asked. An instance without a coordinator goes by its
-    own part of each limit.
+    The coordinator counts requests of all instances: those to model servers when it
+    grants them, those to plain servers when it is asked for permission. An instance
+    without a coordinator keeps to its own share of each limit.
     """
 
     __slots__ = ("_confirmed", "_link", "_local", "_state")
@@ -34,9 +34,9 @@
     def update_from_answer(
         self, entry: ServerEntry, headers: Mapping[str, str], *, sent_at: int
     ) -> None:
-        """Take in a server's answer.
+        """Update the server's rate limit from the headers of its answer.
 
-        :param sent_at: when its request was sent, in ms.
+        :param sent_at: when the request was sent, in ms.
         """
         limits, now = self._state.limits, self._state.clock.now()
         try:
@@ -50,16 +50,16 @@
         before = limits.get(incarnation)
         if limits.update_from_answer(incarnation, per_s, sent_at=sent_at, now=now):
             self._record_change(incarnation, before, by="answer")
-        # Told until the coordinator confirms it: messages are lost with a link.
+        # Sent until the coordinator confirms it, as messages are lost with a link.
         if per_s == limits.get(incarnation) != self._confirmed.get(incarnation):
             self._link.send(ServerLimit(incarnation=incarnation, per_s=per_s))
 
     async def request_permission(
         self, entry: ServerEntry, request: InboundRequest
     ) -> int:
-        """Ask whether a request that no coordinator has granted may be sent now.
+        """Ask for permission to send a request that was not granted by a coordinator.
 
-        :return: 0, or in how many ms to ask again.
+        :return: 0 if it may be sent now, else the time after which to ask again, in ms.
         """
         per_s = self._state.limits.get(entry.incarnation)
         if per_s is None:
@@ -76,7 +76,7 @@
 
     def _charge_local(self, incarnation: str, per_s: float, *, attempt_id: str) -> int:
         state = self._state
-        # How many others there are is not known before a coordinator was heard of.
+        # The number of instances is unknown until a coordinator's first status.
         part = 1 / max(1.0, state.share_divisor) if state.instances else 0.0
         now = state.clock.now()
         wait_ms = self._local.charge(incarnation, per_s, fraction=part, now=now)
@@ -91,7 +91,7 @@
         return wait_ms
 
     def _apply_server_limits(self, message: ServerLimits) -> None:
-        """Take in what the coordinator tells."""
+        """Apply rate limits that the coordinator sent."""
         limits = self._state.limits
         received = {one.incarnation: one.per_s for one in message.limits}
         if message.are_all:
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -1,4 +1,4 @@
-"""An instance's link to the coordinator: asks and notes, and the digest back."""
+"""An instance's WebSocket connection to the coordinator."""
 
 import asyncio
 from collections.abc import Callable
@@ -54,36 +54,36 @@
 """Path of the WebSocket at an instance's link address."""
 
 HEARTBEAT_MS = 250
-"""Time between beats and between digests, in ms."""
+"""Interval of the heartbeats and of the coordinator's status, in ms."""
 
 COORDINATOR_TIMEOUT_MS = 800
-"""A coordinator that was silent for this long, in ms, is not asked any more: three
-beats, and little against aims of 600 ms and more."""
+"""A coordinator that sent nothing for this long, in ms, gets no requests any more. This
+is three heartbeat intervals, and short against latency targets of 600 ms and more."""
 
 MAX_RELAY_AGE_MS = 1_000
-"""How old what the coordinator told may be, in ms, until an instance asks the store
-itself: beats and digests add up to half a second, and with the time until it asks, a
-change is in force within 2 s."""
+"""Maximum age of relayed store data, in ms; beyond it an instance calls the store
+itself. Heartbeat and status intervals add up to half a second, and with the delay until
+the instance calls the store, a change is still active within 2 s."""
 
 RECONNECT_MS = 1_600
-"""A link that was silent for this long, in ms, is opened anew: an open connection may
-fall silent for good while new ones work."""
+"""A connection that was silent for this long, in ms, is reopened: an open connection may
+stay silent for good while new ones work."""
 
 PERMISSION_TIMEOUT_S = 0.2
-"""How long an answer to :class:`PermissionRequest` is awaited, in s. It needs no
-decision, and plain requests are due within some 0.1 to 0.4 s."""
+"""Timeout of a :class:`PermissionRequest`, in s. The answer needs no scheduling, and
+plain requests have latency targets of about 0.1 to 0.4 s."""
 
 CONNECT_TIMEOUT_S = 0.5
-"""How long opening a link may take, in s."""
+"""Timeout for opening a connection, in s."""
 
 
 class Link:
-    """The link to the coordinator, which may be this process itself.
+    """The link to the coordinator, which may run in this process.
 
-    ``take_local`` is the own coordinator's way in, while this instance is it.
-    ``take_suspicions`` takes what other instances found of crashing requests,
-    ``take_overdrawn`` which teams have spent more than their quota, ``take_limits``
-    which rate limits servers name.
+    ``deliver_local`` passes messages to the coordinator in this process; ``None`` while
+    this instance is not the coordinator. ``on_suspicions`` is called with suspicions of
+    requests that crash servers, ``on_quota_exceeded`` with teams that have used more
+    than their quota, ``on_rate_limits`` with servers' rate limits.
     """
 
     __slots__ = (
@@ -116,7 +116,8 @@
         self._heartbeats = HeartbeatTracker(now=state.clock.now())
         self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
-        # The coordinator's configuration; None until it has told on this connection.
+        # Version of the coordinator's active configuration; None until its first status
+        # on this connection.
         self._coordinator_version: int | None = None
         self._opened_at = 0
         self._outgoing: list[ToCoordinator] = []
@@ -136,14 +137,14 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether a coordinator was heard of lately."""
+        """Whether the coordinator is in this process or sent a message recently."""
         if self.deliver_local is not None:
             return True
         return self._state.clock.now() - self._last_heard_at < COORDINATOR_TIMEOUT_MS
 
     @property
     def is_store_relayed(self) -> bool:
-        """Whether the coordinator tells this instance all that the store tells."""
+        """Whether the coordinator relays all changes of the store to this instance."""
         if self.deliver_local is not None or self.status is None or not self.is_up:
             return False
         state = self._state
@@ -157,23 +158,23 @@
 
     @property
     def _is_follower(self) -> bool:
-        """Whether this instance follows the store beside the coordinator."""
+        """Whether this instance follows the store in addition to the coordinator."""
         status = self.status
         return status is not None and self._state.settings.name in status.followers
 
     @property
     def can_request(self) -> bool:
-        """Whether an ask is answered, be it by a refusal."""
+        """Whether a grant request is answered, if only by a refusal."""
         return self._is_closed or self.is_up
 
     @property
     def address(self) -> str:
-        """Where the link leads, empty if nowhere."""
+        """Address of the coordinator that the link connects to; empty: none."""
         return self._address
 
     @property
     def running(self) -> list[RunningRequest]:
-        """Requests that have started and not ended, with how long each has run."""
+        """Requests in flight, with the time that each has run."""
         now = self._state.clock.now()
         return [
             msgspec.structs.replace(run, ran_ms=now - begun_at)
@@ -181,10 +182,10 @@
         ]
 
     async def request_grant(self, request: GrantRequest) -> Granted:
-        """Wait until a server is granted.
+        """Ask the coordinator for a server and wait for the grant.
 
         :raises LinkLostError: if no coordinator answers.
-        :raises RefusedError: if the coordinator gives the request up.
+        :raises RefusedError: if the coordinator refuses the request.
         """
         if self._is_closed:
             raise RefusedError(Refused(key=request.key, retry_after_ms=1))
@@ -208,7 +209,7 @@
         return granted
 
     async def request_permission(self, message: PermissionRequest) -> None:
-        """Wait until a request may be sent to a server that names a rate limit.
+        """Wait for permission to send a request to a server that sets a rate limit.
 
         :raises LinkLostError: if no coordinator answers.
         :raises RefusedError: if it may not be sent now.
@@ -221,18 +222,18 @@
                     message.key, lambda: self.send(message)
                 )
         except TimeoutError:
-            raise LinkLostError("no answer in time") from None
+            raise LinkLostError("permission not answered in time") from None
 
     def add_run(self, run: RunningRequest) -> None:
-        """A request starts; the next coordinator has to count it."""
+        """Add a started request, which the next coordinator has to count."""
         self._running[run.key] = self._state.clock.now(), run
 
     def remove_run(self, key: str) -> None:
-        """A request ended."""
+        """Remove a request that has ended."""
         self._running.pop(key, None)
 
     def send(self, message: ToCoordinator) -> None:
-        """Send a message soon; it is lost if there is no coordinator."""
+        """Queue a message for sending; it is lost if there is no coordinator."""
         if self.deliver_local is not None:
             self.deliver_local([message])
             return
@@ -240,7 +241,7 @@
         self._wake.set()
 
     def report_usage(self, team: str, cost: int) -> None:
-        """Tell what a team has spent, with the next frame that goes out."""
+        """Report usage of a team's quota with the next frame that is sent."""
         if self._is_closed:
             return
         if self.deliver_local is not None:
@@ -249,7 +250,7 @@
         self._usage[team] = self._usage.get(team, 0) + cost
 
     def receive(self, messages: list[ToNode]) -> None:
-        """Take in what the coordinator sent."""
+        """Handle messages from the coordinator."""
         for message in messages:
             if isinstance(message, CoordinatorStatus):
                 self._apply_status(message)
@@ -288,12 +289,12 @@
         self._state.nodes = tuple(self._roster.nodes.values())
 
     def _report_store_lost(self) -> None:
-        """Tell the coordinator at once that the store is lost here."""
+        """Report at once to the coordinator that the store is unreachable from here."""
         if self.deliver_local is None and self._is_follower:
             self.send(self.build_heartbeat())
 
     def _relay_store_update(self, update: StoreUpdate) -> None:
-        """Tell the coordinator what the store has told this instance."""
+        """Relay changes that this instance received from the store to the coordinator."""
         if self.deliver_local is not None:
             return
         if self._is_follower and update.rows:
@@ -301,10 +302,10 @@
         self._send_newer_configuration()
 
     def _send_newer_configuration(self) -> None:
-        """Tell the coordinator of a newer configuration than it is known to have.
+        """Send the configuration to the coordinator if the coordinator's is older.
 
-        It has just taken over, or is cut off from the store and has not noticed; all
-        others would wait for it.
+        The coordinator has just taken over, or is disconnected from the store and has
+        not noticed; without this, all other instances would wait for it.
         """
         known, version = self._coordinator_version, self._state.configuration_version
         if self.deliver_local is not None or known is None or known >= version:
@@ -318,7 +319,7 @@
         self._coordinator_version = version
 
     def connect_to(self, address: str) -> None:
-        """Let the link lead to another coordinator; nothing if it already does."""
+        """Connect to a coordinator; does nothing if the link is already connected to it."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
         is_silent = now - max(self._last_heard_at, self._opened_at) > RECONNECT_MS
@@ -331,7 +332,7 @@
             self._task = asyncio.create_task(self._run(address))
 
     def disconnect(self) -> None:
-        """End the link; whoever waits is told."""
+        """Close the link and fail all pending requests."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -340,27 +341,27 @@
         self.fail_pending()
 
     def fail_pending(self) -> None:
-        """Tell all that wait for a grant that none will come."""
+        """Fail all pending requests and drop unsent messages."""
         self._pending.fail_all()
         self._outgoing.clear()
         self._usage.clear()
 
     def close(self) -> None:
-        """Refuse all that wait and whoever asks from now on, as the process ends.
+        """Refuse all pending and all later requests; called when the process ends.
 
-        A request that still waits when the process ends would lose its connection
-        without an answer, though it has not run and another instance could serve it.
+        A request that still waits when the process exits would lose its connection
+        without an answer, although it has not run and another instance could serve it.
         """
         self._is_closed = True
         self._pending.refuse_all()
 
     def check_timeout(self) -> None:
-        """Give up on a coordinator that has fallen silent; call at intervals."""
+        """Fail pending requests if the coordinator is silent; to be called periodically."""
         if self.deliver_local is None and self._pending and not self.is_up:
             self.fail_pending()
 
     def _return_unused_grant(self, granted: Granted) -> None:
-        # Its caller left, or stopped waiting, as the grant was on its way.
+        # The caller disconnected or timed out while the grant was in transit.
         self.send(
             AttemptEnded(
                 key=granted.key,
@@ -390,18 +391,18 @@
         self._send_newer_configuration()
 
     async def _run(self, address: str) -> None:
-        """Serve the link; open it anew as long as it brought something.
+        """Keep the link open; reconnect if the last connection received a status.
 
-        Where only connections are reset, the coordinator is still there: found again
-        through the lease, each instance went without it for up to half a second.
+        If only the connections were reset, the coordinator is still there. Finding it
+        again through the lease left each instance without it for up to half a second.
         """
         while await self._serve_connection(address):
             continue
 
     async def _serve_connection(self, address: str) -> bool:
-        """Serve one connection to a coordinator.
+        """Serve one connection to a coordinator until it ends.
 
-        :return: whether it was heard on it.
+        :return: whether a coordinator status arrived on it.
         """
         is_connected = False
         opened_at = self._state.clock.now()
@@ -416,7 +417,7 @@
             async with socket, asyncio.TaskGroup() as group:
                 group.create_task(self._write(socket))
                 await self._read(socket)
-                raise LinkLostError("closed")
+                raise LinkLostError("connection closed")
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             detail = type(error).__name__
         except ExceptionGroup as error:
@@ -446,9 +447,9 @@
                 return
 
     def reset_coordinator_state(self) -> None:
-        """Forget what was known of the coordinator before, as a connection begins."""
-        # Each coordinator counts the changes of its list for itself, and the beats of
-        # each connection.
+        """Reset the state that is specific to one connection; called when it opens."""
+        # Roster versions are specific to a coordinator, heartbeat numbers to a
+        # connection.
         self._roster.version = 0
         self._heartbeats = HeartbeatTracker(now=self._state.clock.now())
         self._confirmation = Confirmation(state=self._state)
@@ -467,8 +468,8 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            # Other messages are no beat: while callers kept it busy, an instance's
-            # word that it missed the store never went out.
+            # Heartbeats are due whether or not other messages are sent: otherwise an
+            # instance busy with callers never reports that it misses the store.
             if clock.now() >= heartbeat_at:
                 self._outgoing.append(self.build_heartbeat())
                 heartbeat_at = clock.now() + HEARTBEAT_MS
@@ -483,7 +484,7 @@
         return spent
 
     def build_hello(self) -> Hello:
-        """Return what a new coordinator has to know of this instance."""
+        """Build the first message to a new coordinator."""
         state = self._state
         return Hello(
             info=state.build_info(),
@@ -498,7 +499,7 @@
         )
 
     def build_heartbeat(self) -> Heartbeat:
-        """Return what this instance says of itself."""
+        """Build the next heartbeat."""
         state = self._state
         now = state.clock.now()
         number = self._heartbeats.record_sent(now)
@@ -517,4 +518,4 @@
 
 
 def _ignore(_message: object) -> None:
-    """Take nothing in, until someone listens."""
+    """Do nothing; default of the callbacks."""
--- a/src/arbutuspulley/node/messages.py
+++ b/src/arbutuspulley/node/messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances, several to a frame, in msgpack."""
+"""Messages between instances and the coordinator, encoded as msgpack frames."""
 
 from typing import TypeVar
 
@@ -11,11 +11,11 @@
 
 
 class NodeInfo(Message, frozen=True):
-    """An instance as it says of itself.
+    """What an instance reports about itself.
 
-    :param site: its data centre.
-    :param capacity: how much work it can take, in cores that its link can feed.
-    :param coordinates: whether it is the coordinator.
+    :param site: the instance's data centre.
+    :param capacity: capacity in cores, limited by the bandwidth of its network link.
+    :param coordinates: whether the instance is the coordinator.
     """
 
     name: str
@@ -30,7 +30,8 @@
 class RunningRequest(Message, frozen=True):
     """A request in flight that a new coordinator has to count.
 
-    :param ran_ms: for how long it has run as this is told.
+    :param pause_ms: gap target of the stream, in ms; 0: none.
+    :param ran_ms: how long the request has run when this message is sent, in ms.
     """
 
     key: str
@@ -41,11 +42,12 @@
 
 
 class ServerLimit(Message, frozen=True, tag="limit"):
-    """A server's rate limit.
+    """The rate limit of a backend server.
 
-    Sent by whoever reads it in an answer to the coordinator.
+    The instance that reads it in an answer of the server sends it to the coordinator.
 
-    :param per_s: requests a second from all instances; ``None``: it names no limit.
+    :param per_s: requests per second, for all instances together; ``None``: the server
+        sets no limit.
     """
 
     incarnation: str
@@ -53,12 +55,13 @@
 
 
 class Hello(Message, frozen=True, tag="hello"):
-    """First message of an instance to a coordinator.
+    """First message of an instance on a connection to the coordinator.
 
-    :param store_version: up to which version of the store it knows the servers' rows.
-    :param configuration: version that it has in force; 0: none.
-    :param reads_updates: whether it understands :class:`ConfigurationDelta`.
-    :param limits: that it knows.
+    :param running: requests in flight at the instance.
+    :param store_version: store version up to which the instance has the server rows.
+    :param configuration: version of its active configuration; 0: none.
+    :param reads_updates: whether the instance understands :class:`ConfigurationDelta`.
+    :param limits: rate limits that the instance knows.
     """
 
     info: NodeInfo
@@ -70,17 +73,18 @@
 
 
 class Heartbeat(Message, frozen=True, tag="beat"):
-    """Sent at intervals.
-
-    :param is_ready: whether the instance takes callers.
-    :param misses_store: whether the store gives it no usable answer; ``None`` if it has
-        not asked lately.
-    :param follows_store: whether the store has lately told it all changes.
-    :param roster: version of its list of instances; 0: it needs the whole.
-    :param configuration: version that it has in force; 0: none.
-    :param number: counts the beats of a link, from 1.
-    :param vouches: number of a digest. When that came, no newer configuration existed
-        than the one that this instance has in force; 0: it can't say.
+    """Periodic heartbeat of an instance to the coordinator.
+
+    :param is_ready: whether the instance serves callers.
+    :param misses_store: whether the instance gets no usable answer from the store;
+        ``None``: it has not called the store recently.
+    :param follows_store: whether the instance has recently received all changes from
+        the store.
+    :param roster: version of the instance's roster; 0: it needs the full roster.
+    :param configuration: version of its active configuration; 0: none.
+    :param number: sequence number of the heartbeat on this connection, from 1.
+    :param vouches: number of a coordinator status. When that status arrived, no
+        configuration newer than the instance's active one existed; 0: not known.
     """
 
     is_ready: bool
@@ -93,14 +97,17 @@
 
 
 class GrantRequest(Message, frozen=True, tag="ask"):
-    """A request that needs a model server.
-
-    :param aim_ms: how long until its first part is late.
-    :param left_ms: how long it may wait at all.
-    :param is_repeat: whether a server has refused or failed it before.
-    :param pause_ms: the longest pause between events that is on time; 0: any.
-    :param team: that is charged for it; empty: none.
-    :param cost: what it is charged; 0: it was before.
+    """Asks the coordinator for a model server for a request.
+
+    Answered by :class:`Granted` or :class:`Refused`.
+
+    :param aim_ms: time left until the latency target of the first part, in ms.
+    :param left_ms: how long the request may wait for a server, in ms.
+    :param avoid: incarnations of servers that must not be granted.
+    :param is_repeat: whether a server has refused or failed the request before.
+    :param pause_ms: gap target between events of the stream, in ms; 0: none.
+    :param team: team that is charged for the request; empty: none.
+    :param cost: cost to charge to the team; 0: it has been charged already.
     """
 
     key: str
@@ -118,7 +125,7 @@
 
 
 class PermissionRequest(Message, frozen=True, tag="permission"):
-    """Asks to send a request to a server that names a rate limit.
+    """Asks to send a request to a server that sets a rate limit.
 
     Answered by :class:`Granted` or :class:`Refused`.
     """
@@ -128,7 +135,10 @@
 
 
 class ResponseStarted(Message, frozen=True, tag="started"):
-    """The first part of an answer came so many ms after the request was sent."""
+    """The first part of an answer has arrived.
+
+    :param took_ms: time since the request was sent to the server, in ms.
+    """
 
     key: str
     incarnation: str
@@ -136,9 +146,9 @@
 
 
 class AttemptEnded(Message, frozen=True, tag="ended"):
-    """A granted request ended.
+    """An attempt at a granted server has ended.
 
-    :param events: of its stream, as far as this server made them.
+    :param events: number of events of the stream that this server sent.
     """
 
     key: str
@@ -148,7 +158,7 @@
 
 
 class QuotaUsage(Message, frozen=True, tag="spent"):
-    """What an instance has spent of a team's quota without asking.
+    """Cost that an instance has charged to a team's quota without a grant request.
 
     :param cost: negative if requests that were charged did not run.
     """
@@ -158,14 +168,14 @@
 
 
 class CancelRequest(Message, frozen=True, tag="withdraw"):
-    """The caller of a waiting request has left."""
+    """Cancels a grant request whose caller has disconnected."""
 
     key: str
     service: str
 
 
 class Granted(Message, frozen=True, tag="granted"):
-    """The request may go to this server now."""
+    """Permits sending the request to this server now."""
 
     key: str
     incarnation: str
@@ -176,7 +186,8 @@
 class Refused(Message, frozen=True, tag="refused"):
     """The request can't be served; it has not run.
 
-    :param is_over_quota: whether its team has used up its quota; it was not charged.
+    :param is_over_quota: whether the team has used up its quota; the request was not
+        charged then.
     """
 
     key: str
@@ -185,9 +196,9 @@
 
 
 class QuotaExceeded(Message, frozen=True, tag="overdrawn"):
-    """A team has spent more than its quota.
+    """A team has used more than its quota.
 
-    :param wait_ms: how long until that has come back.
+    :param wait_ms: time until the quota has been refilled, in ms.
     """
 
     team: str
@@ -195,21 +206,23 @@
 
 
 class CoordinatorStatus(Message, frozen=True, tag="digest"):
-    """The coordinator's account, sent at intervals; it also shows it lives.
-
-    :param is_holder: whether it holds the lease; without, it gives no orders.
-    :param instances: that it hears of, itself included.
-    :param takers: instances to which callers are sent.
-    :param followers: instances that follow the store beside the coordinator.
-    :param is_store_followed: whether what the store tells reaches the coordinator now;
-        all others need not ask the store then.
-    :param store_version: up to which version all servers' rows were sent before this.
-    :param configuration: version that the coordinator has in force; 0: none. It was
-        sent before this.
-    :param beat: number of the last beat of the instance that gets this; 0: none came.
-    :param number: counts the digests of a link, from 1.
-    :param fresh_beat: number of a beat of that instance. When it was sent, no newer
-        configuration than the one above existed; 0: that is not known of any.
+    """Periodic status of the coordinator, which is also its heartbeat.
+
+    :param is_holder: whether the coordinator holds the lease; without the lease it
+        sends no orders.
+    :param instances: number of reachable instances, including the coordinator.
+    :param takers: number of advertised instances.
+    :param followers: instances that follow the store in addition to the coordinator.
+    :param is_store_followed: whether changes of the store currently reach the
+        coordinator; the other instances need not call the store then.
+    :param store_version: store version up to which all server rows were sent before
+        this message.
+    :param configuration: version of the coordinator's active configuration; 0: none.
+        That configuration was sent before this message.
+    :param beat: number of the last heartbeat from the receiver; 0: none arrived.
+    :param number: sequence number of the status on this connection, from 1.
+    :param fresh_beat: number of a heartbeat from the receiver. When it was sent, no
+        configuration newer than ``configuration`` existed; 0: not known of any.
     """
 
     is_holder: bool
@@ -225,12 +238,12 @@
 
 
 class RosterChange(Message, frozen=True, tag="roster"):
-    """What has changed in the list of instances.
+    """Delta of the roster, the list of instances.
 
-    :param version: of the list after this change.
-    :param base: of the list before; 0: this is the whole list.
-    :param joined: new instances, and those that say something else of themselves.
-    :param left: names of those that are not told of any more.
+    :param version: roster version after this change.
+    :param base: roster version before the change; 0: this is the full roster.
+    :param joined: new instances, and instances whose information has changed.
+    :param left: names of the instances that are no longer on the roster.
     """
 
     version: int
@@ -240,11 +253,11 @@
 
 
 class RelayedRow(Message, frozen=True):
-    """A row of the store on a server.
+    """A server row of the store.
 
-    :param version: of the store's transaction that wrote or removed it; the newest one
-        of a row counts, whichever way it came.
-    :param value: as the store holds it; empty: the row is gone.
+    :param version: version of the store's transaction that wrote or removed the row.
+        Rows arrive by several paths; the newest version of a row wins.
+    :param value: value as stored; empty: the row has been removed.
     """
 
     key: str
@@ -253,12 +266,12 @@
 
 
 class StoreUpdate(Message, frozen=True, tag="news"):
-    """What the store told one instance, for others.
+    """Changes that one instance received from the store, relayed to others.
 
-    :param configuration: as the store holds it; empty: nothing new. Sent only to who
-        does not understand :class:`ConfigurationDelta`.
-    :param was_away: whether the store was away shortly before: rows may be gone of
-        servers that live.
+    :param configuration: configuration as stored; empty: no newer one. Sent only to
+        instances that don't understand :class:`ConfigurationDelta`.
+    :param was_away: whether the store was unavailable shortly before: rows of servers
+        that are still running may have lapsed.
     """
 
     configuration: bytes = b""
@@ -267,11 +280,11 @@
 
 
 class DeltaStep(Message, frozen=True, array_like=True):
-    """One step of an update: parts of the base are copied, new ones follow.
+    """One step of a configuration delta: copies parts of the base, then adds new parts.
 
-    :param start: first of the parts that are copied.
-    :param count: how many are.
-    :param fresh: how many new parts follow.
+    :param start: index of the first part of the base to copy.
+    :param count: number of parts to copy.
+    :param fresh: number of new parts that follow.
     """
 
     start: int
@@ -280,11 +293,12 @@
 
 
 class ConfigurationDelta(Message, frozen=True, tag="configuration"):
-    """What leads from one version of the configuration to a newer one.
+    """Delta from one version of the configuration to a newer one.
 
-    :param base: the version that the steps copy from; 0: none.
+    :param version: version that the delta produces.
+    :param base: version that the steps copy from; 0: none, the delta is self-contained.
     :param text: all new parts, compressed.
-    :param checksum: CRC-32 of the newer version as the store holds it.
+    :param checksum: CRC-32 of the newer version as stored.
     """
 
     version: int
@@ -295,19 +309,20 @@
 
 
 class SuspicionUpdate(Message, frozen=True, tag="suspected"):
-    """Requests that were in flight as a server broke off, or were cleared of that.
+    """Requests that are suspected of crashing servers, or were cleared of it.
 
-    Sent by whoever finds it to the coordinator, and by it to all.
+    A request is suspect if it was in flight when a server broke off. The instance that
+    sees it informs the coordinator, which informs all instances.
     """
 
     suspicions: tuple[Suspicion, ...]
 
 
 class ServerLimits(Message, frozen=True, tag="limits"):
-    """Rate limits that the coordinator has heard of.
+    """Rate limits of servers that the coordinator knows.
 
-    :param limits: those that have changed, or all.
-    :param are_all: whether all others name none.
+    :param limits: changed limits, or all limits.
+    :param are_all: whether ``limits`` is complete: all other servers set no limit.
     """
 
     limits: tuple[ServerLimit, ...]
@@ -315,11 +330,11 @@
 
 
 class CoordinatorEstimates(Message, frozen=True, tag="learnt"):
-    """What the coordinator has learnt of its servers, for whoever succeeds it.
+    """The coordinator's estimates, sent to its possible successors.
 
-    :param speeds: prompt tokens that a server reads in a ms, by service and kind of
-        model.
-    :param demand: prompt tokens a second asked for, by service and model.
+    :param speeds: prefill speed of a server in prompt tokens per ms, by service and
+        kind of model.
+    :param demand: demand in prompt tokens per second, by service and model.
     """
 
     speeds: dict[str, dict[str, float]]
@@ -366,14 +381,14 @@
 
 
 def encode_frame(messages: list[ToCoordinator] | list[ToNode]) -> bytes:
-    """Encode a frame."""
+    """Encode messages as one frame."""
     return _ENCODER.encode(messages)
 
 
 def decode_from_node(frame: bytes) -> list[ToCoordinator]:
-    """Decode a frame that an instance sent to its coordinator.
+    """Decode a frame that an instance sent to the coordinator.
 
-    :raises msgspec.MsgspecError: if it is no frame at all.
+    :raises msgspec.MsgspecError: if the data is not a frame.
     """
     try:
         return _FROM_NODE.decode(frame)
@@ -382,9 +397,9 @@
 
 
 def decode_from_coordinator(frame: bytes) -> list[ToNode]:
-    """Decode a frame that a coordinator sent.
+    """Decode a frame that the coordinator sent.
 
-    :raises msgspec.MsgspecError: if it is no frame at all.
+    :raises msgspec.MsgspecError: if the data is not a frame.
     """
     try:
         return _FROM_COORDINATOR.decode(frame)
@@ -393,11 +408,10 @@
 
 
 def _decode_known(frame: bytes, decoder: msgspec.msgpack.Decoder[M]) -> list[M]:
-    """Decode the messages of a frame one by one, and leave out those not understood.
+    """Decode the messages of a frame one by one and skip unknown ones.
 
-    While a release rolls through the instances, some speak another version. One of its
-    messages that is not known here must not take the others of its frame along, nor
-    the link.
+    During a rolling upgrade some instances run another version. A message that is
+    unknown here must not discard the rest of its frame, nor close the link.
     """
     known: list[M] = []
     for raw in _RAW.decode(frame):
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one process, served as text."""
+"""Prometheus metrics of an instance."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -9,18 +9,19 @@
 )
 
 _SECONDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15)
-"""Bounds of latency histograms in s: around the usual aims, 0.1 to 2 s."""
+"""Bucket bounds of latency histograms, in s: around the usual latency targets, 0.1 to
+2 s."""
 
 
 MAX_TEAMS = 100
-"""Teams that are counted by name, so that a scrape stays small."""
+"""Maximum number of teams that are counted by name, which keeps a scrape small."""
 
 OTHER_TEAMS = "(others)"
-"""Stands for all teams beyond."""
+"""Label value for all further teams."""
 
 
 class NodeMetrics:
-    """The metrics; see docs/OPERATIONS.md for what each means."""
+    """The metrics of an instance; docs/OPERATIONS.md explains each."""
 
     __slots__ = (
         "_teams",
@@ -129,11 +130,11 @@
         )
 
     def count_refusal(self, team: str, why: str) -> None:
-        """Count a refusal; teams beyond the first ones count together."""
+        """Count a refusal; teams beyond the first :data:`MAX_TEAMS` are counted together."""
         if len(self._teams) < MAX_TEAMS:
             self._teams.add(team)
         self.refusals.labels(team if team in self._teams else OTHER_TEAMS, why).inc()
 
     def write(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/src/arbutuspulley/node/pending_requests.py
+++ b/src/arbutuspulley/node/pending_requests.py
@@ -1,4 +1,4 @@
-"""Questions to the coordinator that wait for an answer."""
+"""Requests to the coordinator that wait for an answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class RefusedError(Exception):
-    """The coordinator gave a request up; it has not run."""
+    """The coordinator refused a request; it has not run."""
 
     def __init__(self, refused: Refused) -> None:
         super().__init__("refused")
@@ -20,7 +20,7 @@
 
 
 class PendingRequests:
-    """The questions that wait, by the attempt that each is about."""
+    """Pending requests to the coordinator, by attempt id."""
 
     __slots__ = ("_waiting",)
 
@@ -31,9 +31,11 @@
         return bool(self._waiting)
 
     async def send_and_wait(self, key: str, send: Callable[[], None]) -> Granted:
-        """Send a question and wait until it is answered.
+        """Send a request and wait for its answer.
 
-        :raises LinkLostError: if the link is lost before.
+        :param key: attempt id.
+        :param send: sends the request.
+        :raises LinkLostError: if the link is lost before the answer arrives.
         :raises RefusedError: if the coordinator refuses.
         """
         future = asyncio.get_running_loop().create_future()
@@ -45,9 +47,9 @@
             self._waiting.pop(key, None)
 
     def resolve(self, answer: Granted | Refused) -> bool:
-        """Take in an answer.
+        """Pass an answer to the request that waits for it.
 
-        :return: whether anyone waits for it.
+        :return: whether a request waits for it.
         """
         future = self._waiting.get(answer.key)
         if future is None or future.done():
@@ -59,13 +61,13 @@
         return True
 
     def fail_all(self) -> None:
-        """Tell all that wait that no answer will come."""
+        """Fail all pending requests with :class:`LinkLostError`."""
         for future in self._waiting.values():
             if not future.done():
                 future.set_exception(LinkLostError("link lost"))
 
     def refuse_all(self) -> None:
-        """Refuse all that wait; another instance may serve them at once."""
+        """Refuse all pending requests; another instance may serve them at once."""
         for key, future in self._waiting.items():
             if not future.done():
                 refused = Refused(key=key, retry_after_ms=1)
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -1,9 +1,10 @@
-"""Keeps requests that crash the servers that run them from going on to others.
+"""Quarantine of requests that crash backend servers.
 
-Such a request comes again, through any instance. One that was in flight as its server
-broke off is a suspect, and all instances are told. A bystander runs whole when it is
-sent again, which clears it; its caller sends it twice at most. A request that was in
-flight at three breaks, each time sent after the last one was known, is not run again.
+Callers retry such a request, through any instance. A request that was in flight when its
+server broke off is suspect, and all instances are informed. A request that was only in
+flight beside the cause completes when it is retried, which clears it; its caller sends
+it at most twice. A request that was in flight at three crashes, and was sent each time
+after the previous crash was known, is quarantined.
 """
 
 from arbutuspulley.delivery.suspects import (
@@ -26,21 +27,22 @@
 from arbutuspulley.rpc.messages import Suspicion
 
 MAX_CRASHES = 3
-"""Servers that one request may cost. A bystander, sent twice at most, meets two: with
-a limit of two, one that was twice beside the cause was condemned with it."""
+"""Number of crashes after which a request is quarantined. A harmless request, which is
+sent at most twice, can be in flight at two crashes: with a limit of two, one that was
+twice in flight beside the cause was quarantined with it."""
 
 MAX_SUSPECTS = 2_000
-"""Most suspects that are kept; a server that crashes makes 64 at once."""
+"""Maximum number of suspects; a server that crashes adds 64 at once."""
 
 EVICT_INTERVAL_MS = 10_000
-"""Time between looks for suspects that are old, in ms: a look at 2,000 takes 7 ms, and
-a server that crashes makes 64 at once."""
+"""Interval of evicting old suspects, in ms: a scan of 2,000 takes 7 ms, and a server that
+crashes adds 64 suspects at once."""
 
 
 class PoisonGuard:
-    """What this instance knows of such requests.
+    """Tracks suspect requests and refuses quarantined ones.
 
-    :param link: by which all instances are told.
+    :param link: link by which suspicions are shared with all instances.
     """
 
     __slots__ = ("_evict_at", "_link", "_state", "_suspects")
@@ -53,11 +55,11 @@
         link.on_suspicions = self.merge_suspicions
 
     def count_crashes(self, request: InboundRequest) -> int:
-        """Return how many breaks with a request in flight are known."""
+        """Return the number of known crashes with the request in flight."""
         return count_deaths(self._find(request))
 
     def get_refusal(self, request: InboundRequest) -> int | None:
-        """Return when a request may come back, in ms, if it must not be run."""
+        """Return when a quarantined request may be retried, in ms; ``None``: it may run."""
         suspicion = self._find(request)
         judgement = judge(suspicion, most_deaths=MAX_CRASHES)
         if suspicion is None or judgement is not Judgement.QUARANTINED:
@@ -68,11 +70,11 @@
     def record_crash(
         self, request: InboundRequest, *, incarnation: str, known: int
     ) -> None:
-        """A server broke off with a request in flight.
+        """Record that a server broke off with the request in flight.
 
-        :param known: breaks that were known as it was sent. If there are more now,
-            several copies of it were on their way at once, or several servers failed
-            at once; that counts as one.
+        :param known: number of crashes that were known when the request was sent. If
+            more are known now, several copies of the request were in flight, or several
+            servers failed at once; that counts as one crash.
         """
         if self.count_crashes(request) != known:
             return
@@ -95,7 +97,7 @@
         self._link.send(SuspicionUpdate(suspicions=(suspicion,)))
 
     def clear(self, request: InboundRequest) -> None:
-        """A request ran whole; it is no cause of any break."""
+        """Clear a request that completed; it caused no crash."""
         suspicion = self._find(request)
         if suspicion is None or not count_deaths(suspicion):
             return
@@ -105,7 +107,7 @@
         self._link.send(SuspicionUpdate(suspicions=(cleared,)))
 
     def merge_suspicions(self, suspicions: tuple[Suspicion, ...]) -> None:
-        """Take in what another instance found."""
+        """Merge suspicions from another instance."""
         now = self._state.clock.now()
         self._evict_old(now)
         merge(self._suspects, suspicions[:MAX_SUSPECTS], now=now)
--- a/src/arbutuspulley/node/progress.py
+++ b/src/arbutuspulley/node/progress.py
@@ -1,4 +1,4 @@
-"""How far a request has come, and how it may end without a whole answer."""
+"""Progress of a request, and the errors by which it ends without a complete answer."""
 
 import msgspec
 
@@ -6,31 +6,31 @@
 from arbutuspulley.ports.fleet import Route, Team
 
 MAX_REFUSALS = 3
-"""How many servers may refuse a request as not run before it is given up."""
+"""Maximum number of servers that refuse a request as not run before it fails."""
 
 MAX_UNREACHABLE = 4
-"""How many servers may be out of reach before a request is given up."""
+"""Maximum number of unreachable servers before a request fails."""
 
 MIN_FIRST_PART_TIMEOUT_MS = 2_000
 LATENCY_TARGETS_PER_TIMEOUT = 4
 GAP_TARGETS_PER_TIMEOUT = 8
-"""Callers leave a stream without its first event after the longest of these: so many
-ms, so many times its aim, so many times the pause that is still on time."""
+"""Callers abandon a stream without a first event after the longest of these: a minimum
+in ms, a multiple of the latency target, a multiple of the gap target."""
 
 RETRY_AFTER_MS = 400
-"""When a refused caller should come back if nothing better is known, in ms: a model
-takes 0.4 to 1.2 s to load, and callers heed no more than a third of their time."""
+"""Default retry delay for refused callers, in ms: a model takes 0.4 to 1.2 s to load,
+and callers wait at most a third of their deadline."""
 
 ANSWER_MARGIN_MS = 60
-"""Kept back from the time left, in ms, so that an answer that the time has run out
+"""Margin before the caller's deadline, in ms, so that the answer to a timed-out request
 still reaches the caller in time."""
 
 
 class RequestFailedError(Exception):
-    """The request gets an answer of the system's own.
+    """The request fails with an answer from this system.
 
     :param status: HTTP status.
-    :param retry_after_ms: when to come back, ``None`` if that can't help.
+    :param retry_after_ms: retry delay in ms; ``None``: a retry can't help.
     """
 
     def __init__(
@@ -43,21 +43,23 @@
 
 
 class CutError(Exception):
-    """The answer has begun and can't be finished: its connection must be closed."""
+    """The answer has begun and can't be completed: its connection must be aborted."""
 
 
 class Progress(State):
-    """How far a request has come.
-
-    :param may_have_run: servers that may have run it.
-    :param avoid: incarnations that refused or failed it.
-    :param avoid_alone: incarnations that were tried without a coordinator.
-    :param server: the one that it was last sent to.
-    :param sent_at: when that was.
-    :param events: of its stream that the last server made.
-    :param last_event_at: when the last of them came, in ms.
-    :param longest_pause_ms: between two events, over all servers.
-    :param resumes: how often its stream went on at another server.
+    """Progress of a request.
+
+    :param refused: number of servers that refused the request as not run.
+    :param unreached: number of servers that could not be reached.
+    :param may_have_run: number of servers that may have run the request.
+    :param avoid: incarnations that refused or failed the request.
+    :param avoid_uncoordinated: incarnations that were tried without a coordinator.
+    :param server: incarnation of the last server that the request was sent to.
+    :param sent_at: when the request was sent to that server, in ms.
+    :param events: number of events of the stream that the last server sent.
+    :param last_event_at: when the last of these events arrived, in ms.
+    :param longest_pause_ms: longest time between two events, over all servers, in ms.
+    :param resumes: how often the stream was resumed at another server.
     """
 
     started_at: int
@@ -81,7 +83,7 @@
 
 
 def get_priority(route: Route, team: Team | None) -> int:
-    """Return a request's rank: its team's, or else its route's."""
+    """Return a request's priority: that of its team, else that of its route."""
     if team is None or team.priority is None:
         return route.priority
     return team.priority
@@ -90,7 +92,7 @@
 def get_first_part_timeout_ms(route: Route, left_ms: int) -> int:
     """Return how long a caller waits for the first part of an answer, in ms.
 
-    :param left_ms: how long it waits for the whole one.
+    :param left_ms: how long the caller waits for the complete answer, in ms.
     """
     if not route.is_stream:
         return left_ms
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -1,4 +1,4 @@
-"""What an instance pays for its callers' requests out of their teams' quotas."""
+"""Charging of requests to their teams' quotas on an instance."""
 
 from arbutuspulley.admission.quota import (
     LocalQuota,
@@ -16,9 +16,9 @@
 
 
 class QuotaCharge(Value, frozen=True):
-    """What was taken for a request.
+    """Cost that was charged for a request.
 
-    :param is_local: whether it was taken here, without a coordinator.
+    :param is_local: whether this instance charged it by itself, without a coordinator.
     """
 
     team: str
@@ -27,7 +27,7 @@
 
 
 def build_tolerance(settings: NodeSettings) -> QuotaTolerance:
-    """Return by how much quotas may be exceeded."""
+    """Return by how much teams may exceed their quotas."""
     return QuotaTolerance(
         window_ms=settings.quota_window_ms,
         overage=settings.quota_overage,
@@ -36,11 +36,12 @@
 
 
 class QuotaCharger:
-    """Pays for requests.
+    """Charges requests to their teams' quotas.
 
-    The coordinator charges a request as it is asked for a server. Requests that need no
-    coordinator are paid for afterwards: it is told what was spent, and tells in turn
-    which teams are in debt. Without a coordinator the instance charges by itself.
+    The coordinator charges a request when it receives the grant request. Requests that
+    need no grant are charged afterwards: the instance reports their cost to the
+    coordinator, which announces the teams that have exceeded their quota. Without a
+    coordinator the instance charges its own share of the quota.
     """
 
     __slots__ = ("_link", "_local", "_refused_until", "_state")
@@ -57,15 +58,15 @@
         link.on_quota_exceeded = self._take_overdrawn
 
     def get_cost(self, team: Team | None, request: InboundRequest) -> int:
-        """Return what a request has to be charged for; 0: it has no quota."""
+        """Return the cost of a request; 0: its team has no quota."""
         if team is None or not team.rate_per_s:
             return 0
         return get_cost(team, request.usage_tokens)
 
     def charge(self, team: Team, cost: int, *, attempt_id: str) -> QuotaCharge:
-        """Pay for a request that no coordinator is asked about.
+        """Charge a request for which no grant is requested.
 
-        :raises RequestFailedError: if its team has used up its quota.
+        :raises RequestFailedError: if the team has used up its quota.
         """
         now = self._state.clock.now()
         if self._link.is_up:
@@ -87,11 +88,11 @@
         return QuotaCharge(team=team.name, cost=cost, is_local=True)
 
     def record_coordinated(self) -> None:
-        """Note that a coordinator counts at present."""
+        """Record that a coordinator currently charges the quotas."""
         self._local.record_coordinated(self._state.clock.now())
 
     def refund(self, payment: QuotaCharge) -> None:
-        """Return what was paid for a request that did not run."""
+        """Refund the charge of a request that did not run."""
         if payment.is_local:
             self._local.refund(payment.team, payment.cost)
         else:
@@ -102,7 +103,7 @@
     ) -> RequestFailedError:
         """Build the refusal of a request over its team's quota.
 
-        :param wait_ms: in how long the team has enough.
+        :param wait_ms: time until the team's quota suffices for it, in ms.
         """
         self._state.metrics.count_refusal(team, "quota")
         log_event(
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -1,4 +1,4 @@
-"""Which server one request goes to by what this instance alone knows."""
+"""Choice of a server for a request from the local state of this instance."""
 
 import asyncio
 
@@ -23,35 +23,37 @@
 )
 
 COORDINATOR_WAIT_MS = 1_500
-"""How long a request without a server waits for a coordinator, in ms: another
-one takes over within that time unless the store is away, and then nobody knows when."""
+"""How long a request without a server waits for a coordinator, in ms: another one takes
+over within that time, unless the store is unavailable."""
 
 FIRST_COORDINATOR_WAIT_FRACTION = 0.6
-"""Part of its aim for which a request waits for a coordinator that this process has
-not heard of yet. After all instances have lost power, each of those that are back first
-would send prompts that no other knows of to the same servers, and all streams there
-would pause. One is heard of within some 0.3 s."""
+"""Fraction of its latency target for which a request waits for the first coordinator
+status after this process has started. After a power failure of all instances, each of
+the first that are back would send prompts that the others don't know of to the same
+servers, and all streams there would stall. A status arrives within about 0.3 s."""
 
 SLOT_WAIT_FRACTION = 0.25
-"""Part of its aim for which a request waits for room at a server of its service that
-runs no models. Callers come in clumps; what waits for longer would be late."""
+"""Fraction of its latency target for which a request waits for a free slot at a server
+of a service without models. Requests arrive in bursts; after a longer wait a request
+would miss its target."""
 
 SLOT_POLL_MS = 10
-"""Time between looks for room, in ms: little against the work on a request."""
+"""Poll interval for a free slot, in ms: short against the time to serve a request."""
 
 LINK_POLL_MS = 50
-"""Time between looks for a new coordinator, in ms."""
+"""Poll interval for a new coordinator, in ms."""
 
 
 class CoordinatorFoundError(Exception):
-    """There is a coordinator now, which is to be asked."""
+    """A coordinator has been found and must be asked for a grant."""
 
 
 class ServerChoice:
-    """One request's choice.
+    """Chooses servers for one request.
 
-    :param limits: tell which servers may get it by the rate limits that they name.
-    :param patience_ms: how long its caller waits for the first part of the answer.
+    :param limits: rate limits of the servers.
+    :param first_part_timeout_ms: how long the caller waits for the first part of the
+        answer, in ms.
     """
 
     __slots__ = (
@@ -84,7 +86,7 @@
         self._first_part_timeout_ms = first_part_timeout_ms
 
     def has_models(self) -> bool:
-        """Tell whether the request's service runs models."""
+        """Return whether the request's service runs models."""
         service = self._get_service()
         return service is not None and service.engine is not None
 
@@ -95,7 +97,7 @@
         return configuration.services.get(self._progress.service)
 
     def choose(self, *, is_plain: bool) -> ServerEntry | None:
-        """Return the best server, or ``None`` if none may be asked.
+        """Return the best server; ``None``: no server is eligible.
 
         :param is_plain: whether the service runs no models.
         """
@@ -116,7 +118,7 @@
         )
 
     async def _choose_within_limits(self, *, is_plain: bool) -> ServerEntry | None:
-        """Choose the best server that may get a request by the limit that it names."""
+        """Choose the best server whose rate limit permits the request."""
         while True:
             entry = self.choose(is_plain=is_plain)
             if entry is None:
@@ -128,16 +130,16 @@
             set_rate_limited(self._state.records, entry, until=now + wait_ms)
 
     def get_retry_after(self) -> int | None:
-        """Return in how many ms a server may have room for the request again.
+        """Return when a server's rate limit may permit the request, in ms from now.
 
-        :return: ``None`` if no server's rate limit keeps it from being served.
+        :return: ``None`` if no rate limit prevents the request from being served.
         """
         now = self._state.clock.now()
         waits = [until - now for until in self._list_limit_ends() if until > now]
         return min(waits, default=None)
 
     def _list_limit_ends(self) -> list[int]:
-        """Return until when limits keep the service's servers from more requests."""
+        """Return until when rate limits exclude each of the service's servers."""
         return [
             get_stats(self._state.records, entry).rate_limited_until
             for entry in self._state.by_service.get(self._progress.service, ())
@@ -145,7 +147,7 @@
         ]
 
     async def choose_plain(self) -> ServerEntry | None:
-        """Choose a server of a service that runs no models, or wait for room at one."""
+        """Choose a server of a service without models, or wait for a free slot."""
         until = self._state.clock.now() + int(
             self._route.latency_target_ms * SLOT_WAIT_FRACTION
         )
@@ -158,9 +160,11 @@
             await asyncio.sleep(SLOT_POLL_MS / SECOND_MS)
 
     async def choose_uncoordinated(self, need: ModelNeed) -> ServerEntry | None:
-        """Choose a server without a coordinator, or wait for one that can load.
+        """Choose a server without a coordinator, or wait for a coordinator.
 
-        :raises CoordinatorFoundError: if there is one to ask now.
+        Only a coordinator can have a missing model loaded.
+
+        :raises CoordinatorFoundError: if a coordinator can be asked now.
         """
         if await self.wait_for_coordinator():
             raise CoordinatorFoundError
@@ -174,8 +178,9 @@
                     pause_ms=self._route.gap_target_ms,
                 )
             )
-            # Whether it has the adapter is not known here. If it refuses, it gets this
-            # request again only from a coordinator, which can have the adapter loaded.
+            # Whether the server has the adapter is unknown here. If it refuses, it gets
+            # this request again only by a coordinator's grant, as the coordinator can
+            # have the adapter loaded.
             self._progress.avoid_uncoordinated.add(entry.incarnation)
             return entry
         until = self._state.clock.now() + min(
@@ -188,9 +193,9 @@
         return None
 
     async def wait_for_coordinator(self) -> bool:
-        """Wait a moment if no coordinator was heard of since this process started.
+        """Wait briefly if no coordinator status has arrived since this process started.
 
-        :return: whether there is one now.
+        :return: whether a coordinator can be asked now.
         """
         until = (
             self._progress.started_at
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -1,4 +1,4 @@
-"""What an instance makes of the servers' rows in the store, whichever way they came."""
+"""Server entries of an instance, kept up to date from the server rows of the store."""
 
 import asyncio
 
@@ -15,16 +15,16 @@
 from arbutuspulley.routing.local_choice import evict_unlisted
 
 LAPSED_ENTRY_GRACE_MS = 1_800
-"""How long a lapsed entry is believed in after the store's return, in ms. Entries of
-living servers are back within about 2 s; a server that left meanwhile must get no
-request later than 2 s after its leaving was seen."""
+"""How long lapsed entries are kept after the store has recovered, in ms. Running servers
+write their entries again within about 2 s; a server that left in the meantime must get
+no request later than 2 s after its removal was seen."""
 
 MAX_REJECTED_ROWS = 1_000
-"""Most rows that are remembered for naming no server; beyond, they are told again."""
+"""Maximum number of rejected rows that are remembered; beyond, they are logged again."""
 
 MAX_REMOVED_VERSIONS = 10_000
-"""Most removed rows whose versions are remembered, about 1 MB: those of a month where
-some hundred servers are replaced a day."""
+"""Maximum number of removed rows whose versions are kept, about 1 MB: the removals of a
+month if some hundred servers are replaced per day."""
 
 
 def apply_server_rows(
@@ -35,12 +35,15 @@
     was_away: bool,
     version: int = 0,
 ) -> StoreUpdate:
-    """Bring the servers' entries up to date.
+    """Update the server entries from rows of the store.
 
-    Rows come by several ways, and the newest version of each counts: one that a relay
-    held back must not bring a server back that has left since.
+    Rows arrive by several paths, and the newest version of each wins: a row that a relay
+    deferred must not restore a server that has left since.
 
-    :param version: of the store as it gave these rows; 0: not known.
+    :param is_whole: whether these are all server rows of the store.
+    :param was_away: whether the store was unavailable shortly before.
+    :param version: version of the store that the rows were read at; 0: unknown.
+    :return: the rows that were newer than the known ones.
     """
     if is_whole:
         rows = [*rows, *_list_missing(state, rows, version)]
@@ -72,7 +75,7 @@
 
 
 def list_rows(state: NodeState, *, after: int) -> tuple[RelayedRow, ...]:
-    """Return the servers' rows that were written after a version of the store."""
+    """Return the server rows that were written after a version of the store."""
     return tuple(
         RelayedRow(key=key, version=version, value=state.entry_bodies.get(key, b""))
         for key, version in state.row_versions.items()
@@ -83,7 +86,7 @@
 def _list_missing(
     state: NodeState, rows: list[StoredRow], version: int
 ) -> list[StoredRow]:
-    """Return removals of the entries that all rows of the store no longer show."""
+    """Return removals for known entries that are missing from a full read."""
     present = {row.key for row in rows}
     return [
         StoredRow(key=key, version=version or known, value=None)
@@ -112,7 +115,7 @@
 
 
 def load_entries(state: NodeState, bodies: dict[str, bytes]) -> None:
-    """Take entries that another instance knows, if this one knows none."""
+    """Load entries from another instance's snapshot if this instance has none."""
     if state.entries:
         return
     for server_id, body in bodies.items():
@@ -129,8 +132,8 @@
         _reject_entry(state, server_id, str(error))
         return
     if before is not None and entry.started_ms < before.started_ms:
-        # A row from before the server's start, written late. Taken, it would bring
-        # back what the server held then.
+        # A row of the server's previous incarnation that was written late. It would
+        # restore the models that the server had loaded then.
         log_event(
             Event.SERVER_ENTRY_REFUSED, server=server_id, detail="an earlier start"
         )
@@ -153,10 +156,10 @@
 
 
 def _reject_entry(state: NodeState, server_id: str, why: str) -> None:
-    """Take a row that names no server; it is told once for as long as it says so.
+    """Reject a row that is not a valid server entry; logged once per reason.
 
-    A server whose row another writer has overwritten is not used until it writes
-    again, which it does within its heartbeat.
+    A server whose row was overwritten by another writer is not used until it writes its
+    row again, which it does with its next heartbeat.
     """
     if state.entries.pop(server_id, None) is not None:
         state.entry_bodies.pop(server_id, None)
@@ -172,8 +175,8 @@
     state: NodeState, entry: ServerEntry, before: ServerEntry | None
 ) -> None:
     if before is not None and state.session is not None:
-        # Its connections are those of the start before: a request that is sent on
-        # one breaks off and may not be sent again.
+        # Pooled connections belong to the previous incarnation: a request that is sent
+        # on one fails and may not be retried.
         discard_idle_connections(state.session, entry.address)
     log_event(
         Event.SERVER_LISTED,
@@ -187,7 +190,7 @@
 def _drop_lapsed(
     state: NodeState, gone: list[str], snapshot: dict[str, ServerEntry]
 ) -> None:
-    """Drop entries whose servers have not written again after the store's return."""
+    """Drop lapsed entries that were not written again after the store recovered."""
     dropped = [one for one in gone if state.entries.get(one) is snapshot.get(one)]
     _drop_entries(state, gone, snapshot)
     rows = tuple(
@@ -200,7 +203,7 @@
 def _drop_entries(
     state: NodeState, gone: list[str], snapshot: dict[str, ServerEntry]
 ) -> None:
-    """Drop entries that have not been written again since ``then``."""
+    """Drop entries that were not written again since ``snapshot`` was taken."""
     is_changed = False
     for server_id in gone:
         state.refused_entries.pop(server_id, None)
--- a/src/arbutuspulley/node/settings_reload.py
+++ b/src/arbutuspulley/node/settings_reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings over while the process runs."""
+"""Reloading of changed settings while the process runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,18 +14,19 @@
 from arbutuspulley.settings import SettingsError
 
 POLL_INTERVAL_MS = 2_000
-"""Time between looks at the file's time of change, in ms; it may change unannounced."""
+"""Poll interval of the file's modification time, in ms; the file may change without a
+signal."""
 
 FIXED_SETTINGS = frozenset(
     ("name", "site", "region", "frontend", "ready", "directory", "link", "store")
 )
-"""Settings that hold for the life of a process: its names and addresses."""
+"""Settings that can't change while the process runs: its names and addresses."""
 
 
 class Reloader:
-    """Reads the settings file again when told to, or when it has changed.
+    """Reloads the settings file on request, or when it has changed.
 
-    :param read: reads and checks the file.
+    :param read: reads and validates the file.
     """
 
     __slots__ = ("_loaded_mtime_ns", "_path", "_read", "_state")
@@ -39,14 +40,14 @@
         self._loaded_mtime_ns = self._get_mtime_ns()
 
     async def watch(self) -> None:
-        """Reload whenever the file has changed, for ever."""
+        """Reload the file whenever it changes; never returns."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
             if self._get_mtime_ns() != self._loaded_mtime_ns:
                 self.reload()
 
     def reload(self) -> None:
-        """Take over what may change; wrong settings leave all as it is."""
+        """Apply changed settings, except the fixed ones; invalid settings change nothing."""
         self._loaded_mtime_ns = self._get_mtime_ns()
         try:
             read = self._read(self._path)
--- a/src/arbutuspulley/node/shutdown.py
+++ b/src/arbutuspulley/node/shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop: leave the directory, serve on for a while, finish, end."""
+"""Graceful shutdown: leave the directory, keep serving for a while, drain, exit."""
 
 import asyncio
 
@@ -8,28 +8,29 @@
 from arbutuspulley.node.state import NodeState
 
 SERVE_FRACTION = 0.8
-"""Part of the time until SIGKILL for which callers with an old address are served.
+"""Fraction of the time until SIGKILL for which callers with an old address are served.
 Some keep an answer of the directory for 6 s."""
 
 EXIT_FRACTION = 0.95
-"""Part of the time until SIGKILL at which the process ends whatever is in flight."""
+"""Fraction of the time until SIGKILL after which the process exits even if requests are
+in flight."""
 
 POLL_INTERVAL_MS = 50
-"""Time between looks at what is in flight, in ms."""
+"""Poll interval of the number of requests in flight, in ms."""
 
 
 async def stop_gracefully(
     state: NodeState, *, link: Link, election: Election, servers: list[asyncio.Server]
 ) -> None:
-    """Return once nothing is in flight, at the latest shortly before SIGKILL."""
+    """Return when no request is in flight, at the latest shortly before SIGKILL."""
     begun_at = state.stopping_at or state.clock.now()
     link.send(link.build_heartbeat())
     serve_until = begun_at + int(state.settings.grace_ms * SERVE_FRACTION)
     exit_at = begun_at + int(state.settings.grace_ms * EXIT_FRACTION)
     is_lease_released = False
     while state.clock.now() < serve_until:
-        # While the store is away nobody can take the lease over: callers found no
-        # coordinator for 5 s, and waited in vain until they left.
+        # While the store is unavailable no other instance can take the lease: callers
+        # were without a coordinator for 5 s, and waited in vain until they left.
         if not is_lease_released and not state.store.is_failing:
             await election.release_lease()
             is_lease_released = True
