--- a/src/arbutuspulley/node/bootstrap.py
+++ b/src/arbutuspulley/node/bootstrap.py
@@ -56,7 +56,7 @@
 
 
 async def bootstrap_from_neighbours(state: NodeState, link: Link) -> None:
-    """Request snapshots from the seeds in the settings until a configuration is active."""
+    """Request snapshots from the configured seeds until a configuration is active."""
     await asyncio.sleep(STORE_HEAD_START_MS / SECOND_MS)
     while state.configuration is None:
         for address in state.settings.seeds:
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -312,7 +312,7 @@
     async def _start_answer(
         self, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
-        """Send the headers of the answer once; a resumed stream keeps the first ones."""
+        """Send the answer's headers once; a resumed stream keeps the first ones."""
         if self._answer is None:
             answer = web.StreamResponse(
                 status=response.status,
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: from bytes to a request, and from its end to an answer."""
+"""HTTP front end for callers."""
 
 import asyncio
 import hashlib
@@ -20,19 +20,19 @@
 from arbutuspulley.routing.route_table import find_route
 
 BODY_TIMEOUT_S = 10.0
-"""How long a body may take to arrive, in s: a caller's whole deadline is 8 to 15."""
+"""Timeout for receiving a body, in s; callers' deadlines are 8 to 15 s."""
 
 STREAM_ACCEPT_MS = 2_800
-"""How long after SIGTERM new streams are taken, in ms. A later one may outlast the
-time until SIGKILL; until then callers with an old address are still served."""
+"""How long new streams are accepted after SIGTERM, in ms, which serves callers that
+still use an old address. A stream that starts later may not end before SIGKILL."""
 
 NOT_READY_RETRY_MS = 300
-"""When a caller should come back to an instance that knows no configuration yet, in
-ms; the configuration is usually there within that time."""
+"""Retry delay for callers of an instance without a configuration, in ms; it usually has
+one within that time."""
 
 
 class Frontend:
-    """Takes callers' requests."""
+    """Serves callers' requests."""
 
     __slots__ = ("_charger", "_limits", "_link", "_poison", "_state")
 
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -77,16 +77,16 @@
     def _charge_local(self, incarnation: str, per_s: float, *, attempt_id: str) -> int:
         state = self._state
         # The number of instances is unknown until a coordinator's first status.
-        part = 1 / max(1.0, state.share_divisor) if state.instances else 0.0
+        fraction = 1 / max(1.0, state.share_divisor) if state.instances else 0.0
         now = state.clock.now()
-        wait_ms = self._local.charge(incarnation, per_s, fraction=part, now=now)
+        wait_ms = self._local.charge(incarnation, per_s, fraction=fraction, now=now)
         if wait_ms:
             log_event(
                 Event.SERVER_LIMIT_REACHED,
                 id=attempt_id,
                 server=incarnation,
                 retry_after_ms=wait_ms,
-                part=part,
+                part=fraction,
             )
         return wait_ms
 
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -66,8 +66,8 @@
 the instance calls the store, a change is still active within 2 s."""
 
 RECONNECT_MS = 1_600
-"""A connection that was silent for this long, in ms, is reopened: an open connection may
-stay silent for good while new ones work."""
+"""A connection that was silent for this long, in ms, is reopened: an open connection
+may stay silent for good while new ones work."""
 
 PERMISSION_TIMEOUT_S = 0.2
 """Timeout of a :class:`PermissionRequest`, in s. The answer needs no scheduling, and
@@ -294,7 +294,7 @@
             self.send(self.build_heartbeat())
 
     def _relay_store_update(self, update: StoreUpdate) -> None:
-        """Relay changes that this instance received from the store to the coordinator."""
+        """Relay changes that the store sent to this instance to the coordinator."""
         if self.deliver_local is not None:
             return
         if self._is_follower and update.rows:
@@ -319,7 +319,7 @@
         self._coordinator_version = version
 
     def connect_to(self, address: str) -> None:
-        """Connect to a coordinator; does nothing if the link is already connected to it."""
+        """Connect to a coordinator, unless the link is already connected to it."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
         is_silent = now - max(self._last_heard_at, self._opened_at) > RECONNECT_MS
@@ -356,7 +356,7 @@
         self._pending.refuse_all()
 
     def check_timeout(self) -> None:
-        """Fail pending requests if the coordinator is silent; to be called periodically."""
+        """Fail pending requests if the coordinator is silent; called periodically."""
         if self.deliver_local is None and self._pending and not self.is_up:
             self.fail_pending()
 
@@ -417,7 +417,7 @@
             async with socket, asyncio.TaskGroup() as group:
                 group.create_task(self._write(socket))
                 await self._read(socket)
-                raise LinkLostError("connection closed")
+                raise LinkLostError("closed")
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             detail = type(error).__name__
         except ExceptionGroup as error:
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -130,7 +130,7 @@
         )
 
     def count_refusal(self, team: str, why: str) -> None:
-        """Count a refusal; teams beyond the first :data:`MAX_TEAMS` are counted together."""
+        """Count a refusal; teams beyond :data:`MAX_TEAMS` are counted together."""
         if len(self._teams) < MAX_TEAMS:
             self._teams.add(team)
         self.refusals.labels(team if team in self._teams else OTHER_TEAMS, why).inc()
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -1,10 +1,10 @@
 """Quarantine of requests that crash backend servers.
 
-Callers retry such a request, through any instance. A request that was in flight when its
-server broke off is suspect, and all instances are informed. A request that was only in
-flight beside the cause completes when it is retried, which clears it; its caller sends
-it at most twice. A request that was in flight at three crashes, and was sent each time
-after the previous crash was known, is quarantined.
+Callers retry such a request, through any instance. A request that was in flight when
+its server broke off is suspect, and all instances are informed. A harmless request that
+was in flight beside the cause completes when it is retried, which clears it; its caller
+sends it at most twice. A request that was in flight at three crashes, and was sent each
+time after the previous crash was known, is quarantined and not run again.
 """
 
 from arbutuspulley.delivery.suspects import (
@@ -35,8 +35,8 @@
 """Maximum number of suspects; a server that crashes adds 64 at once."""
 
 EVICT_INTERVAL_MS = 10_000
-"""Interval of evicting old suspects, in ms: a scan of 2,000 takes 7 ms, and a server that
-crashes adds 64 suspects at once."""
+"""Interval of evicting old suspects, in ms: a scan of 2,000 takes 7 ms, and a server
+that crashes adds 64 suspects at once."""
 
 
 class PoisonGuard:
@@ -59,7 +59,10 @@
         return count_deaths(self._find(request))
 
     def get_refusal(self, request: InboundRequest) -> int | None:
-        """Return when a quarantined request may be retried, in ms; ``None``: it may run."""
+        """Return when a quarantined request may be retried, in ms.
+
+        :return: ``None`` if the request is not quarantined and may run.
+        """
         suspicion = self._find(request)
         judgement = judge(suspicion, most_deaths=MAX_CRASHES)
         if suspicion is None or judgement is not Judgement.QUARANTINED:
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -76,13 +76,13 @@
                 raise self.build_refusal(team.name, attempt_id, wait_ms)
             self._link.report_usage(team.name, cost)
             return QuotaCharge(team=team.name, cost=cost, is_local=False)
-        part = get_disconnected_fraction(
+        fraction = get_disconnected_fraction(
             self._local.get_uncoordinated_ms(now),
             decay_ms=self._state.settings.revocation_ms,
         )
-        part /= max(1.0, self._state.share_divisor)
+        fraction /= max(1.0, self._state.share_divisor)
         self._local.tolerance = build_tolerance(self._state.settings)
-        wait_ms = self._local.charge(team, cost, fraction=part, now=now)
+        wait_ms = self._local.charge(team, cost, fraction=fraction, now=now)
         if wait_ms:
             raise self.build_refusal(team.name, attempt_id, wait_ms)
         return QuotaCharge(team=team.name, cost=cost, is_local=True)
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -15,12 +15,12 @@
 from arbutuspulley.routing.local_choice import evict_unlisted
 
 LAPSED_ENTRY_GRACE_MS = 1_800
-"""How long lapsed entries are kept after the store has recovered, in ms. Running servers
-write their entries again within about 2 s; a server that left in the meantime must get
-no request later than 2 s after its removal was seen."""
+"""How long lapsed entries are kept after the store has recovered, in ms. Running
+servers write their entries again within about 2 s; a server that left in the meantime
+must get no request later than 2 s after its removal was seen."""
 
 MAX_REJECTED_ROWS = 1_000
-"""Maximum number of rejected rows that are remembered; beyond, they are logged again."""
+"""Maximum number of rejected rows that are remembered, so that each is logged once."""
 
 MAX_REMOVED_VERSIONS = 10_000
 """Maximum number of removed rows whose versions are kept, about 1 MB: the removals of a
@@ -37,8 +37,8 @@
 ) -> StoreUpdate:
     """Update the server entries from rows of the store.
 
-    Rows arrive by several paths, and the newest version of each wins: a row that a relay
-    deferred must not restore a server that has left since.
+    Rows arrive by several paths, and the newest version of each wins: a row that was
+    deferred by a relay must not restore a server that has left since.
 
     :param is_whole: whether these are all server rows of the store.
     :param was_away: whether the store was unavailable shortly before.
--- a/src/arbutuspulley/node/settings_reload.py
+++ b/src/arbutuspulley/node/settings_reload.py
@@ -47,7 +47,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Apply changed settings, except the fixed ones; invalid settings change nothing."""
+        """Apply changed settings except fixed ones; an invalid file changes nothing."""
         self._loaded_mtime_ns = self._get_mtime_ns()
         try:
             read = self._read(self._path)
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one process share."""
+"""State that is shared by the components of an instance."""
 
 import random
 from collections.abc import Callable
@@ -22,35 +22,39 @@
 
 
 class NodeState:
-    """State of the process; all of it lives on the one loop.
-
-    :param order_session: the client for orders to model servers.
-    :param configuration: the version in force, ``None`` before the first.
-    :param configuration_body: it as the store holds it, for other instances.
-    :param versions: it and those before it, likewise.
-    :param freshness: the word that no newer version than the one in force exists.
-    :param keys: the teams' keys of the version in force; ``None``: it has no teams.
-    :param limits: rate limits that servers name, as far as this instance knows.
-    :param entries: registered servers by their ids.
-    :param by_incarnation: the same by incarnation, ``by_service`` by service.
-    :param refused_entries: ids of rows that name no server, and why.
-    :param entry_bodies: entries as the store holds them, for other instances.
-    :param row_versions: version of the newest row known of each server, of removed ones
-        too, by id.
-    :param quiet_rows: servers whose newest row changed only what they hold.
-    :param store_version: up to which version of the store all servers' rows are known.
-    :param followed: tables whose changes the store tells this process, and when it
-        last answered, in ms.
-    :param nodes: instances near this one and some others, as the coordinator last told.
-    :param instances: how many the coordinator hears of.
-    :param advertised: to how many of them callers are sent.
+    """State of the process; it is used only on the event loop.
+
+    :param order_session: HTTP client for orders to model servers.
+    :param configuration: active configuration; ``None`` before the first.
+    :param configuration_body: active configuration as stored, for other instances.
+    :param versions: active and previous configurations as stored, likewise.
+    :param freshness: confirmation that no configuration newer than the active one
+        exists.
+    :param keys: the teams' keys of the active configuration; ``None``: it has no teams.
+    :param limits: servers' rate limits that this instance knows.
+    :param entries: registered servers, by server id.
+    :param by_incarnation: registered servers by incarnation; ``by_service`` by service.
+    :param refused_entries: reasons for which rows were rejected, by server id.
+    :param entry_bodies: entries as stored, for other instances.
+    :param row_versions: newest known version of each server row, also of removed rows,
+        by server id.
+    :param deferrable_rows: servers whose newest row changed only their loaded models.
+    :param store_version: store version up to which all server rows are known.
+    :param followed_at: tables whose changes this process receives from the store, and
+        the time of the last answer, in ms.
+    :param nodes: roster: instances near this one and some others, as last sent by the
+        coordinator.
+    :param nodes_updated_at: time of the last coordinator status, in ms.
+    :param instances: number of instances that the coordinator can reach.
+    :param advertised: number of instances whose addresses are given to callers.
     :param coordinates: whether this instance is the coordinator.
-    :param learnt: what the coordinator last told that it has learnt; used if this
-        instance succeeds it.
-    :param stopping_at: when SIGTERM came, ``None`` before.
-    :param on_change: called after the configuration or the servers changed.
-    :param on_news: called with what the store has told this process and was new.
-    :param on_lost: called when the store tells this process no changes any more.
+    :param estimates: estimates last sent by the coordinator; used if this instance
+        becomes its successor.
+    :param stopping_at: when SIGTERM arrived, in ms; ``None`` before.
+    :param on_change: called after the configuration or the servers have changed.
+    :param on_store_update: called with newer data that the store sent to this process.
+    :param on_store_lost: called when this process no longer receives the store's
+        changes.
     """
 
     __slots__ = (
@@ -146,12 +150,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this instance takes callers."""
+        """Whether this instance serves callers."""
         return self.configuration is not None and self.stopping_at is None
 
     @property
     def may_admit(self) -> bool:
-        """Whether callers' keys may be believed: none was withdrawn unheard of."""
+        """Whether keys may be accepted: no key can have been revoked unnoticed."""
         revocation_ms = self.settings.revocation_ms
         if self.keys is None or revocation_ms is None:
             return True
@@ -160,11 +164,11 @@
 
     @property
     def configuration_version(self) -> int:
-        """Version of the configuration in force; 0: none."""
+        """Version of the active configuration; 0: none."""
         return self.configuration.version if self.configuration else 0
 
     def build_info(self) -> NodeInfo:
-        """Return what this instance says of itself."""
+        """Return this instance's information for others."""
         settings = self.settings
         return NodeInfo(
             name=settings.name,
@@ -178,7 +182,7 @@
 
     @property
     def share_divisor(self) -> float:
-        """By how many this instance divides what all instances share."""
+        """Divisor for this instance's share of a limit that all instances share."""
         own = self.build_info()
         basis = (own, self.nodes, self.advertised, self.instances)
         if basis != self._share_divisor_basis:
@@ -194,11 +198,11 @@
 
     @property
     def capacity(self) -> float:
-        """How much work this instance can take, in cores."""
+        """Capacity of this instance, in cores."""
         return get_capacity(self.settings.cores, self.settings.link_mbps)
 
     def get_budget(self, service: str) -> ServiceRetryBudget:
-        """Return the budget of repeats of a service."""
+        """Return the retry budget of a service."""
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = ServiceRetryBudget(
@@ -209,16 +213,16 @@
         return budget
 
     def notify_change(self) -> None:
-        """Call everyone who follows the configuration and the servers."""
+        """Call the listeners for changes of the configuration or the servers."""
         for call in self.on_change:
             call()
 
-    def notify_store_update(self, news: StoreUpdate) -> None:
-        """Hand on what the store has told this process."""
+    def notify_store_update(self, update: StoreUpdate) -> None:
+        """Call the listeners for changes that the store sent to this process."""
         for call in self.on_store_update:
-            call(news)
+            call(update)
 
     def notify_store_lost(self) -> None:
-        """Say that the store tells this process no changes any more."""
+        """Call the listeners for the loss of the store's changes."""
         for call in self.on_store_lost:
             call()
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -1,7 +1,7 @@
-"""Follows the operator's configuration and the servers' entries in the store.
+"""Watches the operator's configuration and the server entries in the store.
 
-Few instances ask the store; the coordinator relays what it tells them to all others,
-see :mod:`arbutuspulley.node.relay`. An instance that is not told asks for itself.
+Few instances call the store; the coordinator relays its changes to all others, see
+:mod:`arbutuspulley.node.relay`. An instance without a relay calls the store itself.
 """
 
 import asyncio
@@ -31,46 +31,47 @@
 from arbutuspulley.routing.route_table import build_route_table
 
 INITIAL_BACKOFF_MS = 250
-"""First pause after a failed call to the store, in ms; doubled up to the longest."""
+"""First backoff after a failed call to the store, in ms; doubled up to the maximum."""
 
 MAX_BACKOFF_MS = 1_000
-"""Longest pause between tries, in ms: a configuration must be in force 2 s after it
-was accepted, also right after the store came back."""
+"""Maximum backoff, in ms: a configuration must be active 2 s after it was accepted,
+also right after the store has recovered."""
 
 CHANGE_BATCH_MS = 400
-"""Pause after changes of the servers' entries before the next call, in ms: entries
-change one after another as servers are told to load, and each answer would tell of
-one. A server that leaves may get requests for 2 s more, and a new one takes 1.2 s to
-load its first model, so neither is noticed."""
+"""Delay after changes of server entries before the next call, in ms. Entries change one
+after another when servers are ordered to load models, and each answer would contain
+only one. The delay does no harm: a leaving server may get requests for 2 s more, and a
+new one takes 1.2 s to load its first model."""
 
 MIN_OUTAGE_MS = 1_000
-"""A store that was away longer than this, in ms, may have let entries lapse of
-servers that live: they could not write to it either."""
+"""After an outage longer than this, in ms, entries of running servers may have lapsed:
+the servers could not write to the store either."""
 
 FOLLOW_TIMEOUT_MS = (
     FEED_WAIT_MS + int(FEED_TIMEOUT_MARGIN_S * SECOND_MS) + CHANGE_BATCH_MS
 )
-"""A table whose changes the store has not told for so long, in ms, is not followed: a
-call for changes is answered or given up within this time."""
+"""A table without an answer of the store for this long, in ms, is not followed: a call
+that waits for changes is answered or times out within this time."""
 
 RELAY_POLL_MS = 150
-"""Time between looks whether the store's news still come by relay, in ms."""
+"""Poll interval of whether the store's changes are still relayed, in ms."""
 
 MIN_FALLBACK_DELAY_MS = 150
 MAX_FALLBACK_DELAY_MS = 600
-"""How long after its relay was lost an instance asks the store itself, in ms. A
-coordinator that stops is mostly followed by another meanwhile; drawn between the two,
-what all instances ask spreads out."""
+"""Bounds of the random delay after which an instance that lost its relay calls the
+store itself, in ms. A coordinator that stops usually has a successor within that time,
+and the jitter spreads the calls of all instances."""
 
 FALLBACK_DELAY_PER_INSTANCE_MS = 10
-"""How much the longest of these waits grows with each instance, in ms: a
-hundred calls a second are few for the store, and few instances need not wait long."""
+"""Increase of the upper bound per instance, in ms. It limits the calls to about a
+hundred per second, which is little for the store, and small fleets need not wait
+long."""
 
 
 FIRST_COORDINATOR_WAIT_MS = 1_000
-"""How long a process that has just started waits to hear of a coordinator before it
-asks the store for changes, in ms: most find one within half a second, and it tells them
-what has changed since they read."""
+"""How long a process that has just started waits for a coordinator's first status
+before it asks the store for changes, in ms. Most find a coordinator within half a
+second, and it sends them what has changed since they read the store."""
 
 
 async def follow_configuration(
@@ -79,10 +80,12 @@
     is_store_relayed: Callable[[], bool] = lambda: False,
     is_starting: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Keep the newest configuration in force, for ever.
+    """Keep the newest configuration active; never returns.
 
-    :param is_relayed: tells whether another instance hands on what the store tells.
-    :param is_starting: tells whether no coordinator was heard of yet that might.
+    :param is_store_relayed: returns whether another instance relays the store's
+        changes.
+    :param is_starting: returns whether no coordinator, which might relay them, has sent
+        a status yet.
     """
     await _TableFollower(
         state=state,
@@ -103,9 +106,9 @@
     is_store_relayed: Callable[[], bool] = lambda: False,
     is_starting: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Keep the servers' entries up to date, for ever.
+    """Keep the server entries up to date; never returns.
 
-    :param is_relayed: as for :func:`follow_configuration`.
+    :param is_store_relayed: as for :func:`follow_configuration`.
     :param is_starting: likewise.
     """
     await _TableFollower(
@@ -121,7 +124,7 @@
 
 
 def is_following_store(state: NodeState) -> bool:
-    """Tell whether the store tells this process all changes."""
+    """Return whether this process receives all changes from the store."""
     now = state.clock.now()
     tables = (names.OPERATOR_TABLE, names.SERVERS_TABLE)
     return all(
@@ -131,19 +134,19 @@
 
 
 def get_max_fallback_delay_ms(instances: int) -> int:
-    """Return how long an instance waits at most until it asks the store itself, in ms.
+    """Return the maximum delay before an instance calls the store itself, in ms.
 
-    :param instances: how many there are.
+    :param instances: number of instances.
     """
     spread = FALLBACK_DELAY_PER_INSTANCE_MS * max(1, instances)
     return min(MAX_FALLBACK_DELAY_MS, MIN_FALLBACK_DELAY_MS + spread)
 
 
 class ApplyRows(Protocol):
-    """Takes rows of a table in.
+    """Applies rows of a table.
 
-    ``is_whole`` says whether these are all rows of the table as of ``version``,
-    ``was_away`` whether the store was away shortly before.
+    ``is_whole`` is whether these are all rows of the table as of ``version``,
+    ``was_away`` whether the store was unavailable shortly before.
     """
 
     def __call__(
@@ -155,22 +158,22 @@
         was_away: bool,
         version: int,
     ) -> StoreUpdate:
-        """Take the rows in and return what of them was new."""
+        """Apply the rows and return those that were newer than the known ones."""
 
 
 class _TableFollower:
-    """One table's reader.
-
-    The store tells each change of a row, with its whole value. Where only the newest
-    value counts, whoever has missed some reads the row: all of them may take longer to
-    come than new ones need to be written.
-
-    :param get_version: returns the version of the store from which changes have to be
-        asked for after a relay or a failure; ``None``: all rows have to be read.
-    :param gather_ms: pause after changes, in ms, so that one answer tells of several.
-    :param wants_newest_only: whether a row's newer value makes the older ones useless.
-    :param note_confirmed: called with when a call was sent, in ms, after its answer was
-        taken in: what is known is at least as new as that.
+    """Follows the changes of one table.
+
+    The store sends each change of a row with its full value. If only the newest value
+    counts, a reader that has missed changes reads the row instead: fetching all missed
+    changes may take longer than writing new ones.
+
+    :param get_version: returns the store version after which to ask for changes once a
+        relay or a call has failed; ``None``: all rows have to be read.
+    :param batch_ms: delay after changes, in ms, so that one answer contains several.
+    :param wants_newest_only: whether a row's newer value makes the older ones obsolete.
+    :param record_confirmed: called after an answer was applied with the time when its
+        call was sent, in ms: the known state is at least as new as that.
     """
 
     __slots__ = (
@@ -215,7 +218,7 @@
         self._recovered_at = -LAPSED_ENTRY_GRACE_MS
 
     async def follow(self) -> None:
-        """Read all rows, then wait for changes; begin anew whenever that fails."""
+        """Read all rows, then wait for changes; start over whenever that fails."""
         backoff_ms = INITIAL_BACKOFF_MS
         is_history_lost = False
         version: int | None = None
@@ -244,26 +247,26 @@
                 version = self._get_version()
 
     async def _back_off(self, backoff_ms: int) -> int:
-        """Wait before the next try.
+        """Wait before the next attempt, with jitter.
 
-        :param pause: for how long at most, in ms.
-        :return: the same for the time after.
+        :param backoff_ms: maximum wait, in ms.
+        :return: maximum wait before the attempt after that, in ms.
         """
         jitter = self._state.chance.uniform(0.5, 1.0)
         await asyncio.sleep(backoff_ms * jitter / SECOND_MS)
         return min(MAX_BACKOFF_MS, backoff_ms * 2)
 
     async def _wait_for_coordinator(self, *, since: int) -> None:
-        """Wait a moment for the first that is heard of.
+        """Wait briefly for the first coordinator status.
 
-        :param since: when this process started to follow.
+        :param since: when this process started to follow the table, in ms.
         """
         until = since + FIRST_COORDINATOR_WAIT_MS
         while self._is_starting() and self._state.clock.now() < until:
             await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
 
     async def _wait_while_relayed(self) -> None:
-        """Return once the relay has been lost for a moment."""
+        """Return once the relay has been lost for the fallback delay."""
         self._state.followed_at.pop(self._table, None)
         self._failed_at = None
         while self._is_store_relayed():
@@ -274,10 +277,11 @@
             await asyncio.sleep(wait / SECOND_MS)
 
     async def _read_changes(self, version: int | None) -> int | None:
-        """Make one call.
+        """Make one call to the store and apply its answer.
 
-        :param version: after which changes are asked for; ``None``: all rows are read.
-        :return: the same for the next call.
+        :param version: store version after which to ask for changes; ``None``: all rows
+            are read.
+        :return: the version for the next call.
         """
         store = self._state.store
         asked_at = self._state.clock.now()
@@ -305,9 +309,9 @@
     def _update_behind(
         self, answer: RowsAnswer, update: StoreUpdate, version: int | None
     ) -> bool:
-        """Tell whether more has changed than one answer in time would have brought.
+        """Return whether several versions were missed, so that the row must be read.
 
-        Readings then follow each other until one brings nothing new.
+        Reads then repeat until one returns nothing newer.
         """
         if version is not None:
             self._is_behind = len(answer.rows) > 1
@@ -334,7 +338,7 @@
 
 
 def apply_configuration_rows(state: NodeState, rows: list[StoredRow]) -> StoreUpdate:
-    """Put a newer configuration in force; an older one never."""
+    """Activate a configuration from the store if it is newer than the active one."""
     body = b""
     for row in rows:
         if row.key != names.CONFIGURATION_KEY or row.value is None:
@@ -345,10 +349,10 @@
 
 
 def activate_configuration(state: NodeState, body: bytes, *, by: str) -> bool:
-    """Put a configuration in force if it is newer than the present one.
+    """Activate a configuration if it is newer than the active one.
 
-    :param by: who told it: ``store``, ``coordinator``, ``follower`` or ``neighbour``.
-    :return: whether it was.
+    :param by: source: ``store``, ``coordinator``, ``follower`` or ``neighbour``.
+    :return: whether it was activated.
     """
     try:
         configuration = decode_configuration(body)
@@ -391,10 +395,10 @@
 def apply_configuration_delta(
     state: NodeState, update: ConfigurationDelta, *, by: str
 ) -> bool:
-    """Take in a newer configuration that another instance tells.
+    """Activate a newer configuration from a delta that another instance sent.
 
-    :param by: which, as for :func:`activate_configuration`.
-    :return: whether it was put in force.
+    :param by: source, as for :func:`activate_configuration`.
+    :return: whether it was activated.
     """
     if update.version <= state.configuration_version:
         return False
@@ -414,10 +418,10 @@
 def apply_store_update(
     state: NodeState, update: StoreUpdate, *, by: str
 ) -> StoreUpdate:
-    """Take in what the store has told another instance.
+    """Apply changes of the store that another instance relayed.
 
-    :param by: which: the ``coordinator`` or a ``follower``.
-    :return: what of it was new here.
+    :param by: source: ``coordinator`` or ``follower``.
+    :return: the changes that were newer than the known state.
     """
     body = update.configuration
     is_newer = bool(body) and activate_configuration(state, body, by=by)
--- a/src/arbutuspulley/node/versions.py
+++ b/src/arbutuspulley/node/versions.py
@@ -1,7 +1,8 @@
-"""Versions of the configuration, and updates from one to the next.
+"""Recent versions of the configuration, and deltas between them.
 
-An operator changes a route or two of thousands. Sent whole to each instance, every
-change would take as much of the coordinator's link as all routes take.
+A change by an operator affects one or two of thousands of routes. If each change sent
+the full configuration to every instance, it would use as much of the coordinator's
+bandwidth as all routes.
 """
 
 import zlib
@@ -10,25 +11,27 @@
 from arbutuspulley.node.messages import ConfigurationDelta, DeltaStep
 
 _SEPARATOR = b"},"
-"""Ends a part. Entries of the operator's JSON end so, but any cut gives right results:
-parts are only compared and joined again."""
+"""Separator of the parts. Entries of the operator's JSON end with it, but any separator
+gives correct results: parts are only compared and joined again."""
 
 MAX_VERSIONS = 8
-"""Versions that are kept at most: instances are told a new one before another few have
-come, and one that is further behind is sent the whole."""
+"""Maximum number of older versions: instances usually lag a few versions behind at
+most, and one that lags further is sent the full configuration."""
 
 MAX_OLDER_BYTES = 4_000_000
-"""Most bytes of these beside the newest, of the 128 MB that control may take."""
+"""Maximum size of the older versions together, in bytes, out of the 128 MB that control
+data may use."""
 
 MAX_BODY_BYTES = 64_000_000
-"""Longest text of an update, in bytes, that is unpacked."""
+"""Maximum decompressed size of a delta's text, in bytes."""
 
 _COMPRESSION_LEVEL = 3
-"""Level of compression: an update is sent to many, and built while they wait."""
+"""zlib compression level. A delta is sent to many instances and built while they
+wait."""
 
 
 class Versions:
-    """The newest versions, as the store holds them."""
+    """The newest versions of the configuration, as stored."""
 
     __slots__ = ("_bodies", "_deltas")
 
@@ -38,11 +41,11 @@
 
     @property
     def newest(self) -> int:
-        """The newest version; 0: none is known."""
+        """Number of the newest version; 0: none."""
         return max(self._bodies, default=0)
 
     def add(self, version: int, body: bytes) -> None:
-        """Keep a version that is newer than all others."""
+        """Add a version that is newer than all others."""
         self._bodies[version] = body
         self._deltas.clear()
         while len(self._bodies) > 1 and self._exceeds_limits(version):
@@ -53,10 +56,10 @@
         return len(older) >= MAX_VERSIONS or sum(older) > MAX_OLDER_BYTES
 
     def build_delta(self, base: int) -> ConfigurationDelta:
-        """Return what leads from a version to the newest one.
+        """Return the delta from a version to the newest one.
 
-        :param base: the version that the receiver has; if it is not known here, the
-            update carries the whole.
+        :param base: version that the receiver has; if it is unknown here, the delta
+            contains the full configuration.
         """
         delta = self._deltas.get(base)
         if delta is None:
@@ -78,9 +81,9 @@
         )
 
     def apply(self, delta: ConfigurationDelta) -> bytes | None:
-        """Return the version that an update leads to.
+        """Return the version that a delta produces.
 
-        :return: ``None`` if its base is not known here or it was not made for it.
+        :return: ``None`` if the delta's base is unknown here or has other content.
         """
         base = self._bodies.get(delta.base)
         if base is None and delta.base:
@@ -98,9 +101,9 @@
 def _build_steps(
     old: list[bytes], new: list[bytes]
 ) -> tuple[list[DeltaStep], list[bytes]]:
-    """Return steps that lead from old parts to new ones, and the parts they add.
+    """Return the steps from old parts to new ones, and the parts that they add.
 
-    Takes time in proportion to the parts, whatever is repeated among them.
+    Runs in time linear in the number of parts, even if parts repeat.
     """
     positions = {part: number for number, part in enumerate(old)}
     steps: list[DeltaStep] = []
