--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -74,18 +74,18 @@
     ],
     ids=["known", "another", "spaces", "unknown", "none", "empty", "twice", "two"],
 )
-def test_a_request_is_admitted_by_its_only_key(sent, expected):
+def test_a_request_is_admitted_by_exactly_one_known_key(sent, expected):
     assert check(build_instance("k1", "k2"), *sent) == expected
 
 
 @pytest.mark.parametrize("age_ms", [0, 90_000, None])
-def test_a_public_route_needs_neither_key_nor_word(age_ms):
+def test_a_public_route_needs_neither_key_nor_confirmation(age_ms):
     state = build_instance("k1", age_ms=age_ms)
     assert check(state, path="/open/1") is None
     assert check(state, "k9", path="/open/1") is None
 
 
-def test_without_teams_nobody_needs_a_key():
+def test_without_teams_no_key_is_needed():
     state = build_state()
     activate_configuration(
         state, msgspec.json.encode(build_configuration(1)), by="store"
@@ -93,7 +93,7 @@
     assert check(state) is None
 
 
-def test_a_configuration_whose_last_team_left_admits_nobody():
+def test_an_empty_list_of_teams_admits_nobody():
     assert check(build_instance(), "k1") == 401
 
 
@@ -101,24 +101,24 @@
     ("age_ms", "expected"),
     [(0, "team-k1"), (4_899, "team-k1"), (4_900, 503), (60_000, 503), (None, 503)],
 )
-def test_a_known_key_is_refused_as_not_run_once_the_word_is_too_old(age_ms, expected):
+def test_a_known_key_is_refused_as_not_run_after_confirmation_expires(age_ms, expected):
     assert check(build_instance("k1", age_ms=age_ms), "k1") == expected
 
 
 @pytest.mark.parametrize(
     ("age_ms", "expected"), [(2_999, 401), (3_000, 503), (4_800, 503)]
 )
-def test_an_unknown_key_is_denied_on_a_fresh_word_only(age_ms, expected):
+def test_an_unknown_key_is_denied_only_with_a_fresh_confirmation(age_ms, expected):
     """A key that was just added would be denied for good by an older word."""
     assert check(build_instance("k1", age_ms=age_ms), "k2") == expected
 
 
-def test_without_a_bound_an_old_word_is_believed():
+def test_without_a_revocation_bound_an_old_confirmation_suffices():
     state = build_instance("k1", age_ms=None, revocation_ms=None)
     assert (check(state, "k1"), check(state, "k2")) == ("team-k1", 401)
 
 
-def test_a_key_withdrawn_while_its_request_waited_reaches_no_server():
+def test_a_key_revoked_while_its_request_waits_is_refused():
     state = build_instance("k1", "k2")
     access, _ = build_access(state, "k1")
     access.check()
@@ -128,7 +128,7 @@
     assert raised.value.status == 401
 
 
-def test_a_request_that_waited_in_a_frozen_process_is_judged_again():
+def test_a_request_that_waited_in_a_frozen_process_is_checked_again():
     now = [NOW]
     state = build_instance("k1", now=now)
     access, _ = build_access(state, "k1")
@@ -139,7 +139,7 @@
     assert raised.value.status == 503
 
 
-def test_a_key_that_moved_to_another_team_is_that_teams():
+def test_a_key_moved_to_another_team_belongs_to_that_team():
     state = build_instance("k1")
     configuration = build_configuration(2)
     configuration["Tenants"] = [{"Name": "other", "ApiKeys": ["k1"]}]
@@ -157,7 +157,7 @@
         ({"ApiKeys": ["k1"]}, "hold the same key"),
     ],
 )
-def test_a_team_that_makes_no_sense_leaves_the_version_before(changes, named, caplog):
+def test_an_invalid_team_keeps_the_previous_configuration(changes, named, caplog):
     state = build_instance("k1")
     configuration = build_configuration(2)
     wrong = {"Name": "wrong", "ApiKeys": ["k9"], **changes}
@@ -185,7 +185,7 @@
     assert "first-key" not in shown
 
 
-def test_a_request_that_waited_is_served_once_keys_are_not_needed_any_more():
+def test_a_waiting_request_is_served_once_keys_are_no_longer_needed():
     state = build_instance("k1")
     access, _ = build_access(state, "k1")
     access.check()
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -116,12 +116,12 @@
     return Refused(key="r1", retry_after_ms=700, **changes)
 
 
-def withdraw_and_grant(trial):
+def revoke_and_grant(trial):
     put_teams(trial.state, 2, "k2")
     return grant()
 
 
-def test_a_request_is_charged_once_however_often_it_asks():
+def test_a_request_is_charged_once_for_several_grant_requests():
     trial = Trial(grant)
     assert trial.get_server() is ENTRY
     assert trial.get_server() is ENTRY
@@ -130,7 +130,7 @@
     assert trial.list_costs() == [COST, 0]
 
 
-def test_a_request_that_no_server_ran_is_given_back_once():
+def test_a_request_that_no_server_ran_is_refunded_once():
     trial = Trial(grant)
     trial.get_server()
     trial.acquisition.refund()
@@ -138,7 +138,7 @@
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_request_refused_for_want_of_servers_is_given_back():
+def test_a_request_refused_for_lack_of_servers_is_refunded():
     trial = Trial(refuse)
     with pytest.raises(NoServerError) as raised:
         trial.get_server()
@@ -147,7 +147,7 @@
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_request_over_its_quota_is_refused_and_was_not_charged():
+def test_a_request_over_its_quota_is_refused_without_a_charge():
     trial = Trial(lambda _trial: refuse(is_over_quota=True))
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
@@ -156,9 +156,9 @@
     assert trial.list_costs() == [COST]
 
 
-def test_a_key_withdrawn_while_its_request_waited_gets_no_server():
+def test_a_key_revoked_while_its_request_waits_gets_no_server():
     """The grant came after the withdrawal; the server is freed and nothing is paid."""
-    trial = Trial(withdraw_and_grant)
+    trial = Trial(revoke_and_grant)
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert raised.value.status == 401
@@ -168,7 +168,7 @@
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_caller_who_left_while_it_waited_is_given_back():
+def test_a_caller_that_disconnects_while_waiting_is_refunded():
     async def leave(trial):
         task = asyncio.ensure_future(trial.acquisition.get_server())
         await asyncio.sleep(0)
@@ -182,7 +182,7 @@
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_request_without_a_coordinator_is_paid_for_here_and_given_back_here():
+def test_a_request_without_a_coordinator_is_charged_and_refunded_locally():
     trial = Trial(grant)
     trial.link.deliver_local = None
     trial.link.status = CoordinatorStatus(is_holder=True)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -40,14 +40,14 @@
     ],
     ids=["own data centre", "own region", "another", "none there", "not told"],
 )
-def test_the_nearest_ready_instances_are_named(site, region, expected):
+def test_the_nearest_ready_instances_are_listed(site, region, expected):
     state = build_ready(now=[10])
     state.nodes, state.nodes_updated_at = NODES, 10
     named = Directory(state=state).list_addresses(site=site, region=region)
     assert {address.partition(":")[0] for address in named} == expected
 
 
-def test_an_old_list_is_not_believed():
+def test_an_outdated_roster_is_not_used():
     now = [10]
     state = build_ready(now=now)
     state.nodes, state.nodes_updated_at = NODES, 10
@@ -56,7 +56,7 @@
     assert directory.list_addresses(site="b1", region="b") == ["own:1"]
 
 
-def test_an_instance_that_stops_names_others_only():
+def test_a_stopping_instance_lists_only_others():
     state = build_ready(now=[10])
     state.nodes, state.nodes_updated_at = NODES, 10
     state.stopping_at = 9
@@ -65,12 +65,12 @@
 
 
 @pytest.mark.parametrize(("setting", "expected"), [(5.0, 1), (0.5, 0.5)])
-def test_answers_are_kept_no_longer_than_the_settings_allow(setting, expected):
+def test_the_ttl_is_limited_by_the_settings(setting, expected):
     directory = Directory(state=build_ready(now=[10], directory_ttl_s=setting))
     assert directory._get_ttl() == expected
 
 
-def test_an_instance_that_can_admit_nobody_sends_callers_to_those_it_last_knew():
+def test_an_instance_that_can_admit_nobody_directs_callers_to_its_last_roster():
     """It is cut off from all others and from the store. It named itself alone, and all
     callers that asked it were refused there."""
     now = [10]
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -34,7 +34,7 @@
     return peers
 
 
-def take_digest(peers):
+def send_status(peers):
     """Send a digest and return what instance ``a`` gets."""
     peers.get("a").outgoing.clear()
     peers.send_status(is_holder=True)
@@ -43,7 +43,7 @@
     )
 
 
-def test_the_word_is_as_old_as_its_question():
+def test_a_confirmation_is_as_old_as_its_call():
     freshness = Freshness()
     assert freshness.get_age(5) is None
     assert not freshness.is_within(1_000, now=5)
@@ -64,7 +64,7 @@
     assert marks.find_number(None) == 0
 
 
-def test_a_digest_confirms_as_of_a_beat_sent_before_the_store_was_asked():
+def test_a_status_confirms_as_of_a_heartbeat_sent_before_the_store_call():
     """A digest that waits in a socket makes no old word young."""
     now = [1_000]
     state = build_instance(now)
@@ -78,25 +78,25 @@
     state.freshness.confirm(now[0], source="store")
     now[0] = 1_250
     peers.handle_heartbeat("a", link.build_heartbeat())
-    digest = take_digest(peers)
+    digest = send_status(peers)
     assert (digest.beat, digest.fresh_beat) == (2, 1)
     now[0] = 9_000
     link.receive([digest])
     assert there.freshness.get_age(now[0]) == 8_000
 
 
-def test_a_coordinator_without_a_word_confirms_nothing():
+def test_a_coordinator_without_a_confirmation_confirms_nothing():
     """A coordinator that has just started, or froze and woke, knows no newer state."""
     now = [1_000]
     state = build_instance(now)
     peers = build_peers(state)
     peers.handle_heartbeat("a", Heartbeat(is_ready=True, number=7))
-    assert take_digest(peers).fresh_beat == 0
+    assert send_status(peers).fresh_beat == 0
     state.freshness.confirm(900, source="store")
-    assert take_digest(peers).fresh_beat == 0
+    assert send_status(peers).fresh_beat == 0
 
 
-def test_a_digest_of_a_newer_configuration_confirms_only_once_that_is_in_force():
+def test_a_status_with_a_newer_configuration_confirms_only_once_that_is_active():
     now = [1_000]
     there = build_instance(now, version=1)
     link = Link(state=there)
@@ -111,7 +111,7 @@
     assert there.freshness.confirmed_at == 1_000
 
 
-def test_a_beat_of_the_link_before_confirms_nothing():
+def test_a_heartbeat_of_the_previous_connection_confirms_nothing():
     """A superseded coordinator's digest names beats of another connection."""
     now = [1_000]
     there = build_instance(now)
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize(
     ("version", "confirmed_at"), [(1, 1_000), (2, 1_000), (3, None)]
 )
-def test_a_follower_vouches_as_of_a_digest_that_it_had_before_it_asked(
+def test_a_follower_confirms_as_of_a_status_received_before_its_store_call(
     version, confirmed_at
 ):
     """The coordinator is cut off from the store; a follower still asks it."""
@@ -136,11 +136,11 @@
     follower = build_instance(now)
     link = Link(state=follower)
     link.reset_coordinator_state()
-    link.receive([take_digest(peers)])
+    link.receive([send_status(peers)])
     now[0] = 1_300
     follower.freshness.confirm(now[0], source="store")
     now[0] = 1_500
-    link.receive([take_digest(peers)])
+    link.receive([send_status(peers)])
     beat = msgspec.structs.replace(link.build_heartbeat(), configuration=version)
     assert beat.vouches == 1
     now[0] = 6_000
@@ -148,7 +148,7 @@
     assert state.freshness.confirmed_at == confirmed_at
 
 
-def test_an_instance_whose_word_grows_old_asks_the_store_itself():
+def test_an_instance_with_an_old_confirmation_calls_the_store_itself():
     now = [1_000]
     state = build_instance(now, revocation_ms=5_000)
     link = Link(state=state)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -77,7 +77,7 @@
     return None if server.limit is None else server.limit.per_s
 
 
-def test_a_limit_is_told_until_the_coordinator_confirms_it():
+def test_a_limit_is_sent_until_the_coordinator_confirms_it():
     """Guards against a limit that is lost with a link and never told again."""
     instance = Instance()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
@@ -92,7 +92,7 @@
     assert instance.told[2:] == [ServerLimit(incarnation=A.incarnation)]
 
 
-def test_a_limit_that_is_no_number_changes_nothing():
+def test_an_invalid_limit_changes_nothing():
     instance = Instance()
     instance.update_from_answer(LIMITED)
     instance.now[0] += 10
@@ -100,7 +100,7 @@
     assert instance.state.limits.get(A.incarnation) == 2.0
 
 
-def test_an_instance_learns_of_limits_that_others_have_read():
+def test_an_instance_receives_limits_that_others_have_read():
     instance = Instance()
     limit = ServerLimit(incarnation=A.incarnation, per_s=3.0)
     instance.link.receive([ServerLimits(limits=(limit,))])
@@ -109,7 +109,7 @@
     assert instance.state.limits.get(A.incarnation) is None
 
 
-def test_an_instance_without_a_coordinator_sends_only_its_own_part():
+def test_an_instance_without_a_coordinator_uses_only_its_own_share():
     """Guards against instances that each use a whole limit without a coordinator."""
     instance = Instance(is_linked=False)
     instance.update_from_answer(LIMITED)
@@ -123,7 +123,7 @@
     assert 4 <= waits.count(0) <= 5
 
 
-def test_a_request_to_a_server_without_a_limit_asks_nobody():
+def test_a_request_to_a_server_without_a_limit_needs_no_permission():
     instance = Instance()
     assert instance.ask() == 0
     assert instance.told == []
@@ -150,14 +150,14 @@
     assert instance.ask() == wait_ms
 
 
-def test_a_coordinator_that_does_not_answer_counts_as_none():
+def test_a_coordinator_that_does_not_answer_is_treated_as_missing():
     """Guards against plain requests that wait for a coordinator of another version."""
     instance = Instance()
     instance.update_from_answer(LIMITED)
     assert instance.ask() == MAX_RECHECK_MS
 
 
-def test_a_link_that_has_ended_lets_an_instance_go_by_its_own_part():
+def test_an_instance_whose_link_was_closed_uses_its_own_share():
     instance = Instance(is_linked=False)
     instance.link.receive([CoordinatorStatus(is_holder=True, instances=1)])
     instance.update_from_answer(LIMITED)
@@ -167,7 +167,7 @@
     assert instance.ask() == 0
 
 
-def test_the_coordinator_keeps_to_what_any_instance_has_read():
+def test_the_coordinator_enforces_a_limit_that_any_instance_has_read():
     coordinator, sent = build_coordinator()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator._handle_message("x", limit, now=0)
@@ -178,7 +178,7 @@
     assert len(sent) == 1
 
 
-def test_all_permissions_come_out_of_one_bucket():
+def test_all_permissions_use_one_token_bucket():
     """Guards against a plain server that gets its whole limit from each instance."""
     coordinator, sent = build_coordinator()
     coordinator._add_peer([Hello(info=build_info("x"))])
@@ -191,7 +191,7 @@
     assert [type(one) for one in sent] == [Granted, Refused]
 
 
-def test_the_next_coordinator_keeps_to_limits_that_it_knows_or_is_told():
+def test_the_next_coordinator_enforces_limits_that_it_knows_or_receives():
     """Guards against a server in need that is sent all again after a takeover."""
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     knows, _ = build_coordinator(limits=(limit,))
@@ -204,14 +204,14 @@
     assert get_limit(is_told) == 2.0
 
 
-def test_an_instance_that_links_up_is_told_all_limits():
+def test_an_instance_that_connects_receives_all_limits():
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator, _ = build_coordinator(limits=(limit,))
     peer = coordinator._add_peer([Hello(info=build_info("x"))])
     assert ServerLimits(limits=(limit,), are_all=True) in peer.outgoing
 
 
-def test_a_limit_that_is_over_is_told_to_all():
+def test_a_removed_limit_is_sent_to_all():
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator, sent = build_coordinator(limits=(limit,))
     over = ServerLimit(incarnation=A.incarnation)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -73,7 +73,7 @@
     return state, is_over
 
 
-def test_a_link_whose_connection_was_reset_is_opened_anew():
+def test_a_link_reconnects_after_a_connection_reset():
     """All connections of the instances are reset. Each looked for the coordinator in
     the store's lease, and its callers went without it for up to half a second."""
     digest = CoordinatorStatus(is_holder=True, instances=2)
@@ -86,7 +86,7 @@
     assert is_over
 
 
-def test_a_link_begins_with_what_the_instance_knows_and_lacks():
+def test_a_link_starts_with_a_hello_and_receives_the_roster():
     trial = CoordinatorTrial(
         CoordinatorStatus(is_holder=True, instances=2, store_version=9)
     )
@@ -101,13 +101,13 @@
     assert (state.instances, state.store_version) == (2, 9)
 
 
-def test_an_address_where_nobody_coordinates_is_left():
+def test_a_link_does_not_reconnect_to_an_instance_that_is_not_coordinator():
     trial = CoordinatorTrial()
     asyncio.run(run_link(trial, until=lambda _link: trial.connections == 1))
     assert trial.connections == 1
 
 
-def test_a_hello_tells_how_long_each_request_has_run():
+def test_a_hello_reports_how_long_each_request_has_run():
     now = [1_000]
     link = Link(state=build_state(clock=Clock(read=lambda: now[0])))
     need = ModelNeed(model="m", adapter="", prompt_tokens=1, output_tokens=1)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,7 +36,7 @@
     return next(one for one in fleet.servers if one.incarnation == incarnation)
 
 
-def test_requests_of_each_kind_come_back_whole(tmp_path):
+def test_requests_of_each_kind_are_answered(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         status, body, headers = await ask(
@@ -54,7 +54,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_model_that_is_loaded_nowhere_is_loaded_within_memory(tmp_path):
+def test_missing_models_are_loaded_within_memory(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         answers = await asyncio.gather(
@@ -69,7 +69,7 @@
     play(tmp_path, scenario)
 
 
-def test_an_adapter_is_loaded_as_it_is_asked_for(tmp_path):
+def test_an_adapter_is_loaded_on_demand(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         status, body, _ = await ask(
@@ -80,7 +80,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_torn_stream_goes_on_at_another_server(tmp_path):
+def test_a_broken_stream_is_resumed_at_another_server(tmp_path):
     """A caller reads a resumable stream; its server resets in the middle of event 4.
 
     Without the cutter the caller got a torn event, or event 4 twice, as the stream
@@ -111,7 +111,7 @@
     ("path", "expected", "runs"),
     [("/resumed/x", (200, WHOLE), [1, 1]), ("/chat/x", (500, b""), [0, 1])],
 )
-def test_a_stream_that_may_run_again_does_so_after_a_servers_error(
+def test_only_a_retryable_stream_is_retried_after_a_server_error(
     tmp_path, path, expected, runs
 ):
     """A server answers every other request with an error of its own while its health
@@ -136,7 +136,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_torn_stream_that_may_not_run_again_never_looks_complete(tmp_path):
+def test_a_broken_stream_without_retry_never_looks_complete(tmp_path):
     """A stream that may run once breaks; the caller must see that it was cut."""
 
     async def scenario(fleet, session):
@@ -150,7 +150,7 @@
     play(tmp_path, scenario)
 
 
-def test_time_that_runs_out_after_a_send_is_no_promise(tmp_path):
+def test_a_timeout_after_sending_does_not_claim_not_run(tmp_path):
     """A booking reaches its server, whose answer does not come in time.
 
     Time running out was answered 503, which promises that the booking did not run;
@@ -174,7 +174,7 @@
     play(tmp_path, scenario)
 
 
-def test_what_servers_refuse_is_refused_as_not_run_with_a_time(tmp_path):
+def test_requests_that_servers_refuse_are_refused_with_retry_after(tmp_path):
     async def scenario(fleet, session):
         for server in fleet.servers[2:]:
             server.sheds = True
@@ -187,7 +187,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_server_that_refuses_at_once_is_not_asked_each_time(tmp_path):
+def test_a_server_that_refuses_is_backed_off(tmp_path):
     """One of two plain servers is full, and the other takes 50 ms for each answer. By
     what is in flight the full one seemed the better of the two for each request, and
     the refusals used up the budget of repeats."""
@@ -207,7 +207,7 @@
     play(tmp_path, scenario)
 
 
-def test_servers_that_answer_late_get_fewer_at_once(tmp_path):
+def test_slow_servers_get_fewer_concurrent_requests(tmp_path):
     """Each answer takes longer than its aim. What would only wait behind others there
     is refused as not run, with a time, and has not run."""
 
@@ -232,7 +232,7 @@
     play(tmp_path, scenario)
 
 
-def test_headers_that_only_the_system_sets_are_dropped(tmp_path):
+def test_callers_cannot_set_internal_headers(tmp_path):
     """A caller sends a hold of its own, and an incarnation that no server has.
 
     Passed on, the first would take memory set aside for others, the second makes
@@ -253,7 +253,7 @@
     play(tmp_path, scenario)
 
 
-def test_what_is_larger_than_the_configuration_allows_is_refused(tmp_path):
+def test_requests_over_the_size_limits_are_refused(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         limits = {"MaxHeaderBytes": 1_000, "MaxBodyBytes": 2_000}
@@ -281,7 +281,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_request_that_crashes_servers_is_not_run_for_ever(tmp_path):
+def test_a_request_that_crashes_servers_is_quarantined(tmp_path):
     """A caller sends a request again and again, through any instance, and each server
     that runs it crashes. Passed on each time, it took down one server after another;
     all others wait for those that are left."""
@@ -316,7 +316,7 @@
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
 
-def test_a_newer_configuration_takes_hold_and_an_older_one_never(tmp_path):
+def test_only_a_newer_configuration_is_activated(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         added = dict(build_configuration(1)["Routes"][2], Prefix="/new/")
@@ -334,7 +334,7 @@
     play(tmp_path, scenario)
 
 
-def test_serving_goes_on_while_the_store_is_down_and_after_history_is_lost(tmp_path):
+def test_serving_continues_during_a_store_outage_and_after_lost_history(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         fleet.store.is_down = True
@@ -349,7 +349,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_leaving_server_gets_no_new_request(tmp_path):
+def test_a_leaving_server_gets_no_new_requests(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         leaving = get_server(fleet, "p1")
@@ -363,7 +363,7 @@
     play(tmp_path, scenario)
 
 
-def test_another_node_coordinates_after_the_coordinator_was_killed(tmp_path):
+def test_another_instance_takes_over_from_a_killed_coordinator(tmp_path):
     """The coordinator is killed; a model that no server has is asked for at once.
 
     The other node serves what is loaded, takes the lease once it has lapsed, and
@@ -384,7 +384,7 @@
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
 
-def test_a_planned_stop_cuts_nothing_off(tmp_path):
+def test_a_graceful_shutdown_drops_no_request(tmp_path):
     """SIGTERM comes while a booking is at its server; callers with an old address
     still arrive afterwards. All are answered, the node leaves the directory at once,
     and it ends by itself with status 0."""
@@ -412,7 +412,7 @@
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
 
-def test_a_stopping_coordinator_follows_the_next_one(tmp_path):
+def test_a_stopping_coordinator_connects_to_its_successor(tmp_path):
     """SIGTERM comes to the coordinator; a caller with an old address asks it for a
     model that has to be loaded. It waited for a coordinator until it gave up, since
     the stopping process no longer looked for one."""
@@ -428,7 +428,7 @@
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
 
-def test_what_still_waits_at_the_end_of_a_stop_is_refused(tmp_path):
+def test_requests_still_waiting_at_the_end_of_shutdown_are_refused(tmp_path):
     """A model can't be loaded, since all servers refuse orders; a request waits for it
     as SIGTERM comes. The process ended with the request still waiting, and its caller
     saw a closed connection instead of a refusal that lets it go elsewhere at once.
@@ -455,7 +455,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_node_that_starts_without_the_store_learns_from_another(tmp_path):
+def test_an_instance_that_starts_without_the_store_bootstraps_from_another(tmp_path):
     """The store is down, and a node is replaced. It knew no configuration until the
     store was back, and every caller that came to it was refused."""
 
@@ -470,7 +470,7 @@
     play(tmp_path, scenario)
 
 
-def test_changed_settings_are_taken_over_and_wrong_ones_are_not(tmp_path):
+def test_changed_settings_are_reloaded_and_invalid_ones_rejected(tmp_path):
     async def scenario(fleet, session):
         path = tmp_path / "n1.yaml"
         good = path.read_text()
@@ -486,7 +486,7 @@
     play(tmp_path, scenario)
 
 
-def test_models_are_loaded_while_the_store_is_away_for_all(tmp_path):
+def test_models_are_loaded_while_the_store_is_unavailable_to_all(tmp_path):
     """The store is away for everybody and the lease has lapsed. A model that no server
     has is asked for; it stayed missing until the store was back. Callers keep both
     nodes busy meanwhile: their news must get through all the same."""
@@ -512,7 +512,7 @@
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
 
-def test_a_stopping_coordinator_goes_on_while_nobody_can_succeed_it(tmp_path):
+def test_a_stopping_coordinator_stays_active_while_it_has_no_successor(tmp_path):
     """The store is away, and the coordinator is told to stop. It stepped down at once,
     though no other instance could take the lease. Until the store was back, callers of
     models that had to be loaded waited until they left."""
@@ -535,7 +535,7 @@
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
 
-def test_without_a_coordinator_a_request_is_given_up_soon(tmp_path):
+def test_without_a_coordinator_a_request_is_refused_quickly(tmp_path):
     """The store is away and the coordinator is killed. A caller of a model that nobody
     has was kept until it left; it is refused with a time instead."""
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -45,7 +45,7 @@
     instance.guard.record_crash(request, incarnation=server, known=known)
 
 
-def test_the_third_server_is_the_last_one_whichever_instance_it_comes_through():
+def test_a_request_is_quarantined_on_all_instances_after_three_crashes():
     first, second = build_group()
     request = build_request()
     for number, instance in enumerate((first, second, first)):
@@ -56,7 +56,7 @@
         assert instance.guard.get_refusal(build_request(b"other")) is None
 
 
-def test_copies_sent_at_once_count_as_one():
+def test_concurrent_copies_of_a_request_count_as_one_crash():
     """All servers of a service lose power at once, each with a copy of one request in
     flight that a hasty caller sent several times. It caused none of it."""
     first, second = build_group()
@@ -70,7 +70,7 @@
     assert first.guard.count_crashes(request) == 1
 
 
-def test_a_bystander_is_cleared_as_it_runs_whole():
+def test_a_harmless_request_is_cleared_once_it_completes():
     first, second = build_group()
     request = build_request(b"bystander")
     for number in range(MAX_CRASHES - 1):
@@ -82,7 +82,7 @@
     assert first.guard.get_refusal(request) is None
 
 
-def test_an_instance_without_a_coordinator_goes_by_what_it_saw():
+def test_an_instance_without_a_coordinator_uses_its_own_suspicions():
     first, second = build_group()
     first.is_cut = True
     request = build_request()
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("passed_ms", [0, 24 * 3_600 * SECOND_MS])
-def test_suspects_are_bounded_and_forgotten(passed_ms):
+def test_suspects_are_bounded_and_evicted(passed_ms):
     (only,) = build_group(1)
     for number in range(MAX_SUSPECTS + 10):
         crash(only, "s1", build_request(b"%d" % number))
--- a/tests/test_quota_charging.py
+++ b/tests/test_quota_charging.py
@@ -45,7 +45,7 @@
         return self.charger.charge(TEAM, cost, attempt_id="a")
 
 
-def test_plain_requests_are_told_to_the_coordinator_and_given_back_once():
+def test_plain_requests_are_reported_and_refunded_to_the_coordinator_once():
     instance = Instance(coordinates=True)
     quota_charge = instance.charge(200)
     instance.charger.refund(quota_charge)
@@ -55,7 +55,7 @@
     ]
 
 
-def test_what_was_spent_goes_out_with_the_next_frame():
+def test_usage_is_sent_with_the_next_frame():
     instance = Instance()
     instance.link.receive([CoordinatorStatus(is_holder=True)])
     instance.charge(200)
@@ -64,7 +64,7 @@
     assert instance.link._take_usage() == []
 
 
-def test_a_team_in_debt_is_refused_until_that_is_paid():
+def test_a_team_over_its_quota_is_refused_until_the_quota_is_refilled():
     instance = Instance(coordinates=True)
     instance.link.receive([QuotaExceeded(team="t", wait_ms=700)])
     with pytest.raises(RequestFailedError) as raised:
@@ -76,7 +76,7 @@
     assert instance.told == [QuotaUsage(team="t", cost=200)]
 
 
-def test_without_a_coordinator_an_instance_pays_by_its_own_part():
+def test_without_a_coordinator_an_instance_charges_its_own_share():
     instance = Instance()
     assert instance.charge(500).is_local
     with pytest.raises(RequestFailedError) as raised:
@@ -86,7 +86,7 @@
     instance.charge(500)
 
 
-def test_what_is_given_back_after_the_link_was_closed_is_lost():
+def test_a_refund_after_the_link_was_closed_is_lost():
     instance = Instance(coordinates=True)
     quota_charge = instance.charge(200)
     instance.link.close()
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(("team", "cost"), [(None, 0), (FREE, 0), (TEAM, 150)])
-def test_only_teams_with_a_quota_pay(team, cost):
+def test_only_teams_with_a_quota_are_charged(team, cost):
     headers = [("X-Arbutuspulley-Token-Usage", "100,50")]
     request = decode_request(method="POST", path="/", headers=headers)
     assert Instance().charger.get_cost(team, request) == cost
@@ -126,7 +126,7 @@
     )
 
 
-def test_the_coordinator_charges_asks_and_what_was_spent_to_one_account():
+def test_the_coordinator_charges_grant_requests_and_usage_to_one_quota():
     instance = Instance()
     quotas = build_quotas(instance)
     now = instance.now[0]
@@ -145,7 +145,7 @@
     assert all(ask(quotas, 0, now=1) is None for _ in range(9))
 
 
-def test_the_part_of_an_instance_that_was_lost_is_not_given_out():
+def test_the_share_of_a_disconnected_instance_stays_reserved():
     """A third of the instances are cut off and serve on by themselves."""
     instance = Instance()
     infos = [build_info(name) for name in ("a", "b", "c")]
@@ -160,7 +160,7 @@
     assert quotas._ledger.refill_fraction == 1
 
 
-def test_the_part_of_an_instance_that_has_fallen_silent_is_not_given_out():
+def test_the_share_of_a_silent_instance_stays_reserved():
     """Guards against a coordinator that is cut off silently and spends whole quotas
     beside the next one: the links' ends come seconds later, or never."""
     quotas = build_quotas(Instance())
@@ -172,7 +172,7 @@
     assert quotas._ledger.refill_fraction == 1
 
 
-def test_a_coordinator_that_most_have_left_keeps_to_its_own_part():
+def test_a_coordinator_that_lost_most_instances_uses_only_its_own_share():
     """Guards against quotas that a cut-off coordinator saves up and spends once the cut
     has healed."""
     instance = Instance(revocation_ms=5_000)
@@ -185,7 +185,7 @@
         instance.now[0] += 2_500
 
 
-def test_one_that_stopped_as_planned_or_is_long_gone_keeps_nothing():
+def test_no_share_stays_reserved_for_stopped_or_long_lost_instances():
     instance = Instance()
     infos = [build_info("a"), build_info("b", is_ready=False), build_info("c")]
     quotas = build_quotas(instance)
@@ -200,7 +200,7 @@
     assert quotas._ledger.refill_fraction == 1
 
 
-def test_a_new_coordinator_leaves_room_for_instances_not_linked_yet():
+def test_a_new_coordinator_reserves_shares_of_instances_not_yet_connected():
     instance = Instance()
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas = build_quotas(instance, linked=4)
@@ -211,7 +211,7 @@
     assert quotas._ledger.refill_fraction == 1
 
 
-def test_strong_instances_have_the_larger_part():
+def test_instances_with_more_capacity_have_larger_shares():
     strong = [build_info(f"s{n}", capacity=4.0) for n in range(2)]
     small = [build_info(f"w{n}", capacity=0.5) for n in range(10)]
     infos = [*strong, *small]
@@ -219,7 +219,7 @@
     assert sum(get_local_share(one, among=infos) for one in infos) == pytest.approx(1)
 
 
-def test_what_a_cut_off_instance_keeps_runs_out_on_both_sides():
+def test_the_share_of_a_disconnected_instance_decays_on_both_sides():
     """It can't confirm any key for longer, and its callers have gone to others."""
     instance = Instance(revocation_ms=5_000)
     quotas = build_quotas(instance)
@@ -236,7 +236,7 @@
             instance.charge(cost)
 
 
-def test_messages_between_versions_are_understood_without_the_new_fields():
+def test_messages_of_older_versions_are_decoded_without_the_new_fields():
     ask_before = GrantRequest(
         key="a", service="s", need=NEED, zone="z", priority=1, aim_ms=1, left_ms=1
     )
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -46,7 +46,9 @@
 @pytest.mark.parametrize(
     ("free_after_s", "expected"), [(0.0, "b"), (0.015, "b"), (30, None)]
 )
-def test_a_request_waits_for_room_for_a_part_of_its_aim(free_after_s, expected):
+def test_a_request_waits_for_a_slot_for_a_fraction_of_its_latency_target(
+    free_after_s, expected
+):
     async def scenario():
         state = build_full(entries=(A, B))
         loop = asyncio.get_running_loop()
@@ -59,7 +61,7 @@
     assert (entry.incarnation if entry else None) == expected
 
 
-def test_it_waits_for_no_server_that_has_refused_it():
+def test_a_request_does_not_wait_for_servers_that_refused_it():
     async def scenario():
         choice = build_choice(build_full(entries=(A, B)), avoid=("a", "b"))
         async with asyncio.timeout(0.01):
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("versions", "expected"), [((3, 5), 5), ((5, 3), 5), ((5, 5), 5), ((1,), 1)]
 )
-def test_configurations_go_upward_only(versions, expected):
+def test_only_newer_configurations_are_activated(versions, expected):
     state = build_state()
     for version in versions:
         activate_configuration(
@@ -47,7 +47,7 @@
     assert state.configuration.version == expected
 
 
-def test_an_unreadable_configuration_leaves_the_last_one():
+def test_an_invalid_configuration_keeps_the_active_one():
     state = build_state()
     activate_configuration(
         state, msgspec.json.encode(build_configuration(2)), by="store"
@@ -56,7 +56,7 @@
     assert state.configuration.version == 2
 
 
-def test_what_vanished_while_history_was_lost_is_gone():
+def test_a_server_missing_from_a_full_read_is_removed():
     """A server leaves while changes are not told. The scan that follows does not show
     it; kept all the same, it got requests long after it had left."""
     state = build_state()
@@ -66,7 +66,7 @@
     assert [one.incarnation for one in state.by_service["s"]] == ["b"]
 
 
-def test_an_unreadable_entry_harms_no_other():
+def test_an_invalid_entry_does_not_affect_others():
     state = build_state()
     wrong = StoredRow(key="x", version=1, value=b"[]")
     take(state, wrong, build_row("a"))
@@ -79,7 +79,7 @@
     return StoredRow(key=name, version=born, value=value)
 
 
-def test_a_server_that_starts_again_under_its_id_is_another():
+def test_a_restarted_server_with_the_same_id_is_a_new_incarnation():
     """A server crashes and is back before its row has lapsed, under the same id. Until
     then it was leaving; the new start takes requests, and the old one is nobody."""
     state = build_state()
@@ -92,14 +92,14 @@
     assert first != second.incarnation
 
 
-def test_a_row_from_before_a_start_does_not_bring_it_back():
+def test_a_row_of_a_previous_incarnation_is_ignored():
     state = build_state()
     take(state, build_start("a", 20), is_whole=True)
     take(state, build_start("a", 10, state="draining"))
     assert state.entries["a"].started_ms == 20
 
 
-def test_a_row_that_another_writer_overwrote_names_no_server(monkeypatch):
+def test_a_row_overwritten_by_another_writer_is_rejected(monkeypatch):
     """Another program writes nonsense over a server's row, again and again. Requests
     would go to a server that nobody vouches for, and the log would fill up."""
     told = []
@@ -117,7 +117,7 @@
     assert state.refused_entries == {}
 
 
-def test_entries_that_lapsed_with_the_store_are_believed_for_a_while(monkeypatch):
+def test_entries_that_lapsed_in_an_outage_are_kept_for_a_grace_period(monkeypatch):
     """The store is away for longer than entries live. At its return no server is
     listed, though all of them live and write again within two seconds; dropped at
     once, every request was refused. One that does not come back is gone then."""
@@ -135,7 +135,7 @@
     asyncio.run(scenario())
 
 
-def test_a_removal_is_taken_at_once():
+def test_a_removal_is_applied_at_once():
     state = build_state()
     take(state, build_row("a"), is_whole=True)
     take(state, gone("a"))
@@ -173,7 +173,7 @@
     [(follow_servers, 4, 8), (follow_configuration, 20, 60)],
     ids=["servers", "configuration"],
 )
-def test_changes_that_follow_each_other_are_gathered(monkeypatch, follow, least, most):
+def test_consecutive_changes_are_batched(monkeypatch, follow, least, most):
     """As servers are told to load, their entries change one after another. Each change
     ended a call of each instance, and calls to the store are rationed. A
     configuration is never kept waiting."""
@@ -245,7 +245,7 @@
     return asyncio.run(scenario())
 
 
-def test_after_a_break_the_newest_configuration_is_asked_for(monkeypatch):
+def test_after_a_failure_the_newest_configuration_is_read(monkeypatch):
     """Guards against a link that is filled by all versions that came in the break, so
     that the newest is in force seconds late, again and again."""
     monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
@@ -257,7 +257,7 @@
     assert in_force == 30
 
 
-def test_whoever_falls_behind_asks_for_the_newest_configuration_only():
+def test_a_slow_reader_reads_only_the_newest_configuration():
     """Guards against answers that take longer than changes need to come, each larger
     than the one before."""
     calls, in_force = follow_script(
@@ -267,7 +267,7 @@
     assert in_force == 10
 
 
-def test_servers_are_followed_on_after_a_break(monkeypatch):
+def test_server_changes_are_resumed_after_a_failure(monkeypatch):
     """Each row of a server matters, and what was removed shows in the changes only."""
     monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
@@ -294,7 +294,7 @@
 
 
 @pytest.mark.parametrize("follow", [follow_servers, follow_configuration])
-def test_a_store_that_reads_from_before_its_history_is_asked_with_pauses(
+def test_a_store_with_stale_reads_and_lost_history_is_called_with_backoff(
     monkeypatch, follow
 ):
     """Guards against instances that read all rows again and again without a pause,
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -98,7 +98,7 @@
     play(tmp_path, scenario, build_team("one", "k1"), build_team("two", "k2"))
 
 
-def test_a_withdrawn_key_stops_working_and_a_new_one_works(tmp_path):
+def test_a_revoked_key_stops_working_and_a_new_one_works(tmp_path):
     async def scenario(fleet, session):
         fleet.store.put("op", "config", build_teams(3, build_team("one", "k2")))
 
@@ -112,7 +112,7 @@
     play(tmp_path, scenario, build_team("one", "k1"), nodes=("n1", "n2"))
 
 
-def test_no_key_is_believed_long_after_the_store_was_lost(tmp_path):
+def test_no_key_is_accepted_long_after_the_store_became_unavailable(tmp_path):
     """The store is away and an operator may have withdrawn a key meanwhile. Instances
     went on confirming to each other what none of them could know."""
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("numbers", CHANGES.values(), ids=CHANGES)
-def test_an_update_leads_to_the_newer_version(numbers):
+def test_a_delta_produces_the_newer_version(numbers):
     old, new = encode(1, ALL), encode(2, numbers)
     update = know(old, new).build_delta(1)
     (sent,) = decode_from_coordinator(encode_frame([update]))
@@ -54,13 +54,13 @@
 @pytest.mark.parametrize(
     "change", ["one added at the end", "one added at the front", "one removed"]
 )
-def test_an_update_is_as_large_as_what_changed(change):
+def test_the_size_of_a_delta_depends_on_the_change(change):
     """Guards against changes of one route that take a link as all routes do."""
     update = know(encode(1, ALL), encode(2, CHANGES[change])).build_delta(1)
     assert len(encode_frame([update])) < 500
 
 
-def test_the_whole_goes_to_who_has_a_version_that_is_not_known():
+def test_a_receiver_with_an_unknown_version_gets_the_full_configuration():
     new = encode(9, ALL)
     versions = Versions()
     versions.add(9, new)
@@ -70,14 +70,14 @@
     assert Versions().apply(update) == new
 
 
-def test_an_update_for_another_content_is_refused():
+def test_a_delta_for_other_content_is_refused():
     """Guards against a configuration that nobody has written."""
     update = know(encode(1, ALL), encode(2, [*ALL, 400])).build_delta(1)
     assert know(encode(1, ALL[1:])).apply(update) is None
     assert Versions().apply(update) is None
 
 
-def test_random_changes_of_random_texts_are_followed():
+def test_deltas_of_random_texts_produce_the_newer_text():
     chance = random.Random(5)
     alphabet = [b"a", b"b},", b"},", b"c", b"", b'"x":1},']
     for _ in range(500):
@@ -88,7 +88,7 @@
         assert know(old).apply(update) == new
 
 
-def test_damaged_updates_are_refused_or_lead_to_the_right_version():
+def test_a_damaged_delta_is_refused_or_produces_the_right_version():
     chance = random.Random(6)
     old, new = encode(1, ALL[:20]), encode(2, ALL[:21])
     frame = encode_frame([know(old, new).build_delta(1)])
@@ -104,14 +104,14 @@
                 assert know(old).apply(one) in (None, new)
 
 
-def test_a_text_that_repeats_itself_takes_no_longer():
+def test_deltas_of_repetitive_texts_take_linear_time():
     """Guards against comparisons that take the square of the parts' number."""
     old = b'{"Weight":1},' * 60_000
     update = know(old, old + b"{}").build_delta(1)
     assert know(old).apply(update) == old + b"{}"
 
 
-def test_few_versions_are_kept_and_the_newest_always():
+def test_few_versions_are_kept_but_always_the_newest():
     versions = Versions()
     for number in range(1, 40):
         versions.add(number, b"%d" % number)
--- a/tests/test_without_coordinator.py
+++ b/tests/test_without_coordinator.py
@@ -69,7 +69,7 @@
     )
 
 
-def test_after_a_start_a_request_waits_for_the_first_coordinator():
+def test_after_start_a_request_waits_for_the_first_coordinator():
     """All instances lose power and come back together. Those that were ready first
     sent all their prompts at once to the servers that they found listed, and every
     stream there paused for half a second; the coordinator was there 0.2 s later."""
@@ -87,7 +87,7 @@
     assert asyncio.run(scenario())
 
 
-def test_a_request_is_sent_without_one_rather_than_late():
+def test_without_a_coordinator_a_request_is_sent_within_its_latency_target():
     async def scenario():
         state = build_state()
         started_at = state.clock.now()
@@ -100,7 +100,7 @@
     assert waited_ms < ROUTE.latency_target_ms
 
 
-def test_the_next_coordinator_counts_what_was_sent_without_one():
+def test_the_next_coordinator_counts_requests_sent_without_one():
     """A server ran 40 requests of which its coordinator knew 20, and granted it twice
     what it could take."""
 
