--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who is admitted by which key, and when nobody is."""
+"""Admission by API keys."""
 
 import msgspec
 import pytest
@@ -22,7 +22,7 @@
 
 
 def build_instance(*keys, age_ms=1_000, now=None, **settings):
-    """Build an instance that had its last word ``age_ms`` ago."""
+    """Build an instance whose last confirmation is ``age_ms`` old."""
     now = now or [NOW]
     state = build_state(
         clock=Clock(read=lambda: now[0]),
@@ -49,7 +49,7 @@
 
 
 def check(state, *keys, path="/book/1"):
-    """Return the team's name, or the status of the refusal."""
+    """Return the team's name, or the HTTP status of the refusal."""
     access, request = build_access(state, *keys, path=path)
     assert request.key == ""
     try:
@@ -109,7 +109,7 @@
     ("age_ms", "expected"), [(2_999, 401), (3_000, 503), (4_800, 503)]
 )
 def test_an_unknown_key_is_denied_only_with_a_fresh_confirmation(age_ms, expected):
-    """A key that was just added would be denied for good by an older word."""
+    """An older confirmation would deny a key for good that was just added."""
     assert check(build_instance("k1", age_ms=age_ms), "k2") == expected
 
 
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -1,4 +1,4 @@
-"""How a request gets a server and what its team pays, as callers, keys and links go."""
+"""Selection of servers and charging when callers, keys or the link go away."""
 
 import asyncio
 
@@ -52,14 +52,14 @@
 class Trial:
     """One request at an instance that is its own coordinator.
 
-    :param decide: returns the coordinator's answer to an ask; ``None``: none comes.
+    :param decide: returns the coordinator's answer to a grant request; ``None``: none.
     """
 
     def __init__(self, decide):
         self.state = build_state(clock=Clock(read=lambda: 10_000))
         put_teams(self.state, 1, "k1")
         self.state.by_incarnation["e1"] = ENTRY
-        self.told = []
+        self.sent = []
         self.link = Link(state=self.state)
         self.link.deliver_local = self._take
         self._decide = decide
@@ -92,7 +92,7 @@
 
     def _take(self, messages):
         for message in messages:
-            self.told.append(message)
+            self.sent.append(message)
             if isinstance(message, GrantRequest):
                 answer = self._decide(self)
                 if answer is not None:
@@ -102,9 +102,9 @@
         return asyncio.run(self.acquisition.get_server())
 
     def list_costs(self):
-        """Return what the team was charged and given back, in order."""
+        """Return the team's charges and refunds, in order."""
         return [
-            one.cost for one in self.told if isinstance(one, GrantRequest | QuotaUsage)
+            one.cost for one in self.sent if isinstance(one, GrantRequest | QuotaUsage)
         ]
 
 
@@ -157,12 +157,13 @@
 
 
 def test_a_key_revoked_while_its_request_waits_gets_no_server():
-    """The grant came after the withdrawal; the server is freed and nothing is paid."""
+    """The grant arrives after the revocation; the server is released and the charge
+    refunded."""
     trial = Trial(revoke_and_grant)
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert raised.value.status == 401
-    ended = [one for one in trial.told if isinstance(one, AttemptEnded)]
+    ended = [one for one in trial.sent if isinstance(one, AttemptEnded)]
     assert [one.how for one in ended] == [AttemptOutcome.UNUSED]
     trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which instances callers are told to use."""
+"""Addresses of instances that the directory gives to callers."""
 
 import msgspec
 import pytest
@@ -12,7 +12,7 @@
 
 
 def build_ready(*, now, **changes):
-    """Build the state of a node that knows a configuration."""
+    """Build the state of an instance with an active configuration."""
     state = build_state(clock=Clock(read=lambda: now[0]), **changes)
     activate_configuration(
         state, msgspec.json.encode(build_configuration(1)), by="store"
@@ -71,8 +71,8 @@
 
 
 def test_an_instance_that_can_admit_nobody_directs_callers_to_its_last_roster():
-    """It is cut off from all others and from the store. It named itself alone, and all
-    callers that asked it were refused there."""
+    """The instance is partitioned from all others and from the store. Guards against a
+    directory that then lists only this instance, which refuses all callers."""
     now = [10]
     state = build_ready(now=now, revocation_ms=5_000)
     state.keys = build_key_table(())
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,6 +1,6 @@
-"""How old the word is that no newer configuration exists, however it came.
+"""Age of the confirmation that no newer configuration exists, by all paths.
 
-Each case is a way by which an instance could go on believing a withdrawn key.
+Each test guards against a way in which an instance could keep accepting a revoked key.
 """
 
 from types import SimpleNamespace
@@ -35,7 +35,7 @@
 
 
 def send_status(peers):
-    """Send a digest and return what instance ``a`` gets."""
+    """Send a coordinator status and return the one that instance ``a`` gets."""
     peers.get("a").outgoing.clear()
     peers.send_status(is_holder=True)
     return next(
@@ -65,12 +65,12 @@
 
 
 def test_a_status_confirms_as_of_a_heartbeat_sent_before_the_store_call():
-    """A digest that waits in a socket makes no old word young."""
+    """A status that was delayed in a socket must not renew an old confirmation."""
     now = [1_000]
     state = build_instance(now)
     peers = build_peers(state)
-    there = build_instance(now)
-    link = Link(state=there)
+    remote = build_instance(now)
+    link = Link(state=remote)
     link.reset_coordinator_state()
     first = link.build_heartbeat()
     peers.handle_heartbeat("a", first)
@@ -78,15 +78,15 @@
     state.freshness.confirm(now[0], source="store")
     now[0] = 1_250
     peers.handle_heartbeat("a", link.build_heartbeat())
-    digest = send_status(peers)
-    assert (digest.beat, digest.fresh_beat) == (2, 1)
+    status = send_status(peers)
+    assert (status.beat, status.fresh_beat) == (2, 1)
     now[0] = 9_000
-    link.receive([digest])
-    assert there.freshness.get_age(now[0]) == 8_000
+    link.receive([status])
+    assert remote.freshness.get_age(now[0]) == 8_000
 
 
 def test_a_coordinator_without_a_confirmation_confirms_nothing():
-    """A coordinator that has just started, or froze and woke, knows no newer state."""
+    """A coordinator that just started, or was frozen, has no current confirmation."""
     now = [1_000]
     state = build_instance(now)
     peers = build_peers(state)
@@ -98,29 +98,30 @@
 
 def test_a_status_with_a_newer_configuration_confirms_only_once_that_is_active():
     now = [1_000]
-    there = build_instance(now, version=1)
-    link = Link(state=there)
+    remote = build_instance(now, version=1)
+    link = Link(state=remote)
     link.reset_coordinator_state()
     link.build_heartbeat()
     link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
-    assert there.freshness.confirmed_at is None
+    assert remote.freshness.confirmed_at is None
     activate_configuration(
-        there, msgspec.json.encode(build_configuration(2)), by="store"
+        remote, msgspec.json.encode(build_configuration(2)), by="store"
     )
     link.receive([CoordinatorStatus(is_holder=True, configuration=2, fresh_beat=1)])
-    assert there.freshness.confirmed_at == 1_000
+    assert remote.freshness.confirmed_at == 1_000
 
 
 def test_a_heartbeat_of_the_previous_connection_confirms_nothing():
-    """A superseded coordinator's digest names beats of another connection."""
+    """The status of a superseded coordinator refers to heartbeats of another
+    connection."""
     now = [1_000]
-    there = build_instance(now)
-    link = Link(state=there)
+    remote = build_instance(now)
+    link = Link(state=remote)
     link.reset_coordinator_state()
     link.build_heartbeat()
     link.reset_coordinator_state()
     link.receive([CoordinatorStatus(is_holder=True, configuration=1, fresh_beat=1)])
-    assert there.freshness.confirmed_at is None
+    assert remote.freshness.confirmed_at is None
 
 
 @pytest.mark.parametrize(
@@ -129,7 +130,7 @@
 def test_a_follower_confirms_as_of_a_status_received_before_its_store_call(
     version, confirmed_at
 ):
-    """The coordinator is cut off from the store; a follower still asks it."""
+    """The coordinator is disconnected from the store; a follower still reaches it."""
     now = [1_000]
     state = build_instance(now, version=2)
     peers = build_peers(state)
@@ -141,10 +142,10 @@
     follower.freshness.confirm(now[0], source="store")
     now[0] = 1_500
     link.receive([send_status(peers)])
-    beat = msgspec.structs.replace(link.build_heartbeat(), configuration=version)
-    assert beat.vouches == 1
+    heartbeat = msgspec.structs.replace(link.build_heartbeat(), configuration=version)
+    assert heartbeat.vouches == 1
     now[0] = 6_000
-    peers.handle_heartbeat("a", beat)
+    peers.handle_heartbeat("a", heartbeat)
     assert state.freshness.confirmed_at == confirmed_at
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of servers: what instances tell each other of them, and who may send."""
+"""Rate limits of servers: exchange between instances, and enforcement."""
 
 import asyncio
 
@@ -34,16 +34,16 @@
 
 
 class Instance:
-    """An instance with its link; ``told`` is what its coordinator was told."""
+    """An instance with its link; ``sent`` is what it sent to its coordinator."""
 
     def __init__(self, *, is_linked=True):
         self.now = [100_000]
         self.state = build_state(clock=Clock(read=lambda: self.now[0]))
         self.state.by_incarnation = {A.incarnation: A}
         self.link = Link(state=self.state)
-        self.told = []
+        self.sent = []
         if is_linked:
-            self.link.deliver_local = self.told.extend
+            self.link.deliver_local = self.sent.extend
         self.guard = LimitGuard(state=self.state, link=self.link)
 
     def update_from_answer(self, headers, *, sent_ago=0):
@@ -54,7 +54,8 @@
 
 
 def build_coordinator(*, limits=()):
-    """Build an acting coordinator of one pool, and what it sends its own instance."""
+    """Build an active coordinator of one pool, and the list of messages that it sends
+    to its own instance."""
     state = build_state()
     state.by_incarnation = {A.incarnation: A}
     for one in limits:
@@ -78,18 +79,18 @@
 
 
 def test_a_limit_is_sent_until_the_coordinator_confirms_it():
-    """Guards against a limit that is lost with a link and never told again."""
+    """Guards against a limit that is lost with a link and never sent again."""
     instance = Instance()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     instance.update_from_answer(LIMITED)
     instance.update_from_answer(LIMITED)
-    assert instance.told == [limit, limit]
+    assert instance.sent == [limit, limit]
     instance.link.receive([ServerLimits(limits=(limit,))])
     instance.update_from_answer(LIMITED)
-    assert instance.told == [limit, limit]
+    assert instance.sent == [limit, limit]
     instance.now[0] += 10
     instance.update_from_answer({})
-    assert instance.told[2:] == [ServerLimit(incarnation=A.incarnation)]
+    assert instance.sent[2:] == [ServerLimit(incarnation=A.incarnation)]
 
 
 def test_an_invalid_limit_changes_nothing():
@@ -110,7 +111,7 @@
 
 
 def test_an_instance_without_a_coordinator_uses_only_its_own_share():
-    """Guards against instances that each use a whole limit without a coordinator."""
+    """Guards against instances that each use the full limit without a coordinator."""
     instance = Instance(is_linked=False)
     instance.update_from_answer(LIMITED)
     assert instance.ask() == MAX_RECHECK_MS
@@ -126,7 +127,7 @@
 def test_a_request_to_a_server_without_a_limit_needs_no_permission():
     instance = Instance()
     assert instance.ask() == 0
-    assert instance.told == []
+    assert instance.sent == []
 
 
 @pytest.mark.parametrize(
@@ -179,7 +180,7 @@
 
 
 def test_all_permissions_use_one_token_bucket():
-    """Guards against a plain server that gets its whole limit from each instance."""
+    """Guards against a plain server that gets its full limit from each instance."""
     coordinator, sent = build_coordinator()
     coordinator._add_peer([Hello(info=build_info("x"))])
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
@@ -192,16 +193,17 @@
 
 
 def test_the_next_coordinator_enforces_limits_that_it_knows_or_receives():
-    """Guards against a server in need that is sent all again after a takeover."""
+    """Guards against an overloaded server that gets all requests again after a
+    takeover."""
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     knows, _ = build_coordinator(limits=(limit,))
     assert get_limit(knows) == 2.0
-    is_told, _ = build_coordinator()
-    is_told._add_peer([Hello(info=build_info("x"), limits=(limit,))])
-    assert get_limit(is_told) == 2.0
+    receives, _ = build_coordinator()
+    receives._add_peer([Hello(info=build_info("x"), limits=(limit,))])
+    assert get_limit(receives) == 2.0
     again = msgspec.structs.replace(limit, per_s=9.0)
-    is_told._add_peer([Hello(info=build_info("y"), limits=(again,))])
-    assert get_limit(is_told) == 2.0
+    receives._add_peer([Hello(info=build_info("y"), limits=(again,))])
+    assert get_limit(receives) == 2.0
 
 
 def test_an_instance_that_connects_receives_all_limits():
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""An instance's link to the coordinator as connections come and go."""
+"""An instance's link to the coordinator across connections."""
 
 import asyncio
 from types import SimpleNamespace
@@ -24,14 +24,15 @@
 
 
 class CoordinatorTrial:
-    """A coordinator's side of links.
+    """The coordinator's end of links.
 
-    :param digests: what the connections in turn are sent before they are cut; without
-        one, a connection is closed at once, as by an instance that does not coordinate.
+    :param statuses: statuses that are sent on the connections in turn before each is
+        aborted; further connections are closed at once, as by an instance that is not
+        the coordinator.
     """
 
-    def __init__(self, *digests):
-        self.digests = list(digests)
+    def __init__(self, *statuses):
+        self.statuses = list(statuses)
         self.frames = []
         self.connections = 0
 
@@ -39,18 +40,18 @@
         socket = web.WebSocketResponse()
         await socket.prepare(request)
         self.connections += 1
-        digest = self.digests.pop(0) if self.digests else None
-        if digest is not None:
+        status = self.statuses.pop(0) if self.statuses else None
+        if status is not None:
             self.frames.append(decode_from_node((await socket.receive()).data))
             roster = RosterChange(version=5, joined=(INFO,))
-            await socket.send_bytes(encode_frame([roster, digest]))
+            await socket.send_bytes(encode_frame([roster, status]))
             self.frames.append(decode_from_node((await socket.receive()).data))
         request.transport.abort()
         return socket
 
 
 async def run_link(trial, *, until):
-    """Let a link lead to the trial until something holds."""
+    """Connect a link to the trial until a condition holds."""
     runner = web.ServerRunner(web.Server(trial.handle))
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -74,15 +75,16 @@
 
 
 def test_a_link_reconnects_after_a_connection_reset():
-    """All connections of the instances are reset. Each looked for the coordinator in
-    the store's lease, and its callers went without it for up to half a second."""
-    digest = CoordinatorStatus(is_holder=True, instances=2)
-    trial = CoordinatorTrial(digest, digest)
+    """All connections of the instances are reset. Guards against instances that look up
+    the coordinator in the store's lease, without a coordinator for up to half a
+    second."""
+    status = CoordinatorStatus(is_holder=True, instances=2)
+    trial = CoordinatorTrial(status, status)
     _state, is_over = asyncio.run(
         run_link(trial, until=lambda _link: trial.connections == 3)
     )
     assert trial.connections == 3
-    # The third one brought nothing: whoever listens there does not coordinate.
+    # The third connection received no status: its peer is not the coordinator.
     assert is_over
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform: real nodes, stand-ins on loopback."""
+"""End-to-end tests on the users' platform: real instances, stand-ins on loopback."""
 
 import asyncio
 import functools
@@ -83,8 +83,8 @@
 def test_a_broken_stream_is_resumed_at_another_server(tmp_path):
     """A caller reads a resumable stream; its server resets in the middle of event 4.
 
-    Without the cutter the caller got a torn event, or event 4 twice, as the stream
-    went on at the other server.
+    Guards against a truncated event, or event 4 twice, when the stream is resumed at
+    the other server: only complete events may be relayed.
     """
 
     async def scenario(fleet, session):
@@ -114,9 +114,9 @@
 def test_only_a_retryable_stream_is_retried_after_a_server_error(
     tmp_path, path, expected, runs
 ):
-    """A server answers every other request with an error of its own while its health
-    check is good. Callers of streams that may run again got that error, though another
-    server had the model and no fault."""
+    """A server answers every other request with an error while its health check passes.
+    Guards against callers of retryable streams that get the error although another
+    healthy server has the model."""
 
     async def scenario(fleet, session):
         engines = fleet.servers[:2]
@@ -137,7 +137,7 @@
 
 
 def test_a_broken_stream_without_retry_never_looks_complete(tmp_path):
-    """A stream that may run once breaks; the caller must see that it was cut."""
+    """A stream that may run only once breaks; the caller must see the truncation."""
 
     async def scenario(fleet, session):
         for server in fleet.servers[:2]:
@@ -151,10 +151,10 @@
 
 
 def test_a_timeout_after_sending_does_not_claim_not_run(tmp_path):
-    """A booking reaches its server, whose answer does not come in time.
+    """A booking reaches its server, whose answer does not arrive in time.
 
-    Time running out was answered 503, which promises that the booking did not run;
-    the caller booked again. The server had run it.
+    Guards against answering the timeout with 503, which claims that the booking did not
+    run: the caller books again although the server has run it.
     """
 
     async def scenario(fleet, session):
@@ -188,9 +188,9 @@
 
 
 def test_a_server_that_refuses_is_backed_off(tmp_path):
-    """One of two plain servers is full, and the other takes 50 ms for each answer. By
-    what is in flight the full one seemed the better of the two for each request, and
-    the refusals used up the budget of repeats."""
+    """One of two plain servers is full, and the other takes 50 ms per answer. Guards
+    against a choice by requests in flight only, which prefers the full server for each
+    request until the refusals have used up the retry budget."""
 
     async def scenario(fleet, session):
         full, sound = fleet.servers[2:]
@@ -200,7 +200,7 @@
         for number in range(12):
             status, _, _ = await ask(session, front, "/book/1", attempt=f"a{number}")
             assert status == 200
-        # After 0, 0.1, 0.3 and 0.7 s, and then each 0.8 s.
+        # Refusals are expected after 0, 0.1, 0.3 and 0.7 s, then every 0.8 s.
         most = 4 + (time.monotonic() - begun_s) / 0.8
         assert fleet.read_log("n1").count("refused as not run") <= most
 
@@ -208,8 +208,8 @@
 
 
 def test_slow_servers_get_fewer_concurrent_requests(tmp_path):
-    """Each answer takes longer than its aim. What would only wait behind others there
-    is refused as not run, with a time, and has not run."""
+    """Each answer takes longer than its latency target. Requests that would only queue
+    at the servers are refused with a retry delay and have not run."""
 
     async def scenario(fleet, session):
         for server in fleet.servers[2:]:
@@ -235,8 +235,8 @@
 def test_callers_cannot_set_internal_headers(tmp_path):
     """A caller sends a hold of its own, and an incarnation that no server has.
 
-    Passed on, the first would take memory set aside for others, the second makes
-    every server refuse.
+    If forwarded, the first would use memory reserved for others, and the second would
+    make every server refuse.
     """
 
     async def scenario(fleet, session):
@@ -282,9 +282,9 @@
 
 
 def test_a_request_that_crashes_servers_is_quarantined(tmp_path):
-    """A caller sends a request again and again, through any instance, and each server
-    that runs it crashes. Passed on each time, it took down one server after another;
-    all others wait for those that are left."""
+    """A caller retries a request through any instance, and each server that runs it
+    crashes. Guards against a request that takes down one server after another while all
+    other requests wait for the remaining servers."""
 
     async def scenario(fleet, session):
         await fleet.add_server(ServerStandin(incarnation="p3", service="plain"))
@@ -364,10 +364,10 @@
 
 
 def test_another_instance_takes_over_from_a_killed_coordinator(tmp_path):
-    """The coordinator is killed; a model that no server has is asked for at once.
+    """The coordinator is killed; a model that no server has is requested at once.
 
-    The other node serves what is loaded, takes the lease once it has lapsed, and
-    loads the model under a higher fencing token.
+    The other instance serves loaded models, takes the lease once it has expired, and
+    loads the model with a higher fencing token.
     """
 
     async def scenario(fleet, session):
@@ -385,9 +385,9 @@
 
 
 def test_a_graceful_shutdown_drops_no_request(tmp_path):
-    """SIGTERM comes while a booking is at its server; callers with an old address
-    still arrive afterwards. All are answered, the node leaves the directory at once,
-    and it ends by itself with status 0."""
+    """SIGTERM arrives while a booking is in flight, and callers with an old address
+    still connect afterwards. All are answered, the instance leaves the directory at
+    once, and it exits by itself with status 0."""
 
     async def scenario(fleet, session):
         fleet.servers[2].holds_s = fleet.servers[3].holds_s = 0.5
@@ -413,9 +413,9 @@
 
 
 def test_a_stopping_coordinator_connects_to_its_successor(tmp_path):
-    """SIGTERM comes to the coordinator; a caller with an old address asks it for a
-    model that has to be loaded. It waited for a coordinator until it gave up, since
-    the stopping process no longer looked for one."""
+    """The coordinator gets SIGTERM, and a caller with an old address asks it for a
+    model that has to be loaded. Guards against a stopping process that no longer looks
+    for a coordinator, so that the caller waits until it gives up."""
 
     async def scenario(fleet, session):
         old = fleet.find_coordinator()
@@ -429,9 +429,10 @@
 
 
 def test_requests_still_waiting_at_the_end_of_shutdown_are_refused(tmp_path):
-    """A model can't be loaded, since all servers refuse orders; a request waits for it
-    as SIGTERM comes. The process ended with the request still waiting, and its caller
-    saw a closed connection instead of a refusal that lets it go elsewhere at once.
+    """A request waits at SIGTERM for a model that can't be loaded, as all servers
+    refuse orders. Guards against a process that exits while the request waits: its
+    caller sees a closed connection instead of a refusal after which it can retry
+    elsewhere at once.
     """
 
     async def scenario(fleet, session):
@@ -456,8 +457,8 @@
 
 
 def test_an_instance_that_starts_without_the_store_bootstraps_from_another(tmp_path):
-    """The store is down, and a node is replaced. It knew no configuration until the
-    store was back, and every caller that came to it was refused."""
+    """An instance is replaced while the store is down. Guards against an instance that
+    has no configuration until the store recovers, and refuses every caller."""
 
     async def scenario(fleet, session):
         fleet.store.is_down = True
@@ -487,9 +488,9 @@
 
 
 def test_models_are_loaded_while_the_store_is_unavailable_to_all(tmp_path):
-    """The store is away for everybody and the lease has lapsed. A model that no server
-    has is asked for; it stayed missing until the store was back. Callers keep both
-    nodes busy meanwhile: their news must get through all the same."""
+    """The store is unavailable to all instances and the lease has expired. A model that
+    no server has is requested and must be loaded before the store recovers. Callers
+    keep both instances busy meanwhile: heartbeats must be sent all the same."""
 
     async def scenario(fleet, session):
         fleet.store.is_down = True
@@ -513,15 +514,15 @@
 
 
 def test_a_stopping_coordinator_stays_active_while_it_has_no_successor(tmp_path):
-    """The store is away, and the coordinator is told to stop. It stepped down at once,
-    though no other instance could take the lease. Until the store was back, callers of
-    models that had to be loaded waited until they left."""
+    """The store is unavailable, and the coordinator gets SIGTERM. Guards against
+    stepping down at once although no other instance can take the lease: until the store
+    recovers, callers of models that have to be loaded wait until they disconnect."""
 
     async def scenario(fleet, session):
         old = fleet.find_coordinator()
         other = "n2" if old == "n1" else "n1"
         fleet.store.is_down = True
-        # A renewal that failed; a call that waits for changes may wait on for 20 s.
+        # Wait for a failed renewal; a call that waits for changes may last 20 s more.
         await fleet.wait_log(old, "lease_unsettled")
         fleet.nodes[old].send_signal(signal.SIGTERM)
         await fleet.wait_log(old, "draining")
@@ -536,8 +537,9 @@
 
 
 def test_without_a_coordinator_a_request_is_refused_quickly(tmp_path):
-    """The store is away and the coordinator is killed. A caller of a model that nobody
-    has was kept until it left; it is refused with a time instead."""
+    """The store is unavailable and the coordinator is killed. A caller of a model that
+    no server has must be refused with a retry delay instead of waiting until it
+    disconnects."""
 
     async def scenario(fleet, session):
         old = fleet.find_coordinator()
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash the servers that run them."""
+"""Quarantine of requests that crash servers."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class Instance:
-    """A guard whose link leads to all guards of a group, unless it is cut."""
+    """An instance whose link reaches the guards of its group, unless it is cut."""
 
     def __init__(self, group):
         self.now = 0
@@ -57,8 +57,8 @@
 
 
 def test_concurrent_copies_of_a_request_count_as_one_crash():
-    """All servers of a service lose power at once, each with a copy of one request in
-    flight that a hasty caller sent several times. It caused none of it."""
+    """All servers of a service fail at once in a power failure, each with a copy of one
+    request in flight that a caller sent several times. The request is not the cause."""
     first, second = build_group()
     request = build_request()
     sent = [
--- a/tests/test_quota_charging.py
+++ b/tests/test_quota_charging.py
@@ -1,4 +1,4 @@
-"""What an instance pays for its callers, with a coordinator and without."""
+"""Charging of team quotas, with and without a coordinator."""
 
 import msgspec
 import pytest
@@ -24,7 +24,7 @@
 
 
 class Instance:
-    """An instance with its link and its accounts; the coordinator may be itself."""
+    """An instance with its link and its quota charger; it may be the coordinator."""
 
     def __init__(self, *, coordinates=False, **settings):
         self.now = [100_000]
@@ -36,9 +36,9 @@
             version=1, routes=(), services={}, teams=(TEAM, FREE)
         )
         self.link = Link(state=self.state)
-        self.told = []
+        self.sent = []
         if coordinates:
-            self.link.deliver_local = self.told.extend
+            self.link.deliver_local = self.sent.extend
         self.charger = QuotaCharger(state=self.state, link=self.link)
 
     def charge(self, cost):
@@ -49,7 +49,7 @@
     instance = Instance(coordinates=True)
     quota_charge = instance.charge(200)
     instance.charger.refund(quota_charge)
-    assert instance.told == [
+    assert instance.sent == [
         QuotaUsage(team="t", cost=200),
         QuotaUsage(team="t", cost=-200),
     ]
@@ -73,7 +73,7 @@
     assert (error.status, error.retry_after_ms) == (429, 700)
     instance.now[0] += 700
     instance.charge(200)
-    assert instance.told == [QuotaUsage(team="t", cost=200)]
+    assert instance.sent == [QuotaUsage(team="t", cost=200)]
 
 
 def test_without_a_coordinator_an_instance_charges_its_own_share():
@@ -91,7 +91,7 @@
     quota_charge = instance.charge(200)
     instance.link.close()
     instance.charger.refund(quota_charge)
-    assert instance.told == [QuotaUsage(team="t", cost=200)]
+    assert instance.sent == [QuotaUsage(team="t", cost=200)]
 
 
 @pytest.mark.parametrize(("team", "cost"), [(None, 0), (FREE, 0), (TEAM, 150)])
@@ -146,7 +146,7 @@
 
 
 def test_the_share_of_a_disconnected_instance_stays_reserved():
-    """A third of the instances are cut off and serve on by themselves."""
+    """A third of the instances are disconnected and keep serving by themselves."""
     instance = Instance()
     infos = [build_info(name) for name in ("a", "b", "c")]
     quotas = build_quotas(instance, linked=3)
@@ -161,8 +161,8 @@
 
 
 def test_the_share_of_a_silent_instance_stays_reserved():
-    """Guards against a coordinator that is cut off silently and spends whole quotas
-    beside the next one: the links' ends come seconds later, or never."""
+    """Guards against a coordinator that is silently partitioned and uses full quotas in
+    addition to its successor: the links are closed seconds later, or never."""
     quotas = build_quotas(Instance())
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas.update_linked(infos)
@@ -173,8 +173,8 @@
 
 
 def test_a_coordinator_that_lost_most_instances_uses_only_its_own_share():
-    """Guards against quotas that a cut-off coordinator saves up and spends once the cut
-    has healed."""
+    """Guards against quotas that a partitioned coordinator accumulates and uses once
+    the partition has healed."""
     instance = Instance(revocation_ms=5_000)
     quotas = build_quotas(instance)
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
@@ -220,7 +220,8 @@
 
 
 def test_the_share_of_a_disconnected_instance_decays_on_both_sides():
-    """It can't confirm any key for longer, and its callers have gone to others."""
+    """After that time the instance can't confirm keys, and its callers use other
+    instances."""
     instance = Instance(revocation_ms=5_000)
     quotas = build_quotas(instance)
     infos = [build_info("a"), build_info("b")]
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -1,4 +1,4 @@
-"""How a request without a model finds a server, or waits for one."""
+"""Choice of a server for requests without a model."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 def build_full(*, entries):
-    """Return the state of an instance that has all it may have at some servers."""
+    """Return the state of an instance that uses all its slots at some servers."""
     state = build_state()
     state.by_service = {"s": list(entries)}
     for entry in entries:
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -1,4 +1,4 @@
-"""What a node makes of rows of the store."""
+"""Watching of the configuration and the server rows in the store."""
 
 import asyncio
 
@@ -57,8 +57,8 @@
 
 
 def test_a_server_missing_from_a_full_read_is_removed():
-    """A server leaves while changes are not told. The scan that follows does not show
-    it; kept all the same, it got requests long after it had left."""
+    """A server leaves while changes are not received, and the next full read does not
+    contain it. Guards against an entry that is kept and gets requests long after."""
     state = build_state()
     take(state, build_row("a"), build_row("b"), is_whole=True)
     take(state, build_row("b"), is_whole=True)
@@ -80,8 +80,8 @@
 
 
 def test_a_restarted_server_with_the_same_id_is_a_new_incarnation():
-    """A server crashes and is back before its row has lapsed, under the same id. Until
-    then it was leaving; the new start takes requests, and the old one is nobody."""
+    """A server that was leaving crashes and restarts under the same id before its row
+    has lapsed. The new incarnation gets requests, and the old one no longer exists."""
     state = build_state()
     take(state, build_start("a", 10, state="draining"), is_whole=True)
     first = state.entries["a"].incarnation
@@ -100,8 +100,8 @@
 
 
 def test_a_row_overwritten_by_another_writer_is_rejected(monkeypatch):
-    """Another program writes nonsense over a server's row, again and again. Requests
-    would go to a server that nobody vouches for, and the log would fill up."""
+    """Another program repeatedly overwrites a server's row with invalid data. Guards
+    against requests to a server without a valid entry, and against a flooded log."""
     told = []
     monkeypatch.setattr(
         server_rows, "log_event", lambda event, **_fields: told.append(event)
@@ -118,9 +118,10 @@
 
 
 def test_entries_that_lapsed_in_an_outage_are_kept_for_a_grace_period(monkeypatch):
-    """The store is away for longer than entries live. At its return no server is
-    listed, though all of them live and write again within two seconds; dropped at
-    once, every request was refused. One that does not come back is gone then."""
+    """The store is unavailable for longer than the entries' lifetime. When it recovers,
+    it lists no server, although all are running and write their entries again within
+    two seconds; dropping the entries at once refuses every request. A server that does
+    not write again is dropped after the grace period."""
     monkeypatch.setattr(server_rows, "LAPSED_ENTRY_GRACE_MS", 60)
 
     async def scenario():
@@ -174,9 +175,9 @@
     ids=["servers", "configuration"],
 )
 def test_consecutive_changes_are_batched(monkeypatch, follow, least, most):
-    """As servers are told to load, their entries change one after another. Each change
-    ended a call of each instance, and calls to the store are rationed. A
-    configuration is never kept waiting."""
+    """When servers are ordered to load models, their entries change one after another.
+    Without batching, each change ends a call of each instance, and calls to the store
+    are rate-limited. Configurations are not delayed."""
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 100)
 
     async def scenario():
@@ -194,9 +195,9 @@
 
 
 class ScriptedStore:
-    """A store whose calls end one after another as a script says.
+    """A store whose calls return scripted outcomes one after another.
 
-    :param outcomes: versions of the configuration that an answer brings, or an error.
+    :param outcomes: configuration versions in the answer, or an error.
     """
 
     is_failing = False
@@ -230,7 +231,7 @@
 
 
 def follow_script(follow, *outcomes):
-    """Return the calls that a follower makes, and the version then in force."""
+    """Return the calls that a follower makes, and the version that is active then."""
 
     async def scenario():
         state = build_state()
@@ -246,8 +247,8 @@
 
 
 def test_after_a_failure_the_newest_configuration_is_read(monkeypatch):
-    """Guards against a link that is filled by all versions that came in the break, so
-    that the newest is in force seconds late, again and again."""
+    """Guards against a network link that is filled with all versions written during the
+    failure, so that the newest is active seconds late, again and again."""
     monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, in_force = follow_script(
@@ -258,8 +259,8 @@
 
 
 def test_a_slow_reader_reads_only_the_newest_configuration():
-    """Guards against answers that take longer than changes need to come, each larger
-    than the one before."""
+    """Guards against answers that take longer than the interval between changes, so
+    that each answer is larger than the one before."""
     calls, in_force = follow_script(
         follow_configuration, (1,), (2,), (3, 4), (7,), (9,), (9,), (10,)
     )
@@ -268,7 +269,7 @@
 
 
 def test_server_changes_are_resumed_after_a_failure(monkeypatch):
-    """Each row of a server matters, and what was removed shows in the changes only."""
+    """Each server row matters, and removals appear only in the changes."""
     monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
     swallowed = PlatformUnavailableError(detail="swallowed")
@@ -277,7 +278,7 @@
 
 
 class StaleStore:
-    """A store that has forgotten its history and reads as of long ago."""
+    """A store that has lost its history and returns stale reads."""
 
     is_failing = False
 
@@ -297,8 +298,8 @@
 def test_a_store_with_stale_reads_and_lost_history_is_called_with_backoff(
     monkeypatch, follow
 ):
-    """Guards against instances that read all rows again and again without a pause,
-    until the store turns them all away."""
+    """Guards against instances that read all rows repeatedly without backoff until the
+    store rejects their calls."""
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Keys, their withdrawal and quotas on the whole path: real nodes, stand-ins."""
+"""API keys, their revocation and quotas, end to end: real instances, stand-ins."""
 
 import asyncio
 
@@ -36,7 +36,7 @@
 
 
 def play(folder, scenario, *teams, nodes=("n1",)):
-    """Run a scenario on a fleet that serves some teams."""
+    """Run a scenario on a fleet with the given teams."""
 
     async def run():
         fleet = Fleet(folder)
@@ -61,7 +61,7 @@
 
 
 def send(session, address, path, attempt, key="", *, model="", tokens="100,20"):
-    """Send a request with a key and a team of the caller's own."""
+    """Send a request with a key and a forged team header."""
     headers = {"X-Arbutuspulley-Tenant": "forged"}
     if key:
         headers["X-Arbutuspulley-Key"] = key
@@ -106,15 +106,16 @@
             status, _, _ = await send(session, front(fleet, "n2"), "/book/1", "x", "k1")
             return status == 401
 
-        await wait_until(is_denied, "the withdrawal")
+        await wait_until(is_denied, "the revocation")
         assert (await send(session, front(fleet, "n2"), "/book/1", "y", "k2"))[0] == 200
 
     play(tmp_path, scenario, build_team("one", "k1"), nodes=("n1", "n2"))
 
 
 def test_no_key_is_accepted_long_after_the_store_became_unavailable(tmp_path):
-    """The store is away and an operator may have withdrawn a key meanwhile. Instances
-    went on confirming to each other what none of them could know."""
+    """The store is unavailable, and an operator may have revoked a key in the meantime.
+    Guards against instances that confirm the configuration to each other although none
+    of them reaches the store."""
 
     async def scenario(fleet, session):
         fleet.store.is_down = True
@@ -146,7 +147,7 @@
 
 
 def test_a_team_over_its_quota_is_refused_and_others_are_served(tmp_path):
-    """One team sends many times its usual, streams and plain requests, through two
+    """One team sends many times its usual load, streams and plain requests, through two
     instances."""
 
     async def scenario(fleet, session):
@@ -166,7 +167,8 @@
                 )
             )
 
-        # A coordinator does not know what was spent before it; the quota comes back.
+        # A new coordinator does not know earlier usage; wait until the quota is
+        # refilled.
         await asyncio.sleep(1.5)
         hot = await burst("k1", 40)
         assert {status for status, _, _ in hot} == {200, 429}
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Updates from one version of the configuration to the next."""
+"""Deltas between versions of the configuration."""
 
 import random
 
@@ -23,7 +23,7 @@
     return msgspec.json.encode(build_configuration(version, routes=routes))
 
 
-def know(*bodies):
+def build_versions(*bodies):
     versions = Versions()
     for version, body in enumerate(bodies, 1):
         versions.add(version, body)
@@ -46,35 +46,35 @@
 @pytest.mark.parametrize("numbers", CHANGES.values(), ids=CHANGES)
 def test_a_delta_produces_the_newer_version(numbers):
     old, new = encode(1, ALL), encode(2, numbers)
-    update = know(old, new).build_delta(1)
-    (sent,) = decode_from_coordinator(encode_frame([update]))
-    assert know(old).apply(sent) == new
+    delta = build_versions(old, new).build_delta(1)
+    (sent,) = decode_from_coordinator(encode_frame([delta]))
+    assert build_versions(old).apply(sent) == new
 
 
 @pytest.mark.parametrize(
     "change", ["one added at the end", "one added at the front", "one removed"]
 )
 def test_the_size_of_a_delta_depends_on_the_change(change):
-    """Guards against changes of one route that take a link as all routes do."""
-    update = know(encode(1, ALL), encode(2, CHANGES[change])).build_delta(1)
-    assert len(encode_frame([update])) < 500
+    """Guards against changes of one route that use as much bandwidth as all routes."""
+    delta = build_versions(encode(1, ALL), encode(2, CHANGES[change])).build_delta(1)
+    assert len(encode_frame([delta])) < 500
 
 
 def test_a_receiver_with_an_unknown_version_gets_the_full_configuration():
     new = encode(9, ALL)
     versions = Versions()
     versions.add(9, new)
-    update = versions.build_delta(4)
-    assert update.base == 0
-    assert len(encode_frame([update])) < len(new) / 5
-    assert Versions().apply(update) == new
+    delta = versions.build_delta(4)
+    assert delta.base == 0
+    assert len(encode_frame([delta])) < len(new) / 5
+    assert Versions().apply(delta) == new
 
 
 def test_a_delta_for_other_content_is_refused():
-    """Guards against a configuration that nobody has written."""
-    update = know(encode(1, ALL), encode(2, [*ALL, 400])).build_delta(1)
-    assert know(encode(1, ALL[1:])).apply(update) is None
-    assert Versions().apply(update) is None
+    """Guards against a configuration that was never written."""
+    delta = build_versions(encode(1, ALL), encode(2, [*ALL, 400])).build_delta(1)
+    assert build_versions(encode(1, ALL[1:])).apply(delta) is None
+    assert Versions().apply(delta) is None
 
 
 def test_deltas_of_random_texts_produce_the_newer_text():
@@ -84,14 +84,14 @@
         old, new = (
             b"".join(chance.choices(alphabet, k=chance.randrange(30))) for _ in range(2)
         )
-        update = know(old, new).build_delta(1)
-        assert know(old).apply(update) == new
+        delta = build_versions(old, new).build_delta(1)
+        assert build_versions(old).apply(delta) == new
 
 
 def test_a_damaged_delta_is_refused_or_produces_the_right_version():
     chance = random.Random(6)
     old, new = encode(1, ALL[:20]), encode(2, ALL[:21])
-    frame = encode_frame([know(old, new).build_delta(1)])
+    frame = encode_frame([build_versions(old, new).build_delta(1)])
     for _ in range(2_000):
         damaged = bytearray(frame)
         damaged[chance.randrange(len(damaged))] = chance.randrange(256)
@@ -101,14 +101,14 @@
             continue
         for one in messages:
             if isinstance(one, ConfigurationDelta):
-                assert know(old).apply(one) in (None, new)
+                assert build_versions(old).apply(one) in (None, new)
 
 
 def test_deltas_of_repetitive_texts_take_linear_time():
-    """Guards against comparisons that take the square of the parts' number."""
+    """Guards against comparisons that take quadratic time in the number of parts."""
     old = b'{"Weight":1},' * 60_000
-    update = know(old, old + b"{}").build_delta(1)
-    assert know(old).apply(update) == old + b"{}"
+    delta = build_versions(old, old + b"{}").build_delta(1)
+    assert build_versions(old).apply(delta) == old + b"{}"
 
 
 def test_few_versions_are_kept_but_always_the_newest():
--- a/tests/test_without_coordinator.py
+++ b/tests/test_without_coordinator.py
@@ -1,4 +1,4 @@
-"""What an instance does with a request while no coordinator answers."""
+"""Requests at an instance without a coordinator."""
 
 import asyncio
 
@@ -70,9 +70,9 @@
 
 
 def test_after_start_a_request_waits_for_the_first_coordinator():
-    """All instances lose power and come back together. Those that were ready first
-    sent all their prompts at once to the servers that they found listed, and every
-    stream there paused for half a second; the coordinator was there 0.2 s later."""
+    """All instances restart together after a power failure. Without the wait, those
+    that are ready first send all their prompts at once to the listed servers, and every
+    stream there stalls for half a second; the coordinator is available 0.2 s later."""
 
     async def scenario():
         state = build_state()
@@ -101,8 +101,8 @@
 
 
 def test_the_next_coordinator_counts_requests_sent_without_one():
-    """A server ran 40 requests of which its coordinator knew 20, and granted it twice
-    what it could take."""
+    """Guards against a coordinator that knows only 20 of the 40 requests at a server
+    and grants it twice its capacity."""
 
     async def scenario():
         state = build_state()
