--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -46,7 +46,7 @@
     :param access: admission by the caller's key.
     :param charger: charges the request, once.
     :param limits: rate limits of the servers.
-    :param left_ms: time left for the complete answer, in ms.
+    :param remaining_ms: time left for the complete answer, in ms.
     """
 
     __slots__ = (
@@ -75,7 +75,7 @@
         route: Route,
         request: InboundRequest,
         progress: Progress,
-        left_ms: int,
+        remaining_ms: int,
     ) -> None:
         self._state = state
         self._link = link
@@ -86,7 +86,7 @@
         self._progress = progress
         self._cost = charger.get_cost(access.team, request)
         self._charged: QuotaCharge | None = None
-        self._first_part_timeout_ms = get_first_part_timeout_ms(route, left_ms)
+        self._first_part_timeout_ms = get_first_part_timeout_ms(route, remaining_ms)
         self._choice = ServerChoice(
             state=state,
             link=link,
@@ -133,7 +133,7 @@
         self._recheck_access(entry)
         return entry
 
-    def report_end(self, incarnation: str, how: AttemptOutcome) -> None:
+    def report_end(self, incarnation: str, outcome: AttemptOutcome) -> None:
         """Report the outcome of an attempt to the coordinator."""
         if self._request.need is None:
             return
@@ -142,7 +142,7 @@
             AttemptEnded(
                 key=self._request.attempt_id,
                 incarnation=incarnation,
-                how=how,
+                how=outcome,
                 events=self._progress.events,
             )
         )
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -102,12 +102,12 @@
         self._client = client
         self._answer: web.StreamResponse | None = None
         self._cutter = EventCutter()
-        left = route.timeout_ms
+        remaining_ms = route.timeout_ms
         if request.wait_ms is not None:
-            left = min(left, request.wait_ms)
+            remaining_ms = min(remaining_ms, request.wait_ms)
         self.progress = Progress(
             started_at=started_at,
-            ends_at=started_at + left - ANSWER_MARGIN_MS,
+            ends_at=started_at + remaining_ms - ANSWER_MARGIN_MS,
         )
         self._acquisition = Acquisition(
             state=state,
@@ -118,7 +118,7 @@
             route=route,
             request=request,
             progress=self.progress,
-            left_ms=left - ANSWER_MARGIN_MS,
+            remaining_ms=remaining_ms - ANSWER_MARGIN_MS,
         )
 
     async def run(self) -> web.StreamResponse:
@@ -183,8 +183,8 @@
         if state.limits.get(entry.incarnation) is not None:
             state.metrics.limited_attempts.inc()
         known_crashes = self._poison.count_crashes(self._request)
-        how = AttemptOutcome.FAILED
-        took: int | None = None
+        outcome = AttemptOutcome.FAILED
+        took_ms: int | None = None
         try:
             response = await send_request(
                 state.session,
@@ -194,19 +194,19 @@
             )
             try:
                 answer = await self._handle_answer(entry, response)
-                how = AttemptOutcome.DONE
+                outcome = AttemptOutcome.DONE
                 self._poison.clear(self._request)
-                took = state.clock.now() - now
+                took_ms = state.clock.now() - now
                 return answer
             except _NotRunError:
-                how = AttemptOutcome.NOT_RUN
+                outcome = AttemptOutcome.NOT_RUN
                 progress.may_have_run -= 1
                 raise self._handle_refusal(entry) from None
             finally:
-                if how is not AttemptOutcome.DONE:
+                if outcome is not AttemptOutcome.DONE:
                     response.close()
         except NotSentError:
-            how = AttemptOutcome.UNREACHED
+            outcome = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
             record_unreachable(record, entry, now=state.clock.now())
             raise self._handle_unreachable(entry) from None
@@ -217,21 +217,21 @@
             raise self._handle_broken(entry, str(error)) from None
         except asyncio.CancelledError:
             # The caller disconnected or the time is up; neither is the server's fault.
-            how = AttemptOutcome.LEFT
+            outcome = AttemptOutcome.LEFT
             raise
         finally:
             record_done(
-                record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED
+                record, entry, took_ms=took_ms, failed=outcome is AttemptOutcome.FAILED
             )
-            if took is not None and not self.route.is_stream:
+            if took_ms is not None and not self.route.is_stream:
                 adjust_concurrency_limit(
                     record,
                     entry,
                     latency_target_ms=self.route.latency_target_ms,
                     now=state.clock.now(),
                 )
-            state.metrics.attempts.labels(how.value).inc()
-            self._acquisition.report_end(entry.incarnation, how)
+            state.metrics.attempts.labels(outcome.value).inc()
+            self._acquisition.report_end(entry.incarnation, outcome)
 
     def _build_headers(self, entry: ServerEntry, now: int) -> list[tuple[str, str]]:
         priority: int | None = None
--- a/src/arbutuspulley/node/progress.py
+++ b/src/arbutuspulley/node/progress.py
@@ -89,16 +89,16 @@
     return team.priority
 
 
-def get_first_part_timeout_ms(route: Route, left_ms: int) -> int:
+def get_first_part_timeout_ms(route: Route, remaining_ms: int) -> int:
     """Return how long a caller waits for the first part of an answer, in ms.
 
-    :param left_ms: how long the caller waits for the complete answer, in ms.
+    :param remaining_ms: how long the caller waits for the complete answer, in ms.
     """
     if not route.is_stream:
-        return left_ms
+        return remaining_ms
     longest = max(
         MIN_FIRST_PART_TIMEOUT_MS,
         LATENCY_TARGETS_PER_TIMEOUT * route.latency_target_ms,
         GAP_TARGETS_PER_TIMEOUT * route.gap_target_ms,
     )
-    return min(left_ms, longest)
+    return min(remaining_ms, longest)
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -87,7 +87,7 @@
             route=route,
             request=request,
             progress=self.progress,
-            left_ms=9_000,
+            remaining_ms=9_000,
         )
 
     def _take(self, messages):
