--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -84,8 +84,8 @@
 
     :param is_store_relayed: returns whether another instance relays the store's
         changes.
-    :param is_starting: returns whether no coordinator, which might relay them, has sent
-        a status yet.
+    :param is_starting: returns whether this process still waits for a coordinator's
+        first status.
     """
     await _TableFollower(
         state=state,
