--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -1,4 +1,4 @@
-"""Gets a server for a request, from the coordinator or without, and pays for it."""
+"""Selection of a server for a request, with or without a coordinator, and charging."""
 
 from arbutuspulley.node.access import Access
 from arbutuspulley.node.limits import LimitGuard
@@ -6,13 +6,13 @@
 from arbutuspulley.node.messages import AttemptEnded, Granted, GrantRequest
 from arbutuspulley.node.pending_requests import LinkLostError, RefusedError
 from arbutuspulley.node.progress import (
-    MOST_REFUSED,
+    MAX_REFUSALS,
     Progress,
     RequestFailedError,
-    get_patience,
+    get_first_part_timeout_ms,
     get_priority,
 )
-from arbutuspulley.node.quota_charging import Payment, QuotaCharger
+from arbutuspulley.node.quota_charging import QuotaCharge, QuotaCharger
 from arbutuspulley.node.server_choice import CoordinatorFoundError, ServerChoice
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.ports.fleet import (
@@ -25,13 +25,13 @@
 
 
 class RetryError(Exception):
-    """The request goes on at another server."""
+    """The request is retried at another server."""
 
 
 class NoServerError(Exception):
-    """No server will be had for the request.
+    """No server is available for the request.
 
-    :param retry_after_ms: when to come back; ``None``: not known.
+    :param retry_after_ms: when the caller should retry, in ms; ``None``: not known.
     """
 
     def __init__(self, reason: str, *, retry_after_ms: int | None = None) -> None:
@@ -41,22 +41,22 @@
 
 
 class Acquisition:
-    """One request's servers, one after another.
+    """Gets a server for each attempt of one request.
 
-    :param access: the admission by the caller's key.
-    :param accounts: pay for the request, once.
-    :param limits: tell which servers may get it by the rate limits that they name.
-    :param left_ms: how long the caller waits for the whole answer.
+    :param access: admission by the caller's key.
+    :param charger: charges the request, once.
+    :param limits: rate limits of the servers.
+    :param remaining_ms: time left for the complete answer, in ms.
     """
 
     __slots__ = (
         "_access",
-        "_accounts",
+        "_charged",
+        "_charger",
         "_choice",
         "_cost",
+        "_first_part_timeout_ms",
         "_link",
-        "_paid",
-        "_patience_ms",
         "_progress",
         "_request",
         "_route",
@@ -70,23 +70,23 @@
         state: NodeState,
         link: Link,
         access: Access,
-        accounts: QuotaCharger,
+        charger: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
         progress: Progress,
-        left_ms: int,
+        remaining_ms: int,
     ) -> None:
         self._state = state
         self._link = link
         self._access = access
-        self._accounts = accounts
+        self._charger = charger
         self._route = route
         self._request = request
         self._progress = progress
-        self._cost = accounts.get_cost(access.team, request)
-        self._paid: Payment | None = None
-        self._patience_ms = get_patience(route, left_ms)
+        self._cost = charger.get_cost(access.team, request)
+        self._charged: QuotaCharge | None = None
+        self._first_part_timeout_ms = get_first_part_timeout_ms(route, remaining_ms)
         self._choice = ServerChoice(
             state=state,
             link=link,
@@ -94,31 +94,32 @@
             route=route,
             request=request,
             progress=progress,
-            patience_ms=self._patience_ms,
+            first_part_timeout_ms=self._first_part_timeout_ms,
         )
         self.priority = get_priority(route, access.team)
 
-    def pay_plain(self) -> None:
-        """Pay for a request that needs no coordinator.
+    def charge_plain(self) -> None:
+        """Charge a request that needs no coordinator.
 
         :raises RequestFailedError: if the team's quota is used up.
         """
         if not self._needs_coordinator():
-            self._pay()
+            self._charge_once()
 
-    def give_back(self) -> None:
-        """Return what was paid, if no server may have run the request."""
-        if self._paid is not None and not self._progress.may_have_run:
-            self._accounts.give_back(self._paid)
-            self._paid = None
+    def refund(self) -> None:
+        """Refund the charge unless a server may have run the request."""
+        if self._charged is not None and not self._progress.may_have_run:
+            self._charger.refund(self._charged)
+            self._charged = None
 
     async def get_server(self) -> ServerEntry:
-        """Return the server that the request goes to now.
+        """Return the server for the next attempt.
 
-        :raises NoServerError: if none will be had.
-        :raises RetryError: if the one that was granted is not there any more.
+        :raises NoServerError: if no server is available.
+        :raises RetryError: if the granted server no longer exists, or if a coordinator
+            has been found that must be asked.
         :raises RequestFailedError: if the team's quota is used up, or the caller's key
-            admits it no more.
+            is no longer valid.
         """
         need = self._request.need
         if need is not None and self._needs_coordinator():
@@ -129,11 +130,11 @@
             raise NoServerError(
                 "no server has it", retry_after_ms=self._choice.get_retry_after()
             )
-        self._check_access(entry)
+        self._recheck_access(entry)
         return entry
 
-    def tell_end(self, incarnation: str, how: AttemptOutcome) -> None:
-        """Tell the coordinator how a try at a server ended."""
+    def report_end(self, incarnation: str, outcome: AttemptOutcome) -> None:
+        """Report the outcome of an attempt to the coordinator."""
         if self._request.need is None:
             return
         self._link.remove_run(self._request.attempt_id)
@@ -141,7 +142,7 @@
             AttemptEnded(
                 key=self._request.attempt_id,
                 incarnation=incarnation,
-                how=how,
+                how=outcome,
                 events=self._progress.events,
             )
         )
@@ -149,11 +150,11 @@
     def _needs_coordinator(self) -> bool:
         return self._request.need is not None and self._choice.has_models()
 
-    def _pay(self) -> None:
+    def _charge_once(self) -> None:
         team = self._access.team
-        if team is None or not self._cost or self._paid is not None:
+        if team is None or not self._cost or self._charged is not None:
             return
-        self._paid = self._accounts.pay(
+        self._charged = self._charger.charge(
             team, self._cost, attempt_id=self._request.attempt_id
         )
 
@@ -161,9 +162,9 @@
         progress = self._progress
         now = self._state.clock.now()
         try:
-            granted = await self._ask(self._build_ask(need, now))
+            granted = await self._request_grant(self._build_grant_request(need, now))
         except LinkLostError:
-            return await self._choose_alone(need)
+            return await self._choose_uncoordinated(need)
         except RefusedError as error:
             raise NoServerError(
                 "refused", retry_after_ms=error.retry_after_ms
@@ -173,17 +174,17 @@
         progress.is_late = granted.is_late
         entry = self._state.by_incarnation.get(granted.incarnation)
         if entry is None:
-            self.tell_end(granted.incarnation, AttemptOutcome.UNUSED)
+            self.report_end(granted.incarnation, AttemptOutcome.UNUSED)
             progress.avoid.add(granted.incarnation)
             progress.refused += 1
-            if progress.refused > MOST_REFUSED:
+            if progress.refused > MAX_REFUSALS:
                 raise NoServerError("granted server is gone")
             raise RetryError
         return entry
 
-    def _build_ask(self, need: ModelNeed, now: int) -> GrantRequest:
+    def _build_grant_request(self, need: ModelNeed, now: int) -> GrantRequest:
         progress, route, team = self._progress, self._route, self._access.team
-        # A caller that has events waits for the next one, not for the first.
+        # After the first event the caller waits for the next one.
         is_begun = progress.first_ms is not None
         since = progress.last_event_at if is_begun else progress.started_at
         aim_ms = route.gap_target_ms if is_begun else route.latency_target_ms
@@ -194,51 +195,53 @@
             zone=self._state.settings.site,
             priority=self.priority,
             aim_ms=since + aim_ms - now,
-            left_ms=min(progress.ends_at, since + self._patience_ms) - now,
+            left_ms=min(progress.ends_at, since + self._first_part_timeout_ms) - now,
             avoid=tuple(progress.avoid),
             is_repeat=bool(progress.server),
             pause_ms=route.gap_target_ms,
             team=team.name if team is not None else "",
-            cost=0 if self._paid is not None else self._cost,
+            cost=0 if self._charged is not None else self._cost,
         )
 
-    async def _ask(self, ask: GrantRequest) -> Granted:
-        """Ask the coordinator, which charges the request."""
-        if ask.cost:
-            self._paid = Payment(team=ask.team, cost=ask.cost, is_local=False)
+    async def _request_grant(self, request: GrantRequest) -> Granted:
+        """Request a grant from the coordinator, which charges the request."""
+        if request.cost:
+            self._charged = QuotaCharge(
+                team=request.team, cost=request.cost, is_local=False
+            )
         try:
-            granted = await self._link.request_grant(ask)
+            granted = await self._link.request_grant(request)
         except LinkLostError:
-            # Whether it was charged there is not known, and it counts as spent.
-            if ask.cost:
-                self._paid = None
+            # Whether the coordinator charged it is unknown; it counts as charged.
+            if request.cost:
+                self._charged = None
             raise
         except RefusedError as error:
             if not error.is_over_quota:
                 raise
-            self._paid = None
-            raise self._accounts.refuse(
-                ask.team, ask.key, error.retry_after_ms
+            self._charged = None
+            raise self._charger.build_refusal(
+                request.team, request.key, error.retry_after_ms
             ) from None
-        self._accounts.note_coordinated()
+        self._charger.record_coordinated()
         return granted
 
-    async def _choose_alone(self, need: ModelNeed) -> ServerEntry | None:
+    async def _choose_uncoordinated(self, need: ModelNeed) -> ServerEntry | None:
         """Choose a server without a coordinator."""
         if await self._choice.wait_for_coordinator():
             raise RetryError
-        self._pay()
+        self._charge_once()
         try:
-            return await self._choice.choose_alone(need)
+            return await self._choice.choose_uncoordinated(need)
         except CoordinatorFoundError:
             raise RetryError from None
 
-    def _check_access(self, entry: ServerEntry) -> None:
-        """Check once more that the caller may be served, before any server runs it."""
+    def _recheck_access(self, entry: ServerEntry) -> None:
+        """Check the key again before the first server runs the request."""
         if self._progress.may_have_run:
             return
         try:
             self._access.check()
         except RequestFailedError:
-            self.tell_end(entry.incarnation, AttemptOutcome.UNUSED)
+            self.report_end(entry.incarnation, AttemptOutcome.UNUSED)
             raise
--- a/src/arbutuspulley/node/bootstrap.py
+++ b/src/arbutuspulley/node/bootstrap.py
@@ -1,7 +1,7 @@
-"""What a process learns from other instances while the store is away.
+"""Start-up from another instance's snapshot while the store is unavailable.
 
-A process that starts during an outage of the store knows no configuration, and
-without one it may serve nobody. Other instances still know it.
+A process that starts during an outage of the store has no configuration, and without
+one it can't serve callers. Other instances still have the configuration.
 """
 
 import asyncio
@@ -20,23 +20,23 @@
 SNAPSHOT_PATH = "/snapshot"
 """Path at an instance's link address."""
 
-FIRST_ASK_MS = 600
-"""How long the store alone is asked after the start, in ms; it usually answers in a few
-ms."""
+STORE_HEAD_START_MS = 600
+"""How long only the store is called after the start, in ms; it usually answers within a
+few ms."""
 
-ASK_EVERY_MS = 700
-"""Time between rounds of asking, in ms."""
+POLL_INTERVAL_MS = 700
+"""Time between rounds of snapshot requests, in ms."""
 
-ASK_TIMEOUT_S = 0.5
-"""How long one instance may take to answer, in s."""
+REQUEST_TIMEOUT_S = 0.5
+"""Timeout of a snapshot request, in s."""
 
 
 class Snapshot(Message, frozen=True):
-    """What an instance knows.
+    """Snapshot of an instance's configuration and server entries.
 
-    :param configuration: as the store holds it; empty if it knows none.
-    :param servers: entries by the servers' ids, as the store holds them.
-    :param coordinator: link address of the coordinator, empty if it knows none.
+    :param configuration: configuration as stored; empty: none.
+    :param servers: server entries as stored, by server id.
+    :param coordinator: link address of the coordinator; empty: unknown.
     """
 
     configuration: bytes
@@ -45,7 +45,7 @@
 
 
 def build_snapshot(state: NodeState, link: Link) -> bytes:
-    """Encode what this instance knows."""
+    """Encode a snapshot of this instance."""
     own = state.settings.link if link.deliver_local is not None else ""
     snapshot = Snapshot(
         configuration=state.configuration_body,
@@ -56,19 +56,21 @@
 
 
 async def bootstrap_from_neighbours(state: NodeState, link: Link) -> None:
-    """Ask the instances named in the settings until a configuration is known."""
-    await asyncio.sleep(FIRST_ASK_MS / SECOND_MS)
+    """Request snapshots from the configured seeds until a configuration is active."""
+    await asyncio.sleep(STORE_HEAD_START_MS / SECOND_MS)
     while state.configuration is None:
         for address in state.settings.seeds:
             if address == state.settings.link or state.configuration is not None:
                 continue
             snapshot = await _fetch(state, address)
             if snapshot is not None:
-                _take(state, link, snapshot, address)
-        await asyncio.sleep(ASK_EVERY_MS / SECOND_MS)
+                _apply_snapshot(state, link, snapshot, address)
+        await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
 
 
-def _take(state: NodeState, link: Link, snapshot: Snapshot, address: str) -> None:
+def _apply_snapshot(
+    state: NodeState, link: Link, snapshot: Snapshot, address: str
+) -> None:
     if not snapshot.configuration:
         return
     activate_configuration(state, snapshot.configuration, by="neighbour")
@@ -79,7 +81,7 @@
 
 
 async def _fetch(state: NodeState, address: str) -> Snapshot | None:
-    timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     url = f"http://{address}{SNAPSHOT_PATH}"
     try:
         async with state.session.get(url, timeout=timeout) as answer:
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -1,4 +1,4 @@
-"""One request's life: wait for a server, send, bring back an answer or say why not."""
+"""Handling of one request: wait for a server, send, relay the answer, retry."""
 
 import asyncio
 
@@ -16,9 +16,9 @@
 from arbutuspulley.node.messages import ResponseStarted
 from arbutuspulley.node.poison import PoisonGuard
 from arbutuspulley.node.progress import (
-    ANSWER_TIME_MS,
-    MOST_REFUSED,
-    MOST_UNREACHED,
+    ANSWER_MARGIN_MS,
+    MAX_REFUSALS,
+    MAX_UNREACHABLE,
     RETRY_AFTER_MS,
     CutError,
     Progress,
@@ -51,16 +51,16 @@
 from arbutuspulley.routing.route_table import choose_service
 
 LATE_PRIORITY = 8
-"""Rank at a server of a request that is past its aim: it gives way to all others."""
+"""Priority at the server of a request past its latency target: the lowest of all."""
 
 
 class Exchange:
-    """One request on its way.
+    """Handles one request.
 
-    :param access: the admission by the caller's key.
-    :param accounts: pay for it.
-    :param limits: take in what servers' answers say of their rate limits.
-    :param client: the caller's side.
+    :param access: admission by the caller's key.
+    :param charger: charges the request to its team's quota.
+    :param limits: rate limits of the servers, updated from their answers.
+    :param client: the caller's HTTP request.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
         link: Link,
         poison: PoisonGuard,
         access: Access,
-        accounts: QuotaCharger,
+        charger: QuotaCharger,
         limits: LimitGuard,
         route: Route,
         request: InboundRequest,
@@ -102,30 +102,30 @@
         self._client = client
         self._answer: web.StreamResponse | None = None
         self._cutter = EventCutter()
-        left = route.timeout_ms
+        remaining_ms = route.timeout_ms
         if request.wait_ms is not None:
-            left = min(left, request.wait_ms)
+            remaining_ms = min(remaining_ms, request.wait_ms)
         self.progress = Progress(
             started_at=started_at,
-            ends_at=started_at + left - ANSWER_TIME_MS,
+            ends_at=started_at + remaining_ms - ANSWER_MARGIN_MS,
         )
         self._acquisition = Acquisition(
             state=state,
             link=link,
             access=access,
-            accounts=accounts,
+            charger=charger,
             limits=limits,
             route=route,
             request=request,
             progress=self.progress,
-            left_ms=left - ANSWER_TIME_MS,
+            remaining_ms=remaining_ms - ANSWER_MARGIN_MS,
         )
 
     async def run(self) -> web.StreamResponse:
-        """Bring back an answer.
+        """Return the answer to the caller.
 
-        :raises RequestFailedError: if there is none.
-        :raises CutError: if there is only a part.
+        :raises RequestFailedError: if the request failed without an answer.
+        :raises CutError: if the answer has begun and can't be completed.
         """
         refused_ms = self._poison.get_refusal(self._request)
         if refused_ms is not None:
@@ -139,17 +139,17 @@
         now = self._state.clock.now()
         record_request(self._state.get_budget(progress.service), now=now)
         try:
-            self._acquisition.pay_plain()
+            self._acquisition.charge_plain()
             async with asyncio.timeout((progress.ends_at - now) / SECOND_MS):
                 while True:
                     try:
-                        return await self._try_once()
+                        return await self._attempt()
                     except RetryError:
                         continue
         except TimeoutError:
             raise self._build_timeout() from None
         finally:
-            self._acquisition.give_back()
+            self._acquisition.refund()
 
     def _build_timeout(self) -> Exception:
         if self._answer is not None:
@@ -160,11 +160,11 @@
             status=503, reason="no server in time", retry_after_ms=RETRY_AFTER_MS
         )
 
-    async def _try_once(self) -> web.StreamResponse:
+    async def _attempt(self) -> web.StreamResponse:
         try:
             entry = await self._acquisition.get_server()
         except NoServerError as error:
-            raise self._give_up(
+            raise self._build_failure(
                 error.reason, retry_after_ms=error.retry_after_ms
             ) from None
         return await self._send(entry)
@@ -175,16 +175,16 @@
         now = state.clock.now()
         record = state.records
         record_sent(record, entry)
-        # Counted before the first byte may leave: time may run out, or the caller go,
-        # while nothing has come back yet.
+        # Counted before the first byte may be sent: the time may run out, or the caller
+        # may disconnect, before anything is received.
         progress.may_have_run += 1
         progress.sent_at = now
         progress.events = 0
         if state.limits.get(entry.incarnation) is not None:
             state.metrics.limited_attempts.inc()
-        known_breaks = self._poison.count_known(self._request)
-        how = AttemptOutcome.FAILED
-        took: int | None = None
+        known_crashes = self._poison.count_crashes(self._request)
+        outcome = AttemptOutcome.FAILED
+        took_ms: int | None = None
         try:
             response = await send_request(
                 state.session,
@@ -193,45 +193,45 @@
                 headers=self._build_headers(entry, now),
             )
             try:
-                answer = await self._take_answer(entry, response)
-                how = AttemptOutcome.DONE
-                self._poison.note_whole(self._request)
-                took = state.clock.now() - now
+                answer = await self._handle_answer(entry, response)
+                outcome = AttemptOutcome.DONE
+                self._poison.clear(self._request)
+                took_ms = state.clock.now() - now
                 return answer
             except _NotRunError:
-                how = AttemptOutcome.NOT_RUN
+                outcome = AttemptOutcome.NOT_RUN
                 progress.may_have_run -= 1
-                raise self._note_refused(entry) from None
+                raise self._handle_refusal(entry) from None
             finally:
-                if how is not AttemptOutcome.DONE:
+                if outcome is not AttemptOutcome.DONE:
                     response.close()
         except NotSentError:
-            how = AttemptOutcome.UNREACHED
+            outcome = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
             record_unreachable(record, entry, now=state.clock.now())
-            raise self._note_unreached(entry) from None
+            raise self._handle_unreachable(entry) from None
         except BrokenError as error:
-            self._poison.note_break(
-                self._request, incarnation=entry.incarnation, known=known_breaks
+            self._poison.record_crash(
+                self._request, incarnation=entry.incarnation, known=known_crashes
             )
-            raise self._note_broken(entry, str(error)) from None
+            raise self._handle_broken(entry, str(error)) from None
         except asyncio.CancelledError:
-            # The caller left or the time is up; that says nothing of the server.
-            how = AttemptOutcome.LEFT
+            # The caller disconnected or the time is up; neither is the server's fault.
+            outcome = AttemptOutcome.LEFT
             raise
         finally:
             record_done(
-                record, entry, took_ms=took, failed=how is AttemptOutcome.FAILED
+                record, entry, took_ms=took_ms, failed=outcome is AttemptOutcome.FAILED
             )
-            if took is not None and not self.route.is_stream:
+            if took_ms is not None and not self.route.is_stream:
                 adjust_concurrency_limit(
                     record,
                     entry,
                     latency_target_ms=self.route.latency_target_ms,
                     now=state.clock.now(),
                 )
-            state.metrics.attempts.labels(how.value).inc()
-            self._acquisition.tell_end(entry.incarnation, how)
+            state.metrics.attempts.labels(outcome.value).inc()
+            self._acquisition.report_end(entry.incarnation, outcome)
 
     def _build_headers(self, entry: ServerEntry, now: int) -> list[tuple[str, str]]:
         priority: int | None = None
@@ -247,31 +247,31 @@
             team=self._access.team.name if self._access.team is not None else "",
         )
 
-    async def _take_answer(
+    async def _handle_answer(
         self, entry: ServerEntry, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         sent_at = self.progress.sent_at
         if is_not_run(response.status, response.headers):
             if not is_misdirected(response.status):
-                self._limits.note_answer(entry, response.headers, sent_at=sent_at)
+                self._limits.update_from_answer(
+                    entry, response.headers, sent_at=sent_at
+                )
             raise _NotRunError
         if not is_answer_to(self._request, response.headers):
             raise BrokenError("not the answer to this request")
-        self._limits.note_answer(entry, response.headers, sent_at=sent_at)
+        self._limits.update_from_answer(entry, response.headers, sent_at=sent_at)
         if self.route.is_stream and response.status < 300:
             return await self._relay_stream(entry, response)
-        return await self._relay_whole(response)
+        return await self._relay_body(response)
 
-    async def _relay_whole(
-        self, response: aiohttp.ClientResponse
-    ) -> web.StreamResponse:
+    async def _relay_body(self, response: aiohttp.ClientResponse) -> web.StreamResponse:
         try:
             body = await response.read()
         except (aiohttp.ClientError, ConnectionError) as error:
             raise BrokenError(f"{type(error).__name__}: {error}") from error
-        # A server's own error counts as run, so only what may run again goes on:
-        # another server may well not make that error.
-        if response.status >= 500 and self._may_go_on():
+        # A server error counts as run, so only requests that may run twice are retried:
+        # another server may not have that error.
+        if response.status >= 500 and self._may_retry():
             self.progress.avoid.add(self.progress.server)
             raise RetryError
         if self._answer is not None:
@@ -282,7 +282,7 @@
             headers=select_answer_headers(response.headers.items()),
             body=body,
         )
-        self._note_first()
+        self._record_first_part()
         return answer
 
     async def _relay_stream(
@@ -299,20 +299,20 @@
             events = cut_events(self._cutter, chunk)
             if not events:
                 continue
-            self._note_events(entry, events)
-            answer = await self._open_answer(response)
+            self._record_events(entry, events)
+            answer = await self._start_answer(response)
             await answer.write(events)
             self.progress.last_event_id = self._cutter.last_id
-        answer = await self._open_answer(response)
+        answer = await self._start_answer(response)
         if self._cutter.rest:
             await answer.write(self._cutter.rest)
         await answer.write_eof()
         return answer
 
-    async def _open_answer(
+    async def _start_answer(
         self, response: aiohttp.ClientResponse
     ) -> web.StreamResponse:
-        """Send the head of the answer, once; a resumed stream keeps its first one."""
+        """Send the answer's headers once; a resumed stream keeps the first ones."""
         if self._answer is None:
             answer = web.StreamResponse(
                 status=response.status,
@@ -323,12 +323,12 @@
             await answer.prepare(self._client)
         return self._answer
 
-    def _note_events(self, entry: ServerEntry, events: bytes) -> None:
-        """Count events of a stream and measure the pause before them."""
+    def _record_events(self, entry: ServerEntry, events: bytes) -> None:
+        """Count events of a stream and measure the time since the previous ones."""
         progress = self.progress
         now = self._state.clock.now()
         if progress.first_ms is None:
-            self._note_first()
+            self._record_first_part()
         else:
             pause_ms = now - progress.last_event_at
             progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
@@ -343,12 +343,12 @@
         progress.events += count_events(events)
         progress.last_event_at = now
 
-    def _note_first(self) -> None:
+    def _record_first_part(self) -> None:
         progress = self.progress
         progress.first_ms = self._state.clock.now() - progress.started_at
         self._state.metrics.first_part.observe(progress.first_ms / SECOND_MS)
 
-    def _note_refused(self, entry: ServerEntry) -> Exception:
+    def _handle_refusal(self, entry: ServerEntry) -> Exception:
         progress = self.progress
         progress.refused += 1
         log_event(
@@ -361,11 +361,11 @@
         if self._request.need is None:
             progress.avoid.add(entry.incarnation)
             record_refused(self._state.records, entry, now=self._state.clock.now())
-        if progress.refused <= MOST_REFUSED and self._take_repeat():
+        if progress.refused <= MAX_REFUSALS and self._try_spend_retry():
             return RetryError()
-        return self._give_up("servers refused")
+        return self._build_failure("servers refused")
 
-    def _note_unreached(self, entry: ServerEntry) -> Exception:
+    def _handle_unreachable(self, entry: ServerEntry) -> Exception:
         progress = self.progress
         progress.unreached += 1
         progress.avoid.add(entry.incarnation)
@@ -376,11 +376,11 @@
             why="out of reach",
             tries=progress.unreached,
         )
-        if progress.unreached <= MOST_UNREACHED:
+        if progress.unreached <= MAX_UNREACHABLE:
             return RetryError()
-        return self._give_up("servers out of reach")
+        return self._build_failure("servers out of reach")
 
-    def _note_broken(self, entry: ServerEntry, detail: str) -> Exception:
+    def _handle_broken(self, entry: ServerEntry, detail: str) -> Exception:
         progress = self.progress
         progress.avoid.add(entry.incarnation)
         log_event(
@@ -390,7 +390,7 @@
             why=detail,
             repeat=self.route.retry_policy.value,
         )
-        if self._may_go_on():
+        if self._may_retry():
             self._cutter.rest = b""
             progress.resumes += self._answer is not None
             return RetryError()
@@ -398,30 +398,32 @@
             return CutError(detail)
         return RequestFailedError(status=502, reason="the server broke off")
 
-    def _may_go_on(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+    def _may_retry(self) -> bool:
+        """Return whether a request that may have run may be sent again."""
         if self.route.retry_policy is RetryPolicy.ONCE:
             return False
         if self._answer is not None and not self.progress.last_event_id:
             return False
-        return self._may_repeat()
+        return self._is_within_retry_limits()
 
-    def _may_repeat(self) -> bool:
+    def _is_within_retry_limits(self) -> bool:
         if self.progress.may_have_run >= self.route.max_attempts:
             return False
         if self._poison.get_refusal(self._request) is not None:
             return False
-        return self._take_repeat()
+        return self._try_spend_retry()
 
-    def _take_repeat(self) -> bool:
+    def _try_spend_retry(self) -> bool:
         return try_spend_retry(
             self._state.get_budget(self.progress.service),
             instances=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
-    def _give_up(self, reason: str, *, retry_after_ms: int | None = None) -> Exception:
-        """Build the end of a request that is not sent to a server any more."""
+    def _build_failure(
+        self, reason: str, *, retry_after_ms: int | None = None
+    ) -> Exception:
+        """Build the error of a request that is not retried any more."""
         if self._answer is not None:
             return CutError(reason)
         if self.progress.may_have_run:
@@ -432,4 +434,4 @@
 
 
 class _NotRunError(Exception):
-    """The server proved that it did not run the request."""
+    """The server confirmed that it did not run the request."""
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -1,4 +1,4 @@
-"""An instance's link to the coordinator: asks and notes, and the digest back."""
+"""An instance's WebSocket connection to the coordinator."""
 
 import asyncio
 from collections.abc import Callable
@@ -35,7 +35,11 @@
     decode_from_coordinator,
     encode_frame,
 )
-from arbutuspulley.node.pending_requests import LinkLostError, Questions, RefusedError
+from arbutuspulley.node.pending_requests import (
+    LinkLostError,
+    PendingRequests,
+    RefusedError,
+)
 from arbutuspulley.node.roster import RosterCopy, apply_change
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.node.store_watch import (
@@ -50,53 +54,53 @@
 """Path of the WebSocket at an instance's link address."""
 
 HEARTBEAT_MS = 250
-"""Time between beats and between digests, in ms."""
+"""Interval of the heartbeats and of the coordinator's status, in ms."""
 
 COORDINATOR_TIMEOUT_MS = 800
-"""A coordinator that was silent for this long, in ms, is not asked any more: three
-beats, and little against aims of 600 ms and more."""
+"""A coordinator that sent nothing for this long, in ms, gets no requests any more. This
+is three heartbeat intervals, and short against latency targets of 600 ms and more."""
 
 MAX_RELAY_AGE_MS = 1_000
-"""How old what the coordinator told may be, in ms, until an instance asks the store
-itself: beats and digests add up to half a second, and with the time until it asks, a
-change is in force within 2 s."""
+"""Maximum age of relayed store data, in ms; beyond it an instance calls the store
+itself. Heartbeat and status intervals add up to half a second, and with the delay until
+the instance calls the store, a change is still active within 2 s."""
 
 RECONNECT_MS = 1_600
-"""A link that was silent for this long, in ms, is opened anew: an open connection may
-fall silent for good while new ones work."""
+"""A connection that was silent for this long, in ms, is reopened: an open connection
+may stay silent for good while new ones work."""
 
 PERMISSION_TIMEOUT_S = 0.2
-"""How long an answer to :class:`PermissionRequest` is awaited, in s. It needs no
-decision, and plain requests are due within some 0.1 to 0.4 s."""
+"""Timeout of a :class:`PermissionRequest`, in s. The answer needs no scheduling, and
+plain requests have latency targets of about 0.1 to 0.4 s."""
 
 CONNECT_TIMEOUT_S = 0.5
-"""How long opening a link may take, in s."""
+"""Timeout for opening a connection, in s."""
 
 
 class Link:
-    """The link to the coordinator, which may be this process itself.
+    """The link to the coordinator, which may run in this process.
 
-    ``take_local`` is the own coordinator's way in, while this instance is it.
-    ``take_suspicions`` takes what other instances found of crashing requests,
-    ``take_overdrawn`` which teams have spent more than their quota, ``take_limits``
-    which rate limits servers name.
+    ``deliver_local`` passes messages to the coordinator in this process; ``None`` while
+    this instance is not the coordinator. ``on_suspicions`` is called with suspicions of
+    requests that crash servers, ``on_quota_exceeded`` with teams that have used more
+    than their quota, ``on_rate_limits`` with servers' rate limits.
     """
 
     __slots__ = (
         "_address",
         "_confirmation",
-        "_echo",
-        "_heard_at",
+        "_coordinator_version",
+        "_heartbeats",
         "_is_closed",
+        "_last_heard_at",
         "_opened_at",
         "_outgoing",
-        "_questions",
+        "_pending",
         "_roster",
         "_running",
-        "_spent",
         "_state",
         "_task",
-        "_version_there",
+        "_usage",
         "_wake",
         "deliver_local",
         "on_quota_exceeded",
@@ -109,16 +113,17 @@
         self._state = state
         self._address = ""
         self._confirmation = Confirmation(state=state)
-        self._echo = HeartbeatTracker(now=state.clock.now())
-        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self._heartbeats = HeartbeatTracker(now=state.clock.now())
+        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
-        # The coordinator's configuration; None until it has told on this connection.
-        self._version_there: int | None = None
+        # Version of the coordinator's active configuration; None until its first status
+        # on this connection.
+        self._coordinator_version: int | None = None
         self._opened_at = 0
         self._outgoing: list[ToCoordinator] = []
-        self._questions = Questions()
+        self._pending = PendingRequests()
         self._roster = RosterCopy()
-        self._spent: dict[str, int] = {}
+        self._usage: dict[str, int] = {}
         self._running: dict[str, tuple[int, RunningRequest]] = {}
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
@@ -127,82 +132,84 @@
         self.on_quota_exceeded: Callable[[QuotaExceeded], None] = _ignore
         self.on_rate_limits: Callable[[ServerLimits], None] = _ignore
         self.deliver_local: Callable[[list[ToCoordinator]], None] | None = None
-        state.on_store_update.append(self._hand_on)
-        state.on_store_lost.append(self._tell_lost)
+        state.on_store_update.append(self._relay_store_update)
+        state.on_store_lost.append(self._report_store_lost)
 
     @property
     def is_up(self) -> bool:
-        """Whether a coordinator was heard of lately."""
+        """Whether the coordinator is in this process or sent a message recently."""
         if self.deliver_local is not None:
             return True
-        return self._state.clock.now() - self._heard_at < COORDINATOR_TIMEOUT_MS
+        return self._state.clock.now() - self._last_heard_at < COORDINATOR_TIMEOUT_MS
 
     @property
     def is_store_relayed(self) -> bool:
-        """Whether the coordinator tells this instance all that the store tells."""
+        """Whether the coordinator relays all changes of the store to this instance."""
         if self.deliver_local is not None or self.status is None or not self.is_up:
             return False
         state = self._state
         return (
             self._confirmation.is_fresh
             and self.status.is_store_followed
-            and not self._follows
+            and not self._is_follower
             and self.status.configuration <= state.configuration_version
-            and self._echo.get_age(state.clock.now()) < MAX_RELAY_AGE_MS
+            and self._heartbeats.get_age(state.clock.now()) < MAX_RELAY_AGE_MS
         )
 
     @property
-    def _follows(self) -> bool:
-        """Whether this instance follows the store beside the coordinator."""
+    def _is_follower(self) -> bool:
+        """Whether this instance follows the store in addition to the coordinator."""
         status = self.status
         return status is not None and self._state.settings.name in status.followers
 
     @property
     def can_request(self) -> bool:
-        """Whether an ask is answered, be it by a refusal."""
+        """Whether a grant request is answered, if only by a refusal."""
         return self._is_closed or self.is_up
 
     @property
     def address(self) -> str:
-        """Where the link leads, empty if nowhere."""
+        """Address of the coordinator that the link connects to; empty: none."""
         return self._address
 
     @property
     def running(self) -> list[RunningRequest]:
-        """Requests that have started and not ended, with how long each has run."""
+        """Requests in flight, with the time that each has run."""
         now = self._state.clock.now()
         return [
             msgspec.structs.replace(run, ran_ms=now - begun_at)
             for begun_at, run in self._running.values()
         ]
 
-    async def request_grant(self, ask: GrantRequest) -> Granted:
-        """Wait until a server is granted.
+    async def request_grant(self, request: GrantRequest) -> Granted:
+        """Ask the coordinator for a server and wait for the grant.
 
         :raises LinkLostError: if no coordinator answers.
-        :raises RefusedError: if the coordinator gives the request up.
+        :raises RefusedError: if the coordinator refuses the request.
         """
         if self._is_closed:
-            raise RefusedError(Refused(key=ask.key, retry_after_ms=1))
+            raise RefusedError(Refused(key=request.key, retry_after_ms=1))
         if not self.is_up:
             raise LinkLostError("no coordinator")
         try:
-            granted = await self._questions.ask(ask.key, lambda: self.send(ask))
+            granted = await self._pending.send_and_wait(
+                request.key, lambda: self.send(request)
+            )
         except asyncio.CancelledError:
-            self.send(CancelRequest(key=ask.key, service=ask.service))
+            self.send(CancelRequest(key=request.key, service=request.service))
             raise
         self.add_run(
             RunningRequest(
-                key=ask.key,
+                key=request.key,
                 incarnation=granted.incarnation,
-                need=ask.need,
-                pause_ms=0 if granted.is_late else ask.pause_ms,
+                need=request.need,
+                pause_ms=0 if granted.is_late else request.pause_ms,
             )
         )
         return granted
 
     async def request_permission(self, message: PermissionRequest) -> None:
-        """Wait until a request may be sent to a server that names a rate limit.
+        """Wait for permission to send a request to a server that sets a rate limit.
 
         :raises LinkLostError: if no coordinator answers.
         :raises RefusedError: if it may not be sent now.
@@ -211,20 +218,22 @@
             raise LinkLostError("no coordinator")
         try:
             async with asyncio.timeout(PERMISSION_TIMEOUT_S):
-                await self._questions.ask(message.key, lambda: self.send(message))
+                await self._pending.send_and_wait(
+                    message.key, lambda: self.send(message)
+                )
         except TimeoutError:
-            raise LinkLostError("no answer in time") from None
+            raise LinkLostError("permission not answered in time") from None
 
     def add_run(self, run: RunningRequest) -> None:
-        """A request starts; the next coordinator has to count it."""
+        """Add a started request, which the next coordinator has to count."""
         self._running[run.key] = self._state.clock.now(), run
 
     def remove_run(self, key: str) -> None:
-        """A request ended."""
+        """Remove a request that has ended."""
         self._running.pop(key, None)
 
     def send(self, message: ToCoordinator) -> None:
-        """Send a message soon; it is lost if there is no coordinator."""
+        """Queue a message for sending; it is lost if there is no coordinator."""
         if self.deliver_local is not None:
             self.deliver_local([message])
             return
@@ -232,19 +241,19 @@
         self._wake.set()
 
     def report_usage(self, team: str, cost: int) -> None:
-        """Tell what a team has spent, with the next frame that goes out."""
+        """Report usage of a team's quota with the next frame that is sent."""
         if self._is_closed:
             return
         if self.deliver_local is not None:
             self.deliver_local([QuotaUsage(team=team, cost=cost)])
             return
-        self._spent[team] = self._spent.get(team, 0) + cost
+        self._usage[team] = self._usage.get(team, 0) + cost
 
     def receive(self, messages: list[ToNode]) -> None:
-        """Take in what the coordinator sent."""
+        """Handle messages from the coordinator."""
         for message in messages:
             if isinstance(message, CoordinatorStatus):
-                self._take_digest(message)
+                self._apply_status(message)
                 continue
             if isinstance(message, CoordinatorEstimates):
                 self._state.estimates = message
@@ -259,7 +268,7 @@
                 self.on_rate_limits(message)
                 continue
             if isinstance(message, RosterChange):
-                self._take_roster(message)
+                self._apply_roster(message)
                 continue
             if isinstance(message, StoreUpdate):
                 apply_store_update(self._state, message, by="coordinator")
@@ -267,92 +276,92 @@
             if isinstance(message, ConfigurationDelta):
                 apply_configuration_delta(self._state, message, by="coordinator")
                 continue
-            self._take_decision(message)
+            self._resolve_decision(message)
 
-    def _take_decision(self, decision: Granted | Refused) -> None:
-        if not self._questions.take(decision) and isinstance(decision, Granted):
-            self._return_grant(decision)
+    def _resolve_decision(self, decision: Granted | Refused) -> None:
+        if not self._pending.resolve(decision) and isinstance(decision, Granted):
+            self._return_unused_grant(decision)
 
-    def _take_roster(self, change: RosterChange) -> None:
+    def _apply_roster(self, change: RosterChange) -> None:
         if not apply_change(self._roster, change):
             log_event(Event.ROSTER_LOST, base=change.base, known=self._roster.version)
             return
         self._state.nodes = tuple(self._roster.nodes.values())
 
-    def _tell_lost(self) -> None:
-        """Tell the coordinator at once that the store is lost here."""
-        if self.deliver_local is None and self._follows:
+    def _report_store_lost(self) -> None:
+        """Report at once to the coordinator that the store is unreachable from here."""
+        if self.deliver_local is None and self._is_follower:
             self.send(self.build_heartbeat())
 
-    def _hand_on(self, news: StoreUpdate) -> None:
-        """Tell the coordinator what the store has told this instance."""
+    def _relay_store_update(self, update: StoreUpdate) -> None:
+        """Relay changes that the store sent to this instance to the coordinator."""
         if self.deliver_local is not None:
             return
-        if self._follows and news.rows:
-            self.send(msgspec.structs.replace(news, configuration=b""))
-        self._hand_up()
+        if self._is_follower and update.rows:
+            self.send(msgspec.structs.replace(update, configuration=b""))
+        self._send_newer_configuration()
 
-    def _hand_up(self) -> None:
-        """Tell the coordinator of a newer configuration than it is known to have.
+    def _send_newer_configuration(self) -> None:
+        """Send the configuration to the coordinator if the coordinator's is older.
 
-        It has just taken over, or is cut off from the store and has not noticed; all
-        others would wait for it.
+        The coordinator has just taken over, or is disconnected from the store and has
+        not noticed; without this, all other instances would wait for it.
         """
-        known, version = self._version_there, self._state.configuration_version
+        known, version = self._coordinator_version, self._state.configuration_version
         if self.deliver_local is not None or known is None or known >= version:
             return
         if known:
             self.send(self._state.versions.build_delta(known))
-        elif self._follows:
+        elif self._is_follower:
             self.send(StoreUpdate(configuration=self._state.configuration_body))
         else:
             return
-        self._version_there = version
+        self._coordinator_version = version
 
     def connect_to(self, address: str) -> None:
-        """Let the link lead to another coordinator; nothing if it already does."""
+        """Connect to a coordinator, unless the link is already connected to it."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
-        is_silent = now - max(self._heard_at, self._opened_at) > RECONNECT_MS
+        is_silent = now - max(self._last_heard_at, self._opened_at) > RECONNECT_MS
         if address == self._address and is_alive and not is_silent:
             return
         self.disconnect()
         self._address = address
         self._opened_at = now
         if address:
-            self._task = asyncio.create_task(self._keep(address))
+            self._task = asyncio.create_task(self._run(address))
 
     def disconnect(self) -> None:
-        """End the link; whoever waits is told."""
+        """Close the link and fail all pending requests."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
         self._address = ""
-        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     def fail_pending(self) -> None:
-        """Tell all that wait for a grant that none will come."""
-        self._questions.drop()
+        """Fail all pending requests and drop unsent messages."""
+        self._pending.fail_all()
         self._outgoing.clear()
-        self._spent.clear()
+        self._usage.clear()
 
     def close(self) -> None:
-        """Refuse all that wait and whoever asks from now on, as the process ends.
+        """Refuse all pending and all later requests; called when the process ends.
 
-        A request that still waits when the process ends would lose its connection
-        without an answer, though it has not run and another instance could serve it.
+        A request that still waits when the process exits would lose its connection
+        without an answer, although it has not run and another instance could serve it.
         """
         self._is_closed = True
-        self._questions.refuse()
+        self._pending.refuse_all()
 
     def check_timeout(self) -> None:
-        """Give up on a coordinator that has fallen silent; call at intervals."""
-        if self.deliver_local is None and self._questions and not self.is_up:
+        """Fail pending requests if the coordinator is silent; called periodically."""
+        if self.deliver_local is None and self._pending and not self.is_up:
             self.fail_pending()
 
-    def _return_grant(self, granted: Granted) -> None:
-        # Its caller left, or stopped waiting, as the grant was on its way.
+    def _return_unused_grant(self, granted: Granted) -> None:
+        # The caller disconnected or timed out while the grant was in transit.
         self.send(
             AttemptEnded(
                 key=granted.key,
@@ -361,38 +370,41 @@
             )
         )
 
-    def _take_digest(self, status: CoordinatorStatus) -> None:
+    def _apply_status(self, status: CoordinatorStatus) -> None:
         self.status = status
-        self._heard_at = self._state.clock.now()
-        self._echo.record_acknowledged(status.beat)
-        if self._version_there is None or status.configuration > self._version_there:
-            self._version_there = status.configuration
+        self._last_heard_at = self._state.clock.now()
+        self._heartbeats.record_acknowledged(status.beat)
+        if (
+            self._coordinator_version is None
+            or status.configuration > self._coordinator_version
+        ):
+            self._coordinator_version = status.configuration
         state = self._state
         if self.deliver_local is None:
-            self._confirmation.record_status(status, at=self._heard_at)
-            age_ms = self._echo.get_age(self._heard_at)
+            self._confirmation.record_status(status, at=self._last_heard_at)
+            age_ms = self._heartbeats.get_age(self._last_heard_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = status.instances
         state.advertised = status.takers
-        state.nodes_updated_at = self._heard_at
+        state.nodes_updated_at = self._last_heard_at
         state.store_version = max(state.store_version, status.store_version)
-        self._hand_up()
+        self._send_newer_configuration()
 
-    async def _keep(self, address: str) -> None:
-        """Serve the link; open it anew as long as it brought something.
+    async def _run(self, address: str) -> None:
+        """Keep the link open; reconnect if the last connection received a status.
 
-        Where only connections are reset, the coordinator is still there: found again
-        through the lease, each instance went without it for up to half a second.
+        If only the connections were reset, the coordinator is still there. Finding it
+        again through the lease left each instance without it for up to half a second.
         """
-        while await self._serve(address):
+        while await self._serve_connection(address):
             continue
 
-    async def _serve(self, address: str) -> bool:
-        """Serve one connection to a coordinator.
+    async def _serve_connection(self, address: str) -> bool:
+        """Serve one connection to a coordinator until it ends.
 
-        :return: whether it was heard on it.
+        :return: whether a coordinator status arrived on it.
         """
-        is_known = False
+        is_connected = False
         opened_at = self._state.clock.now()
         try:
             timeout = aiohttp.ClientWSTimeout(ws_close=0.1)
@@ -400,7 +412,7 @@
                 socket = await self._state.session.ws_connect(
                     f"http://{address}{LINK_PATH}", timeout=timeout, compress=0
                 )
-            is_known = True
+            is_connected = True
             log_event(Event.COORDINATOR_FOLLOWED, link=address)
             async with socket, asyncio.TaskGroup() as group:
                 group.create_task(self._write(socket))
@@ -410,15 +422,18 @@
             detail = type(error).__name__
         except ExceptionGroup as error:
             detail = ",".join(type(one).__name__ for one in error.exceptions)
-        was_heard = self._heard_at >= opened_at
-        self._note_lost(address, detail, is_known=is_known)
+        was_heard = self._last_heard_at >= opened_at
+        self._handle_lost(address, detail, is_connected=is_connected)
         return was_heard
 
-    def _note_lost(self, address: str, detail: str, *, is_known: bool) -> None:
+    def _handle_lost(self, address: str, detail: str, *, is_connected: bool) -> None:
         log_event(
-            Event.COORDINATOR_UNREACHABLE, link=address, detail=detail, was_up=is_known
+            Event.COORDINATOR_UNREACHABLE,
+            link=address,
+            detail=detail,
+            was_up=is_connected,
         )
-        self._heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     async def _read(self, socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -432,44 +447,44 @@
                 return
 
     def reset_coordinator_state(self) -> None:
-        """Forget what was known of the coordinator before, as a connection begins."""
-        # Each coordinator counts the changes of its list for itself, and the beats of
-        # each connection.
+        """Reset the state that is specific to one connection; called when it opens."""
+        # Roster versions are specific to a coordinator, heartbeat numbers to a
+        # connection.
         self._roster.version = 0
-        self._echo = HeartbeatTracker(now=self._state.clock.now())
+        self._heartbeats = HeartbeatTracker(now=self._state.clock.now())
         self._confirmation = Confirmation(state=self._state)
-        self._version_there = None
+        self._coordinator_version = None
 
     async def _write(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         self.reset_coordinator_state()
         first: list[ToCoordinator] = [self.build_hello(), self.build_heartbeat()]
         await socket.send_bytes(encode_frame(first))
         clock = self._state.clock
-        beat_at = clock.now() + HEARTBEAT_MS
+        heartbeat_at = clock.now() + HEARTBEAT_MS
         while True:
             try:
-                async with asyncio.timeout((beat_at - clock.now()) / SECOND_MS):
+                async with asyncio.timeout((heartbeat_at - clock.now()) / SECOND_MS):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             self._wake.clear()
-            # Other messages are no beat: while callers kept it busy, an instance's
-            # word that it missed the store never went out.
-            if clock.now() >= beat_at:
+            # Heartbeats are due whether or not other messages are sent: otherwise an
+            # instance busy with callers never reports that it misses the store.
+            if clock.now() >= heartbeat_at:
                 self._outgoing.append(self.build_heartbeat())
-                beat_at = clock.now() + HEARTBEAT_MS
+                heartbeat_at = clock.now() + HEARTBEAT_MS
             frame, self._outgoing = self._outgoing, []
             if frame:
-                frame.extend(self._take_spent())
+                frame.extend(self._take_usage())
                 await socket.send_bytes(encode_frame(frame))
 
-    def _take_spent(self) -> list[QuotaUsage]:
-        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._spent.items()]
-        self._spent.clear()
+    def _take_usage(self) -> list[QuotaUsage]:
+        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
+        self._usage.clear()
         return spent
 
     def build_hello(self) -> Hello:
-        """Return what a new coordinator has to know of this instance."""
+        """Build the first message to a new coordinator."""
         state = self._state
         return Hello(
             info=state.build_info(),
@@ -484,10 +499,10 @@
         )
 
     def build_heartbeat(self) -> Heartbeat:
-        """Return what this instance says of itself."""
+        """Build the next heartbeat."""
         state = self._state
         now = state.clock.now()
-        number = self._echo.record_sent(now)
+        number = self._heartbeats.record_sent(now)
         self._confirmation.record_heartbeat(number, at=now)
         return Heartbeat(
             is_ready=state.is_ready,
@@ -503,4 +518,4 @@
 
 
 def _ignore(_message: object) -> None:
-    """Take nothing in, until someone listens."""
+    """Do nothing; default of the callbacks."""
--- a/src/arbutuspulley/node/pending_requests.py
+++ b/src/arbutuspulley/node/pending_requests.py
@@ -1,4 +1,4 @@
-"""Questions to the coordinator that wait for an answer."""
+"""Requests to the coordinator that wait for an answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class RefusedError(Exception):
-    """The coordinator gave a request up; it has not run."""
+    """The coordinator refused a request; it has not run."""
 
     def __init__(self, refused: Refused) -> None:
         super().__init__("refused")
@@ -19,8 +19,8 @@
         self.is_over_quota = refused.is_over_quota
 
 
-class Questions:
-    """The questions that wait, by the attempt that each is about."""
+class PendingRequests:
+    """Pending requests to the coordinator, by attempt id."""
 
     __slots__ = ("_waiting",)
 
@@ -30,10 +30,12 @@
     def __bool__(self) -> bool:
         return bool(self._waiting)
 
-    async def ask(self, key: str, send: Callable[[], None]) -> Granted:
-        """Send a question and wait until it is answered.
+    async def send_and_wait(self, key: str, send: Callable[[], None]) -> Granted:
+        """Send a request and wait for its answer.
 
-        :raises LinkLostError: if the link is lost before.
+        :param key: attempt id.
+        :param send: sends the request.
+        :raises LinkLostError: if the link is lost before the answer arrives.
         :raises RefusedError: if the coordinator refuses.
         """
         future = asyncio.get_running_loop().create_future()
@@ -44,10 +46,10 @@
         finally:
             self._waiting.pop(key, None)
 
-    def take(self, answer: Granted | Refused) -> bool:
-        """Take in an answer.
+    def resolve(self, answer: Granted | Refused) -> bool:
+        """Pass an answer to the request that waits for it.
 
-        :return: whether anyone waits for it.
+        :return: whether a request waits for it.
         """
         future = self._waiting.get(answer.key)
         if future is None or future.done():
@@ -58,14 +60,14 @@
             future.set_exception(RefusedError(answer))
         return True
 
-    def drop(self) -> None:
-        """Tell all that wait that no answer will come."""
+    def fail_all(self) -> None:
+        """Fail all pending requests with :class:`LinkLostError`."""
         for future in self._waiting.values():
             if not future.done():
                 future.set_exception(LinkLostError("link lost"))
 
-    def refuse(self) -> None:
-        """Refuse all that wait; another instance may serve them at once."""
+    def refuse_all(self) -> None:
+        """Refuse all pending requests; another instance may serve them at once."""
         for key, future in self._waiting.items():
             if not future.done():
                 refused = Refused(key=key, retry_after_ms=1)
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -1,9 +1,10 @@
-"""Keeps requests that crash the servers that run them from going on to others.
+"""Quarantine of requests that crash backend servers.
 
-Such a request comes again, through any instance. One that was in flight as its server
-broke off is a suspect, and all instances are told. A bystander runs whole when it is
-sent again, which clears it; its caller sends it twice at most. A request that was in
-flight at three breaks, each time sent after the last one was known, is not run again.
+Callers retry such a request, through any instance. A request that was in flight when
+its server broke off is suspect, and all instances are informed. A harmless request that
+was in flight beside the cause completes when it is retried, which clears it; its caller
+sends it at most twice. A request that was in flight at three crashes, and was sent each
+time after the previous crash was known, is quarantined and not run again.
 """
 
 from arbutuspulley.delivery.suspects import (
@@ -25,60 +26,64 @@
 from arbutuspulley.ports.fleet import InboundRequest
 from arbutuspulley.rpc.messages import Suspicion
 
-MOST_DEATHS = 3
-"""Servers that one request may cost. A bystander, sent twice at most, meets two: with
-a limit of two, one that was twice beside the cause was condemned with it."""
+MAX_CRASHES = 3
+"""Number of crashes after which a request is quarantined. A harmless request, which is
+sent at most twice, can be in flight at two crashes: with a limit of two, one that was
+twice in flight beside the cause was quarantined with it."""
 
-MOST_KEPT = 2_000
-"""Most suspects that are kept; a server that crashes makes 64 at once."""
+MAX_SUSPECTS = 2_000
+"""Maximum number of suspects; a server that crashes adds 64 at once."""
 
-FORGET_EVERY_MS = 10_000
-"""Time between looks for suspects that are old, in ms: a look at 2,000 takes 7 ms, and
-a server that crashes makes 64 at once."""
+EVICT_INTERVAL_MS = 10_000
+"""Interval of evicting old suspects, in ms: a scan of 2,000 takes 7 ms, and a server
+that crashes adds 64 suspects at once."""
 
 
 class PoisonGuard:
-    """What this instance knows of such requests.
+    """Tracks suspect requests and refuses quarantined ones.
 
-    :param link: by which all instances are told.
+    :param link: link by which suspicions are shared with all instances.
     """
 
-    __slots__ = ("_forget_at", "_link", "_state", "_suspects")
+    __slots__ = ("_evict_at", "_link", "_state", "_suspects")
 
     def __init__(self, *, state: NodeState, link: Link) -> None:
         self._state = state
         self._link = link
-        self._forget_at = 0
+        self._evict_at = 0
         self._suspects = SuspectState(suspicions={}, seen_at={})
-        link.on_suspicions = self.take
+        link.on_suspicions = self.merge_suspicions
 
-    def count_known(self, request: InboundRequest) -> int:
-        """Return how many breaks with a request in flight are known."""
+    def count_crashes(self, request: InboundRequest) -> int:
+        """Return the number of known crashes with the request in flight."""
         return count_deaths(self._find(request))
 
     def get_refusal(self, request: InboundRequest) -> int | None:
-        """Return when a request may come back, in ms, if it must not be run."""
+        """Return when a quarantined request may be retried, in ms.
+
+        :return: ``None`` if the request is not quarantined and may run.
+        """
         suspicion = self._find(request)
-        judgement = judge(suspicion, most_deaths=MOST_DEATHS)
+        judgement = judge(suspicion, most_deaths=MAX_CRASHES)
         if suspicion is None or judgement is not Judgement.QUARANTINED:
             return None
         now = self._state.clock.now()
         return get_return_ms(self._suspects, suspicion.fingerprint, now=now)
 
-    def note_break(
+    def record_crash(
         self, request: InboundRequest, *, incarnation: str, known: int
     ) -> None:
-        """A server broke off with a request in flight.
+        """Record that a server broke off with the request in flight.
 
-        :param known: breaks that were known as it was sent. If there are more now,
-            several copies of it were on their way at once, or several servers failed
-            at once; that counts as one.
+        :param known: number of crashes that were known when the request was sent. If
+            more are known now, several copies of the request were in flight, or several
+            servers failed at once; that counts as one crash.
         """
-        if self.count_known(request) != known:
+        if self.count_crashes(request) != known:
             return
         now = self._state.clock.now()
-        self._forget_old(now)
-        if len(self._suspects.suspicions) >= MOST_KEPT:
+        self._evict_old(now)
+        if len(self._suspects.suspicions) >= MAX_SUSPECTS:
             return
         suspicion = note_death(
             self._suspects,
@@ -89,13 +94,13 @@
         )
         deaths = count_deaths(suspicion)
         event = Event.SUSPECT_RECORDED
-        if deaths >= MOST_DEATHS:
+        if deaths >= MAX_CRASHES:
             event = Event.REQUEST_QUARANTINED
         log_event(event, id=request.attempt_id, server=incarnation, deaths=deaths)
         self._link.send(SuspicionUpdate(suspicions=(suspicion,)))
 
-    def note_whole(self, request: InboundRequest) -> None:
-        """A request ran whole; it is no cause of any break."""
+    def clear(self, request: InboundRequest) -> None:
+        """Clear a request that completed; it caused no crash."""
         suspicion = self._find(request)
         if suspicion is None or not count_deaths(suspicion):
             return
@@ -104,15 +109,15 @@
         cleared = self._suspects.suspicions[fingerprint]
         self._link.send(SuspicionUpdate(suspicions=(cleared,)))
 
-    def take(self, suspicions: tuple[Suspicion, ...]) -> None:
-        """Take in what another instance found."""
+    def merge_suspicions(self, suspicions: tuple[Suspicion, ...]) -> None:
+        """Merge suspicions from another instance."""
         now = self._state.clock.now()
-        self._forget_old(now)
-        merge(self._suspects, suspicions[:MOST_KEPT], now=now)
+        self._evict_old(now)
+        merge(self._suspects, suspicions[:MAX_SUSPECTS], now=now)
 
-    def _forget_old(self, now: int) -> None:
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_EVERY_MS
+    def _evict_old(self, now: int) -> None:
+        if now >= self._evict_at:
+            self._evict_at = now + EVICT_INTERVAL_MS
             forget_old(self._suspects, now=now)
 
     def _find(self, request: InboundRequest) -> Suspicion | None:
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -1,4 +1,4 @@
-"""What an instance pays for its callers' requests out of their teams' quotas."""
+"""Charging of requests to their teams' quotas on an instance."""
 
 from arbutuspulley.admission.quota import (
     LocalQuota,
@@ -15,10 +15,10 @@
 from arbutuspulley.ports.fleet import InboundRequest, NodeSettings, Team
 
 
-class Payment(Value, frozen=True):
-    """What was taken for a request.
+class QuotaCharge(Value, frozen=True):
+    """Cost that was charged for a request.
 
-    :param is_local: whether it was taken here, without a coordinator.
+    :param is_local: whether this instance charged it by itself, without a coordinator.
     """
 
     team: str
@@ -27,7 +27,7 @@
 
 
 def build_tolerance(settings: NodeSettings) -> QuotaTolerance:
-    """Return by how much quotas may be exceeded."""
+    """Return by how much teams may exceed their quotas."""
     return QuotaTolerance(
         window_ms=settings.quota_window_ms,
         overage=settings.quota_overage,
@@ -36,14 +36,15 @@
 
 
 class QuotaCharger:
-    """Pays for requests.
+    """Charges requests to their teams' quotas.
 
-    The coordinator charges a request as it is asked for a server. Requests that need no
-    coordinator are paid for afterwards: it is told what was spent, and tells in turn
-    which teams are in debt. Without a coordinator the instance charges by itself.
+    The coordinator charges a request when it receives the grant request. Requests that
+    need no grant are charged afterwards: the instance reports their cost to the
+    coordinator, which announces the teams that have exceeded their quota. Without a
+    coordinator the instance charges its own share of the quota.
     """
 
-    __slots__ = ("_debts", "_link", "_local", "_state")
+    __slots__ = ("_link", "_local", "_refused_until", "_state")
 
     def __init__(self, *, state: NodeState, link: Link) -> None:
         self._state = state
@@ -53,54 +54,56 @@
             now=state.clock.now(),
             chance=state.chance,
         )
-        self._debts: dict[str, int] = {}
+        self._refused_until: dict[str, int] = {}
         link.on_quota_exceeded = self._take_overdrawn
 
     def get_cost(self, team: Team | None, request: InboundRequest) -> int:
-        """Return what a request has to be charged for; 0: it has no quota."""
+        """Return the cost of a request; 0: its team has no quota."""
         if team is None or not team.rate_per_s:
             return 0
         return get_cost(team, request.usage_tokens)
 
-    def pay(self, team: Team, cost: int, *, attempt_id: str) -> Payment:
-        """Pay for a request that no coordinator is asked about.
+    def charge(self, team: Team, cost: int, *, attempt_id: str) -> QuotaCharge:
+        """Charge a request for which no grant is requested.
 
-        :raises RequestFailedError: if its team has used up its quota.
+        :raises RequestFailedError: if the team has used up its quota.
         """
         now = self._state.clock.now()
         if self._link.is_up:
             self._local.record_coordinated(now)
-            wait_ms = self._debts.get(team.name, now) - now
+            wait_ms = self._refused_until.get(team.name, now) - now
             if wait_ms > 0:
-                raise self.refuse(team.name, attempt_id, wait_ms)
+                raise self.build_refusal(team.name, attempt_id, wait_ms)
             self._link.report_usage(team.name, cost)
-            return Payment(team=team.name, cost=cost, is_local=False)
-        part = get_disconnected_fraction(
+            return QuotaCharge(team=team.name, cost=cost, is_local=False)
+        fraction = get_disconnected_fraction(
             self._local.get_uncoordinated_ms(now),
             decay_ms=self._state.settings.revocation_ms,
         )
-        part /= max(1.0, self._state.share_divisor)
+        fraction /= max(1.0, self._state.share_divisor)
         self._local.tolerance = build_tolerance(self._state.settings)
-        wait_ms = self._local.charge(team, cost, fraction=part, now=now)
+        wait_ms = self._local.charge(team, cost, fraction=fraction, now=now)
         if wait_ms:
-            raise self.refuse(team.name, attempt_id, wait_ms)
-        return Payment(team=team.name, cost=cost, is_local=True)
+            raise self.build_refusal(team.name, attempt_id, wait_ms)
+        return QuotaCharge(team=team.name, cost=cost, is_local=True)
 
-    def note_coordinated(self) -> None:
-        """Note that a coordinator counts at present."""
+    def record_coordinated(self) -> None:
+        """Record that a coordinator currently charges the quotas."""
         self._local.record_coordinated(self._state.clock.now())
 
-    def give_back(self, payment: Payment) -> None:
-        """Return what was paid for a request that did not run."""
+    def refund(self, payment: QuotaCharge) -> None:
+        """Refund the charge of a request that did not run."""
         if payment.is_local:
             self._local.refund(payment.team, payment.cost)
         else:
             self._link.report_usage(payment.team, -payment.cost)
 
-    def refuse(self, team: str, attempt_id: str, wait_ms: int) -> RequestFailedError:
+    def build_refusal(
+        self, team: str, attempt_id: str, wait_ms: int
+    ) -> RequestFailedError:
         """Build the refusal of a request over its team's quota.
 
-        :param wait_ms: in how long the team has enough.
+        :param wait_ms: time until the team's quota suffices for it, in ms.
         """
         self._state.metrics.count_refusal(team, "quota")
         log_event(
@@ -116,4 +119,4 @@
         )
 
     def _take_overdrawn(self, message: QuotaExceeded) -> None:
-        self._debts[message.team] = self._state.clock.now() + message.wait_ms
+        self._refused_until[message.team] = self._state.clock.now() + message.wait_ms
--- a/src/arbutuspulley/node/settings_reload.py
+++ b/src/arbutuspulley/node/settings_reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings over while the process runs."""
+"""Reloading of changed settings while the process runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,22 +13,23 @@
 from arbutuspulley.results import SettingError
 from arbutuspulley.settings import SettingsError
 
-LOOK_EVERY_MS = 2_000
-"""Time between looks at the file's time of change, in ms; it may change unannounced."""
+POLL_INTERVAL_MS = 2_000
+"""Poll interval of the file's modification time, in ms; the file may change without a
+signal."""
 
-FIXED = frozenset(
+FIXED_SETTINGS = frozenset(
     ("name", "site", "region", "frontend", "ready", "directory", "link", "store")
 )
-"""Settings that hold for the life of a process: its names and addresses."""
+"""Settings that can't change while the process runs: its names and addresses."""
 
 
 class Reloader:
-    """Reads the settings file again when told to, or when it has changed.
+    """Reloads the settings file on request, or when it has changed.
 
-    :param read: reads and checks the file.
+    :param read: reads and validates the file.
     """
 
-    __slots__ = ("_path", "_read", "_seen", "_state")
+    __slots__ = ("_loaded_mtime_ns", "_path", "_read", "_state")
 
     def __init__(
         self, *, state: NodeState, path: Path, read: Callable[[Path], NodeSettings]
@@ -36,39 +37,39 @@
         self._state = state
         self._path = path
         self._read = read
-        self._seen = self._get_time()
+        self._loaded_mtime_ns = self._get_mtime_ns()
 
     async def watch(self) -> None:
-        """Reload whenever the file has changed, for ever."""
+        """Reload the file whenever it changes; never returns."""
         while True:
-            await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
-            if self._get_time() != self._seen:
+            await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
+            if self._get_mtime_ns() != self._loaded_mtime_ns:
                 self.reload()
 
     def reload(self) -> None:
-        """Take over what may change; wrong settings leave all as it is."""
-        self._seen = self._get_time()
+        """Apply changed settings except fixed ones; an invalid file changes nothing."""
+        self._loaded_mtime_ns = self._get_mtime_ns()
         try:
             read = self._read(self._path)
         except (SettingsError, SettingError) as error:
             log_event(Event.SETTINGS_REFUSED, detail=error.show())
             return
-        present = self._state.settings
+        current = self._state.settings
         changed = [
             name
             for name in NodeSettings.__struct_fields__
-            if getattr(read, name) != getattr(present, name)
+            if getattr(read, name) != getattr(current, name)
         ]
-        kept = {name: getattr(present, name) for name in FIXED}
+        kept = {name: getattr(current, name) for name in FIXED_SETTINGS}
         self._state.settings = msgspec.structs.replace(read, **kept)
         self._state.budgets.clear()
         log_event(
             Event.SETTINGS_RELOADED,
-            changed=[name for name in changed if name not in FIXED],
-            ignored=[name for name in changed if name in FIXED],
+            changed=[name for name in changed if name not in FIXED_SETTINGS],
+            ignored=[name for name in changed if name in FIXED_SETTINGS],
         )
 
-    def _get_time(self) -> int:
+    def _get_mtime_ns(self) -> int:
         try:
             return self._path.stat().st_mtime_ns
         except OSError:
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -1,7 +1,7 @@
-"""Follows the operator's configuration and the servers' entries in the store.
+"""Watches the operator's configuration and the server entries in the store.
 
-Few instances ask the store; the coordinator relays what it tells them to all others,
-see :mod:`arbutuspulley.node.relay`. An instance that is not told asks for itself.
+Few instances call the store; the coordinator relays its changes to all others, see
+:mod:`arbutuspulley.node.relay`. An instance without a relay calls the store itself.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.messages import ConfigurationDelta, StoreUpdate
-from arbutuspulley.node.server_rows import RETURN_MS, apply_server_rows
+from arbutuspulley.node.server_rows import LAPSED_ENTRY_GRACE_MS, apply_server_rows
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform import names
 from arbutuspulley.platform.messages import (
@@ -30,47 +30,48 @@
 from arbutuspulley.results import ConfigurationError, PlatformUnavailableError
 from arbutuspulley.routing.route_table import build_route_table
 
-RETRY_MS = 250
-"""First pause after a failed call to the store, in ms; doubled up to the longest."""
+INITIAL_BACKOFF_MS = 250
+"""First backoff after a failed call to the store, in ms; doubled up to the maximum."""
 
-MAX_RETRY_MS = 1_000
-"""Longest pause between tries, in ms: a configuration must be in force 2 s after it
-was accepted, also right after the store came back."""
+MAX_BACKOFF_MS = 1_000
+"""Maximum backoff, in ms: a configuration must be active 2 s after it was accepted,
+also right after the store has recovered."""
 
 CHANGE_BATCH_MS = 400
-"""Pause after changes of the servers' entries before the next call, in ms: entries
-change one after another as servers are told to load, and each answer would tell of
-one. A server that leaves may get requests for 2 s more, and a new one takes 1.2 s to
-load its first model, so neither is noticed."""
+"""Delay after changes of server entries before the next call, in ms. Entries change one
+after another when servers are ordered to load models, and each answer would contain
+only one. The delay does no harm: a leaving server may get requests for 2 s more, and a
+new one takes 1.2 s to load its first model."""
 
-OUTAGE_MS = 1_000
-"""A store that was away longer than this, in ms, may have let entries lapse of
-servers that live: they could not write to it either."""
+MIN_OUTAGE_MS = 1_000
+"""After an outage longer than this, in ms, entries of running servers may have lapsed:
+the servers could not write to the store either."""
 
 FOLLOW_TIMEOUT_MS = (
     FEED_WAIT_MS + int(FEED_TIMEOUT_MARGIN_S * SECOND_MS) + CHANGE_BATCH_MS
 )
-"""A table whose changes the store has not told for so long, in ms, is not followed: a
-call for changes is answered or given up within this time."""
+"""A table without an answer of the store for this long, in ms, is not followed: a call
+that waits for changes is answered or times out within this time."""
 
 RELAY_POLL_MS = 150
-"""Time between looks whether the store's news still come by relay, in ms."""
+"""Poll interval of whether the store's changes are still relayed, in ms."""
 
 MIN_FALLBACK_DELAY_MS = 150
 MAX_FALLBACK_DELAY_MS = 600
-"""How long after its relay was lost an instance asks the store itself, in ms. A
-coordinator that stops is mostly followed by another meanwhile; drawn between the two,
-what all instances ask spreads out."""
+"""Bounds of the random delay after which an instance that lost its relay calls the
+store itself, in ms. A coordinator that stops usually has a successor within that time,
+and the jitter spreads the calls of all instances."""
 
 FALLBACK_DELAY_PER_INSTANCE_MS = 10
-"""How much the longest of these waits grows with each instance, in ms: a
-hundred calls a second are few for the store, and few instances need not wait long."""
+"""Increase of the upper bound per instance, in ms. It limits the calls to about a
+hundred per second, which is little for the store, and small fleets need not wait
+long."""
 
 
 FIRST_COORDINATOR_WAIT_MS = 1_000
-"""How long a process that has just started waits to hear of a coordinator before it
-asks the store for changes, in ms: most find one within half a second, and it tells them
-what has changed since they read."""
+"""How long a process that has just started waits for a coordinator's first status
+before it asks the store for changes, in ms. Most find a coordinator within half a
+second, and it sends them what has changed since they read the store."""
 
 
 async def follow_configuration(
@@ -79,21 +80,23 @@
     is_store_relayed: Callable[[], bool] = lambda: False,
     is_starting: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Keep the newest configuration in force, for ever.
+    """Keep the newest configuration active; never returns.
 
-    :param is_relayed: tells whether another instance hands on what the store tells.
-    :param is_starting: tells whether no coordinator was heard of yet that might.
+    :param is_store_relayed: returns whether another instance relays the store's
+        changes.
+    :param is_starting: returns whether this process still waits for a coordinator's
+        first status.
     """
-    await _Follower(
+    await _TableFollower(
         state=state,
         table=names.OPERATOR_TABLE,
-        take_rows=lambda state, rows, **_how: apply_configuration_rows(state, rows),
+        apply_rows=lambda state, rows, **_how: apply_configuration_rows(state, rows),
         get_version=lambda: None,
         is_store_relayed=is_store_relayed,
         is_starting=is_starting,
-        gather_ms=0,
+        batch_ms=0,
         wants_newest_only=True,
-        note_confirmed=lambda at: state.freshness.confirm(at, source="store"),
+        record_confirmed=lambda at: state.freshness.confirm(at, source="store"),
     ).follow()
 
 
@@ -103,25 +106,25 @@
     is_store_relayed: Callable[[], bool] = lambda: False,
     is_starting: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Keep the servers' entries up to date, for ever.
+    """Keep the server entries up to date; never returns.
 
-    :param is_relayed: as for :func:`follow_configuration`.
+    :param is_store_relayed: as for :func:`follow_configuration`.
     :param is_starting: likewise.
     """
-    await _Follower(
+    await _TableFollower(
         state=state,
         table=names.SERVERS_TABLE,
-        take_rows=apply_server_rows,
+        apply_rows=apply_server_rows,
         get_version=lambda: state.store_version or None,
         is_store_relayed=is_store_relayed,
         is_starting=is_starting,
-        gather_ms=CHANGE_BATCH_MS,
+        batch_ms=CHANGE_BATCH_MS,
         wants_newest_only=False,
     ).follow()
 
 
 def is_following_store(state: NodeState) -> bool:
-    """Tell whether the store tells this process all changes."""
+    """Return whether this process receives all changes from the store."""
     now = state.clock.now()
     tables = (names.OPERATOR_TABLE, names.SERVERS_TABLE)
     return all(
@@ -131,19 +134,19 @@
 
 
 def get_max_fallback_delay_ms(instances: int) -> int:
-    """Return how long an instance waits at most until it asks the store itself, in ms.
+    """Return the maximum delay before an instance calls the store itself, in ms.
 
-    :param instances: how many there are.
+    :param instances: number of instances.
     """
     spread = FALLBACK_DELAY_PER_INSTANCE_MS * max(1, instances)
     return min(MAX_FALLBACK_DELAY_MS, MIN_FALLBACK_DELAY_MS + spread)
 
 
-class TakeRows(Protocol):
-    """Takes rows of a table in.
+class ApplyRows(Protocol):
+    """Applies rows of a table.
 
-    ``is_whole`` says whether these are all rows of the table as of ``version``,
-    ``was_away`` whether the store was away shortly before.
+    ``is_whole`` is whether these are all rows of the table as of ``version``,
+    ``was_away`` whether the store was unavailable shortly before.
     """
 
     def __call__(
@@ -155,36 +158,36 @@
         was_away: bool,
         version: int,
     ) -> StoreUpdate:
-        """Take the rows in and return what of them was new."""
+        """Apply the rows and return those that were newer than the known ones."""
 
 
-class _Follower:
-    """One table's reader.
+class _TableFollower:
+    """Follows the changes of one table.
 
-    The store tells each change of a row, with its whole value. Where only the newest
-    value counts, whoever has missed some reads the row: all of them may take longer to
-    come than new ones need to be written.
+    The store sends each change of a row with its full value. If only the newest value
+    counts, a reader that has missed changes reads the row instead: fetching all missed
+    changes may take longer than writing new ones.
 
-    :param get_version: returns the version of the store from which changes have to be
-        asked for after a relay or a failure; ``None``: all rows have to be read.
-    :param gather_ms: pause after changes, in ms, so that one answer tells of several.
-    :param wants_newest_only: whether a row's newer value makes the older ones useless.
-    :param note_confirmed: called with when a call was sent, in ms, after its answer was
-        taken in: what is known is at least as new as that.
+    :param get_version: returns the store version after which to ask for changes once a
+        relay or a call has failed; ``None``: all rows have to be read.
+    :param batch_ms: delay after changes, in ms, so that one answer contains several.
+    :param wants_newest_only: whether a row's newer value makes the older ones obsolete.
+    :param record_confirmed: called after an answer was applied with the time when its
+        call was sent, in ms: the known state is at least as new as that.
     """
 
     __slots__ = (
+        "_apply_rows",
+        "_batch_ms",
         "_failed_at",
-        "_gather_ms",
         "_get_version",
         "_is_behind",
-        "_is_relayed",
         "_is_starting",
-        "_note_confirmed",
-        "_returned_at",
+        "_is_store_relayed",
+        "_record_confirmed",
+        "_recovered_at",
         "_state",
         "_table",
-        "_take_rows",
         "_wants_newest_only",
     )
 
@@ -193,91 +196,92 @@
         *,
         state: NodeState,
         table: str,
-        take_rows: TakeRows,
+        apply_rows: ApplyRows,
         get_version: Callable[[], int | None],
         is_store_relayed: Callable[[], bool],
         is_starting: Callable[[], bool],
-        gather_ms: int,
+        batch_ms: int,
         wants_newest_only: bool,
-        note_confirmed: Callable[[int], None] = lambda _at: None,
+        record_confirmed: Callable[[int], None] = lambda _at: None,
     ) -> None:
         self._state = state
-        self._note_confirmed = note_confirmed
+        self._record_confirmed = record_confirmed
         self._is_behind = False
         self._wants_newest_only = wants_newest_only
         self._get_version = get_version
-        self._is_relayed = is_store_relayed
+        self._is_store_relayed = is_store_relayed
         self._is_starting = is_starting
-        self._gather_ms = gather_ms
+        self._batch_ms = batch_ms
         self._table = table
-        self._take_rows = take_rows
+        self._apply_rows = apply_rows
         self._failed_at: int | None = None
-        self._returned_at = -RETURN_MS
+        self._recovered_at = -LAPSED_ENTRY_GRACE_MS
 
     async def follow(self) -> None:
-        """Read all rows, then wait for changes; begin anew whenever that fails."""
-        pause = RETRY_MS
-        has_lost_history = False
+        """Read all rows, then wait for changes; start over whenever that fails."""
+        backoff_ms = INITIAL_BACKOFF_MS
+        is_history_lost = False
         version: int | None = None
         began_at = self._state.clock.now()
         while True:
-            if self._is_relayed():
-                await self._rest()
+            if self._is_store_relayed():
+                await self._wait_while_relayed()
                 version = self._get_version()
             try:
-                asked_after, version = version, await self._read_on(version)
+                asked_after, version = version, await self._read_changes(version)
                 if asked_after is not None:
-                    has_lost_history = False
-                if not has_lost_history:
-                    pause = RETRY_MS
-                await asyncio.sleep(self._gather_ms / SECOND_MS)
+                    is_history_lost = False
+                if not is_history_lost:
+                    backoff_ms = INITIAL_BACKOFF_MS
+                await asyncio.sleep(self._batch_ms / SECOND_MS)
                 await self._wait_for_coordinator(since=began_at)
             except HistoryLostError:
                 log_event(Event.HISTORY_LOST, table=self._table, version=version)
                 version = None
-                if has_lost_history:
-                    pause = await self._pause(pause)
-                has_lost_history = True
+                if is_history_lost:
+                    backoff_ms = await self._back_off(backoff_ms)
+                is_history_lost = True
             except PlatformUnavailableError as error:
-                self._note_failure(error.detail)
-                pause = await self._pause(pause)
+                self._record_failure(error.detail)
+                backoff_ms = await self._back_off(backoff_ms)
                 version = self._get_version()
 
-    async def _pause(self, pause: int) -> int:
-        """Wait before the next try.
+    async def _back_off(self, backoff_ms: int) -> int:
+        """Wait before the next attempt, with jitter.
 
-        :param pause: for how long at most, in ms.
-        :return: the same for the time after.
+        :param backoff_ms: maximum wait, in ms.
+        :return: maximum wait before the attempt after that, in ms.
         """
         jitter = self._state.chance.uniform(0.5, 1.0)
-        await asyncio.sleep(pause * jitter / SECOND_MS)
-        return min(MAX_RETRY_MS, pause * 2)
+        await asyncio.sleep(backoff_ms * jitter / SECOND_MS)
+        return min(MAX_BACKOFF_MS, backoff_ms * 2)
 
     async def _wait_for_coordinator(self, *, since: int) -> None:
-        """Wait a moment for the first that is heard of.
+        """Wait briefly for the first coordinator status.
 
-        :param since: when this process started to follow.
+        :param since: when this process started to follow the table, in ms.
         """
         until = since + FIRST_COORDINATOR_WAIT_MS
         while self._is_starting() and self._state.clock.now() < until:
             await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
 
-    async def _rest(self) -> None:
-        """Return once the relay has been lost for a moment."""
+    async def _wait_while_relayed(self) -> None:
+        """Return once the relay has been lost for the fallback delay."""
         self._state.followed_at.pop(self._table, None)
         self._failed_at = None
-        while self._is_relayed():
-            while self._is_relayed():
+        while self._is_store_relayed():
+            while self._is_store_relayed():
                 await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
             longest = get_max_fallback_delay_ms(self._state.instances)
             wait = self._state.chance.uniform(MIN_FALLBACK_DELAY_MS, longest)
             await asyncio.sleep(wait / SECOND_MS)
 
-    async def _read_on(self, version: int | None) -> int | None:
-        """Make one call.
+    async def _read_changes(self, version: int | None) -> int | None:
+        """Make one call to the store and apply its answer.
 
-        :param version: after which changes are asked for; ``None``: all rows are read.
-        :return: the same for the next call.
+        :param version: store version after which to ask for changes; ``None``: all rows
+            are read.
+        :return: the version for the next call.
         """
         store = self._state.store
         asked_at = self._state.clock.now()
@@ -285,56 +289,56 @@
             answer = await store.read(self._table)
         else:
             answer = await store.wait_for_changes(self._table, after=version)
-        self._note_answer()
+        self._record_answer()
         now = self._state.clock.now()
         self._state.followed_at[self._table] = now
-        news = self._take_rows(
+        update = self._apply_rows(
             self._state,
             answer.rows,
             is_whole=version is None,
-            was_away=now - self._returned_at < RETURN_MS,
+            was_away=now - self._recovered_at < LAPSED_ENTRY_GRACE_MS,
             version=answer.version,
         )
-        self._note_confirmed(asked_at)
-        if news.configuration or news.rows:
-            self._state.notify_store_update(news)
-        if self._wants_newest_only and self._note_behind(answer, news, version):
+        self._record_confirmed(asked_at)
+        if update.configuration or update.rows:
+            self._state.notify_store_update(update)
+        if self._wants_newest_only and self._update_behind(answer, update, version):
             return None
         return answer.version
 
-    def _note_behind(
-        self, answer: RowsAnswer, news: StoreUpdate, version: int | None
+    def _update_behind(
+        self, answer: RowsAnswer, update: StoreUpdate, version: int | None
     ) -> bool:
-        """Tell whether more has changed than one answer in time would have brought.
+        """Return whether several versions were missed, so that the row must be read.
 
-        Readings then follow each other until one brings nothing new.
+        Reads then repeat until one returns nothing newer.
         """
         if version is not None:
             self._is_behind = len(answer.rows) > 1
-        elif not news.configuration:
+        elif not update.configuration:
             self._is_behind = False
         return self._is_behind
 
-    def _note_failure(self, detail: str) -> None:
+    def _record_failure(self, detail: str) -> None:
         if self._state.followed_at.pop(self._table, None) is not None:
             self._state.notify_store_lost()
         if self._failed_at is None:
             self._failed_at = self._state.clock.now()
             log_event(Event.PLATFORM_DOWN, table=self._table, detail=detail)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         if self._failed_at is None:
             return
         now = self._state.clock.now()
         away_ms = now - self._failed_at
         self._failed_at = None
-        if away_ms >= OUTAGE_MS:
-            self._returned_at = now
+        if away_ms >= MIN_OUTAGE_MS:
+            self._recovered_at = now
         log_event(Event.PLATFORM_UP, table=self._table, away_ms=away_ms)
 
 
 def apply_configuration_rows(state: NodeState, rows: list[StoredRow]) -> StoreUpdate:
-    """Put a newer configuration in force; an older one never."""
+    """Activate a configuration from the store if it is newer than the active one."""
     body = b""
     for row in rows:
         if row.key != names.CONFIGURATION_KEY or row.value is None:
@@ -345,10 +349,10 @@
 
 
 def activate_configuration(state: NodeState, body: bytes, *, by: str) -> bool:
-    """Put a configuration in force if it is newer than the present one.
+    """Activate a configuration if it is newer than the active one.
 
-    :param by: who told it: ``store``, ``coordinator``, ``follower`` or ``neighbour``.
-    :return: whether it was.
+    :param by: source: ``store``, ``coordinator``, ``follower`` or ``neighbour``.
+    :return: whether it was activated.
     """
     try:
         configuration = decode_configuration(body)
@@ -360,13 +364,13 @@
     except ConfigurationError as error:
         log_event(Event.CONFIGURATION_REFUSED, detail=error.show(), code=error.code)
         return False
-    present = state.configuration
-    if present is not None and configuration.version <= present.version:
-        if configuration.version < present.version:
+    current = state.configuration
+    if current is not None and configuration.version <= current.version:
+        if configuration.version < current.version:
             log_event(
                 Event.OLDER_CONFIGURATION_IGNORED,
                 offered=configuration.version,
-                in_force=present.version,
+                in_force=current.version,
                 by=by,
             )
         return False
@@ -391,10 +395,10 @@
 def apply_configuration_delta(
     state: NodeState, update: ConfigurationDelta, *, by: str
 ) -> bool:
-    """Take in a newer configuration that another instance tells.
+    """Activate a newer configuration from a delta that another instance sent.
 
-    :param by: which, as for :func:`activate_configuration`.
-    :return: whether it was put in force.
+    :param by: source, as for :func:`activate_configuration`.
+    :return: whether it was activated.
     """
     if update.version <= state.configuration_version:
         return False
@@ -411,17 +415,19 @@
     return activate_configuration(state, body, by=by)
 
 
-def apply_store_update(state: NodeState, news: StoreUpdate, *, by: str) -> StoreUpdate:
-    """Take in what the store has told another instance.
+def apply_store_update(
+    state: NodeState, update: StoreUpdate, *, by: str
+) -> StoreUpdate:
+    """Apply changes of the store that another instance relayed.
 
-    :param by: which: the ``coordinator`` or a ``follower``.
-    :return: what of it was new here.
+    :param by: source: ``coordinator`` or ``follower``.
+    :return: the changes that were newer than the known state.
     """
-    body = news.configuration
+    body = update.configuration
     is_newer = bool(body) and activate_configuration(state, body, by=by)
     rows = [
         StoredRow(key=one.key, version=one.version, value=one.value or None)
-        for one in news.rows
+        for one in update.rows
     ]
-    taken = apply_server_rows(state, rows, is_whole=False, was_away=news.was_away)
-    return msgspec.structs.replace(taken, configuration=body if is_newer else b"")
+    applied = apply_server_rows(state, rows, is_whole=False, was_away=update.was_away)
+    return msgspec.structs.replace(applied, configuration=body if is_newer else b"")
--- a/src/arbutuspulley/node/versions.py
+++ b/src/arbutuspulley/node/versions.py
@@ -1,7 +1,8 @@
-"""Versions of the configuration, and updates from one to the next.
+"""Recent versions of the configuration, and deltas between them.
 
-An operator changes a route or two of thousands. Sent whole to each instance, every
-change would take as much of the coordinator's link as all routes take.
+A change by an operator affects one or two of thousands of routes. If each change sent
+the full configuration to every instance, it would use as much of the coordinator's
+bandwidth as all routes.
 """
 
 import zlib
@@ -10,107 +11,111 @@
 from arbutuspulley.node.messages import ConfigurationDelta, DeltaStep
 
 _SEPARATOR = b"},"
-"""Ends a part. Entries of the operator's JSON end so, but any cut gives right results:
-parts are only compared and joined again."""
+"""Separator of the parts. Entries of the operator's JSON end with it, but any separator
+gives correct results: parts are only compared and joined again."""
 
-MOST_KEPT = 8
-"""Versions that are kept at most: instances are told a new one before another few have
-come, and one that is further behind is sent the whole."""
+MAX_VERSIONS = 8
+"""Maximum number of older versions: instances usually lag a few versions behind at
+most, and one that lags further is sent the full configuration."""
 
-MOST_KEPT_BYTES = 4_000_000
-"""Most bytes of these beside the newest, of the 128 MB that control may take."""
+MAX_OLDER_BYTES = 4_000_000
+"""Maximum size of the older versions together, in bytes, out of the 128 MB that control
+data may use."""
 
-MOST_BODY_BYTES = 64_000_000
-"""Longest text of an update, in bytes, that is unpacked."""
+MAX_BODY_BYTES = 64_000_000
+"""Maximum decompressed size of a delta's text, in bytes."""
 
-_LEVEL = 3
-"""Level of compression: an update is sent to many, and built while they wait."""
+_COMPRESSION_LEVEL = 3
+"""zlib compression level. A delta is sent to many instances and built while they
+wait."""
 
 
 class Versions:
-    """The newest versions, as the store holds them."""
+    """The newest versions of the configuration, as stored."""
 
-    __slots__ = ("_bodies", "_built")
+    __slots__ = ("_bodies", "_deltas")
 
     def __init__(self) -> None:
         self._bodies: dict[int, bytes] = {}
-        self._built: dict[int, ConfigurationDelta] = {}
+        self._deltas: dict[int, ConfigurationDelta] = {}
 
     @property
     def newest(self) -> int:
-        """The newest version; 0: none is known."""
+        """Number of the newest version; 0: none."""
         return max(self._bodies, default=0)
 
     def add(self, version: int, body: bytes) -> None:
-        """Keep a version that is newer than all others."""
+        """Add a version that is newer than all others."""
         self._bodies[version] = body
-        self._built.clear()
-        while len(self._bodies) > 1 and self._keeps_too_much(version):
+        self._deltas.clear()
+        while len(self._bodies) > 1 and self._exceeds_limits(version):
             del self._bodies[min(self._bodies)]
 
-    def _keeps_too_much(self, newest: int) -> bool:
+    def _exceeds_limits(self, newest: int) -> bool:
         older = [len(body) for one, body in self._bodies.items() if one != newest]
-        return len(older) >= MOST_KEPT or sum(older) > MOST_KEPT_BYTES
+        return len(older) >= MAX_VERSIONS or sum(older) > MAX_OLDER_BYTES
 
     def build_delta(self, base: int) -> ConfigurationDelta:
-        """Return what leads from a version to the newest one.
+        """Return the delta from a version to the newest one.
 
-        :param base: the version that the receiver has; if it is not known here, the
-            update carries the whole.
+        :param base: version that the receiver has; if it is unknown here, the delta
+            contains the full configuration.
         """
-        update = self._built.get(base)
-        if update is None:
-            update = self._built[base] = self._build(base)
-        return update
+        delta = self._deltas.get(base)
+        if delta is None:
+            delta = self._deltas[base] = self._build(base)
+        return delta
 
     def _build(self, base: int) -> ConfigurationDelta:
         newest = self.newest
         body = self._bodies[newest]
         is_known = base in self._bodies
         old = self._bodies[base].split(_SEPARATOR) if is_known else []
-        steps, added = _compare(old, body.split(_SEPARATOR))
+        steps, added = _build_steps(old, body.split(_SEPARATOR))
         return ConfigurationDelta(
             version=newest,
             base=base if is_known else 0,
             steps=tuple(steps),
-            text=zlib.compress(_SEPARATOR.join(added), _LEVEL),
+            text=zlib.compress(_SEPARATOR.join(added), _COMPRESSION_LEVEL),
             checksum=zlib.crc32(body),
         )
 
-    def apply(self, update: ConfigurationDelta) -> bytes | None:
-        """Return the version that an update leads to.
+    def apply(self, delta: ConfigurationDelta) -> bytes | None:
+        """Return the version that a delta produces.
 
-        :return: ``None`` if its base is not known here or it was not made for it.
+        :return: ``None`` if the delta's base is unknown here or has other content.
         """
-        base = self._bodies.get(update.base)
-        if base is None and update.base:
+        base = self._bodies.get(delta.base)
+        if base is None and delta.base:
             return None
         old = base.split(_SEPARATOR) if base is not None else []
         try:
-            unpacked = zlib.decompressobj().decompress(update.text, MOST_BODY_BYTES)
+            unpacked = zlib.decompressobj().decompress(delta.text, MAX_BODY_BYTES)
         except zlib.error:
             return None
         added = iter(unpacked.split(_SEPARATOR))
-        body = _SEPARATOR.join(_follow(update.steps, old, added))
-        return body if zlib.crc32(body) == update.checksum else None
+        body = _SEPARATOR.join(_apply_steps(delta.steps, old, added))
+        return body if zlib.crc32(body) == delta.checksum else None
 
 
-def _compare(old: list[bytes], new: list[bytes]) -> tuple[list[DeltaStep], list[bytes]]:
-    """Return steps that lead from old parts to new ones, and the parts they add.
+def _build_steps(
+    old: list[bytes], new: list[bytes]
+) -> tuple[list[DeltaStep], list[bytes]]:
+    """Return the steps from old parts to new ones, and the parts that they add.
 
-    Takes time in proportion to the parts, whatever is repeated among them.
+    Runs in time linear in the number of parts, even if parts repeat.
     """
-    where = {part: number for number, part in enumerate(old)}
+    positions = {part: number for number, part in enumerate(old)}
     steps: list[DeltaStep] = []
     added: list[bytes] = []
     start = count = fresh = 0
     for part in new:
-        follows = start + count
-        is_next = follows < len(old) and old[follows] == part
+        next_position = start + count
+        is_next = next_position < len(old) and old[next_position] == part
         if is_next and not fresh:
             count += 1
             continue
-        found = follows if is_next else where.get(part)
+        found = next_position if is_next else positions.get(part)
         if found is None:
             fresh += 1
             added.append(part)
@@ -121,7 +126,7 @@
     return steps, added
 
 
-def _follow(
+def _apply_steps(
     steps: Iterable[DeltaStep], old: list[bytes], added: Iterable[bytes]
 ) -> Iterable[bytes]:
     fresh = iter(added)
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -1,4 +1,4 @@
-"""How a request gets a server and what its team pays, as callers, keys and links go."""
+"""Selection of servers and charging when callers, keys or the link go away."""
 
 import asyncio
 
@@ -52,14 +52,14 @@
 class Trial:
     """One request at an instance that is its own coordinator.
 
-    :param decide: returns the coordinator's answer to an ask; ``None``: none comes.
+    :param decide: returns the coordinator's answer to a grant request; ``None``: none.
     """
 
     def __init__(self, decide):
         self.state = build_state(clock=Clock(read=lambda: 10_000))
         put_teams(self.state, 1, "k1")
         self.state.by_incarnation["e1"] = ENTRY
-        self.told = []
+        self.sent = []
         self.link = Link(state=self.state)
         self.link.deliver_local = self._take
         self._decide = decide
@@ -82,17 +82,17 @@
             state=self.state,
             link=self.link,
             access=access,
-            accounts=QuotaCharger(state=self.state, link=self.link),
+            charger=QuotaCharger(state=self.state, link=self.link),
             limits=LimitGuard(state=self.state, link=self.link),
             route=route,
             request=request,
             progress=self.progress,
-            left_ms=9_000,
+            remaining_ms=9_000,
         )
 
     def _take(self, messages):
         for message in messages:
-            self.told.append(message)
+            self.sent.append(message)
             if isinstance(message, GrantRequest):
                 answer = self._decide(self)
                 if answer is not None:
@@ -102,9 +102,9 @@
         return asyncio.run(self.acquisition.get_server())
 
     def list_costs(self):
-        """Return what the team was charged and given back, in order."""
+        """Return the team's charges and refunds, in order."""
         return [
-            one.cost for one in self.told if isinstance(one, GrantRequest | QuotaUsage)
+            one.cost for one in self.sent if isinstance(one, GrantRequest | QuotaUsage)
         ]
 
 
@@ -116,59 +116,60 @@
     return Refused(key="r1", retry_after_ms=700, **changes)
 
 
-def withdraw_and_grant(trial):
+def revoke_and_grant(trial):
     put_teams(trial.state, 2, "k2")
     return grant()
 
 
-def test_a_request_is_charged_once_however_often_it_asks():
+def test_a_request_is_charged_once_for_several_grant_requests():
     trial = Trial(grant)
     assert trial.get_server() is ENTRY
     assert trial.get_server() is ENTRY
     trial.progress.may_have_run = 1
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, 0]
 
 
-def test_a_request_that_no_server_ran_is_given_back_once():
+def test_a_request_that_no_server_ran_is_refunded_once():
     trial = Trial(grant)
     trial.get_server()
-    trial.acquisition.give_back()
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_request_refused_for_want_of_servers_is_given_back():
+def test_a_request_refused_for_lack_of_servers_is_refunded():
     trial = Trial(refuse)
     with pytest.raises(NoServerError) as raised:
         trial.get_server()
     assert raised.value.retry_after_ms == 700
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_request_over_its_quota_is_refused_and_was_not_charged():
+def test_a_request_over_its_quota_is_refused_without_a_charge():
     trial = Trial(lambda _trial: refuse(is_over_quota=True))
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert (raised.value.status, raised.value.retry_after_ms) == (429, 700)
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST]
 
 
-def test_a_key_withdrawn_while_its_request_waited_gets_no_server():
-    """The grant came after the withdrawal; the server is freed and nothing is paid."""
-    trial = Trial(withdraw_and_grant)
+def test_a_key_revoked_while_its_request_waits_gets_no_server():
+    """The grant arrives after the revocation; the server is released and the charge
+    refunded."""
+    trial = Trial(revoke_and_grant)
     with pytest.raises(RequestFailedError) as raised:
         trial.get_server()
     assert raised.value.status == 401
-    ended = [one for one in trial.told if isinstance(one, AttemptEnded)]
+    ended = [one for one in trial.sent if isinstance(one, AttemptEnded)]
     assert [one.how for one in ended] == [AttemptOutcome.UNUSED]
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_caller_who_left_while_it_waited_is_given_back():
+def test_a_caller_that_disconnects_while_waiting_is_refunded():
     async def leave(trial):
         task = asyncio.ensure_future(trial.acquisition.get_server())
         await asyncio.sleep(0)
@@ -178,18 +179,18 @@
 
     trial = Trial(lambda _trial: None)
     asyncio.run(leave(trial))
-    trial.acquisition.give_back()
+    trial.acquisition.refund()
     assert trial.list_costs() == [COST, -COST]
 
 
-def test_a_request_without_a_coordinator_is_paid_for_here_and_given_back_here():
+def test_a_request_without_a_coordinator_is_charged_and_refunded_locally():
     trial = Trial(grant)
     trial.link.deliver_local = None
     trial.link.status = CoordinatorStatus(is_holder=True)
     trial.state.by_service["llm"] = [ENTRY]
     assert trial.get_server() is ENTRY
-    assert trial.acquisition._paid.is_local
-    trial.acquisition.give_back()
-    assert trial.acquisition._paid is None
+    assert trial.acquisition._charged.is_local
+    trial.acquisition.refund()
+    assert trial.acquisition._charged is None
     assert trial.list_costs() == []
-    assert trial.link._take_spent() == []
+    assert trial.link._take_usage() == []
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of servers: what instances tell each other of them, and who may send."""
+"""Rate limits of servers: exchange between instances, and enforcement."""
 
 import asyncio
 
@@ -34,27 +34,28 @@
 
 
 class Instance:
-    """An instance with its link; ``told`` is what its coordinator was told."""
+    """An instance with its link; ``sent`` is what it sent to its coordinator."""
 
     def __init__(self, *, is_linked=True):
         self.now = [100_000]
         self.state = build_state(clock=Clock(read=lambda: self.now[0]))
         self.state.by_incarnation = {A.incarnation: A}
         self.link = Link(state=self.state)
-        self.told = []
+        self.sent = []
         if is_linked:
-            self.link.deliver_local = self.told.extend
+            self.link.deliver_local = self.sent.extend
         self.guard = LimitGuard(state=self.state, link=self.link)
 
-    def note_answer(self, headers, *, sent_ago=0):
-        self.guard.note_answer(A, headers, sent_at=self.now[0] - sent_ago)
+    def update_from_answer(self, headers, *, sent_ago=0):
+        self.guard.update_from_answer(A, headers, sent_at=self.now[0] - sent_ago)
 
     def ask(self):
-        return asyncio.run(self.guard.ask(A, REQUEST))
+        return asyncio.run(self.guard.request_permission(A, REQUEST))
 
 
 def build_coordinator(*, limits=()):
-    """Build an acting coordinator of one pool, and what it sends its own instance."""
+    """Build an active coordinator of one pool, and the list of messages that it sends
+    to its own instance."""
     state = build_state()
     state.by_incarnation = {A.incarnation: A}
     for one in limits:
@@ -77,30 +78,30 @@
     return None if server.limit is None else server.limit.per_s
 
 
-def test_a_limit_is_told_until_the_coordinator_confirms_it():
-    """Guards against a limit that is lost with a link and never told again."""
+def test_a_limit_is_sent_until_the_coordinator_confirms_it():
+    """Guards against a limit that is lost with a link and never sent again."""
     instance = Instance()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
-    instance.note_answer(LIMITED)
-    instance.note_answer(LIMITED)
-    assert instance.told == [limit, limit]
+    instance.update_from_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
+    assert instance.sent == [limit, limit]
     instance.link.receive([ServerLimits(limits=(limit,))])
-    instance.note_answer(LIMITED)
-    assert instance.told == [limit, limit]
+    instance.update_from_answer(LIMITED)
+    assert instance.sent == [limit, limit]
     instance.now[0] += 10
-    instance.note_answer({})
-    assert instance.told[2:] == [ServerLimit(incarnation=A.incarnation)]
+    instance.update_from_answer({})
+    assert instance.sent[2:] == [ServerLimit(incarnation=A.incarnation)]
 
 
-def test_a_limit_that_is_no_number_changes_nothing():
+def test_an_invalid_limit_changes_nothing():
     instance = Instance()
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     instance.now[0] += 10
-    instance.note_answer({names.SERVER_LIMIT: "many"})
+    instance.update_from_answer({names.SERVER_LIMIT: "many"})
     assert instance.state.limits.get(A.incarnation) == 2.0
 
 
-def test_an_instance_learns_of_limits_that_others_have_read():
+def test_an_instance_receives_limits_that_others_have_read():
     instance = Instance()
     limit = ServerLimit(incarnation=A.incarnation, per_s=3.0)
     instance.link.receive([ServerLimits(limits=(limit,))])
@@ -109,10 +110,10 @@
     assert instance.state.limits.get(A.incarnation) is None
 
 
-def test_an_instance_without_a_coordinator_sends_only_its_own_part():
-    """Guards against instances that each use a whole limit without a coordinator."""
+def test_an_instance_without_a_coordinator_uses_only_its_own_share():
+    """Guards against instances that each use the full limit without a coordinator."""
     instance = Instance(is_linked=False)
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     assert instance.ask() == MAX_RECHECK_MS
     instance.state.instances = 2
     assert instance.ask() > 0
@@ -123,10 +124,10 @@
     assert 4 <= waits.count(0) <= 5
 
 
-def test_a_request_to_a_server_without_a_limit_asks_nobody():
+def test_a_request_to_a_server_without_a_limit_needs_no_permission():
     instance = Instance()
     assert instance.ask() == 0
-    assert instance.told == []
+    assert instance.sent == []
 
 
 @pytest.mark.parametrize(
@@ -145,29 +146,29 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(instance.link.receive, [answer])
 
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     instance.link.deliver_local = reply
     assert instance.ask() == wait_ms
 
 
-def test_a_coordinator_that_does_not_answer_counts_as_none():
+def test_a_coordinator_that_does_not_answer_is_treated_as_missing():
     """Guards against plain requests that wait for a coordinator of another version."""
     instance = Instance()
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     assert instance.ask() == MAX_RECHECK_MS
 
 
-def test_a_link_that_has_ended_lets_an_instance_go_by_its_own_part():
+def test_an_instance_whose_link_was_closed_uses_its_own_share():
     instance = Instance(is_linked=False)
     instance.link.receive([CoordinatorStatus(is_holder=True, instances=1)])
-    instance.note_answer(LIMITED)
+    instance.update_from_answer(LIMITED)
     instance.link.disconnect()
     assert instance.ask() == 500
     instance.now[0] += 500
     assert instance.ask() == 0
 
 
-def test_the_coordinator_keeps_to_what_any_instance_has_read():
+def test_the_coordinator_enforces_a_limit_that_any_instance_has_read():
     coordinator, sent = build_coordinator()
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator._handle_message("x", limit, now=0)
@@ -178,8 +179,8 @@
     assert len(sent) == 1
 
 
-def test_all_permissions_come_out_of_one_bucket():
-    """Guards against a plain server that gets its whole limit from each instance."""
+def test_all_permissions_use_one_token_bucket():
+    """Guards against a plain server that gets its full limit from each instance."""
     coordinator, sent = build_coordinator()
     coordinator._add_peer([Hello(info=build_info("x"))])
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
@@ -191,27 +192,28 @@
     assert [type(one) for one in sent] == [Granted, Refused]
 
 
-def test_the_next_coordinator_keeps_to_limits_that_it_knows_or_is_told():
-    """Guards against a server in need that is sent all again after a takeover."""
+def test_the_next_coordinator_enforces_limits_that_it_knows_or_receives():
+    """Guards against an overloaded server that gets all requests again after a
+    takeover."""
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     knows, _ = build_coordinator(limits=(limit,))
     assert get_limit(knows) == 2.0
-    is_told, _ = build_coordinator()
-    is_told._add_peer([Hello(info=build_info("x"), limits=(limit,))])
-    assert get_limit(is_told) == 2.0
+    receives, _ = build_coordinator()
+    receives._add_peer([Hello(info=build_info("x"), limits=(limit,))])
+    assert get_limit(receives) == 2.0
     again = msgspec.structs.replace(limit, per_s=9.0)
-    is_told._add_peer([Hello(info=build_info("y"), limits=(again,))])
-    assert get_limit(is_told) == 2.0
+    receives._add_peer([Hello(info=build_info("y"), limits=(again,))])
+    assert get_limit(receives) == 2.0
 
 
-def test_an_instance_that_links_up_is_told_all_limits():
+def test_an_instance_that_connects_receives_all_limits():
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator, _ = build_coordinator(limits=(limit,))
     peer = coordinator._add_peer([Hello(info=build_info("x"))])
     assert ServerLimits(limits=(limit,), are_all=True) in peer.outgoing
 
 
-def test_a_limit_that_is_over_is_told_to_all():
+def test_a_removed_limit_is_sent_to_all():
     limit = ServerLimit(incarnation=A.incarnation, per_s=2.0)
     coordinator, sent = build_coordinator(limits=(limit,))
     over = ServerLimit(incarnation=A.incarnation)
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -1,4 +1,4 @@
-"""What a node makes of rows of the store."""
+"""Watching of the configuration and the server rows in the store."""
 
 import asyncio
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("versions", "expected"), [((3, 5), 5), ((5, 3), 5), ((5, 5), 5), ((1,), 1)]
 )
-def test_configurations_go_upward_only(versions, expected):
+def test_only_newer_configurations_are_activated(versions, expected):
     state = build_state()
     for version in versions:
         activate_configuration(
@@ -47,7 +47,7 @@
     assert state.configuration.version == expected
 
 
-def test_an_unreadable_configuration_leaves_the_last_one():
+def test_an_invalid_configuration_keeps_the_active_one():
     state = build_state()
     activate_configuration(
         state, msgspec.json.encode(build_configuration(2)), by="store"
@@ -56,9 +56,9 @@
     assert state.configuration.version == 2
 
 
-def test_what_vanished_while_history_was_lost_is_gone():
-    """A server leaves while changes are not told. The scan that follows does not show
-    it; kept all the same, it got requests long after it had left."""
+def test_a_server_missing_from_a_full_read_is_removed():
+    """A server leaves while changes are not received, and the next full read does not
+    contain it. Guards against an entry that is kept and gets requests long after."""
     state = build_state()
     take(state, build_row("a"), build_row("b"), is_whole=True)
     take(state, build_row("b"), is_whole=True)
@@ -66,7 +66,7 @@
     assert [one.incarnation for one in state.by_service["s"]] == ["b"]
 
 
-def test_an_unreadable_entry_harms_no_other():
+def test_an_invalid_entry_does_not_affect_others():
     state = build_state()
     wrong = StoredRow(key="x", version=1, value=b"[]")
     take(state, wrong, build_row("a"))
@@ -79,9 +79,9 @@
     return StoredRow(key=name, version=born, value=value)
 
 
-def test_a_server_that_starts_again_under_its_id_is_another():
-    """A server crashes and is back before its row has lapsed, under the same id. Until
-    then it was leaving; the new start takes requests, and the old one is nobody."""
+def test_a_restarted_server_with_the_same_id_is_a_new_incarnation():
+    """A server that was leaving crashes and restarts under the same id before its row
+    has lapsed. The new incarnation gets requests, and the old one no longer exists."""
     state = build_state()
     take(state, build_start("a", 10, state="draining"), is_whole=True)
     first = state.entries["a"].incarnation
@@ -92,16 +92,16 @@
     assert first != second.incarnation
 
 
-def test_a_row_from_before_a_start_does_not_bring_it_back():
+def test_a_row_of_a_previous_incarnation_is_ignored():
     state = build_state()
     take(state, build_start("a", 20), is_whole=True)
     take(state, build_start("a", 10, state="draining"))
     assert state.entries["a"].started_ms == 20
 
 
-def test_a_row_that_another_writer_overwrote_names_no_server(monkeypatch):
-    """Another program writes nonsense over a server's row, again and again. Requests
-    would go to a server that nobody vouches for, and the log would fill up."""
+def test_a_row_overwritten_by_another_writer_is_rejected(monkeypatch):
+    """Another program repeatedly overwrites a server's row with invalid data. Guards
+    against requests to a server without a valid entry, and against a flooded log."""
     told = []
     monkeypatch.setattr(
         server_rows, "log_event", lambda event, **_fields: told.append(event)
@@ -117,11 +117,12 @@
     assert state.refused_entries == {}
 
 
-def test_entries_that_lapsed_with_the_store_are_believed_for_a_while(monkeypatch):
-    """The store is away for longer than entries live. At its return no server is
-    listed, though all of them live and write again within two seconds; dropped at
-    once, every request was refused. One that does not come back is gone then."""
-    monkeypatch.setattr(server_rows, "RETURN_MS", 60)
+def test_entries_that_lapsed_in_an_outage_are_kept_for_a_grace_period(monkeypatch):
+    """The store is unavailable for longer than the entries' lifetime. When it recovers,
+    it lists no server, although all are running and write their entries again within
+    two seconds; dropping the entries at once refuses every request. A server that does
+    not write again is dropped after the grace period."""
+    monkeypatch.setattr(server_rows, "LAPSED_ENTRY_GRACE_MS", 60)
 
     async def scenario():
         state = build_state()
@@ -135,7 +136,7 @@
     asyncio.run(scenario())
 
 
-def test_a_removal_is_taken_at_once():
+def test_a_removal_is_applied_at_once():
     state = build_state()
     take(state, build_row("a"), is_whole=True)
     take(state, gone("a"))
@@ -173,10 +174,10 @@
     [(follow_servers, 4, 8), (follow_configuration, 20, 60)],
     ids=["servers", "configuration"],
 )
-def test_changes_that_follow_each_other_are_gathered(monkeypatch, follow, least, most):
-    """As servers are told to load, their entries change one after another. Each change
-    ended a call of each instance, and calls to the store are rationed. A
-    configuration is never kept waiting."""
+def test_consecutive_changes_are_batched(monkeypatch, follow, least, most):
+    """When servers are ordered to load models, their entries change one after another.
+    Without batching, each change ends a call of each instance, and calls to the store
+    are rate-limited. Configurations are not delayed."""
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 100)
 
     async def scenario():
@@ -194,9 +195,9 @@
 
 
 class ScriptedStore:
-    """A store whose calls end one after another as a script says.
+    """A store whose calls return scripted outcomes one after another.
 
-    :param outcomes: versions of the configuration that an answer brings, or an error.
+    :param outcomes: configuration versions in the answer, or an error.
     """
 
     is_failing = False
@@ -230,7 +231,7 @@
 
 
 def follow_script(follow, *outcomes):
-    """Return the calls that a follower makes, and the version then in force."""
+    """Return the calls that a follower makes, and the version that is active then."""
 
     async def scenario():
         state = build_state()
@@ -245,10 +246,10 @@
     return asyncio.run(scenario())
 
 
-def test_after_a_break_the_newest_configuration_is_asked_for(monkeypatch):
-    """Guards against a link that is filled by all versions that came in the break, so
-    that the newest is in force seconds late, again and again."""
-    monkeypatch.setattr(store_watch, "RETRY_MS", 1)
+def test_after_a_failure_the_newest_configuration_is_read(monkeypatch):
+    """Guards against a network link that is filled with all versions written during the
+    failure, so that the newest is active seconds late, again and again."""
+    monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, in_force = follow_script(
         follow_configuration, (1,), (2,), swallowed, swallowed, (30,)
@@ -257,9 +258,9 @@
     assert in_force == 30
 
 
-def test_whoever_falls_behind_asks_for_the_newest_configuration_only():
-    """Guards against answers that take longer than changes need to come, each larger
-    than the one before."""
+def test_a_slow_reader_reads_only_the_newest_configuration():
+    """Guards against answers that take longer than the interval between changes, so
+    that each answer is larger than the one before."""
     calls, in_force = follow_script(
         follow_configuration, (1,), (2,), (3, 4), (7,), (9,), (9,), (10,)
     )
@@ -267,9 +268,9 @@
     assert in_force == 10
 
 
-def test_servers_are_followed_on_after_a_break(monkeypatch):
-    """Each row of a server matters, and what was removed shows in the changes only."""
-    monkeypatch.setattr(store_watch, "RETRY_MS", 1)
+def test_server_changes_are_resumed_after_a_failure(monkeypatch):
+    """Each server row matters, and removals appear only in the changes."""
+    monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
     swallowed = PlatformUnavailableError(detail="swallowed")
     calls, _in_force = follow_script(follow_servers, (1,), swallowed, (5, 6))
@@ -277,7 +278,7 @@
 
 
 class StaleStore:
-    """A store that has forgotten its history and reads as of long ago."""
+    """A store that has lost its history and returns stale reads."""
 
     is_failing = False
 
@@ -294,11 +295,11 @@
 
 
 @pytest.mark.parametrize("follow", [follow_servers, follow_configuration])
-def test_a_store_that_reads_from_before_its_history_is_asked_with_pauses(
+def test_a_store_with_stale_reads_and_lost_history_is_called_with_backoff(
     monkeypatch, follow
 ):
-    """Guards against instances that read all rows again and again without a pause,
-    until the store turns them all away."""
+    """Guards against instances that read all rows repeatedly without backoff until the
+    store rejects their calls."""
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
 
     async def scenario():
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Updates from one version of the configuration to the next."""
+"""Deltas between versions of the configuration."""
 
 import random
 
@@ -10,7 +10,7 @@
     decode_from_coordinator,
     encode_frame,
 )
-from arbutuspulley.node.versions import MOST_KEPT, MOST_KEPT_BYTES, Versions
+from arbutuspulley.node.versions import MAX_OLDER_BYTES, MAX_VERSIONS, Versions
 from scripts.platform_stage import build_configuration, build_route
 
 
@@ -23,7 +23,7 @@
     return msgspec.json.encode(build_configuration(version, routes=routes))
 
 
-def know(*bodies):
+def build_versions(*bodies):
     versions = Versions()
     for version, body in enumerate(bodies, 1):
         versions.add(version, body)
@@ -44,54 +44,54 @@
 
 
 @pytest.mark.parametrize("numbers", CHANGES.values(), ids=CHANGES)
-def test_an_update_leads_to_the_newer_version(numbers):
+def test_a_delta_produces_the_newer_version(numbers):
     old, new = encode(1, ALL), encode(2, numbers)
-    update = know(old, new).build_delta(1)
-    (sent,) = decode_from_coordinator(encode_frame([update]))
-    assert know(old).apply(sent) == new
+    delta = build_versions(old, new).build_delta(1)
+    (sent,) = decode_from_coordinator(encode_frame([delta]))
+    assert build_versions(old).apply(sent) == new
 
 
 @pytest.mark.parametrize(
     "change", ["one added at the end", "one added at the front", "one removed"]
 )
-def test_an_update_is_as_large_as_what_changed(change):
-    """Guards against changes of one route that take a link as all routes do."""
-    update = know(encode(1, ALL), encode(2, CHANGES[change])).build_delta(1)
-    assert len(encode_frame([update])) < 500
+def test_the_size_of_a_delta_depends_on_the_change(change):
+    """Guards against changes of one route that use as much bandwidth as all routes."""
+    delta = build_versions(encode(1, ALL), encode(2, CHANGES[change])).build_delta(1)
+    assert len(encode_frame([delta])) < 500
 
 
-def test_the_whole_goes_to_who_has_a_version_that_is_not_known():
+def test_a_receiver_with_an_unknown_version_gets_the_full_configuration():
     new = encode(9, ALL)
     versions = Versions()
     versions.add(9, new)
-    update = versions.build_delta(4)
-    assert update.base == 0
-    assert len(encode_frame([update])) < len(new) / 5
-    assert Versions().apply(update) == new
+    delta = versions.build_delta(4)
+    assert delta.base == 0
+    assert len(encode_frame([delta])) < len(new) / 5
+    assert Versions().apply(delta) == new
 
 
-def test_an_update_for_another_content_is_refused():
-    """Guards against a configuration that nobody has written."""
-    update = know(encode(1, ALL), encode(2, [*ALL, 400])).build_delta(1)
-    assert know(encode(1, ALL[1:])).apply(update) is None
-    assert Versions().apply(update) is None
+def test_a_delta_for_other_content_is_refused():
+    """Guards against a configuration that was never written."""
+    delta = build_versions(encode(1, ALL), encode(2, [*ALL, 400])).build_delta(1)
+    assert build_versions(encode(1, ALL[1:])).apply(delta) is None
+    assert Versions().apply(delta) is None
 
 
-def test_random_changes_of_random_texts_are_followed():
+def test_deltas_of_random_texts_produce_the_newer_text():
     chance = random.Random(5)
     alphabet = [b"a", b"b},", b"},", b"c", b"", b'"x":1},']
     for _ in range(500):
         old, new = (
             b"".join(chance.choices(alphabet, k=chance.randrange(30))) for _ in range(2)
         )
-        update = know(old, new).build_delta(1)
-        assert know(old).apply(update) == new
+        delta = build_versions(old, new).build_delta(1)
+        assert build_versions(old).apply(delta) == new
 
 
-def test_damaged_updates_are_refused_or_lead_to_the_right_version():
+def test_a_damaged_delta_is_refused_or_produces_the_right_version():
     chance = random.Random(6)
     old, new = encode(1, ALL[:20]), encode(2, ALL[:21])
-    frame = encode_frame([know(old, new).build_delta(1)])
+    frame = encode_frame([build_versions(old, new).build_delta(1)])
     for _ in range(2_000):
         damaged = bytearray(frame)
         damaged[chance.randrange(len(damaged))] = chance.randrange(256)
@@ -101,23 +101,23 @@
             continue
         for one in messages:
             if isinstance(one, ConfigurationDelta):
-                assert know(old).apply(one) in (None, new)
+                assert build_versions(old).apply(one) in (None, new)
 
 
-def test_a_text_that_repeats_itself_takes_no_longer():
-    """Guards against comparisons that take the square of the parts' number."""
+def test_deltas_of_repetitive_texts_take_linear_time():
+    """Guards against comparisons that take quadratic time in the number of parts."""
     old = b'{"Weight":1},' * 60_000
-    update = know(old, old + b"{}").build_delta(1)
-    assert know(old).apply(update) == old + b"{}"
+    delta = build_versions(old, old + b"{}").build_delta(1)
+    assert build_versions(old).apply(delta) == old + b"{}"
 
 
-def test_few_versions_are_kept_and_the_newest_always():
+def test_few_versions_are_kept_but_always_the_newest():
     versions = Versions()
     for number in range(1, 40):
         versions.add(number, b"%d" % number)
     assert versions.newest == 39
-    assert len(versions._bodies) <= MOST_KEPT
-    large = b"x" * (MOST_KEPT_BYTES + 1)
+    assert len(versions._bodies) <= MAX_VERSIONS
+    large = b"x" * (MAX_OLDER_BYTES + 1)
     versions.add(40, large)
     versions.add(41, large)
     assert list(versions._bodies) == [41]
--- a/tests/test_without_coordinator.py
+++ b/tests/test_without_coordinator.py
@@ -1,4 +1,4 @@
-"""What an instance does with a request while no coordinator answers."""
+"""Requests at an instance without a coordinator."""
 
 import asyncio
 
@@ -65,14 +65,14 @@
         route=ROUTE,
         request=request,
         progress=Progress(started_at=now, ends_at=now + 5_000, service="llm"),
-        patience_ms=2_000,
+        first_part_timeout_ms=2_000,
     )
 
 
-def test_after_a_start_a_request_waits_for_the_first_coordinator():
-    """All instances lose power and come back together. Those that were ready first
-    sent all their prompts at once to the servers that they found listed, and every
-    stream there paused for half a second; the coordinator was there 0.2 s later."""
+def test_after_start_a_request_waits_for_the_first_coordinator():
+    """All instances restart together after a power failure. Without the wait, those
+    that are ready first send all their prompts at once to the listed servers, and every
+    stream there stalls for half a second; the coordinator is available 0.2 s later."""
 
     async def scenario():
         state = build_state()
@@ -87,12 +87,12 @@
     assert asyncio.run(scenario())
 
 
-def test_a_request_is_sent_without_one_rather_than_late():
+def test_without_a_coordinator_a_request_is_sent_within_its_latency_target():
     async def scenario():
         state = build_state()
         started_at = state.clock.now()
         choice = build_choice(state, Link(state=state))
-        entry = await choice.choose_alone(NEED)
+        entry = await choice.choose_uncoordinated(NEED)
         return entry, state.clock.now() - started_at
 
     entry, waited_ms = asyncio.run(scenario())
@@ -100,15 +100,15 @@
     assert waited_ms < ROUTE.latency_target_ms
 
 
-def test_the_next_coordinator_counts_what_was_sent_without_one():
-    """A server ran 40 requests of which its coordinator knew 20, and granted it twice
-    what it could take."""
+def test_the_next_coordinator_counts_requests_sent_without_one():
+    """Guards against a coordinator that knows only 20 of the 40 requests at a server
+    and grants it twice its capacity."""
 
     async def scenario():
         state = build_state()
         link = Link(state=state)
         link.receive([CoordinatorStatus(is_holder=True)])
-        await build_choice(state, link).choose_alone(NEED)
+        await build_choice(state, link).choose_uncoordinated(NEED)
         return link.running
 
     (run,) = asyncio.run(scenario())
