--- a/src/arbutuspulley/node/__init__.py
+++ b/src/arbutuspulley/node/__init__.py
@@ -1,1 +1,1 @@
-"""One process of an instance: callers' entry, directory, and perhaps coordinator."""
+"""Node process of an instance: entry for callers, directory and elected coordinator."""
--- a/src/arbutuspulley/node/advertisement.py
+++ b/src/arbutuspulley/node/advertisement.py
@@ -1,8 +1,8 @@
-"""Which instances callers are sent to, and what each may use of what all share.
+"""Selects the instances that are advertised to callers, and their shares of limits.
 
-Where some instances of a data centre are much better placed than others, callers are
-sent to these alone. What all instances share, such as the connections that a server
-accepts and the budget of repeats, is then used by these as well.
+Where a few instances of a data centre have much more capacity than the rest, only these
+are advertised. They then also get a larger share of what all instances have in common,
+such as the connections that a server accepts and the retry budget.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,29 +10,30 @@
 from arbutuspulley.node.messages import NodeInfo
 
 MIN_NEARBY_INSTANCES = 2
-"""With so many instances ready in the caller's data centre, or else in its region,
-others are not named: its bytes then stay there, and one of them may still fail."""
+"""Number of ready instances in the caller's data centre, or else in its region, from
+which on no others are advertised: traffic stays there, and one instance may still
+fail."""
 
 STRONG_CAPACITY_RATIO = 0.5
-"""Part of the best one's capacity with which an instance counts as like it."""
+"""Share of the largest capacity from which on an instance counts as strong."""
 
 MIN_STRONG_SHARE = 0.2
-"""Callers of a data centre are sent to its best instances alone where these have so
-much of its capacity. Fleets are sized for the loss of a data centre and for surges, and
-work at a tenth of their capacity. Fewer instances keep their connections to servers in
-use, and small links are not filled by streams. Spread over many small instances, most
-requests find no connection that is still open."""
+"""Share of a data centre's capacity that its strong instances must have in order to be
+advertised alone. Fleets are sized for the loss of a data centre and for surges, and run
+at a tenth of their capacity. Fewer instances keep their connections to servers in use,
+and streams do not fill small links. If requests are spread over many small instances,
+most find no connection that is still open."""
 
 ADVERTISED_SHARE = 0.85
-"""Part of what all share that is for those to which callers are sent, where these are
-not all; the rest is for the others, which callers with an old answer may still use."""
+"""Share of a common limit for the advertised instances, if these are not all; the rest
+is for the others, which callers with an outdated address list may still use."""
 
 
 def select_advertised(area: Sequence[NodeInfo]) -> list[NodeInfo]:
-    """Return those instances of an area to which callers are sent.
+    """Return the instances of an area that are advertised to callers.
 
-    These are the best placed ones, or all if those are too few. The coordinator is left
-    out where enough others are left: it has work for all.
+    These are the strong ones, or all if the strong ones are too few. The coordinator is
+    left out if enough others remain: it has work for the whole fleet.
 
     :param area: ready instances of one data centre or region.
     """
@@ -51,7 +52,7 @@
 
 
 def count_advertised(infos: Iterable[NodeInfo]) -> int:
-    """Return to how many instances of a fleet callers are sent."""
+    """Return the number of instances of a fleet that are advertised to callers."""
     sites: dict[str, list[NodeInfo]] = {}
     for info in infos:
         if info.is_ready:
@@ -60,12 +61,12 @@
 
 
 def get_share_divisor(*, is_advertised: bool, advertised: int, instances: int) -> float:
-    """Return by how many an instance divides what all instances share.
+    """Return the number by which an instance divides a limit that all instances share.
 
-    The parts of all add up to the whole at most.
+    The shares of all instances add up to the limit at most.
 
-    :param is_taker: whether callers are sent to this instance.
-    :param takers: to how many they are sent in all; 0: not known.
+    :param is_advertised: whether this instance is advertised to callers.
+    :param advertised: number of advertised instances; 0: unknown.
     """
     if not advertised or advertised >= instances:
         return instances
--- a/src/arbutuspulley/node/confirmation.py
+++ b/src/arbutuspulley/node/confirmation.py
@@ -1,4 +1,4 @@
-"""What an instance makes of the coordinator's word that no newer configuration exists.
+"""Confirmation over a link that no newer configuration exists.
 
 See :mod:`arbutuspulley.admission.freshness`.
 """
@@ -8,12 +8,12 @@
 from arbutuspulley.node.state import NodeState
 
 RELAY_FRESHNESS_RATIO = 0.7
-"""Part of the time within which a withdrawn key has to stop working after which an
-instance whose word is no newer asks the store itself: the rest suffices for that."""
+"""Share of the time within which a revoked key has to stop working. An instance whose
+confirmation is older calls the store itself; the rest of the time suffices for that."""
 
 
 class Confirmation:
-    """Beats and digests of one link, by number."""
+    """Heartbeats and status messages of one link, by number."""
 
     __slots__ = ("_heartbeats", "_state", "_statuses")
 
@@ -24,12 +24,12 @@
 
     @property
     def confirmed_status(self) -> int:
-        """The digest that came before this instance got its own word; 0: none."""
+        """Number of the last status before this instance's confirmation; 0: none."""
         return self._statuses.find_number(self._state.freshness.confirmed_at)
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the configuration is confirmed often enough by what is relayed."""
+        """Whether the relay confirms the active configuration often enough."""
         state = self._state
         revocation_ms = state.settings.revocation_ms
         if revocation_ms is None:
@@ -38,11 +38,11 @@
         return state.freshness.is_within(limit_ms, now=state.clock.now())
 
     def record_heartbeat(self, number: int, *, at: int) -> None:
-        """Note that a beat is sent."""
+        """Record that a heartbeat is sent."""
         self._heartbeats.record(number, at=at)
 
     def record_status(self, status: CoordinatorStatus, *, at: int) -> None:
-        """Take in what a digest says of how new the configuration in force is."""
+        """Record a status message, and the confirmation that it contains, if any."""
         state = self._state
         self._statuses.record(status.number, at=at)
         sent_at = self._heartbeats.find_time(status.fresh_beat)
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator's shell: carries out what the pools decide.
+"""The coordinator: carries out the decisions of the pools.
 
-It takes asks from all instances, grants servers, sends orders while its lease
-runs, and tells all instances who takes callers.
+It receives grant requests from all instances, grants servers, sends orders while its
+lease is valid, and publishes the roster of instances.
 """
 
 import asyncio
@@ -86,13 +86,13 @@
 from arbutuspulley.ports.fleet import EngineSpec, OrderAnswer
 
 LOG_INTERVAL_MS = 1_000
-"""Time between log lines on what a pool's models are asked for, in ms."""
+"""Interval between log lines on the demand for a pool's models, in ms."""
 
 
 class Coordinator:
-    """The coordinator's part of a process, idle unless this instance is it.
+    """The coordinator's part of a process, inactive unless this instance is elected.
 
-    :param receive_local: takes what the coordinator sends to its own instance.
+    :param receive_local: receives what the coordinator sends to its own instance.
     """
 
     __slots__ = (
@@ -158,7 +158,7 @@
     def activate(self, inherited: InheritedLoads) -> None:
         """Become the coordinator.
 
-        :param inherited: what is known of loads that others ordered.
+        :param inherited: what is known of loads that previous coordinators ordered.
         """
         self.is_active = True
         self.isolated_since = None
@@ -174,7 +174,7 @@
         self._spawn(self._run_periodic_tasks())
 
     def deactivate(self) -> None:
-        """Stop being the coordinator; all instances lose their links."""
+        """Stop being the coordinator, and close the links of all instances."""
         self.is_active = False
         self._state.coordinates = False
         self._state.metrics.coordinates.set(0)
@@ -187,18 +187,18 @@
         self._pools.clear()
 
     def find_largest_capacity(self) -> float:
-        """Return the largest capacity of the other instances that take callers."""
+        """Return the largest capacity of the other ready instances."""
         return self._peers.find_largest_capacity()
 
     async def drain_orders(self) -> bool:
-        """Await the orders that are being sent, before the lease is given back.
+        """Wait for the orders that are being sent, before the lease is released.
 
         :return: whether all were answered.
         """
         return await self._order_sender.drain()
 
     def update_pools(self) -> None:
-        """Bring the pools up to date with configuration and entries."""
+        """Update the pools from the configuration and the registered servers."""
         configuration = self._state.configuration
         if not self.is_active or configuration is None:
             return
@@ -215,7 +215,7 @@
         self.schedule_planning()
 
     def _build_pool(self, service: str, spec: EngineSpec) -> PoolState:
-        """Build a pool that begins with what is known from holders before."""
+        """Build a pool that starts with the estimates of previous coordinators."""
         pool = PoolState(service=service, spec=spec)
         inherited, estimates = self._inherited, self._state.estimates
         inherit_loads(
@@ -229,16 +229,16 @@
         return pool
 
     def handle_messages(self, origin: str, messages: list[ToCoordinator]) -> None:
-        """Take messages of an instance."""
+        """Handle messages of an instance."""
         now = self._state.clock.now()
         for message in messages:
             self._handle_message(origin, message, now=now)
-        # What was spent changes no decision on who goes to which server.
+        # Quota usage does not affect which request goes to which server.
         if any(not isinstance(message, QuotaUsage) for message in messages):
             self.schedule_planning()
 
     async def serve_link(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one instance's link until it ends."""
+        """Serve one instance's link until it is closed."""
         socket = web.WebSocketResponse(compress=False, max_msg_size=1 << 20)
         await socket.prepare(request)
         if not self.is_active:
@@ -270,7 +270,7 @@
         return socket
 
     def schedule_planning(self) -> None:
-        """Decide again soon, once for all that happens meanwhile."""
+        """Schedule one planning cycle soon, for all messages that come until then."""
         if self.is_active and not self._is_planning_scheduled:
             self._is_planning_scheduled = True
             loop = asyncio.get_running_loop()
@@ -283,8 +283,9 @@
             return None
         name = messages[0].info.name
         if self._peers.get(name) is not None:
-            # It is back before the end of its link was seen here. What ended meanwhile
-            # was never told, and would hold its slot for ever.
+            # The instance has reconnected before the end of its old link was seen here.
+            # Requests that ended meanwhile were never reported, and would hold their
+            # slots for ever.
             remove_instance(self._pools, name)
         self._quotas.mark_linked(name)
         self._record_limits(messages[0].limits, is_initial=True)
@@ -332,16 +333,16 @@
     def _record_limits(
         self, limits: tuple[ServerLimit, ...], *, is_initial: bool = False
     ) -> None:
-        """Take in rate limits that an instance has read.
+        """Record rate limits that an instance has read.
 
-        :param are_first: whether it tells all that it knows, as it links up.
+        :param is_initial: whether these are all that it knows, sent as it links up.
         """
         record = self._rates.record_initial if is_initial else self._rates.record
         if record(limits, now=self._state.clock.now()):
             self._rates.apply(self._pools.values())
 
     def _report_store_loss(self) -> None:
-        """Tell all at once if nobody follows the store any more."""
+        """Send the status at once if no instance follows the store any more."""
         if self.is_active and not self._peers.is_store_followed():
             self._send_status()
 
@@ -352,8 +353,8 @@
     def _handle_grant_request(
         self, origin: str, request: GrantRequest, *, now: int
     ) -> None:
-        # Charged before anything else: whoever is refused for another reason gives the
-        # cost back.
+        # The quota is charged first: if the request is refused for another reason, the
+        # instance refunds the cost.
         refusal = self._quotas.charge(request, now=now)
         if refusal is not None:
             self._peers.send(origin, refusal)
@@ -423,7 +424,7 @@
         return get_order_window_ms(self._lease, now=now)
 
     def _may_order_during_outage(self) -> bool:
-        """Tell whether orders go on though the lease could not be renewed."""
+        """Tell whether orders may be sent although the lease could not be renewed."""
         if not self._state.settings.checks_fences or not self._state.store.is_failing:
             return False
         return may_order_during_outage(
@@ -453,7 +454,7 @@
         self.schedule_planning()
 
     async def _run_periodic_tasks(self) -> None:
-        """Send digests and ask for reports until this instance stops coordinating."""
+        """Send status messages and poll for reports while this instance coordinates."""
         logged_at = -LOG_INTERVAL_MS
         while True:
             self._peers.publish_roster()
@@ -470,7 +471,7 @@
             await asyncio.sleep(HEARTBEAT_MS / SECOND_MS)
 
     def _update_shares(self, linked: list[NodeInfo]) -> None:
-        """Work out what may be given out here, and tell of limits that have changed."""
+        """Update the shares of limits granted here, and send changed limits."""
         self._quotas.update_linked(linked)
         self._rates.set_share(self._quotas.compute_share(linked, decay_ms=None))
         changes = self._rates.pop_changes()
@@ -478,7 +479,7 @@
             self._peers.send_all(changes)
 
     def _log_pools(self) -> None:
-        """Log what each model is asked for and where it is."""
+        """Log the demand for each model, and where it is loaded."""
         now = self._state.clock.now()
         for pool in self._pools.values():
             decay_demand(pool, now=now)
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -1,4 +1,4 @@
-"""Keeps one coordinator: takes, renews and gives back the lease in the store."""
+"""Elects one coordinator: claims, renews and releases the lease in the store."""
 
 import asyncio
 
@@ -33,41 +33,45 @@
 LEASE_KEY = "coordinator"
 
 TICK_MS = 100
-"""Time between looks at the lease and the link, in ms."""
+"""Interval between checks of the lease and the link, in ms."""
 
 MIN_READ_INTERVAL_MS = 400
-"""Least time between readings of the lease while no coordinator is heard of, in ms."""
+"""Minimum interval between reads of the lease without a reachable coordinator, in
+ms."""
 
 READ_INTERVAL_PER_INSTANCE_MS = 20
-"""The same for each instance that is known, in ms: up to a hundred together read the
-lease 50 times a second, more of them each at the longest time below."""
+"""Minimum interval between reads for each known instance, in ms: up to a hundred
+instances together read the lease 50 times a second; in a larger fleet each reads it at
+the maximum interval."""
 
 MAX_READ_INTERVAL_MS = 2_000
-"""Longest time between readings, in ms: a lease is free half its time after its last
-renewal, and who finds its new holder late serves callers without a coordinator."""
+"""Maximum interval between reads, in ms: a lease is free half its duration after its
+last renewal, and an instance that finds the new holder late serves callers without a
+coordinator."""
 
 MIN_SCHEDULED_READ_MS = 20
-"""Least time between two readings, in ms, when the time of the next one is known."""
+"""Minimum interval between two reads, in ms, when the time of the next one is known."""
 
 READ_JITTER_MS = 40
-"""By how much readings are spread by chance, in ms: instances of one rank that read a
-free lease at the same moment would all claim it."""
+"""Maximum jitter of reads, in ms: instances of equal capacity that read a free lease at
+the same moment would all claim it."""
 
 ISOLATION_TIMEOUT_MS = 2_000
-"""A coordinator that hears of no other instance for so long, in ms, gives the lease
-back: the cut is probably on its side."""
+"""Time after which a coordinator that reaches no other instance releases the lease, in
+ms: the network fault is probably on its side."""
 
 CLAIM_COOLDOWN_MS = 1_500
-"""How long it then leaves the lease to others, in ms. If none takes it, this instance
-really is alone, and keeps it the next time."""
+"""Time for which an instance that has handed over the lease does not claim it, in ms.
+If no other instance claims it meanwhile, an isolated one really is alone, and keeps the
+lease the next time."""
 
 HANDOVER_DELAY_MS = 3_000
-"""How long a much better placed instance must have been there before the lease is
-handed over to it, in ms: one that has just started may be on its way out again."""
+"""Time for which an instance with much more capacity must have been linked before the
+lease is handed over to it, in ms: one that has just started may stop again soon."""
 
 
 class Election:
-    """One process's part in it."""
+    """The part of one process in the election."""
 
     __slots__ = (
         "_accepts_isolation",
@@ -100,13 +104,13 @@
         self._accepts_isolation = False
 
     async def run(self) -> None:
-        """Take part for ever; a process that stops follows others to its end."""
+        """Take part until cancelled; a process that is stopping only follows others."""
         while True:
             try:
                 await self._tick()
             except (PlatformUnavailableError, OutcomeUnknownError) as error:
-                # An unknown outcome is settled by the next reading: the row says
-                # whether the claim was written.
+                # The next read resolves an unknown outcome: the row shows whether the
+                # claim was written.
                 log_event(Event.LEASE_UNSETTLED, detail=error.detail)
                 self._lease.version = -1
             await asyncio.sleep(TICK_MS / SECOND_MS)
@@ -149,7 +153,7 @@
             self._next_read_at = self._get_next_read_time()
 
     def _draw_claim_delay(self) -> int:
-        """Return how long better placed instances go first, in ms."""
+        """Return how long instances with more capacity go first plus jitter, in ms."""
         state = self._state
         others = [
             info.capacity
@@ -164,10 +168,10 @@
         return min(MAX_READ_INTERVAL_MS, max(MIN_READ_INTERVAL_MS, fleet_ms))
 
     def _get_next_read_time(self) -> int:
-        """Return when the lease is worth reading again, in ms.
+        """Return when the lease is to be read again, in ms.
 
-        That is once it has been free for as long as better placed instances go first.
-        One that reads it just as it becomes free would claim it ahead of them.
+        That is once it has been free for this instance's claim delay. An instance that
+        reads it just as it becomes free would claim it before those with more capacity.
         """
         now = self._state.clock.now()
         wait = get_claim_wait_ms(self._lease, now=now)
@@ -184,7 +188,7 @@
         )
 
     def _is_outranked(self, now: int) -> bool:
-        """Tell whether a much better placed instance has been there for a while."""
+        """Tell whether a much larger instance has been linked long enough."""
         best = self._coordinator.find_largest_capacity()
         if not has_much_more_capacity(best, self._state.capacity):
             self._outranked_since = None
@@ -219,7 +223,7 @@
         )
 
     async def _check_lease(self) -> None:
-        """Read the lease, follow its holder, and take it if it is free."""
+        """Read the lease, follow its holder, and claim it if it is free."""
         await self._read()
         now = self._state.clock.now()
         self._follow_holder()
@@ -230,7 +234,7 @@
             await self._claim()
 
     def _follow_holder(self) -> None:
-        """Step down for another holder as read, and let the link lead to it."""
+        """Step down if another process holds the lease as read, and link to it."""
         row = self._lease.row
         if row is None or not row.boot or row.boot == self._lease.boot:
             return
@@ -248,7 +252,7 @@
             loads=self._coordinator.list_loads(),
         )
         if not await self._write(claim):
-            # Somebody else was sooner, and is followed after the next reading.
+            # Another instance claimed the lease first; read its row and follow it.
             await self._read()
             self._follow_holder()
             return
@@ -257,7 +261,8 @@
             self._link.disconnect()
             self._link.deliver_local = self._deliver_locally
             self._coordinator.activate(inherited)
-            # No link tells what this instance itself runs.
+            # The coordinator has no link to its own instance, which reports what it
+            # runs here.
             self._deliver_locally([self._link.build_hello()])
 
     def _deliver_locally(self, messages: list[ToCoordinator]) -> None:
@@ -299,7 +304,7 @@
     async def _release(self) -> None:
         fence = self._lease.fence
         mark_lost(self._lease)
-        # The successor may give orders as soon as the row is free.
+        # The successor may send orders as soon as the row is free.
         has_unanswered_order = not await self._coordinator.drain_orders()
         try:
             if self._lease.version < 0:
--- a/src/arbutuspulley/node/heartbeats.py
+++ b/src/arbutuspulley/node/heartbeats.py
@@ -1,14 +1,14 @@
-"""How old what the coordinator tells is, from beats that it acknowledges.
+"""Age of the coordinator's status, measured by the heartbeats that it acknowledges.
 
-Digests that come at their usual intervals say nothing of how long each was on its
-way: behind a full link all of them are late alike, and clocks of two instances can't
-be compared. The time since the sending of the newest beat that a digest acknowledges
-bounds it.
+Status messages that come at their usual intervals do not show how long each was in
+transit: behind a full link all of them are equally late, and the clocks of two
+instances can't be compared. The time since the newest acknowledged heartbeat was sent
+is an upper bound.
 """
 
 
 class HeartbeatTracker:
-    """Beats on their way to the coordinator, by number.
+    """Heartbeats that the coordinator has not acknowledged yet, by number.
 
     :param now: when the link was opened, in ms.
     """
@@ -21,13 +21,13 @@
         self._acknowledged_sent_at = now
 
     def record_sent(self, now: int) -> int:
-        """Return the number of a beat that is sent now; numbers count from 1."""
+        """Return the number of a heartbeat that is sent now; numbers count from 1."""
         self._number += 1
         self._sent_at[self._number] = now
         return self._number
 
     def record_acknowledged(self, number: int) -> None:
-        """The coordinator acknowledges a beat, and so all before it."""
+        """Record that the coordinator acknowledges a heartbeat and all before it."""
         sent_at = self._sent_at.get(number)
         if sent_at is None:
             return
@@ -39,5 +39,5 @@
         }
 
     def get_age(self, now: int) -> int:
-        """Return how old what was last told can be, in ms."""
+        """Return the maximum age of the coordinator's last status, in ms."""
         return now - self._acknowledged_sent_at
--- a/src/arbutuspulley/node/orders.py
+++ b/src/arbutuspulley/node/orders.py
@@ -1,4 +1,4 @@
-"""The coordinator's orders on their way to model servers."""
+"""Sends the coordinator's orders to model servers."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 from arbutuspulley.ports.fleet import OrderAnswer, ServerOrder
 
 DRAIN_TIMEOUT_MS = ORDER_TIMEOUT_MS + 50
-"""How long the orders that are being sent are awaited, in ms: as long as one takes."""
+"""Time to wait for orders that are being sent, in ms: as long as one takes."""
 
 
 class OrderSender:
-    """The orders that have no answer yet.
+    """Orders that have no answer yet.
 
-    :param lease: whose fencing token they bear.
+    :param lease: the lease whose fencing token they carry.
     """
 
     __slots__ = ("_lease", "_state", "_tasks", "_unanswered_at")
@@ -42,8 +42,8 @@
     ) -> None:
         """Send an order soon.
 
-        :param get_time: returns for how much longer orders may be sent, in ms.
-        :param take_answer: called with how the server took it.
+        :param get_remaining_ms: returns for how much longer orders may be sent, in ms.
+        :param on_answer: called with the order and the server's answer.
         """
         task = asyncio.get_running_loop().create_task(
             self._send(planned, get_remaining_ms, on_answer)
@@ -52,14 +52,14 @@
         task.add_done_callback(self._finish_task)
 
     async def drain(self) -> bool:
-        """Await the orders that are being sent, and drop those that take too long.
+        """Wait for the orders that are being sent, and cancel those that take too long.
 
-        Only an answer proves that an order has arrived. A connection that is reset
-        drops what this process has not sent yet, not what a full link still holds: an
-        order of a holder that had stepped down reached its server 11 ms after its
+        Only an answer proves that an order has arrived. A connection reset drops what
+        this process has not sent yet, but not what is queued in a full link: an order
+        of a holder that had stepped down reached its server 11 ms after its
         successor's.
 
-        :return: whether all orders of late were answered.
+        :return: whether all recent orders were answered.
         """
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=DRAIN_TIMEOUT_MS / SECOND_MS)
@@ -68,12 +68,12 @@
         return not is_timed_out and not self._has_recent_unanswered()
 
     def cancel_all(self) -> None:
-        """Drop the orders that are being sent."""
+        """Cancel the orders that are being sent."""
         for task in list(self._tasks):
             task.cancel()
 
     def _has_recent_unanswered(self) -> bool:
-        """Tell whether an order that was not answered may still be on its way."""
+        """Tell whether an unanswered order may still be in transit."""
         return self._state.clock.now() - self._unanswered_at < UNANSWERED_ORDER_WAIT_MS
 
     async def _send(
--- a/src/arbutuspulley/node/peer.py
+++ b/src/arbutuspulley/node/peer.py
@@ -1,4 +1,4 @@
-"""An instance as its coordinator sees it."""
+"""A linked instance as the coordinator sees it."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,26 +17,29 @@
 )
 
 WRITE_TIMEOUT_S = 2.0
-"""How long an instance may take no bytes, in s. Its link is cut then: it hears nothing
-of the coordinator anyway, and what waits for it takes memory."""
+"""Time for which an instance may accept no bytes, in s. Its link is then closed: it
+receives nothing from the coordinator anyway, and the messages queued for it take
+memory."""
 
 
 class Peer:
     """An instance that is linked to this coordinator.
 
-    :param heard_at: when it was last heard, in ms.
-    :param last_heartbeat: number of its last beat; 0: none came.
-    :param heartbeats: when its beats came, by number.
-    :param statuses: when digests were sent to it, by number.
-    :param last_status: number of the last of them.
-    :param configuration: version that it has in force, as it last said; 0: none.
-    :param sent_version: version that it has or was sent last; 0: none.
-    :param build_configuration: returns what leads from that version to the newest.
+    :param heard_at: when its last message came, in ms.
+    :param last_heartbeat: number of its last heartbeat; 0: none came.
+    :param heartbeats: when its heartbeats came, by number.
+    :param statuses: when status messages were sent to it, by number.
+    :param last_status: number of the last status that was sent to it.
+    :param configuration: version of its active configuration, as last reported; 0:
+        none.
+    :param sent_version: newest version that it has or was sent; 0: none.
+    :param build_configuration: returns the message that leads from a version to the
+        newest.
     :param misses_store: whether the store gives it no usable answer; ``None``: it has
-        not asked lately.
-    :param follows_store: whether the store has lately told it all changes.
-    :param roster_sent_at: when it was last sent the whole list of instances, in ms;
-        negative: not yet.
+        not called the store lately.
+    :param follows_store: whether it has lately received all changes from the store.
+    :param roster_sent_at: when it was last sent the full roster, in ms; negative: not
+        yet.
     :param is_closed: whether the link is to be closed.
     """
 
@@ -84,16 +87,16 @@
         self.roster_sent_at = -1 << 30
 
     def close(self) -> None:
-        """Close the link once all has been sent that waits."""
+        """Close the link once all queued messages have been sent."""
         self.is_closed = True
         self.wake.set()
 
     def send(self, message: ToNode) -> None:
-        """Send a message soon.
+        """Queue a message.
 
-        A newer digest takes the place of one that still waits: on a slow link, old ones
-        would queue up before what callers wait for. It goes to the end, since it speaks
-        of all that was sent before it.
+        A newer status or newer estimates replace those that are still queued: on a slow
+        link, old ones would delay what callers wait for. The new message is queued
+        last, since a status refers to all that was sent before it.
         """
         if isinstance(message, CoordinatorStatus | CoordinatorEstimates):
             kind = type(message)
@@ -113,9 +116,9 @@
             self.wake.set()
 
     def take_outgoing(self) -> list[ToNode]:
-        """Return what is to be sent now, in its order.
+        """Return the messages to be sent now, in their order.
 
-        The configuration goes first: digests and grants may speak of it.
+        The configuration comes first: status messages and grants may refer to it.
         """
         messages, self.outgoing = self.outgoing, []
         if self._due_version > self.sent_version:
@@ -127,7 +130,7 @@
 async def write_frames(
     peer: Peer, socket: web.WebSocketResponse, transport: asyncio.Transport | None
 ) -> None:
-    """Send what waits for an instance until its link ends."""
+    """Send queued messages to an instance until its link is closed."""
     try:
         while not peer.is_closed:
             await peer.wake.wait()
@@ -136,7 +139,7 @@
             if frame:
                 async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await socket.send_bytes(encode_frame(frame))
-        # Instances look for the next coordinator as soon as they know of the end.
+        # Instances look for the next coordinator as soon as they see the link closed.
         await socket.close()
     except TimeoutError:
         log_event(Event.PEER_BEHIND, instance=peer.info.name, queued=len(peer.outgoing))
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -1,4 +1,4 @@
-"""The instances that are linked to the coordinator, and what it tells all of them."""
+"""The instances that are linked to the coordinator, and messages to all of them."""
 
 from collections.abc import Callable
 
@@ -29,21 +29,23 @@
 from arbutuspulley.node.store_watch import is_following_store
 
 SUCCESSOR_COUNT = 4
-"""Instances that are told what the coordinator has learnt, the best placed: one of them
-comes next. All of it, to all, would grow with the models times the instances."""
+"""Number of instances that are sent the coordinator's estimates, those with the most
+capacity: one of them becomes the next coordinator. Sent to all, the traffic would grow
+with the number of models times the number of instances."""
 
 MAX_LOGGED_OUTDATED = 10
-"""Most instances that a line on who is behind names; it also counts them."""
+"""Maximum number of outdated instances that a log line names; it also has their
+count."""
 
 FULL_ROSTER_INTERVAL_MS = 1_000
-"""Least time between two whole lists of instances to one that says it has none, in ms:
-it says so in each beat until the list has come."""
+"""Minimum interval between two full rosters to an instance that reports none, in ms: it
+does so in each heartbeat until the roster has come."""
 
 
 class Peers:
     """All linked instances, by name.
 
-    :param receive_local: takes what is sent to the coordinator's own instance.
+    :param receive_local: receives what is sent to the coordinator's own instance.
     """
 
     __slots__ = (
@@ -74,7 +76,7 @@
         self.max_reachable = 0
 
     def reset(self) -> None:
-        """Begin with no instance but the own one; all links end."""
+        """Close all links and remove all instances."""
         for peer in self._by_name.values():
             peer.close()
         self._by_name.clear()
@@ -88,10 +90,10 @@
         return self._by_name.get(name)
 
     def add(self, hello: Hello) -> Peer:
-        """Add an instance that has linked up, and tell it what it misses."""
+        """Add an instance that has linked up, and send it what it misses."""
         info = hello.info
         peer = self._by_name[info.name] = Peer(
-            # Whether it takes callers, its beats say.
+            # Its heartbeats report whether it is ready.
             info=msgspec.structs.replace(info, is_ready=False),
             heard_at=self._state.clock.now(),
             configuration=hello.configuration,
@@ -109,7 +111,7 @@
         return peer
 
     def remove(self, peer: Peer) -> bool:
-        """Forget an instance whose link ended; ``False`` if it has linked up anew."""
+        """Remove an instance whose link ended; ``False`` if it has reconnected."""
         if self._by_name.get(peer.info.name) is not peer:
             return False
         del self._by_name[peer.info.name]
@@ -117,7 +119,7 @@
         return True
 
     def handle_heartbeat(self, origin: str, heartbeat: Heartbeat) -> bool:
-        """Take in what an instance says of itself.
+        """Record what an instance reports in a heartbeat.
 
         :return: whether it has just lost the store.
         """
@@ -145,7 +147,7 @@
         return has_lost_store
 
     def _confirm_freshness(self, peer: Peer, heartbeat: Heartbeat) -> None:
-        """Take in what a beat says of how new the configuration in force is."""
+        """Record a heartbeat's confirmation of the active configuration, if any."""
         state = self._state
         peer.heartbeats.record(heartbeat.number, at=state.clock.now())
         sent_at = peer.statuses.find_time(heartbeat.vouches)
@@ -156,7 +158,7 @@
             state.freshness.confirm(sent_at, source="follower")
 
     def is_store_followed(self) -> bool:
-        """Tell whether any of those that follow the store hears all changes."""
+        """Tell whether coordinator or followers get all changes from the store."""
         followers = self._relay.followers
         return is_following_store(self._state) or any(
             peer.follows_store
@@ -165,7 +167,7 @@
         )
 
     def list_reachable(self) -> list[Peer]:
-        """Return the instances that were heard lately."""
+        """Return the instances that sent a message lately."""
         now = self._state.clock.now()
         return [
             peer
@@ -174,19 +176,22 @@
         ]
 
     def list_linked(self) -> list[NodeInfo]:
-        """Return what the linked instances say of themselves; first the own one."""
+        """Return descriptions of the linked instances, this one first."""
         return [
             self._state.build_info(),
             *(peer.info for peer in self.list_reachable()),
         ]
 
     def list_store_failures(self) -> list[bool]:
-        """Return of all that know it whether they miss the store; first the own."""
+        """Return for each instance that knows whether it misses the store.
+
+        This instance, which misses it, comes first.
+        """
         reachable = [peer.misses_store for peer in self.list_reachable()]
         return [True, *(misses for misses in reachable if misses is not None)]
 
     def find_largest_capacity(self) -> float:
-        """Return the largest capacity of the instances that take callers."""
+        """Return the largest capacity of the other ready instances."""
         return max(
             (
                 peer.info.capacity
@@ -204,24 +209,24 @@
             self._by_name[name].send(message)
 
     def send_all(self, message: ToNode) -> None:
-        """Send to all instances, the own one included."""
+        """Send to all instances, including this one."""
         self._receive_local([message])
         self.send_others(message)
 
     def send_others(self, message: ToNode) -> None:
-        """Send to all instances but the own one."""
+        """Send to all instances except this one."""
         for peer in self._by_name.values():
             peer.send(message)
 
     def send_estimates(self, estimates: CoordinatorEstimates) -> None:
-        """Send what was learnt to those that will claim the lease first."""
+        """Send estimates to the instances that will claim the lease first."""
         ready = [peer for peer in self._by_name.values() if peer.info.is_ready]
         ready.sort(key=lambda peer: (-peer.info.capacity, peer.info.name))
         for peer in ready[:SUCCESSOR_COUNT]:
             peer.send(estimates)
 
     def relay_update(self, update: StoreUpdate) -> None:
-        """Relay what the store has told, as far as it can't wait."""
+        """Relay the urgent part of a store update."""
         if update.configuration:
             self.send_configuration()
         selected = self._relay.select_urgent(update)
@@ -229,16 +234,16 @@
             self.send_others(selected)
 
     def send_configuration(self) -> None:
-        """Send all instances the configuration in force, unless they have it."""
+        """Send all instances the active configuration, unless they have it."""
         for peer in self._by_name.values():
             peer.send_configuration(self._state.configuration_version)
 
     def send_status(self, *, is_holder: bool) -> int:
-        """Send the digest, and before it what was held back.
+        """Send the status, and before it a batch of deferred rows if one is due.
 
-        The list of instances is to be told before.
+        The roster is to be published first.
 
-        :return: how many instances are heard, the own one included.
+        :return: number of reachable instances, including this one.
         """
         reachable = self.list_reachable()
         count = 1 + len(reachable)
@@ -276,7 +281,7 @@
         peer.send(own)
 
     def report_outdated(self) -> None:
-        """Log which instances have an older configuration in force, if any."""
+        """Log which instances have an older active configuration, if any."""
         outdated = self.list_outdated()
         self._state.metrics.instances_behind.set(len(outdated))
         if outdated:
@@ -288,9 +293,10 @@
             )
 
     def list_outdated(self) -> list[str]:
-        """Return the instances that have an older configuration in force.
+        """Return the instances that have an older active configuration.
 
-        Those that have none are not ready, and have not said yet or never do.
+        Those without one are not ready, and have not reported a version yet or never
+        do.
         """
         version = self._state.configuration_version
         return [
@@ -300,7 +306,7 @@
         ]
 
     def publish_roster(self) -> None:
-        """Tell what has changed in the list of instances, if anything has."""
+        """Send the changes of the roster, if there are any."""
         infos = tuple(self.list_linked())
         if infos == self._published:
             return
@@ -318,7 +324,7 @@
         if site == self._state.settings.site:
             self._receive_local([build_full_roster(self._get_roster(site))])
         for peer in self._by_name.values():
-            # An instance that has no list yet asks for the whole in its first beat.
+            # An instance without a roster asks for the full one in its first heartbeat.
             if peer.info.site == site and peer.roster_sent_at >= 0:
                 peer.send(change)
 
--- a/src/arbutuspulley/node/pool_log.py
+++ b/src/arbutuspulley/node/pool_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the coordinator's decisions, each with what decided it."""
+"""Log lines of the coordinator's decisions, each with the values behind it."""
 
 from collections import Counter
 
@@ -12,7 +12,7 @@
 
 
 def log_grant(pool: PoolState, grant: Grant) -> None:
-    """Log that a request may go to a server."""
+    """Log that a request is granted a server."""
     log_event(
         Event.SERVER_GRANTED,
         id=grant.key,
@@ -40,7 +40,7 @@
 
 
 def log_order(planned: PlannedOrder, answer: OrderAnswer, *, fence: int) -> None:
-    """Log an order and how its server took it."""
+    """Log an order and its server's answer."""
     log_event(
         Event.ORDER_ANSWERED,
         kind=planned.kind.value,
@@ -55,7 +55,7 @@
 
 
 def log_pool(pool: PoolState, *, may_order: bool, now: int) -> None:
-    """Log what each model is asked for and where it is."""
+    """Log the demand for each model, and where it is loaded."""
     waiting = Counter(request.need.model for request in pool.waiting.values())
     index = index_copies(pool, now=now)
     models = {
--- a/src/arbutuspulley/node/pool_updates.py
+++ b/src/arbutuspulley/node/pool_updates.py
@@ -1,4 +1,4 @@
-"""Takes what instances tell their coordinator into its pools."""
+"""Applies messages of instances to the coordinator's pools."""
 
 from arbutuspulley.node.messages import (
     AttemptEnded,
@@ -19,19 +19,19 @@
 from arbutuspulley.ports.fleet import AttemptOutcome
 
 LATE_RATIO = 0.75
-"""Part of the aim after which a waiting request counts as late: the rest is needed
-to read its prompt."""
+"""Share of the latency target after which a waiting request counts as late: the rest is
+needed for the prefill of its prompt."""
 
 GIVE_UP_RATIO = 0.85
-"""Part of the time that a caller waits after which its request is given up."""
+"""Share of the time that a caller waits after which its request is given up."""
 
 
 def build_waiting_request(
     origin: str, request: GrantRequest, *, now: int
 ) -> WaitingRequest:
-    """Build the entry of a request that needs a server.
+    """Build the entry of a request that waits for a server.
 
-    :param origin: the instance that asks.
+    :param origin: name of the instance that asks.
     """
     return WaitingRequest(
         key=request.key,
@@ -51,9 +51,10 @@
 def add_running_requests(
     pools: dict[str, PoolState], origin: str, hello: Hello, *, now: int
 ) -> None:
-    """Count what an instance runs that this coordinator has not granted.
+    """Add requests that an instance runs and this coordinator has not granted.
 
-    When the first part of an answer came is not told; they count as read.
+    The message does not say when the first part of each answer came; their prefill
+    counts as done.
     """
     for run in hello.running:
         started_at = now - run.ran_ms
@@ -73,7 +74,7 @@
 def apply_progress(
     pools: dict[str, PoolState], message: ResponseStarted | AttemptEnded, *, now: int
 ) -> None:
-    """Take in that a run has begun to answer, or has ended."""
+    """Record that a run has sent the first part of its answer, or has ended."""
     for pool in pools.values():
         if message.incarnation not in pool.servers:
             continue
@@ -96,7 +97,7 @@
 
 
 def cancel_request(pools: dict[str, PoolState], message: CancelRequest) -> None:
-    """Forget a request whose caller has left."""
+    """Remove a request whose caller has disconnected."""
     pool = pools.get(message.service)
     if pool is None:
         return
@@ -106,7 +107,7 @@
 
 
 def remove_instance(pools: dict[str, PoolState], origin: str) -> None:
-    """Forget all that an instance waits for and runs, as its link is lost."""
+    """Remove all waiting and running requests of an instance whose link is lost."""
     for pool in pools.values():
         for key in [
             key for key, request in pool.waiting.items() if request.origin == origin
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -1,4 +1,4 @@
-"""The coordinator's side of teams' quotas: who is charged, and who is in debt."""
+"""The coordinator's side of teams' quotas: charges, and teams over their quota."""
 
 from collections.abc import Sequence
 
@@ -24,20 +24,21 @@
 from arbutuspulley.node.state import NodeState
 
 LOST_INSTANCE_TTL_MS = 20 * SECOND_MS
-"""How long an instance whose link was lost is taken to serve on by itself, in ms: cuts
-mostly last some seconds, and what is kept for one that is gone serves nobody."""
+"""Time for which an instance whose link is lost is assumed to continue on its own, in
+ms: network faults mostly last some seconds, and a share that is reserved for an
+instance that is gone serves nobody."""
 
 RECONNECT_GRACE_MS = 2 * SECOND_MS
-"""How long a new coordinator waits for instances that it knows of, in ms; they link up
-within half a second."""
+"""Time for which a new coordinator waits for the instances that it knows of, in ms;
+they link up within half a second."""
 
 
 class Quotas:
-    """The ledger, and which part of each quota it may give out.
+    """The ledger, and the share of each quota that it may grant.
 
-    An instance that is not linked serves on by its own part of each quota, see
-    :class:`~arbutuspulley.node.quota_charging.QuotaCharger`. That part is not given out
-    here, as long as it may last.
+    An instance that is not linked continues with its own share of each quota, see
+    :class:`~arbutuspulley.node.quota_charging.QuotaCharger`. That share is not granted
+    here as long as the instance may use it.
     """
 
     __slots__ = ("_expected", "_ledger", "_linked", "_lost", "_started_at", "_state")
@@ -51,7 +52,7 @@
         self._started_at = 0
 
     def reset(self) -> None:
-        """Begin as a coordinator that no instance is linked to yet."""
+        """Start as a coordinator to which no instance is linked yet."""
         self._ledger.reset()
         self._lost.clear()
         self._linked = ()
@@ -59,7 +60,7 @@
         self._started_at = self._state.clock.now()
 
     def apply_configuration(self) -> None:
-        """Take over the quotas of the configuration in force."""
+        """Apply the quotas of the active configuration."""
         state = self._state
         teams = state.configuration.teams if state.configuration else None
         limits = build_limits(teams or (), build_tolerance(state.settings))
@@ -68,7 +69,7 @@
     def charge(self, request: GrantRequest, *, now: int) -> Refused | None:
         """Charge a request to its team.
 
-        :return: the refusal, if the team has too little left.
+        :return: the refusal, if the team's balance is too low.
         """
         if not request.cost:
             return None
@@ -78,9 +79,9 @@
         return Refused(key=request.key, retry_after_ms=wait_ms, is_over_quota=True)
 
     def charge_usage(self, usage: QuotaUsage, *, now: int) -> QuotaExceeded | None:
-        """Take in what an instance has spent.
+        """Charge what an instance has spent.
 
-        :return: what it is to be told, if the team is in debt.
+        :return: the message to that instance if the team is now over its quota.
         """
         wait_ms = self._ledger.record_usage(usage.team, usage.cost, now=now)
         if not wait_ms or usage.cost <= 0:
@@ -88,18 +89,18 @@
         return QuotaExceeded(team=usage.team, wait_ms=wait_ms)
 
     def mark_linked(self, name: str) -> None:
-        """An instance is linked and counts here."""
+        """Record that an instance is linked: its share is granted here."""
         self._lost.pop(name, None)
 
     def mark_lost(self, info: NodeInfo) -> None:
-        """The link of an instance is lost; if it takes callers, it serves on."""
+        """Record that a link is lost; a ready instance continues on its own."""
         if info.is_ready:
             self._lost[info.name] = info, self._state.clock.now()
 
     def update_linked(self, linked: Sequence[NodeInfo]) -> None:
-        """Work out which part of each quota may be given out; call at intervals.
+        """Update the share of each quota that may be granted; call at intervals.
 
-        :param linked: the linked instances, the own one included.
+        :param linked: the linked instances, including this one.
         """
         share = self.compute_share(linked, decay_ms=self._state.settings.revocation_ms)
         self._ledger.set_refill_fraction(share, now=self._state.clock.now())
@@ -107,9 +108,10 @@
     def compute_share(
         self, linked: Sequence[NodeInfo], *, decay_ms: int | None
     ) -> float:
-        """Return which part of what all share is not kept for instances without links.
+        """Return the share of a limit not reserved for instances without a link.
 
-        :param ends_ms: after which those use nothing any more; ``None``: they go on.
+        :param decay_ms: time after which those use nothing any more, in ms; ``None``:
+            they continue.
         """
         now = self._state.clock.now()
         self._mark_silent(linked, now=now)
@@ -121,8 +123,8 @@
         lost = [info for info, _at in self._lost.values()]
         among = [*linked, *lost]
         if len(lost) > len(linked):
-            # This side is cut off rather than the other, where the next coordinator
-            # gives out the rest.
+            # This side is the disconnected one; on the other side, the next coordinator
+            # grants the rest.
             decay_ms = None
         share = 1.0
         for info, at in self._lost.values():
@@ -134,7 +136,7 @@
         return max(0.0, share)
 
     def _mark_silent(self, linked: Sequence[NodeInfo], *, now: int) -> None:
-        """Count those as lost that have fallen silent: their links may end later."""
+        """Count unreachable instances as lost, since their links may end later."""
         names = {info.name for info in linked}
         for info in self._linked:
             if info.is_ready and info.name not in names:
@@ -145,7 +147,7 @@
 
 
 def get_local_share(info: NodeInfo, *, among: Sequence[NodeInfo]) -> float:
-    """Return which part of what all instances share one of them uses by itself."""
+    """Return the share of a common limit that an instance uses on its own."""
     ready = [instance for instance in among if instance.is_ready]
     near = [instance for instance in ready if instance.site == info.site]
     return 1 / get_share_divisor(
--- a/src/arbutuspulley/node/rates.py
+++ b/src/arbutuspulley/node/rates.py
@@ -1,4 +1,4 @@
-"""The coordinator's side of servers' rate limits: who may send, and who is told."""
+"""The coordinator's side of servers' rate limits: permissions and distribution."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,7 @@
 
 
 class Rates:
-    """The ledger, and what the instances have not been told of it yet."""
+    """The ledger, and the changes of limits that have not been sent yet."""
 
     __slots__ = ("_changed", "_ledger", "_state")
 
@@ -26,13 +26,13 @@
         self._changed: set[str] = set()
 
     def reset(self) -> None:
-        """Begin as a coordinator that no instance is linked to yet."""
+        """Start as a coordinator to which no instance is linked yet."""
         known = self._state.limits.list_limits()
         self._ledger.reset(known, now=self._state.clock.now())
         self._changed.clear()
 
     def record(self, limits: Iterable[ServerLimit], *, now: int) -> bool:
-        """Take in limits that an instance has read.
+        """Record limits that an instance has read.
 
         :return: whether any was new.
         """
@@ -44,7 +44,7 @@
         return is_new
 
     def record_initial(self, limits: Iterable[ServerLimit], *, now: int) -> bool:
-        """Take in what an instance knows as it links up, but for what is known here.
+        """Record limits of an instance that links up, except those of known servers.
 
         :return: whether any was new.
         """
@@ -54,14 +54,14 @@
         return self.record(unknown, now=now)
 
     def apply(self, pools: Iterable[PoolState]) -> None:
-        """Let pools keep to the limits of their servers."""
+        """Apply the limits to the servers of pools."""
         self._ledger.evict_unlisted(self._state.by_incarnation)
         for pool in pools:
             for server in pool.servers.values():
                 server.limit = self._ledger.get(server.incarnation)
 
     def answer(self, message: PermissionRequest, *, now: int) -> Granted | Refused:
-        """Tell an instance whether it may send a request now."""
+        """Grant or refuse an instance permission to send a request now."""
         wait_ms = self._ledger.charge(message.incarnation, now=now)
         if wait_ms:
             log_event(
@@ -80,11 +80,11 @@
         )
 
     def set_share(self, share: float) -> None:
-        """Change the part of each limit that is given out here."""
+        """Set the share of each limit that may be granted here."""
         self._ledger.set_refill_fraction(share, now=self._state.clock.now())
 
     def pop_changes(self) -> ServerLimits | None:
-        """Return what all instances are to be told now; ``None``: nothing is new."""
+        """Return the changed limits to be sent to all instances, if there are any."""
         if not self._changed:
             return None
         known = self._ledger.list_limits()
@@ -96,7 +96,7 @@
         return ServerLimits(limits=limits)
 
     def build_full_limits(self) -> ServerLimits:
-        """Return what an instance that links up is told."""
+        """Return all limits, for an instance that links up."""
         known = self._ledger.list_limits()
         limits = tuple(
             ServerLimit(incarnation=incarnation, per_s=per_s)
--- a/src/arbutuspulley/node/relay.py
+++ b/src/arbutuspulley/node/relay.py
@@ -1,10 +1,11 @@
-"""Hands on what the store tells, so that few instances have to ask it.
-
-The coordinator follows the store and tells all others what is new. Two instances of
-other data centres follow it as well and tell the coordinator: a cut between it and the
-store then delays nothing, and nobody has to notice it first. Each row bears the version
-of the store that wrote it, and each instance keeps the newest of a row, so that what
-comes twice, late or by several ways does no harm.
+"""Relays store updates, so that few instances have to call the store.
+
+The coordinator follows the store and relays all changes to the other instances. Two
+instances of other data centres follow it as well and send changes to the coordinator: a
+network fault between it and the store then delays nothing, and need not be detected
+first. Each row carries the version of the store that wrote it, and each instance keeps
+the newest version of a row, so that rows which arrive twice, late or by several ways do
+no harm.
 """
 
 from collections.abc import Iterable
@@ -15,23 +16,25 @@
 from arbutuspulley.node.state import NodeState
 
 FOLLOWERS = 2
-"""Instances that follow the store beside the coordinator: with the loss of a data
-centre one of the three is left."""
+"""Number of instances that follow the store in addition to the coordinator: with the
+loss of a data centre one of the three is left."""
 
 DEFERRED_INTERVAL_MS = 3 * SECOND_MS
-"""How long a row is held back that says only which models a server holds, in ms: those
-change with each load, and instances use them only while nobody coordinates. Told at
-once, they alone would take more of each link than all control may."""
+"""Interval between batches of deferred rows, in ms. Rows that change only which models
+a server has loaded are deferred: they change with each load, and instances use them
+only while there is no coordinator. Sent at once, they alone would take more of each
+link than all control traffic may."""
 
 DEFERRED_BATCH_BYTES = 6_000
-"""Most bytes of such rows that are told at a time: 2 KB a second of the 4 that an
-instance may spend on control. The rest waits for the next time, the oldest first."""
+"""Maximum size of a batch of deferred rows, in bytes: 2 KB a second of the 4 that an
+instance may spend on control traffic. The rest waits for the next batch, the oldest
+first."""
 
 
 class Relay:
-    """The coordinator's part in it.
+    """The coordinator's part of the relay.
 
-    :param state: the process's own.
+    :param state: state of the process.
     """
 
     __slots__ = ("_deferred", "_flushed_at", "_state", "followers")
@@ -43,19 +46,19 @@
         self.followers: tuple[str, ...] = ()
 
     def reset(self) -> None:
-        """Begin with nothing held back and no followers."""
+        """Start with no deferred rows and no followers."""
         self._deferred.clear()
         self._flushed_at = self._state.clock.now()
         self.followers = ()
 
     @property
     def store_version(self) -> int:
-        """Up to which version of the store all rows have been told."""
+        """Version of the store up to which all rows have been sent."""
         versions = (row.version - 1 for row in self._deferred.values())
         return min(versions, default=self._state.store_version)
 
     def select_urgent(self, update: StoreUpdate) -> StoreUpdate | None:
-        """Return what of some news is to be told at once; the rest is held back."""
+        """Return the part of a store update to be sent at once, and defer the rest."""
         urgent: list[RelayedRow] = []
         for row in update.rows:
             if row.key in self._state.deferrable_rows and row.value:
@@ -68,7 +71,7 @@
         return StoreUpdate(rows=tuple(urgent), was_away=update.was_away)
 
     def flush(self, now: int) -> StoreUpdate | None:
-        """Return what was held back, once its time has come."""
+        """Return a batch of deferred rows, if one is due."""
         if now - self._flushed_at < DEFERRED_INTERVAL_MS:
             return None
         self._flushed_at = now
@@ -82,20 +85,20 @@
         return StoreUpdate(rows=tuple(rows)) if rows else None
 
     def build_catch_up(self, hello: Hello) -> StoreUpdate | None:
-        """Return what rows an instance misses that has just linked up."""
+        """Return the rows that a newly linked instance is missing."""
         rows = list_rows(self._state, after=hello.store_version)
         return StoreUpdate(rows=rows) if rows else None
 
     def build_full_configuration(self, _base: int) -> StoreUpdate:
-        """Return the configuration for an instance that understands no updates."""
+        """Return the configuration for an instance that does not understand deltas."""
         return StoreUpdate(configuration=self._state.configuration_body)
 
     def choose_followers(self, peers: Iterable[NodeInfo]) -> None:
-        """Choose who else follows the store: the best placed, in other data centres.
+        """Choose the followers: instances with most capacity, in other data centres.
 
-        Whoever does so goes on as long as it is heard and reaches the store.
+        A follower is kept as long as it is reachable and reaches the store.
 
-        :param peers: instances that may.
+        :param peers: instances that may be chosen.
         """
         ready = {info.name: info for info in peers if info.is_ready}
         kept = [name for name in self.followers if name in ready]
--- a/src/arbutuspulley/node/reports.py
+++ b/src/arbutuspulley/node/reports.py
@@ -1,4 +1,4 @@
-"""Asks model servers for reports, as often as what is known of them is in doubt."""
+"""Polls model servers for reports, more often while their state is in doubt."""
 
 from collections.abc import Callable, Coroutine, Iterable
 from typing import Any
@@ -9,13 +9,13 @@
 from arbutuspulley.pool.state import PoolState, ServerState
 
 REPORT_INTERVAL_MS = 3_000
-"""Time between reports of a server about which nothing is in doubt, in ms."""
+"""Interval between reports of a server whose state is not in doubt, in ms."""
 
 
 class ReportPoller:
-    """When each server was last asked.
+    """When each server was last polled.
 
-    :param note_taken: called after a report was taken in.
+    :param on_report: called after a report was applied.
     """
 
     __slots__ = ("_on_report", "_requested_at", "_state")
@@ -26,7 +26,7 @@
         self._requested_at: dict[str, int] = {}
 
     def poll(self, pools: Iterable[PoolState]) -> Iterable[Coroutine[Any, Any, None]]:
-        """Return the calls that are due now, to be run."""
+        """Return the calls that are due now, to be run as tasks."""
         now = self._state.clock.now()
         for pool in pools:
             needing_report = list_servers_needing_report(pool, now=now)
--- a/src/arbutuspulley/node/roster.py
+++ b/src/arbutuspulley/node/roster.py
@@ -1,9 +1,10 @@
-"""Which instances there are: told by version and difference, each what it needs.
+"""The roster of instances, sent to each data centre as a version and its changes.
 
-An instance names addresses to callers, mostly of its own data centre. So it is told of
-all instances there and of a few in each other data centre. The whole list goes only to
-an instance that has none; after that, only what has changed. Told whole to all at each
-beat, the list would take the coordinator's link by the square of their number.
+An instance names addresses to callers, mostly of its own data centre. So its roster has
+all instances there and a few of each other data centre. The full roster goes only to an
+instance that has none; after that, only changes are sent. If the full roster went to
+all instances at each heartbeat, the traffic on the coordinator's link would grow with
+the square of their number.
 """
 
 from collections.abc import Iterable
@@ -12,15 +13,15 @@
 from arbutuspulley.node.messages import NodeInfo, RosterChange
 
 REMOTE_SAMPLE_SIZE = 4
-"""Instances of another data centre that are told: callers are sent there only if their
-own has fewer than two, and two may fail at once."""
+"""Number of instances of each other data centre in a roster: callers are sent there
+only if their own has fewer than two, and two may fail at once."""
 
 
 class RosterState(State):
-    """What the coordinator has told the instances of one data centre.
+    """The roster of one data centre, as last sent to its instances.
 
-    :param version: counts the changes told.
-    :param nodes: by name, as told.
+    :param version: counts the changes sent.
+    :param nodes: instances by name, as sent.
     """
 
     site: str
@@ -29,7 +30,7 @@
 
 
 def select_view(infos: Iterable[NodeInfo], *, site: str) -> dict[str, NodeInfo]:
-    """Return the instances of which those of a data centre are told."""
+    """Return the instances that belong in the roster of a data centre."""
     near: list[NodeInfo] = []
     others: dict[str, list[NodeInfo]] = {}
     for info in infos:
@@ -47,7 +48,7 @@
 def update_roster(
     roster: RosterState, view: dict[str, NodeInfo]
 ) -> RosterChange | None:
-    """Take in what is to be told; return the difference, ``None`` if there is none."""
+    """Update a roster; return the change to be sent, ``None`` if there is none."""
     joined = [info for name, info in view.items() if roster.nodes.get(name) != info]
     left = [name for name in roster.nodes if name not in view]
     if not joined and not left:
@@ -61,14 +62,14 @@
 
 
 def build_full_roster(roster: RosterState) -> RosterChange:
-    """Return the whole list, for an instance that has none."""
+    """Return the full roster, for an instance that has none."""
     return RosterChange(version=roster.version, joined=tuple(roster.nodes.values()))
 
 
 class RosterCopy(State):
-    """An instance's copy of what it was told.
+    """An instance's copy of its roster.
 
-    :param version: of the copy; 0: none, the whole list is needed.
+    :param version: version of the copy; 0: none, the full roster is needed.
     """
 
     version: int = 0
@@ -78,8 +79,8 @@
 def apply_change(copy: RosterCopy, change: RosterChange) -> bool:
     """Apply a change to an instance's copy.
 
-    :return: whether it could be; if not, the copy counts as none from now on, and the
-        list so far stays in use until the whole one has come.
+    :return: whether it could be applied; if not, the copy counts as none from now on,
+        and its instances stay in use until the full roster arrives.
     """
     if change.base and change.base != copy.version:
         copy.version = 0
--- a/tests/node_states.py
+++ b/tests/node_states.py
@@ -1,4 +1,4 @@
-"""States of a node's process for tests that start none."""
+"""States of a node process, for tests that start none."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 def build_info(name, *, site="a1", is_ready=True, **changes):
-    """Build what an instance says of itself; its region is its site's first letter."""
+    """Build an instance's description; its region is the first letter of its site."""
     return NodeInfo(
         name=name,
         site=site,
--- a/tests/proxied_nodes.py
+++ b/tests/proxied_nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes that each reach the store by a proxy of their own."""
+"""Real nodes that each reach the store through a proxy of their own."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
     """Run a scenario on nodes that follow one coordinator.
 
     :param scenario: called with the fleet, a client session and the proxies by node.
-    :param bounds: what :meth:`Fleet.start_node` takes.
+    :param bounds: arguments of :meth:`Fleet.start_node`.
     """
 
     async def run():
--- a/tests/test_advertisement.py
+++ b/tests/test_advertisement.py
@@ -1,4 +1,4 @@
-"""Which instances take callers, and what they may use of what all share."""
+"""Instances that are advertised to callers, and their shares of common limits."""
 
 import msgspec
 import pytest
@@ -57,8 +57,9 @@
     ],
 )
 def test_largest_instances_are_advertised_if_they_suffice(area, expected):
-    """Half the streams went through links of 5 Mbit/s, and 72 instances kept hardly any
-    connection to a server in use until its next request."""
+    """Guards against spreading callers over all instances: half the streams went
+    through links of 5 Mbit/s, and 72 instances kept hardly any connection to a server
+    in use until its next request."""
     assert select_advertised(area) == [area[number] for number in expected]
 
 
@@ -71,8 +72,8 @@
 
 @pytest.mark.parametrize("advertised", [6, 15, 40])
 def test_shares_of_all_instances_do_not_exceed_the_limit(advertised):
-    """Callers that still hold an old answer come to any instance. The connections that
-    a server accepts and the repeats of all must hold even if all use their part."""
+    """Callers with an outdated answer use any instance. The connections that a server
+    accepts and the retry budget must hold even if all instances use up their shares."""
     instances = 72
     counts = [
         get_share_divisor(
@@ -101,9 +102,9 @@
 
 
 def test_advertised_instances_get_a_larger_share():
-    """Six of 72 instances took all callers, and each counted its part as one of 72:
-    five requests at a server of 490 connections. One in ten bookings was refused while
-    the servers were free, and repeats that the budget allowed were not made."""
+    """Six of 72 instances served all callers, and each counted its share as one of 72:
+    five requests at a server with 490 connections. One in ten bookings was refused
+    while the servers were free, and retries that the budget allowed were not made."""
     state = build_state()
     state.settings = msgspec.structs.replace(state.settings, cores=2.15, link_mbps=100)
     state.nodes = tuple(build_area(LARGE, *[SMALL] * 20))
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""What the coordinator keeps of instances whose links come and go."""
+"""State that the coordinator keeps of instances that reconnect."""
 
 from arbutuspulley.membership.coordinator_lease import CoordinatorLeaseState
 from arbutuspulley.node.coordinator import Coordinator
@@ -14,8 +14,8 @@
 
 def test_request_that_ended_during_a_reconnect_holds_no_slot():
     """All connections are reset. An instance opens its link again before the
-    coordinator has seen the end of the one before; a request that ended in between was
-    never told. It held a slot of its server for the rest of the day."""
+    coordinator has seen the end of the old one; a request that ended in between was
+    never reported. It held a slot of its server for the rest of the day."""
     lease = CoordinatorLeaseState(name="own", link="own:1", boot="b", lease_ms=3_000)
     state = build_state()
     coordinator = Coordinator(
@@ -36,8 +36,9 @@
 
 
 def test_successor_keeps_start_times_of_running_requests():
-    """A coordinator is lost. Its successor took all that ran for just begun: it waited
-    too long for models to leave, and learnt that runs take less than they do."""
+    """A coordinator is lost. Its successor counted all running requests as just
+    started: it waited too long for models to be unloaded, and underestimated the
+    duration of runs."""
     server = build_server("s0", "m0")
     pools = {"llm": build_pool(server)}
     add_run(server, "runs", "m0")
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Who looks for a coordinator, when, and who gives the lease up for another."""
+"""When instances claim the coordinator's lease, and when they hand it over."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class LeaseStore:
-    """The lease's row in a store that answers at once; counts the readings."""
+    """The lease's row in a store that answers at once; counts the reads."""
 
     is_failing = False
 
@@ -119,7 +119,7 @@
 
 
 class Member:
-    """One process's part in an election."""
+    """The part of one process in an election."""
 
     def __init__(self, name, members, store, now, *, capacity, seed):
         state = build_state(clock=Clock(read=lambda: now[0]), name=name)
@@ -175,7 +175,7 @@
 
 
 def publish_roster(members, capacities):
-    """Tell all members of each other, as a coordinator has."""
+    """Give all members the roster, as a coordinator does."""
     area = build_area(*capacities)
     nodes = tuple(
         msgspec.structs.replace(info, name=f"n{number}")
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_large_fleet_elects_a_large_coordinator_at_start(seed):
     """72 instances start at once. Whichever claimed first kept the lease for the day;
-    eleven in twelve had a link that their own digests filled."""
+    eleven in twelve had a link that their own status messages filled."""
     now = [1_000]
     store = LeaseStore(now)
     members = build_members(CAPACITIES, store, now)
@@ -205,13 +205,13 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_lost_coordinator_is_replaced_with_few_lease_reads(seed):
     """A coordinator's machine loses power, and its links fall silent. Each of 72
-    instances read the lease each 0.4 s until it was free, then all claimed it at the
-    same moment; a small one that read it just then was sooner than the large ones."""
+    instances read the lease every 0.4 s until it was free, then all claimed it at the
+    same moment; a small one that read it just then was faster than the large ones."""
     now = [1_000]
     store = LeaseStore(now)
     members = build_members(CAPACITIES, store, now)
     order = random.Random(seed)
-    # Its last renewal is anything up to 0.9 s ago.
+    # The last renewal was up to 0.9 s ago.
     run_members(members, now, ms=2_000 + 45 * seed, order=order)
     publish_roster(members, CAPACITIES)
     (lost,) = list_leaders(members)
@@ -238,8 +238,8 @@
 
 
 def test_lease_is_handed_over_to_a_stable_larger_instance():
-    """All large instances are killed at once; a small one takes the lease, and kept it
-    for the rest of the day after they were back."""
+    """All large instances are killed at once; a small one claimed the lease, and kept
+    it for the rest of the day after they had restarted."""
     now = [1_000]
     store = LeaseStore(now)
     members = build_members([0.125, 2.15], store, now)
@@ -265,8 +265,9 @@
 
 
 def test_new_coordinator_counts_requests_of_its_own_instance():
-    """All others say what they run as they link up; nobody said it of the coordinator's
-    own instance, and its servers got more than their slots until those had ended."""
+    """Other instances report what they run as they link up, but nothing did so for the
+    coordinator's own instance: its servers got more requests than they had slots until
+    those runs had ended."""
     now = [0]
     members = build_members([1.0, 1.0], LeaseStore(now), now)
     run_members(members, now, ms=1_000, order=random.Random(1))
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""How old what the coordinator tells is."""
+"""Age of the coordinator's status, measured by acknowledged heartbeats."""
 
 import msgspec
 import pytest
--- a/tests/test_orders_sent.py
+++ b/tests/test_orders_sent.py
@@ -1,4 +1,4 @@
-"""Orders on their way as their holder steps down."""
+"""Orders in transit while their holder steps down."""
 
 import asyncio
 
@@ -29,7 +29,8 @@
 
 
 def step_down(monkeypatch, *, answer_ms, answer, wait_ms=0):
-    """Send an order, step down, and return whether that was clean and what came."""
+    """Send an order, step down, and return whether the drain was clean and the
+    answers."""
     monkeypatch.setattr(orders, "DRAIN_TIMEOUT_MS", 50)
     now = [0]
 
@@ -79,8 +80,8 @@
 def test_drain_is_clean_only_if_all_recent_orders_were_answered(
     monkeypatch, answer_ms, answer, wait_ms, is_clean
 ):
-    """A coordinator hands its lease over while an order waits in its full link. The
-    successor ordered at once; the older order reached its server 11 ms later."""
+    """A coordinator hands over its lease while an order is queued in its full link. The
+    successor sent orders at once; the older order reached its server 11 ms later."""
     found, answers = step_down(
         monkeypatch, answer_ms=answer_ms, answer=answer, wait_ms=wait_ms
     )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What the coordinator tells the instances that are linked to it."""
+"""Messages of the coordinator to the instances that are linked to it."""
 
 import msgspec
 import pytest
@@ -26,10 +26,10 @@
 from tests.node_states import build_info, build_state
 
 ACTIVATION_LIMIT_MS = 2_000
-"""A change has to be in force everywhere within this time."""
+"""Time within which a change has to be active everywhere, in ms."""
 
 LINK_BYTES_PER_MS = 12_500
-"""What the coordinator's link carries: 100 Mbit/s."""
+"""Bandwidth of the coordinator's link: 100 Mbit/s."""
 
 
 def encode_configuration(version, *, routes):
@@ -44,7 +44,7 @@
 class SaturatedLink:
     """The coordinator's link, over which one frame after another goes to each peer.
 
-    A frame that has begun to go out is no longer changed.
+    A frame whose transmission has begun is no longer changed.
     """
 
     def __init__(self, peers, links):
@@ -54,7 +54,7 @@
         self._remaining = dict.fromkeys(links, 0)
 
     def transmit(self, ms):
-        """Let so much time pass, shared evenly between the peers that are sent to."""
+        """Let time pass; the bandwidth is shared evenly between peers with a frame."""
         room = ms * LINK_BYTES_PER_MS
         while room > 0:
             self._begin_frames()
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("routes", [200, 1_600])
 def test_rapid_configuration_changes_become_active_in_time(routes):
-    """Guards against configurations that wait in the coordinator's full link."""
+    """Guards against configurations that queue in the coordinator's full link."""
     now = [0]
     clock = Clock(read=lambda: now[0])
     state = build_state(clock=clock)
@@ -94,7 +94,7 @@
         other = build_state(clock=clock, name=f"n{number}")
         links[other.settings.name] = link = Link(state=other)
         activate_configuration(other, state.configuration_body, by="store")
-        # As a link begins: what goes over the wire and back is all that is known.
+        # Encoded and decoded, so that the coordinator sees only what is on the wire.
         (hello,) = decode_from_node(encode_frame([link.build_hello()]))
         peers.add(hello)
     link_out = SaturatedLink(peers, links)
@@ -128,7 +128,7 @@
 
 
 def build_peers(version):
-    """Build a coordinator's peers; a configuration of this version is in force."""
+    """Build a coordinator's peers, with a version of the configuration active."""
     state = build_state()
     activate_configuration(state, encode_configuration(version, routes=9), by="store")
     relay = Relay(state=state)
@@ -169,7 +169,7 @@
 
 
 def test_follower_without_store_access_is_replaced():
-    """Guards against followers that are cut off one by one until none is left."""
+    """Guards against followers that lose the store one by one until none is left."""
     _state, peers = build_peers(5)
     for name in ("a", "b", "c"):
         peers.add(Hello(info=build_info(name), configuration=5))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What the store tells few instances reaches all, once and never backwards."""
+"""Relayed store updates: all instances converge to the newest version of each row."""
 
 import asyncio
 import itertools
@@ -36,7 +36,7 @@
 from tests.node_states import build_info, build_state
 
 ACTIVATION_LIMIT_MS = 2_000
-"""A change has to be in force everywhere within this time."""
+"""Time within which a change has to be active everywhere, in ms."""
 
 
 def build_value(*, state="ready", models=()):
@@ -58,9 +58,9 @@
 
 
 def test_rows_converge_in_any_order():
-    """The store's changes reach an instance by its own call, by the coordinator and by
-    way of a follower; after a change of coordinator older ones come once more. A server
-    that has left came back and got requests."""
+    """Changes of the store reach an instance by its own call, from the coordinator and
+    through a follower; after a change of coordinator older ones arrive once more. A
+    server that had left was listed again and got requests."""
     rows = [
         build_row("a", 1),
         build_row("a", 3, state="draining"),
@@ -76,7 +76,7 @@
 
 
 def test_full_read_keeps_newer_relayed_rows():
-    """All rows are read while the relay tells of a server that has just come."""
+    """All rows are read while the relay reports a server that has just registered."""
     state = build_state()
     apply_store_update(
         state,
@@ -118,8 +118,8 @@
 
 def test_changes_of_loaded_models_are_deferred_and_others_relayed_at_once():
     """Each load changes a server's row. At 56 servers under load each change went to
-    each of 72 instances, 12 KB a second; only a server that comes, drains or goes
-    matters to instances that ask the coordinator."""
+    each of 72 instances, 12 KB a second; only a server that joins, drains or leaves
+    matters to instances with a coordinator."""
     now = [0]
     state, relay = build_relay(now=now)
     joined = apply_store_update(
@@ -131,7 +131,7 @@
         state, StoreUpdate(rows=(build_row("a", 2, models=("m0",)),)), by="coordinator"
     )
     assert relay.select_urgent(deferred) is None
-    # Whoever goes on by itself must ask the store for what was held back.
+    # An instance without a coordinator must read the deferred rows from the store.
     assert relay.store_version == 1
     assert relay.flush(DEFERRED_INTERVAL_MS - 1) is None
     assert relay.flush(DEFERRED_INTERVAL_MS).rows == deferred.rows
@@ -144,8 +144,8 @@
 
 
 def test_deferred_batch_is_bounded_and_oldest_first():
-    """With 580 servers under load, what they hold would take 65 KB a second of each
-    link, where 4 are for control."""
+    """With 580 servers under load, changes of loaded models would take 65 KB a second
+    of each link, where 4 are for control traffic."""
     state, relay = build_relay(now=[0])
     rows = tuple(build_row(f"s{one:02}", one + 1) for one in range(80))
     apply_store_update(state, StoreUpdate(rows=rows), by="coordinator")
@@ -217,7 +217,7 @@
 
 
 class FakeStore:
-    """A store that answers at once and counts the calls."""
+    """A store that answers at once and records the calls."""
 
     is_failing = False
 
@@ -236,7 +236,7 @@
 
 def test_instance_follows_the_store_only_without_a_relay(monkeypatch):
     """Each of 72 instances kept two calls open at the store, 10,000 calls in a calm
-    minute. They ask when the relay is lost, from where it left off."""
+    minute. They now call it when the relay is lost, from the last version they know."""
     monkeypatch.setattr(store_watch, "RELAY_POLL_MS", 1)
     monkeypatch.setattr(store_watch, "MIN_FALLBACK_DELAY_MS", 2)
     monkeypatch.setattr(store_watch, "MAX_FALLBACK_DELAY_MS", 4)
@@ -267,9 +267,9 @@
 def test_starting_process_waits_for_a_coordinator_before_following_the_store(
     monkeypatch, found, expected
 ):
-    """All instances start, and each asked the store for changes before it had heard of
-    the coordinator that tells it: a third of all calls of a calm day. If it hears of
-    none it asks the store after a moment."""
+    """All instances start, and each called the store for changes before it had found
+    the coordinator that relays them: a third of all calls of a calm day. Without a
+    coordinator, an instance calls the store after a moment."""
     monkeypatch.setattr(store_watch, "RELAY_POLL_MS", 1)
     monkeypatch.setattr(
         store_watch, "FIRST_COORDINATOR_WAIT_MS", 30_000 if found else 500
@@ -325,7 +325,7 @@
 
 
 def build_link(version=0, **settings):
-    """Build a link of an instance that has a version in force, and its time."""
+    """Build a link of an instance with an active version, and its clock's time."""
     now = [0]
     state = build_state(clock=Clock(read=lambda: now[0]), **settings)
     state.store = SimpleNamespace(is_failing=False, is_result_recent=False)
@@ -343,7 +343,7 @@
 
 
 def test_relay_is_not_trusted_if_the_coordinator_has_an_unsent_configuration():
-    """Guards against an update that did not fit and is never asked for again."""
+    """Guards against a delta that did not fit and is never requested again."""
     _now, state, link = build_link(4)
     link.receive([build_status(configuration=5)])
     assert not link.is_store_relayed
@@ -352,7 +352,8 @@
 
 
 def test_relay_is_not_trusted_if_the_status_is_late():
-    """Guards against digests that come at their intervals, each behind a full link."""
+    """Guards against status messages that come at their intervals, each behind a full
+    link."""
     now, _state, link = build_link()
     heartbeats = []
     for _ in range(20):
@@ -385,7 +386,7 @@
 
 
 def test_follower_relays_store_updates():
-    """The coordinator is cut off from the store, and nobody has noticed yet."""
+    """The coordinator is disconnected from the store, and nobody has noticed yet."""
     state = build_state()
     link = Link(state=state)
     update = StoreUpdate(rows=(build_row("a", 1),))
@@ -398,15 +399,15 @@
 
 
 def pop_sent_versions(link):
-    """Return the versions that a link has told its coordinator since the last time."""
+    """Return the versions that a link has sent its coordinator since the last call."""
     sent = [one for one in link._outgoing if isinstance(one, ConfigurationDelta)]
     link._outgoing.clear()
     return [(one.base, one.version) for one in sent]
 
 
 def test_instance_sends_its_newer_configuration_to_the_coordinator():
-    """Guards against a new coordinator that is cut off from the store and holds all
-    others back, though one of them was told by the store before the link was there."""
+    """Guards against a new coordinator without store access that delays all instances,
+    though one of them received the change from the store before its link was open."""
     _now, state, link = build_link(4)
     activate_configuration(state, encode_version(5), by="store")
     link.reset_coordinator_state()
@@ -435,8 +436,8 @@
 def test_only_followers_send_the_full_configuration_to_a_coordinator(
     followers, relayed
 ):
-    """One that has just started, or does not understand updates, gets the whole; not
-    from all instances at once."""
+    """A coordinator that has just started, or does not understand deltas, gets the full
+    configuration, but not from all instances at once."""
     _now, state, link = build_link(4)
     link.reset_coordinator_state()
     link.receive([build_status(followers=followers)])
@@ -445,7 +446,7 @@
 
 
 def test_follower_reports_store_loss_at_once():
-    """Guards against a quarter of a second in which all others still wait."""
+    """Guards against a quarter of a second in which all other instances still wait."""
     _now, state, link = build_link()
     link.receive([build_status(followers=("own",))])
     link._outgoing.clear()
@@ -489,8 +490,8 @@
     ids=["unknown kind", "wrong type", "field missing", "a list", "a number"],
 )
 def test_unknown_message_does_not_affect_the_rest_of_its_frame(invalid):
-    """A release rolls through 195 instances. One message that the older ones don't know
-    cost them the whole frame and the link, again and again."""
+    """A release is rolled out to 195 instances. One message that the older ones did not
+    know cost them the whole frame and the link, again and again."""
     frame = encode(STATUS, invalid, STATUS)
     assert decode_from_coordinator(frame) == [STATUS, STATUS]
 
--- a/tests/test_relayed_changes.py
+++ b/tests/test_relayed_changes.py
@@ -1,4 +1,4 @@
-"""Real nodes put a change in force in time though some have lost the store."""
+"""Real nodes activate a change in time although some have lost the store."""
 
 import asyncio
 import time
@@ -15,15 +15,16 @@
 from tests.proxy import Direction, FaultProxy
 
 ACTIVATION_LIMIT_S = 2.0
-"""A change has to be in force everywhere within this time."""
+"""Time within which a change has to be active everywhere, in s."""
 
 LEASE_MS = 3_000
-"""Long enough that no other node takes over within that time."""
+"""Long enough that no other node takes over within that time, in ms."""
 
 NODES = ("n1", "n2", "n3", "n4")
 
 SETTLE_S = 3.0
-"""Until the coordinator has chosen who follows the store, and all others rest."""
+"""Time until the coordinator has chosen followers and all others have stopped calling
+the store, in s."""
 
 
 def run_when_settled(folder, scenario):
@@ -42,7 +43,7 @@
 
 
 async def measure_change(fleet, session, name, version):
-    """Add a route and return after how many s a node serves it."""
+    """Add a route and return after how many seconds a node serves it."""
     prefix = f"/new{version}/"
     routes = (build_route(prefix, "plain", "safe"),)
     fleet.store.put("op", "config", build_configuration(version, routes=routes))
@@ -66,7 +67,8 @@
     "fault", [drop_traffic, FaultProxy.cut], ids=["silent", "refused"]
 )
 def test_change_is_active_in_time_if_all_followers_lose_the_store(tmp_path, fault):
-    """Guards against instances that wait to be told by those who are cut off."""
+    """Guards against instances that wait for updates from followers without store
+    access."""
 
     async def scenario(fleet, session, proxies):
         idle = find_idle_node(fleet)
@@ -80,7 +82,7 @@
 
 
 def test_change_is_active_in_time_on_a_node_without_the_store(tmp_path):
-    """Guards against instances that only the store tells of changes."""
+    """Guards against instances that get changes only from the store."""
 
     async def scenario(fleet, session, proxies):
         idle = find_idle_node(fleet)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""What instances are told of each other, by version and difference."""
+"""Rosters of instances, sent by version and difference."""
 
 import random
 
@@ -31,8 +31,8 @@
 
 
 def test_roster_copies_converge_under_random_changes():
-    """Instances come, go and change at random; each copy that is told the differences,
-    or the whole when it has none, is the list at every step."""
+    """Instances join, leave and change at random; each copy that gets the differences,
+    or the full roster when it has none, equals the roster at every step."""
     chance = random.Random(1)
     roster, copy = RosterState(site="a1", version=1), RosterCopy()
     present = {}
@@ -65,8 +65,8 @@
     ids=["one was missed", "an old one again", "of another coordinator"],
 )
 def test_change_with_a_wrong_base_is_not_applied(version, base):
-    """A link is opened anew between two changes, or a change comes twice. Applied, the
-    copy would lack an instance, or name one that has stopped, for good."""
+    """A link is reopened between two changes, or a change arrives twice. If it were
+    applied, the copy would lack an instance, or name one that has stopped, for good."""
     copy = RosterCopy(version=6, nodes={"n1": build_numbered(1)})
     change = RosterChange(version=version, base=base, left=("n1",))
     assert not apply_change(copy, change)
@@ -75,8 +75,9 @@
 
 @pytest.mark.parametrize(("instances", "sites"), [(6, 3), (72, 3), (195, 5), (360, 9)])
 def test_roster_size_depends_on_the_own_data_centre_only(instances, sites):
-    """One more instance is told to those of its data centre; what goes to each is some
-    hundred bytes, however many there are. The whole list went to each at a change."""
+    """A new instance is announced in its own data centre; each instance there gets some
+    hundred bytes, however many instances there are. Guards against sending the full
+    roster to each at a change."""
     infos = [build_numbered(n, site=f"s{n % sites}") for n in range(instances)]
     roster = RosterState(site="s0", version=1)
     update_roster(roster, select_view(infos, site="s0"))
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -1,4 +1,4 @@
-"""Real nodes keep together to the rate limits that servers name."""
+"""Real nodes together keep to the rate limits that servers set."""
 
 import asyncio
 import itertools
@@ -13,15 +13,15 @@
 NODES = ("n1", "n2", "n3", "n4")
 
 WINDOW_S = 4.0
-"""Requests are counted in any window of this length."""
+"""Length of the window in which requests are counted, in s."""
 
 LIMIT_PER_S = 1.0
 
 MAX_IN_WINDOW = 1.5 * LIMIT_PER_S * WINDOW_S + 5
-"""Requests that all nodes together may send a limited server in a window."""
+"""Maximum number of requests of all nodes together to a limited server in a window."""
 
 PROPAGATION_S = 0.5
-"""Time after which a node that has passed on a limit has to keep to it."""
+"""Time after which a node that has passed on a limit has to keep to it, in s."""
 
 LOAD_S = 9.0
 
@@ -29,14 +29,15 @@
 """When the coordinator is lost, in s."""
 
 LOSS_S = 2.5
-"""For how long it is frozen or cut off, in s; another one takes over meanwhile."""
+"""Time for which it is frozen or disconnected from the store, in s; another node takes
+over meanwhile."""
 
 ASK_EVERY_S = 0.04
-"""Time between two requests, to one node after the other."""
+"""Interval between two requests, to one node after the other, in s."""
 
 
 def find_max_in_window(arrivals):
-    """Return the most requests that came in any window."""
+    """Return the maximum number of requests that came in any window."""
     return max(
         (sum(begin <= at < begin + WINDOW_S for at in arrivals) for begin in arrivals),
         default=0,
@@ -44,7 +45,7 @@
 
 
 async def ask_all(fleet, session, path, *, model=""):
-    """Ask at a steady pace through all nodes in turn.
+    """Send requests at a steady pace through all nodes in turn.
 
     :return: the answers' status codes; ``None``: there was no answer.
     """
@@ -72,7 +73,8 @@
     ids=["model", "plain"],
 )
 def test_all_nodes_together_respect_a_server_rate_limit(tmp_path, limited, path, model):
-    """Guards against a server in need that gets as much as before from all nodes."""
+    """Guards against an overloaded server that gets as many requests as before from all
+    nodes."""
 
     async def scenario(fleet, session, proxies):
         servers = [one for one in fleet.servers if one.incarnation in limited]
@@ -107,7 +109,7 @@
 @pytest.mark.parametrize("path", ["/chat/", "/book/"], ids=["model", "plain"])
 @pytest.mark.parametrize("lose", [kill, freeze, cut_from_store])
 def test_rate_limit_holds_when_the_coordinator_is_lost(tmp_path, lose, path):
-    """Guards against a limit that is forgotten or used twice at a takeover."""
+    """Guards against a limit that is forgotten or granted twice at a takeover."""
     model = "m0" if path == "/chat/" else ""
 
     async def scenario(fleet, session, proxies):
