--- a/tests/test_relayed_changes.py
+++ b/tests/test_relayed_changes.py
@@ -1,4 +1,4 @@
-"""Real nodes put a change in force in time though some have lost the store."""
+"""Real nodes activate a change in time although some have lost the store."""
 
 import asyncio
 import time
@@ -11,38 +11,39 @@
     build_route,
     wait_until,
 )
-from tests.proxied_nodes import play_on_nodes
+from tests.proxied_nodes import run_on_nodes
 from tests.proxy import Direction, FaultProxy
 
-IN_FORCE_WITHIN_S = 2.0
-"""A change has to be in force everywhere within this time."""
+ACTIVATION_LIMIT_S = 2.0
+"""Time within which a change has to be active everywhere, in s."""
 
 LEASE_MS = 3_000
-"""Long enough that no other node takes over within that time."""
+"""Long enough that no other node takes over within that time, in ms."""
 
 NODES = ("n1", "n2", "n3", "n4")
 
 SETTLE_S = 3.0
-"""Until the coordinator has chosen who follows the store, and all others rest."""
+"""Time until the coordinator has chosen followers and all others have stopped calling
+the store, in s."""
 
 
-def play(folder, scenario):
+def run_when_settled(folder, scenario):
     """Run a scenario once all nodes have settled."""
 
     async def run_settled(fleet, session, proxies):
         await asyncio.sleep(SETTLE_S)
         await scenario(fleet, session, proxies)
 
-    play_on_nodes(folder, run_settled, names=NODES, lease_ms=LEASE_MS)
+    run_on_nodes(folder, run_settled, names=NODES, lease_ms=LEASE_MS)
 
 
-def find_resting(fleet):
+def find_idle_node(fleet):
     """Return the node that neither coordinates nor follows the store."""
     return [name for name in NODES if name != fleet.find_coordinator()][-1]
 
 
 async def measure_change(fleet, session, name, version):
-    """Add a route and return after how many s a node serves it."""
+    """Add a route and return after how many seconds a node serves it."""
     prefix = f"/new{version}/"
     routes = (build_route(prefix, "plain", "safe"),)
     fleet.store.put("op", "config", build_configuration(version, routes=routes))
@@ -58,35 +59,34 @@
     return time.monotonic() - begun
 
 
-def lose_silently(proxy):
+def drop_traffic(proxy):
     proxy.drop(Direction.TO_CLIENT, Direction.TO_TARGET)
 
 
 @pytest.mark.parametrize(
-    "fault", [lose_silently, FaultProxy.cut], ids=["silent", "refused"]
+    "fault", [drop_traffic, FaultProxy.cut], ids=["silent", "refused"]
 )
-def test_a_change_is_in_force_though_all_who_follow_the_store_have_lost_it(
-    tmp_path, fault
-):
-    """Guards against instances that wait to be told by those who are cut off."""
+def test_change_is_active_in_time_if_all_followers_lose_the_store(tmp_path, fault):
+    """Guards against instances that wait for updates from followers without store
+    access."""
 
     async def scenario(fleet, session, proxies):
-        resting = find_resting(fleet)
-        assert await measure_change(fleet, session, resting, 2) < IN_FORCE_WITHIN_S
+        idle = find_idle_node(fleet)
+        assert await measure_change(fleet, session, idle, 2) < ACTIVATION_LIMIT_S
         for name in NODES:
-            if name != resting:
+            if name != idle:
                 fault(proxies[name])
-        assert await measure_change(fleet, session, resting, 3) < IN_FORCE_WITHIN_S
+        assert await measure_change(fleet, session, idle, 3) < ACTIVATION_LIMIT_S
 
-    play(tmp_path, scenario)
+    run_when_settled(tmp_path, scenario)
 
 
-def test_a_change_is_in_force_where_the_store_is_lost(tmp_path):
-    """Guards against instances that only the store tells of changes."""
+def test_change_is_active_in_time_on_a_node_without_the_store(tmp_path):
+    """Guards against instances that get changes only from the store."""
 
     async def scenario(fleet, session, proxies):
-        resting = find_resting(fleet)
-        lose_silently(proxies[resting])
-        assert await measure_change(fleet, session, resting, 2) < IN_FORCE_WITHIN_S
+        idle = find_idle_node(fleet)
+        drop_traffic(proxies[idle])
+        assert await measure_change(fleet, session, idle, 2) < ACTIVATION_LIMIT_S
 
-    play(tmp_path, scenario)
+    run_when_settled(tmp_path, scenario)
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -1,4 +1,4 @@
-"""Real nodes keep together to the rate limits that servers name."""
+"""Real nodes together keep to the rate limits that servers set."""
 
 import asyncio
 import itertools
@@ -7,21 +7,21 @@
 import pytest
 
 from scripts.platform_stage import ask
-from tests.proxied_nodes import play_on_nodes
+from tests.proxied_nodes import run_on_nodes
 from tests.proxy import Direction
 
 NODES = ("n1", "n2", "n3", "n4")
 
 WINDOW_S = 4.0
-"""Requests are counted in any window of this length."""
+"""Length of the window in which requests are counted, in s."""
 
 LIMIT_PER_S = 1.0
 
-MOST_IN_WINDOW = 1.5 * LIMIT_PER_S * WINDOW_S + 5
-"""Requests that all nodes together may send a limited server in a window."""
+MAX_IN_WINDOW = 1.5 * LIMIT_PER_S * WINDOW_S + 5
+"""Maximum number of requests of all nodes together to a limited server in a window."""
 
-TOLD_S = 0.5
-"""Time after which a node that has passed on a limit has to keep to it."""
+PROPAGATION_S = 0.5
+"""Time after which a node that has passed on a limit has to keep to it, in s."""
 
 LOAD_S = 9.0
 
@@ -29,14 +29,15 @@
 """When the coordinator is lost, in s."""
 
 LOSS_S = 2.5
-"""For how long it is frozen or cut off, in s; another one takes over meanwhile."""
+"""Time for which it is frozen or disconnected from the store, in s; another node takes
+over meanwhile."""
 
 ASK_EVERY_S = 0.04
-"""Time between two requests, to one node after the other."""
+"""Interval between two requests, to one node after the other, in s."""
 
 
-def find_most_in_window(arrivals):
-    """Return the most requests that came in any window."""
+def find_max_in_window(arrivals):
+    """Return the maximum number of requests that came in any window."""
     return max(
         (sum(begin <= at < begin + WINDOW_S for at in arrivals) for begin in arrivals),
         default=0,
@@ -44,7 +45,7 @@
 
 
 async def ask_all(fleet, session, path, *, model=""):
-    """Ask at a steady pace through all nodes in turn.
+    """Send requests at a steady pace through all nodes in turn.
 
     :return: the answers' status codes; ``None``: there was no answer.
     """
@@ -62,8 +63,8 @@
     return [end[0] if isinstance(end, tuple) else None for end in ends]
 
 
-def play(folder, scenario):
-    play_on_nodes(folder, scenario, names=NODES)
+def run_scenario(folder, scenario):
+    run_on_nodes(folder, scenario, names=NODES)
 
 
 @pytest.mark.parametrize(
@@ -71,10 +72,9 @@
     [(("e1", "e2"), "/chat/", "m0"), (("p1", "p2"), "/book/", "")],
     ids=["model", "plain"],
 )
-def test_all_nodes_together_keep_to_a_limit_that_a_server_names(
-    tmp_path, limited, path, model
-):
-    """Guards against a server in need that gets as much as before from all nodes."""
+def test_all_nodes_together_respect_a_server_rate_limit(tmp_path, limited, path, model):
+    """Guards against an overloaded server that gets as many requests as before from all
+    nodes."""
 
     async def scenario(fleet, session, proxies):
         servers = [one for one in fleet.servers if one.incarnation in limited]
@@ -83,12 +83,12 @@
         begun = asyncio.get_running_loop().time()
         ends = await ask_all(fleet, session, path, model=model)
         for server in servers:
-            told = [at for at in server.arrivals if at >= begun + 1 + TOLD_S]
-            assert find_most_in_window(told) <= MOST_IN_WINDOW
-            assert len(told) >= LIMIT_PER_S * LOAD_S / 2
+            counted = [at for at in server.arrivals if at >= begun + 1 + PROPAGATION_S]
+            assert find_max_in_window(counted) <= MAX_IN_WINDOW
+            assert len(counted) >= LIMIT_PER_S * LOAD_S / 2
         assert set(ends) <= {200, 503}
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def kill(node, _proxy):
@@ -108,8 +108,8 @@
 
 @pytest.mark.parametrize("path", ["/chat/", "/book/"], ids=["model", "plain"])
 @pytest.mark.parametrize("lose", [kill, freeze, cut_from_store])
-def test_a_limit_holds_as_the_coordinator_is_lost(tmp_path, lose, path):
-    """Guards against a limit that is forgotten or used twice at a takeover."""
+def test_rate_limit_holds_when_the_coordinator_is_lost(tmp_path, lose, path):
+    """Guards against a limit that is forgotten or granted twice at a takeover."""
     model = "m0" if path == "/chat/" else ""
 
     async def scenario(fleet, session, proxies):
@@ -122,9 +122,9 @@
         loop.call_later(LOSS_AT_S, lose, fleet.nodes[name], proxies[name])
         ends = await ask_all(fleet, session, path, model=model)
         for server in servers:
-            told = [at for at in server.arrivals if at >= begun + 1 + TOLD_S]
-            assert find_most_in_window(told) <= MOST_IN_WINDOW
-            assert told[-1] > begun + LOSS_AT_S + LOSS_S
+            counted = [at for at in server.arrivals if at >= begun + 1 + PROPAGATION_S]
+            assert find_max_in_window(counted) <= MAX_IN_WINDOW
+            assert counted[-1] > begun + LOSS_AT_S + LOSS_S
         assert set(ends) <= {200, 503, None}
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
