--- a/src/arbutuspulley/controller/configuring.py
+++ b/src/arbutuspulley/controller/configuration_sync.py
@@ -13,7 +13,7 @@
 from arbutuspulley.configuration.changes import Change
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.configuration.store import ChangePage
-from arbutuspulley.controller.asking import ask
+from arbutuspulley.controller.platform_calls import ask
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.data import State
 from arbutuspulley.events import Event, log_event
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -20,7 +20,7 @@
     wait_for_view,
 )
 from arbutuspulley.controller.state import Controller, is_store_up
-from arbutuspulley.controller.suspecting import tell_peers
+from arbutuspulley.controller.suspicion_sync import tell_peers
 from arbutuspulley.delivery import suspects
 from arbutuspulley.delivery.claims import ClaimState, make_claim, settle_claim
 from arbutuspulley.delivery.trials import record_clearance, record_deaths
--- a/src/arbutuspulley/controller/ledgers.py
+++ b/src/arbutuspulley/controller/ledgers.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from arbutuspulley.configuration.schema import Server
-from arbutuspulley.controller.asking import transact
+from arbutuspulley.controller.platform_calls import transact
 from arbutuspulley.controller.reports import ServerState, is_alive
 from arbutuspulley.controller.sessions import may_order
 from arbutuspulley.controller.state import Controller
--- a/src/arbutuspulley/controller/running.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -10,14 +10,21 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.activation import is_ready
-from arbutuspulley.controller import handlers, orders, peers, placing, polling, sessions
-from arbutuspulley.controller.configuring import Following, follow_configuration
-from arbutuspulley.controller.following import follow_instances, follow_rows
+from arbutuspulley.controller import (
+    handlers,
+    orders,
+    peers,
+    planning,
+    polling,
+    sessions,
+)
+from arbutuspulley.controller.configuration_sync import Following, follow_configuration
 from arbutuspulley.controller.ledgers import Ledgers
 from arbutuspulley.controller.publishing import publish
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.state import Controller
-from arbutuspulley.controller.suspecting import SuspectRows, follow_suspects
+from arbutuspulley.controller.store_watch import follow_instances, follow_rows
+from arbutuspulley.controller.suspicion_sync import SuspectRows, follow_suspects
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.lease import may_order
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
@@ -91,7 +98,7 @@
         )
         following = Following()
         suspect_rows = SuspectRows()
-        memory = placing.Placing()
+        memory = planning.Placing()
         self._repeat(self._choose_renewal_pause, self._renew)
         self._repeat(lambda: self._choose_follow_pause(memory), self._follow)
         self._repeat_every(
@@ -107,7 +114,7 @@
             settings.exchange_ms, lambda: peers.exchange_with_all(controller)
         )
         self._repeat_every(
-            PLACE_MS, lambda: placing.place(controller, self._work, memory)
+            PLACE_MS, lambda: planning.place(controller, self._work, memory)
         )
         self._repeat_every(PUBLISH_MS, self._publish)
 
@@ -169,9 +176,9 @@
         held = may_order(controller.lease, now=controller.clock.now())
         return controller.settings.renew_ms if held else RETRY_MS
 
-    def _choose_follow_pause(self, memory: placing.Placing) -> int:
+    def _choose_follow_pause(self, memory: planning.Placing) -> int:
         pause_ms = self._controller.settings.follow_ms
-        if placing.has_loads(self._controller, memory):
+        if planning.has_loads(self._controller, memory):
             return pause_ms // FOLLOW_FASTER
         return pause_ms
 
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -11,7 +11,6 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
-from arbutuspulley.controller.asking import transact
 from arbutuspulley.controller.ledgers import (
     Ledgers,
     build_row,
@@ -21,6 +20,7 @@
     reconcile,
     wait_again,
 )
+from arbutuspulley.controller.platform_calls import transact
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.sessions import may_order
 from arbutuspulley.controller.state import Controller
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from arbutuspulley.configuration.activation import activate_if_newer, is_ready
-from arbutuspulley.controller.configuring import log_progress
+from arbutuspulley.controller.configuration_sync import log_progress
 from arbutuspulley.controller.exchange import (
     PeerState,
     build_request,
--- a/src/arbutuspulley/controller/placing.py
+++ b/src/arbutuspulley/controller/planning.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from arbutuspulley.controller import orders
-from arbutuspulley.controller.asking import transact
 from arbutuspulley.controller.demand import list_demand, sum_demand
 from arbutuspulley.controller.exchange import is_silent
 from arbutuspulley.controller.ledgers import Ledgers
+from arbutuspulley.controller.platform_calls import transact
 from arbutuspulley.controller.sessions import get_owned, may_order
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.data import State
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
-from arbutuspulley.controller.asking import ask, transact
+from arbutuspulley.controller.platform_calls import ask, transact
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership import lease as leases
--- a/src/arbutuspulley/controller/following.py
+++ b/src/arbutuspulley/controller/store_watch.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from arbutuspulley.controller.asking import ask
+from arbutuspulley.controller.platform_calls import ask
 from arbutuspulley.controller.rows import forget_rows, take_rows
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.events import Event, log_event
--- a/src/arbutuspulley/controller/suspecting.py
+++ b/src/arbutuspulley/controller/suspicion_sync.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Iterable
 
-from arbutuspulley.controller.asking import ask
 from arbutuspulley.controller.exchange import is_silent
+from arbutuspulley.controller.platform_calls import ask
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.data import State
 from arbutuspulley.delivery import suspects
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -17,9 +17,9 @@
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.controller.exchange import NewsState
 from arbutuspulley.controller.health import start_health
+from arbutuspulley.controller.loops import Running, is_serving
 from arbutuspulley.controller.metrics import build_metrics
 from arbutuspulley.controller.rows import GroupRows
-from arbutuspulley.controller.running import Running, is_serving
 from arbutuspulley.controller.state import Controller, ControllerSettings, Pools
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.loop import LoopThread
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -5,11 +5,11 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.controller.exchange import NewsState
-from arbutuspulley.controller.following import follow_rows
 from arbutuspulley.controller.metrics import build_metrics
 from arbutuspulley.controller.rows import GroupRows
 from arbutuspulley.controller.sessions import renew_lease, share_servers
 from arbutuspulley.controller.state import Controller, ControllerSettings, Pools
+from arbutuspulley.controller.store_watch import follow_rows
 from arbutuspulley.membership.lease import LeaseState
 from arbutuspulley.membership.observation import ObservationState
 from arbutuspulley.membership.outage import OutageState, choose_max_backoff_ms
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -14,7 +14,7 @@
 from arbutuspulley.configuration.files import SourceFile
 from arbutuspulley.configuration.lookup import list_configured_items
 from arbutuspulley.configuration.merge import FileSet, merge_files
-from arbutuspulley.controller import handlers, orders, placing, polling
+from arbutuspulley.controller import handlers, orders, planning, polling
 from arbutuspulley.controller.exchange import PeerState
 from arbutuspulley.controller.ledgers import Ledgers
 from arbutuspulley.controller.publishing import HEARING_MS, publish
@@ -301,10 +301,10 @@
         state = ServerState(name=own, address="127.0.0.1:9001", received_at=time.now)
         state.report = Report(server=own, boot_id="boot", sequence=1)
         a.servers[own] = state
-        work, memory = Ledgers(), placing.Placing()
+        work, memory = Ledgers(), planning.Placing()
         await orders.take_report(a, work, state)
         publish(a)
-        await placing.place(a, work, memory)
+        await planning.place(a, work, memory)
         loads = [step for step in memory.actions if isinstance(step, Load)]
         assert (loads, server != own) == ([], True)
 
