--- a/src/arbutuspulley/controller/configuration_sync.py
+++ b/src/arbutuspulley/controller/configuration_sync.py
@@ -49,7 +49,7 @@
     for version in progress.applied:
         log_event(Event.CONFIGURATION_IN_FORCE, version=version)
     if progress.applied:
-        version = controller.force.configuration.version
+        version = controller.activation.configuration.version
         controller.metrics.configuration_version.set(version)
     if progress.ignored:
         log_event(
@@ -92,7 +92,7 @@
 
 
 async def _apply(controller: Controller, changes: tuple[Change, ...]) -> None:
-    progress = apply_changes(controller.force, changes)
+    progress = apply_changes(controller.activation, changes)
     log_progress(controller, progress)
     if progress.missing is None:
         return
@@ -105,4 +105,6 @@
 
 def _offer(controller: Controller, configuration: Configuration) -> None:
     if configuration.version > 0:
-        log_progress(controller, activate_if_newer(controller.force, configuration))
+        log_progress(
+            controller, activate_if_newer(controller.activation, configuration)
+        )
--- a/src/arbutuspulley/controller/exchange.py
+++ b/src/arbutuspulley/controller/exchange.py
@@ -42,7 +42,7 @@
     suspicion: Suspicion
 
 
-class NewsState(State):
+class OutgoingUpdates(State):
     """What this controller tells its peers.
 
     :param epoch: names this process; numbers start anew with each.
@@ -84,8 +84,8 @@
     status: InstanceStatus | None = None
 
 
-def update_news(
-    state: NewsState,
+def record_changes(
+    state: OutgoingUpdates,
     *,
     servers: Mapping[str, ServerSummary],
     suspicions: Iterable[Suspicion],
@@ -117,7 +117,7 @@
 
 
 def build_reply(
-    state: NewsState,
+    state: OutgoingUpdates,
     request: ExchangeRequest,
     *,
     instance: str,
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -218,10 +218,10 @@
 
 async def _exchange(controller: Controller, request: ExchangeRequest) -> ExchangeReply:
     return build_reply(
-        controller.news,
+        controller.outgoing_updates,
         request,
         instance=controller.settings.instance,
-        configuration=controller.force.configuration,
+        configuration=controller.activation.configuration,
         entries=list_own_entries(controller),
         usage=sum_own_usage(controller),
         status=build_status(controller),
--- a/src/arbutuspulley/controller/loops.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -61,7 +61,7 @@
 Step = Callable[[], Awaitable[object]]
 
 
-class Running:
+class ControllerLoops:
     """A controller at work.
 
     :param controller: its state; touched on the loop only.
@@ -146,7 +146,7 @@
         await follow_rows(self._controller)
         busy = frozenset(self._work.busy)
         async with self._sharing:
-            await sessions.share_servers(self._controller, busy=busy)
+            await sessions.balance_servers(self._controller, busy=busy)
 
     async def _read_reports(self) -> None:
         controller = self._controller
@@ -203,7 +203,7 @@
 
 def is_serving(controller: Controller) -> bool:
     """Tell whether a configuration is in force, for ``/readyz``."""
-    return is_ready(controller.force) and not controller.stopping
+    return is_ready(controller.activation) and not controller.stopping
 
 
 async def _guard(step: Step) -> None:
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -62,7 +62,7 @@
     controller: Controller, work: Ledgers, state: ServerState
 ) -> None:
     """Take an owned server's newest report, or its silence, into the ledger."""
-    server = list_servers(controller.force.configuration).get(state.name)
+    server = list_servers(controller.activation.configuration).get(state.name)
     if server is None or state.name in work.busy:
         return
     if not may_order(controller, state.name):
@@ -88,7 +88,7 @@
     """
     name = action.server
     state = controller.servers.get(name)
-    server = list_servers(controller.force.configuration).get(name)
+    server = list_servers(controller.activation.configuration).get(name)
     if state is None or server is None or not is_free(controller, work, name):
         return False
     try:
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -35,7 +35,7 @@
     await _update_peers(controller)
     now = controller.clock.now()
     due = [peer for peer in controller.peers.values() if now >= peer.next_at]
-    version = controller.force.configuration.version
+    version = controller.activation.configuration.version
     source = choose_source(due, version=version, now=now, chance=controller.chance)
     await asyncio.gather(
         *(
@@ -100,11 +100,11 @@
     suspects.merge(controller.suspects, reply.suspicions, now=now)
     if reply.configuration is None:
         return
-    was_ready = is_ready(controller.force)
-    progress = activate_if_newer(controller.force, reply.configuration)
+    was_ready = is_ready(controller.activation)
+    progress = activate_if_newer(controller.activation, reply.configuration)
     log_progress(controller, progress)
     if progress.applied and not was_ready:
-        version = controller.force.configuration.version
+        version = controller.activation.configuration.version
         log_event(Event.CONFIGURATION_FROM_PEER, peer=reply.instance, version=version)
 
 
--- a/src/arbutuspulley/controller/planning.py
+++ b/src/arbutuspulley/controller/planning.py
@@ -67,7 +67,7 @@
     await _release_slots(controller, work, summaries)
     now = controller.clock.now()
     inputs = PlannerInputs(
-        configuration=controller.force.configuration,
+        configuration=controller.activation.configuration,
         ledgers=_list_ledgers(controller),
         summaries=summaries,
         demand=_measure_demand(controller, now=now),
@@ -118,7 +118,7 @@
     """
     view = controller.views.view
     known = {one.server: one for one in view.servers} if view else {}
-    for site_name, site in controller.force.configuration.sites.items():
+    for site_name, site in controller.activation.configuration.sites.items():
         for name, server in site.servers.items():
             if name not in known:
                 known[name] = ServerSummary(
@@ -195,7 +195,7 @@
             record,
             ledger=_list_ledgers(controller).get(record.server),
             alive=summary is not None and summary.alive,
-            store=controller.force.configuration.weight_store,
+            store=controller.activation.configuration.weight_store,
             sent_at=work.sent_at.get((record.server, record.number), slot.changed_at),
             now=controller.clock.now(),
         ):
--- a/src/arbutuspulley/controller/polling.py
+++ b/src/arbutuspulley/controller/polling.py
@@ -28,7 +28,7 @@
 def choose_read(controller: Controller) -> tuple[str, ...]:
     """Return the servers whose reports this instance reads, and keep their states."""
     now = controller.clock.now()
-    servers = list_servers(controller.force.configuration)
+    servers = list_servers(controller.activation.configuration)
     orphans = _list_orphans(controller, servers, now=now)
     names: list[str] = []
     for name, server in servers.items():
--- a/src/arbutuspulley/controller/publishing.py
+++ b/src/arbutuspulley/controller/publishing.py
@@ -10,7 +10,7 @@
 from arbutuspulley.configuration.schema import EMPTY, Configuration, Server
 from arbutuspulley.controller.demand import list_demand, sum_usage
 from arbutuspulley.controller.entries import forget_silent
-from arbutuspulley.controller.exchange import is_silent, update_news
+from arbutuspulley.controller.exchange import is_silent, record_changes
 from arbutuspulley.controller.reports import build_summary
 from arbutuspulley.controller.sessions import get_owned
 from arbutuspulley.controller.state import Controller, is_store_up
@@ -50,8 +50,8 @@
     forget_silent(controller.entries, now=now)
     own = _summarise(controller, now=now)
     suspicions = tuple(controller.suspects.suspicions.values())
-    update_news(
-        controller.news,
+    record_changes(
+        controller.outgoing_updates,
         servers=own,
         suspicions=suspicions,
         demand=list_demand(controller.demand, now=now),
@@ -62,7 +62,7 @@
         controller.views,
         ready=_may_serve(controller, servers, now=now),
         store_up=is_store_up(controller),
-        configuration=controller.force.configuration,
+        configuration=controller.activation.configuration,
         servers=servers,
         entries=merge_entries(list_own_entries(controller), peers, now=now),
         suspicions=suspicions,
@@ -134,7 +134,7 @@
     return InstanceStatus(
         instance=controller.settings.instance,
         site=controller.settings.site,
-        configuration_version=controller.force.configuration.version,
+        configuration_version=controller.activation.configuration.version,
         lease_held=may_order(controller.lease, now=now),
         store_up=is_store_up(controller),
         owned=tuple(sorted(get_owned(controller))),
@@ -155,7 +155,7 @@
     """
     now = controller.clock.now()
     instances = {controller.settings.instance: build_status(controller)}
-    accepted = controller.force.accepted_version
+    accepted = controller.activation.accepted_version
     for peer in controller.peers.values():
         accepted = max(accepted, peer.configuration_version)
         if peer.status is None or not peer.instance:
@@ -183,7 +183,7 @@
         accepted_version=accepted,
         instances=tuple(instances[name] for name in sorted(instances)),
         servers=_merge(controller, own, now=now),
-        configuration=_choose_sent(controller.force.configuration, after),
+        configuration=_choose_sent(controller.activation.configuration, after),
     )
 
 
@@ -199,12 +199,12 @@
     take one as its own before it asks it. A server that nobody speaks of is waited
     for no longer than :data:`HEARING_MS`.
     """
-    if controller.serving or not is_ready(controller.force):
+    if controller.serving or not is_ready(controller.activation):
         return controller.serving
     if controller.configured_at is None:
         controller.configured_at = now
     known = {summary.server for summary in servers if summary.boot_id}
-    configured = list_servers(controller.force.configuration).keys()
+    configured = list_servers(controller.activation.configuration).keys()
     waited = now - controller.configured_at >= HEARING_MS
     controller.serving = waited or configured <= known
     return controller.serving
@@ -222,7 +222,7 @@
     controller: Controller, own: dict[str, ServerSummary], *, now: int
 ) -> tuple[ServerSummary, ...]:
     return merge_servers(
-        controller.force.configuration,
+        controller.activation.configuration,
         own=own,
         peers=controller.peers.values(),
         leaving=controller.listed_leaving,
@@ -234,7 +234,7 @@
     """Return summaries of the servers whose reports this instance reads."""
     places = {
         name: _Place(server=server, site=site_name)
-        for site_name, site in controller.force.configuration.sites.items()
+        for site_name, site in controller.activation.configuration.sites.items()
         for name, server in site.servers.items()
     }
     summaries: dict[str, ServerSummary] = {}
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -103,7 +103,7 @@
     return True
 
 
-async def share_servers(controller: Controller, *, busy: frozenset[str]) -> None:
+async def balance_servers(controller: Controller, *, busy: frozenset[str]) -> None:
     """Claim servers that fall to this instance and hand over what is too much.
 
     :param busy: servers with an order on its way, which are not handed over now.
@@ -113,7 +113,7 @@
     now = controller.clock.now()
     if not leases.may_order(controller.lease, now=now):
         return
-    servers = tuple(list_servers(controller.force.configuration))
+    servers = tuple(list_servers(controller.activation.configuration))
     reclaims = choose_reclaims(get_owned(controller), fences=controller.rows.fences)
     claims = reclaims or choose_claims(
         instance=controller.settings.instance,
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -10,7 +10,7 @@
 from arbutuspulley.configuration.activation import ActivationState
 from arbutuspulley.controller.demand import DemandState
 from arbutuspulley.controller.entries import EntryState
-from arbutuspulley.controller.exchange import NewsState, PeerState
+from arbutuspulley.controller.exchange import OutgoingUpdates, PeerState
 from arbutuspulley.controller.metrics import Metrics
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.rows import GroupRows
@@ -90,10 +90,10 @@
     lease: LeaseState
     sessions: ObservationState
     rows: GroupRows
-    news: NewsState
+    outgoing_updates: OutgoingUpdates
     reads: OutageState
     writes: OutageState
-    force: ActivationState = msgspec.field(default_factory=ActivationState)
+    activation: ActivationState = msgspec.field(default_factory=ActivationState)
     views: ViewState = msgspec.field(default_factory=ViewState)
     suspects: SuspectState = msgspec.field(default_factory=SuspectState)
     demand: DemandState = msgspec.field(default_factory=DemandState)
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -15,9 +15,9 @@
 from arbutuspulley.adapters.engines import connect_engines
 from arbutuspulley.adapters.platform import connect_platform
 from arbutuspulley.clock import SECOND_MS, Clock
-from arbutuspulley.controller.exchange import NewsState
+from arbutuspulley.controller.exchange import OutgoingUpdates
 from arbutuspulley.controller.health import start_health
-from arbutuspulley.controller.loops import Running, is_serving
+from arbutuspulley.controller.loops import ControllerLoops, is_serving
 from arbutuspulley.controller.metrics import build_metrics
 from arbutuspulley.controller.rows import GroupRows
 from arbutuspulley.controller.state import Controller, ControllerSettings, Pools
@@ -77,7 +77,7 @@
         rows=GroupRows(group=settings.group),
         reads=OutageState(max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)),
         writes=OutageState(max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)),
-        news=NewsState(epoch=uuid.uuid4().hex),
+        outgoing_updates=OutgoingUpdates(epoch=uuid.uuid4().hex),
     )
 
 
@@ -93,8 +93,8 @@
     loop = LoopThread(name="controller")
     loop.start()
     controller = loop.call(lambda: build_controller(settings))
-    running = Running(controller=controller)
-    loop.wait_for(running.start())
+    loops = ControllerLoops(controller=controller)
+    loop.wait_for(loops.start())
     stop_health = start_health(
         address=settings.http,
         is_ready=lambda: is_serving(controller),
@@ -104,7 +104,7 @@
     stopping.wait()
     log_event(Event.DRAINING, program=PROGRAM, instance=settings.instance)
     _bound_stop()
-    loop.wait_for(running.stop())
+    loop.wait_for(loops.stop())
     stop_health()
     loop.stop()
     log_event(Event.STOPPED, program=PROGRAM, instance=settings.instance)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -4,10 +4,10 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from arbutuspulley.clock import Clock
-from arbutuspulley.controller.exchange import NewsState
+from arbutuspulley.controller.exchange import OutgoingUpdates
 from arbutuspulley.controller.metrics import build_metrics
 from arbutuspulley.controller.rows import GroupRows
-from arbutuspulley.controller.sessions import renew_lease, share_servers
+from arbutuspulley.controller.sessions import balance_servers, renew_lease
 from arbutuspulley.controller.state import Controller, ControllerSettings, Pools
 from arbutuspulley.controller.store_watch import follow_rows
 from arbutuspulley.membership.lease import LeaseState
@@ -67,9 +67,9 @@
         rows=GroupRows(group="main"),
         reads=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
         writes=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
-        news=NewsState(epoch=name),
+        outgoing_updates=OutgoingUpdates(epoch=name),
     )
-    node.force.configuration = configuration
+    node.activation.configuration = configuration
     return node
 
 
@@ -90,7 +90,7 @@
             if time.now % 2_000 == 0:
                 await try_step(renew_lease(node))
             await try_step(follow_rows(node))
-            await try_step(share_servers(node, busy=frozenset()))
+            await try_step(balance_servers(node, busy=frozenset()))
 
 
 def list_fences(node):
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -223,7 +223,7 @@
     node.servers[server] = state
     work = Ledgers()
     await orders.take_report(node, work, state)
-    item = list_configured_items(node.force.configuration)["draft@1"]
+    item = list_configured_items(node.activation.configuration)["draft@1"]
     if before_commit:
         fake.before_transact = before_commit
     step = orders.load(node, work, Load(server=server, item=item), SlotRow(number=0))
@@ -292,7 +292,9 @@
         await settle([a, b], time)
         one = OVERLAY_B.replace("copies: 2", "copies: 1")
         files = build_files(overlays=(OVERLAY_A, one))
-        a.force.configuration = b.force.configuration = merge_files(files, version=1)
+        a.activation.configuration = b.activation.configuration = merge_files(
+            files, version=1
+        )
         engine = FakeEngine()
         a.engines = b.engines = engine.engines
         server, _, _ = await load_one(b, time=time)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -7,7 +7,7 @@
 
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.controller import exchange
-from arbutuspulley.controller.exchange import NewsState, PeerState
+from arbutuspulley.controller.exchange import OutgoingUpdates, PeerState
 from arbutuspulley.rpc.messages import (
     EntryAddress,
     InstanceStatus,
@@ -32,7 +32,7 @@
 
 
 def update(news, *summaries, suspicions=(), demand=()):
-    exchange.update_news(
+    exchange.record_changes(
         news,
         servers={one.server: one for one in summaries},
         suspicions=suspicions,
@@ -59,7 +59,7 @@
 
 
 def test_only_changes_are_told_and_ages_are_none():
-    news, peer = NewsState(epoch="1"), PeerState(address="x:1")
+    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     demand = (ItemDemand(item="m@1", requests=1, tokens=9),)
     update(news, summarise("s1"), summarise("s2"), demand=demand)
     first = ask(news, peer)
@@ -82,18 +82,18 @@
     An asker that went on from its old number would hear nothing of it for as long
     as the new count stays below, and keep servers that it no longer owns.
     """
-    old, peer = NewsState(epoch="1"), PeerState(address="x:1")
+    old, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     for running in range(9):
         update(old, summarise("s1", running=running))
     ask(old, peer)
-    new = NewsState(epoch="2")
+    new = OutgoingUpdates(epoch="2")
     update(new, summarise("s2"))
     ask(new, peer)
     assert set(peer.servers) == {"s2"}
 
 
 def test_late_reply_does_not_undo_a_newer_one():
-    news, peer = NewsState(epoch="1"), PeerState(address="x:1")
+    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     update(news, summarise("s1", running=1))
     late = ask(news, PeerState(address="x:1"))
     update(news, summarise("s1", running=2))
@@ -111,7 +111,7 @@
     ],
 )
 def test_peer_hears_of_servers_that_hold_what_it_serves(items, told, gone):
-    news, peer = NewsState(epoch="1"), PeerState(address="x:1")
+    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     update(news, summarise("s1"), summarise("s2", items=("n@1",)))
     reply = ask(news, peer, items=items)
     assert {one.server for one in reply.servers} == told
@@ -119,7 +119,7 @@
 
 
 def test_suspicion_is_told_once_and_again_when_it_changes():
-    news, peer = NewsState(epoch="1"), PeerState(address="x:1")
+    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     update(news, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1",)),))
     told = [len(ask(news, peer).suspicions) for _ in range(2)]
     update(news, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1", "s2/1")),))
@@ -130,7 +130,7 @@
     ("version", "sent"), [(0, True), (2, True), (3, False), (9, False), (None, False)]
 )
 def test_configuration_is_passed_on_to_who_has_an_older_one(version, sent):
-    reply = ask(NewsState(epoch="1"), PeerState(address="x:1"), version=version)
+    reply = ask(OutgoingUpdates(epoch="1"), PeerState(address="x:1"), version=version)
     assert (reply.configuration is not None) is sent
     assert reply.configuration_version == 3
 
@@ -154,6 +154,6 @@
 def test_peer_is_silent_before_its_first_reply_and_after_three_seconds():
     peer = PeerState(address="x:1")
     assert exchange.is_silent(peer, now=0)
-    ask(NewsState(epoch="1"), peer, now=1_000)
+    ask(OutgoingUpdates(epoch="1"), peer, now=1_000)
     assert not exchange.is_silent(peer, now=1_000 + exchange.SILENT_MS)
     assert exchange.is_silent(peer, now=1_001 + exchange.SILENT_MS)
