--- a/src/arbutuspulley/adapters/engine_calls.py
+++ b/src/arbutuspulley/adapters/engine_calls.py
@@ -1,7 +1,7 @@
 """One HTTP call to a backend server, and what its failure proves.
 
 The one question to answer without error is whether a failed request may have run:
-:func:`send` answers it for connections, :func:`read_refusal` for statuses.
+:func:`send` answers it for connections, :func:`build_status_error` for statuses.
 """
 
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 MAX_REPLY_BYTES = 16 * 1024 * 1024
 """Largest reply taken from a plain service or to an order or a report."""
 
-MAX_DETAIL_LETTERS = 300
+MAX_DETAIL_CHARACTERS = 300
 """Most letters taken over from a server's error message."""
 
 _BAD_REQUEST_STATUSES = frozenset({400, 404, 405, 413, 422})
@@ -71,7 +71,7 @@
         raise BrokenError(detail=detail) from error
 
 
-def read_whole(response: BaseHTTPResponse) -> bytes:
+def read_body(response: BaseHTTPResponse) -> bytes:
     """Return the body and give the connection back.
 
     :raises BrokenError: if it does not come whole or is too large.
@@ -87,25 +87,25 @@
     return body
 
 
-def read_refusal(response: BaseHTTPResponse) -> RefusedError | BrokenError:
+def build_status_error(response: BaseHTTPResponse) -> RefusedError | BrokenError:
     """Tell what a status other than 200 proves.
 
     Only the server's own word that it did not admit the request, or a status by
     which it found the request wrong, proves that nothing ran. A bare 500 or 503
     may come from a server that failed halfway.
     """
-    not_admitted = is_not_admitted(response)
-    wrong = response.status in _BAD_REQUEST_STATUSES
+    was_not_admitted = is_not_admitted(response)
+    is_invalid = response.status in _BAD_REQUEST_STATUSES
     detail = _read_detail(response)
-    if not not_admitted and not wrong:
+    if not was_not_admitted and not is_invalid:
         return BrokenError(detail=detail)
     # A server that lacks the item says 404 as well, but another one may have it.
-    not_here = response.status == 404 and not_admitted
+    lacks_item = response.status == 404 and was_not_admitted
     return RefusedError(
         detail=detail,
         retry_after_ms=_read_retry_after(response),
         leaving=response.headers.get(LEAVING) == "true",
-        final=wrong and not not_here,
+        final=is_invalid and not lacks_item,
     )
 
 
@@ -122,10 +122,10 @@
 def _read_detail(response: BaseHTTPResponse) -> str:
     fallback = f"backend server answered with status {response.status}"
     try:
-        body = _ERROR_BODY.decode(read_whole(response))
+        body = _ERROR_BODY.decode(read_body(response))
     except (BrokenError, msgspec.DecodeError):
         return fallback
-    return body.error.message[:MAX_DETAIL_LETTERS] or fallback
+    return body.error.message[:MAX_DETAIL_CHARACTERS] or fallback
 
 
 def _read_retry_after(response: BaseHTTPResponse) -> int | None:
--- a/src/arbutuspulley/adapters/engine_orders.py
+++ b/src/arbutuspulley/adapters/engine_orders.py
@@ -40,13 +40,15 @@
     host, port = split_address(address)
     connection = HTTPConnection(host, port, timeout=connect_timeout_ms / SECOND_MS)
     try:
-        _check_boot(connection, order, timeout_ms=timeout_ms)
+        _check_boot_id(connection, order, timeout_ms=timeout_ms)
         return _send(connection, order)
     finally:
         connection.close()
 
 
-def _check_boot(connection: HTTPConnection, order: Order, *, timeout_ms: int) -> None:
+def _check_boot_id(
+    connection: HTTPConnection, order: Order, *, timeout_ms: int
+) -> None:
     try:
         connection.connect()
         connection.timeout = timeout_ms / SECOND_MS
--- a/src/arbutuspulley/adapters/engines.py
+++ b/src/arbutuspulley/adapters/engines.py
@@ -13,10 +13,10 @@
 
 from arbutuspulley.adapters import sse
 from arbutuspulley.adapters.engine_calls import (
+    build_status_error,
     describe,
     is_not_admitted,
-    read_refusal,
-    read_whole,
+    read_body,
     send,
 )
 from arbutuspulley.adapters.engine_messages import (
@@ -45,12 +45,12 @@
 from arbutuspulley.tracing import TRACEPARENT
 
 _READ_BYTES = 64 * 1024
-_REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
+_RETRYABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 _BUSY_STATUSES = frozenset({429, 503})
 _JSON_TYPE = "application/json"
 _JSON = {"Content-Type": _JSON_TYPE}
-_ADMITTED = Chunk(attempt_id="", offset=0, data=b"")
-_HOP_HEADERS = frozenset(
+_PLACEHOLDER = Chunk(attempt_id="", offset=0, data=b"")
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -67,7 +67,7 @@
 )
 
 _Reply = TypeVar("_Reply")
-_Pools = Callable[[str], urllib3.HTTPConnectionPool]
+_PoolLookup = Callable[[str], urllib3.HTTPConnectionPool]
 
 
 _REPORT = msgspec.json.Decoder(Report)
@@ -93,20 +93,20 @@
     :param clock: the time that waits for events go by.
     """
     clock = clock or Clock()
-    answers = _keep_pools(
+    request_pools = _cache_pools(
         connect_timeout_ms=connect_timeout_ms,
         read_timeout_ms=read_timeout_ms,
         connections=connections,
     )
-    control = _keep_pools(
+    control_pools = _cache_pools(
         connect_timeout_ms=connect_timeout_ms,
         read_timeout_ms=order_timeout_ms,
         connections=2,
     )
 
     def call_service(address: str, request: ServiceRequest) -> ServiceReply:
-        if request.method.upper() in _REPEATABLE_METHODS:
-            return _call_service(answers(address), request)
+        if request.method.upper() in _RETRYABLE_METHODS:
+            return _call_service(request_pools(address), request)
         # A kept connection that the server closes as idle while a request is on
         # its way leaves the outcome unknown, and an unrepeatable request could not
         # be sent again. A fresh connection cannot be idle, so this never happens.
@@ -120,29 +120,32 @@
 
     return Engines(
         infer=lambda address, request: _infer(
-            answers(address), request, idle_ms=read_timeout_ms, clock=clock
+            request_pools(address),
+            request,
+            idle_timeout_ms=read_timeout_ms,
+            clock=clock,
         ),
-        cancel=lambda address, attempt_id: _cancel(control(address), attempt_id),
-        report=lambda address: _exchange(control(address), "/report", _REPORT),
+        cancel=lambda address, attempt_id: _cancel(control_pools(address), attempt_id),
+        report=lambda address: _get_json(control_pools(address), "/report", _REPORT),
         order=lambda address, order: send_order(
             address,
             order,
             connect_timeout_ms=connect_timeout_ms,
             timeout_ms=order_timeout_ms,
         ),
-        cache_events=lambda address, after: _exchange(
-            control(address), f"/cache-events?after={after}", _CACHE_EVENTS
+        cache_events=lambda address, after: _get_json(
+            control_pools(address), f"/cache-events?after={after}", _CACHE_EVENTS
         ),
         call_service=call_service,
     )
 
 
-def _keep_pools(
+def _cache_pools(
     *, connect_timeout_ms: int, read_timeout_ms: int, connections: int
-) -> _Pools:
+) -> _PoolLookup:
     pools: dict[str, urllib3.HTTPConnectionPool] = {}
 
-    def find(address: str) -> urllib3.HTTPConnectionPool:
+    def get_pool(address: str) -> urllib3.HTTPConnectionPool:
         pool = pools.get(address)
         if pool is not None:
             return pool
@@ -155,14 +158,14 @@
         # Two threads may get here at once; setdefault keeps one pool for both.
         return pools.setdefault(address, built)
 
-    return find
+    return get_pool
 
 
 def _infer(
     pool: urllib3.HTTPConnectionPool,
     request: InferenceRequest,
     *,
-    idle_ms: int,
+    idle_timeout_ms: int,
     clock: Clock,
 ) -> Generator[Chunk, None, None]:
     headers = {
@@ -177,8 +180,8 @@
         headers[TRACEPARENT] = request.traceparent
     response = send(pool, "POST", request.path, body=request.body, headers=headers)
     if response.status != 200:
-        raise read_refusal(response)
-    chunks = _read_chunks(response, idle_ms=idle_ms, clock=clock)
+        raise build_status_error(response)
+    chunks = _read_chunks(response, idle_timeout_ms=idle_timeout_ms, clock=clock)
     # Closing a generator that was never started skips its ``finally`` and leaves the
     # connection, and so the cancellation, to the garbage collector. Advancing it to
     # its first, empty yield makes closing work from the beginning.
@@ -187,27 +190,27 @@
 
 
 def _read_chunks(
-    response: BaseHTTPResponse, *, idle_ms: int, clock: Clock
+    response: BaseHTTPResponse, *, idle_timeout_ms: int, clock: Clock
 ) -> Generator[Chunk, None, None]:
     """Yield a placeholder, then every chunk up to the end marker."""
-    whole = False
+    is_complete = False
     buffer = sse.EventBuffer()
     try:
-        yield _ADMITTED
-        heard_at = clock.now()
-        while not whole:
+        yield _PLACEHOLDER
+        last_event_at = clock.now()
+        while not is_complete:
             events = _feed(buffer, _read_some(response))
             # An engine whose batch hangs may go on sending comments, so bytes
             # alone are no sign that the answer is coming.
-            if not events and clock.now() - heard_at > idle_ms:
-                raise BrokenError(detail=f"stream idle for over {idle_ms} ms")
+            if not events and clock.now() - last_event_at > idle_timeout_ms:
+                raise BrokenError(detail=f"stream idle for over {idle_timeout_ms} ms")
             for event in events:
                 chunk = _build_chunk(event)
-                whole = whole or chunk.last
+                is_complete = is_complete or chunk.last
                 yield chunk
-                heard_at = clock.now()
+                last_event_at = clock.now()
     finally:
-        if whole:
+        if is_complete:
             response.drain_conn()
             response.release_conn()
         else:
@@ -248,27 +251,29 @@
 def _call_service(
     pool: urllib3.HTTPConnectionPool, request: ServiceRequest
 ) -> ServiceReply:
-    headers = urllib3.HTTPHeaderDict(_keep_end_to_end(request.headers))
+    headers = urllib3.HTTPHeaderDict(_remove_hop_by_hop(request.headers))
     if request.traceparent:
         headers[TRACEPARENT] = request.traceparent
     response = send(
         pool, request.method, request.path, body=request.body or None, headers=headers
     )
     if response.status in _BUSY_STATUSES and is_not_admitted(response):
-        raise read_refusal(response)
+        raise build_status_error(response)
     return ServiceReply(
         status=response.status,
-        headers=_keep_end_to_end(tuple(response.headers.iteritems())),
-        body=read_whole(response),
+        headers=_remove_hop_by_hop(tuple(response.headers.iteritems())),
+        body=read_body(response),
     )
 
 
-def _keep_end_to_end(
+def _remove_hop_by_hop(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
     """Leave out the headers that concern one connection only."""
     return tuple(
-        (name, value) for name, value in headers if name.lower() not in _HOP_HEADERS
+        (name, value)
+        for name, value in headers
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     )
 
 
@@ -276,18 +281,18 @@
     """Ask for a cancellation; an engine that cannot be reached needs none."""
     body = msgspec.json.encode(CancelRequest(attempt_id=attempt_id))
     try:
-        read_whole(send(pool, "POST", "/cancel", body=body, headers=_JSON))
+        read_body(send(pool, "POST", "/cancel", body=body, headers=_JSON))
     except (NotSentError, BrokenError):
         return
 
 
-def _exchange(
+def _get_json(
     pool: urllib3.HTTPConnectionPool,
     target: str,
     decoder: msgspec.json.Decoder[_Reply],
 ) -> _Reply:
     response = send(pool, "GET", target, body=None, headers=_JSON)
-    received = read_whole(response)
+    received = read_body(response)
     if response.status != 200:
         raise BrokenError(detail=f"{target} answered with status {response.status}")
     try:
--- a/src/arbutuspulley/adapters/http.py
+++ b/src/arbutuspulley/adapters/http.py
@@ -5,7 +5,7 @@
 
 from arbutuspulley.settings import split_address
 
-KEPT_CONNECTIONS = 32
+MAX_IDLE_CONNECTIONS = 32
 """Idle connections kept open to one address."""
 
 
@@ -14,7 +14,7 @@
     address: str,
     connect_timeout_ms: int = 2_000,
     read_timeout_ms: int = 2_000,
-    connections: int = KEPT_CONNECTIONS,
+    connections: int = MAX_IDLE_CONNECTIONS,
 ) -> urllib3.HTTPConnectionPool:
     """Return a pool of connections to one address, safe to use from all threads.
 
--- a/src/arbutuspulley/adapters/platform.py
+++ b/src/arbutuspulley/adapters/platform.py
@@ -45,7 +45,7 @@
 _BINARY_HEADERS = {"Content-Type": "application/octet-stream"}
 
 
-class _Answer(Value, frozen=True):
+class _Response(Value, frozen=True):
     """Status and body of an HTTP answer that arrived whole."""
 
     status: int
@@ -89,10 +89,10 @@
 
 
 def _read_row(pool: urllib3.HTTPConnectionPool, key: str) -> Row | None:
-    answer = _fetch(pool, ROW_PATH, {"key": key})
-    if answer.status == _NOT_FOUND:
+    response = _fetch(pool, ROW_PATH, {"key": key})
+    if response.status == _NOT_FOUND:
         return None
-    return _open_row(_decode(answer, Row))
+    return _unwrap_row(_decode(response, Row))
 
 
 def _scan(
@@ -100,28 +100,28 @@
 ) -> Page:
     parameters = {"prefix": prefix, "after": str(after), "limit": str(limit)}
     page = _decode(_fetch(pool, SCAN_PATH, parameters), Page)
-    rows = tuple(_open_row(row) for row in page.rows)
+    rows = tuple(_unwrap_row(row) for row in page.rows)
     return msgspec.structs.replace(page, rows=rows)
 
 
 def _transact(
     pool: urllib3.HTTPConnectionPool, transaction: Transaction
 ) -> Committed | Conflict:
-    body = msgspec.json.encode(_seal(transaction))
-    answer = _change(pool, "POST", TRANSACT_PATH, body, _JSON_HEADERS)
-    if answer.status == _CONFLICT:
-        return _decode_outcome(answer, Conflict)
-    return _decode_outcome(answer, Committed)
+    body = msgspec.json.encode(_wrap_values(transaction))
+    response = _write(pool, "POST", TRANSACT_PATH, body, _JSON_HEADERS)
+    if response.status == _CONFLICT:
+        return _decode_outcome(response, Conflict)
+    return _decode_outcome(response, Committed)
 
 
 def _get_object(pool: urllib3.HTTPConnectionPool, name: str) -> bytes | None:
-    answer = _fetch(pool, OBJECTS_PATH, {"name": name})
-    return None if answer.status == _NOT_FOUND else answer.body
+    response = _fetch(pool, OBJECTS_PATH, {"name": name})
+    return None if response.status == _NOT_FOUND else response.body
 
 
 def _put_object(pool: urllib3.HTTPConnectionPool, name: str, data: bytes) -> bool:
     path = _build_path(OBJECTS_PATH, {"name": name})
-    return _change(pool, "PUT", path, data, _BINARY_HEADERS).status == _CREATED
+    return _write(pool, "PUT", path, data, _BINARY_HEADERS).status == _CREATED
 
 
 def _list_instances(pool: urllib3.HTTPConnectionPool) -> tuple[InstanceListing, ...]:
@@ -130,24 +130,24 @@
 
 def _fetch(
     pool: urllib3.HTTPConnectionPool, path: str, parameters: Mapping[str, str]
-) -> _Answer:
+) -> _Response:
     """Read something; whatever fails, nothing was changed."""
     try:
-        answer = _send(pool, "GET", _build_path(path, parameters), None, {})
+        response = _send(pool, "GET", _build_path(path, parameters), None, {})
     except HTTPError as error:
         raise PlatformUnavailableError(detail=_describe(error)) from error
-    if answer.status not in (_OK, _NOT_FOUND):
-        raise PlatformUnavailableError(detail=f"platform answered {answer.status}")
-    return answer
+    if response.status not in (_OK, _NOT_FOUND):
+        raise PlatformUnavailableError(detail=f"platform answered {response.status}")
+    return response
 
 
-def _change(
+def _write(
     pool: urllib3.HTTPConnectionPool,
     method: str,
     path: str,
     body: bytes,
     headers: Mapping[str, str],
-) -> _Answer:
+) -> _Response:
     """Change something and tell apart "not done" from "not known".
 
     A reply that is lost, cut short or late says nothing: the platform may have
@@ -156,15 +156,15 @@
     (503 and any 4xx but a conflict), proves that nothing was written.
     """
     try:
-        answer = _send(pool, method, path, body, headers)
+        response = _send(pool, method, path, body, headers)
     except HTTPError as error:
         if is_not_sent(error):
             raise PlatformUnavailableError(detail=_describe(error)) from error
         raise OutcomeUnknownError(detail=_describe(error)) from error
-    if answer.status in (_OK, _CREATED, _CONFLICT):
-        return answer
-    detail = f"platform answered {answer.status}"
-    if answer.status == _UNAVAILABLE or 400 <= answer.status < 500:
+    if response.status in (_OK, _CREATED, _CONFLICT):
+        return response
+    detail = f"platform answered {response.status}"
+    if response.status == _UNAVAILABLE or 400 <= response.status < 500:
         raise PlatformUnavailableError(detail=detail)
     raise OutcomeUnknownError(detail=detail)
 
@@ -175,9 +175,9 @@
     path: str,
     body: bytes | None,
     headers: Mapping[str, str],
-) -> _Answer:
+) -> _Response:
     response = pool.urlopen(method, path, body=body, headers=headers)
-    return _Answer(status=response.status, body=response.data)
+    return _Response(status=response.status, body=response.data)
 
 
 def _build_path(path: str, parameters: Mapping[str, str]) -> str:
@@ -188,39 +188,39 @@
     return f"platform: {type(error).__name__}"
 
 
-def _decode(answer: _Answer, kind: type[_Reply]) -> _Reply:
+def _decode(response: _Response, kind: type[_Reply]) -> _Reply:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
         raise PlatformUnavailableError(detail="platform answer unreadable") from error
 
 
-def _decode_outcome(answer: _Answer, kind: type[_Reply]) -> _Reply:
+def _decode_outcome(response: _Response, kind: type[_Reply]) -> _Reply:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
         raise OutcomeUnknownError(detail="platform answer unreadable") from error
 
 
-def _seal(transaction: Transaction) -> TransactRequest:
+def _wrap_values(transaction: Transaction) -> TransactRequest:
     expected = {part.key: part.revision for part in transaction.preconditions}
     return TransactRequest(
         preconditions=transaction.preconditions,
         writes=tuple(
-            _seal_write(write, transaction.token, expected.get(write.key))
+            _wrap_value(write, transaction.token, expected.get(write.key))
             for write in transaction.writes
         ),
     )
 
 
-def _seal_write(write: Write, token: str, replaces: int | None) -> Write:
+def _wrap_value(write: Write, token: str, replaces: int | None) -> Write:
     if write.value is None:
         return write
     envelope = Envelope(value=write.value, token=token, replaces=replaces)
     return Write(key=write.key, value=msgspec.msgpack.encode(envelope))
 
 
-def _open_row(row: Row) -> Row:
+def _unwrap_row(row: Row) -> Row:
     """Take a row's value out of its envelope."""
     if row.deleted:
         return row
--- a/src/arbutuspulley/controller/demand.py
+++ b/src/arbutuspulley/controller/demand.py
@@ -10,7 +10,7 @@
 SMOOTHING_MS = 30_000
 """Time constant: demand that ends has faded to a third after it."""
 
-LEAST_RATE = 0.01
+MIN_RATE_PER_S = 0.01
 """Rates a second below this are dropped."""
 
 
@@ -29,12 +29,12 @@
     """
 
     items: dict[str, _Rate] = {}
-    faded_at: int = 0
+    decayed_at: int = 0
 
 
 def add_demand(state: DemandState, report: EntryReport, *, now: int) -> None:
     """Take in one report of an entry."""
-    _fade(state, now=now)
+    _decay(state, now=now)
     for demand in report.demand:
         rate = state.items.setdefault(demand.item, _Rate())
         rate.requests += demand.requests
@@ -44,7 +44,7 @@
 
 def list_demand(state: DemandState, *, now: int) -> tuple[ItemDemand, ...]:
     """Return the demand of a minute at the present rate, by item."""
-    _fade(state, now=now)
+    _decay(state, now=now)
     scale = 60 * SECOND_MS / SMOOTHING_MS
     return tuple(
         ItemDemand(
@@ -89,13 +89,13 @@
     return tuple(total[caller] for caller in sorted(total))
 
 
-def _fade(state: DemandState, *, now: int) -> None:
-    passed = max(0, now - state.faded_at)
-    state.faded_at = now
-    factor = math.exp(-passed / SMOOTHING_MS)
+def _decay(state: DemandState, *, now: int) -> None:
+    elapsed_ms = max(0, now - state.decayed_at)
+    state.decayed_at = now
+    factor = math.exp(-elapsed_ms / SMOOTHING_MS)
     for item, rate in list(state.items.items()):
         rate.requests *= factor
         rate.tokens *= factor
         rate.refused *= factor
-        if rate.requests + rate.refused < LEAST_RATE:
+        if rate.requests + rate.refused < MIN_RATE_PER_S:
             del state.items[item]
--- a/src/arbutuspulley/controller/entries.py
+++ b/src/arbutuspulley/controller/entries.py
@@ -3,7 +3,7 @@
 from arbutuspulley.data import State
 from arbutuspulley.rpc.messages import EntryAddress, EntryReport
 
-HEARD_MS = 3_000
+ENTRY_TIMEOUT_MS = 3_000
 """Time without a sign of life after which an entry is no longer told to callers."""
 
 
@@ -15,7 +15,7 @@
     """
 
     entry: EntryAddress
-    heard_at: int
+    last_seen_at: int
     watches: int = 0
     report: EntryReport | None = None
 
@@ -24,7 +24,7 @@
     entries: dict[str, EntryState], entry: EntryAddress, *, now: int
 ) -> None:
     """Take in that an entry opened a stream of views."""
-    state = _get(entries, entry, now=now)
+    state = _mark_seen(entries, entry, now=now)
     state.watches += 1
 
 
@@ -43,31 +43,31 @@
         del entries[entry.address]
 
 
-def take_report(
+def apply_report(
     entries: dict[str, EntryState], report: EntryReport, *, now: int
 ) -> None:
     """Take in an entry's report."""
-    state = _get(entries, report.entry, now=now)
+    state = _mark_seen(entries, report.entry, now=now)
     state.report = report
 
 
-def forget_silent(entries: dict[str, EntryState], *, now: int) -> None:
-    """Drop entries that have not reported for :data:`HEARD_MS`.
+def evict_silent(entries: dict[str, EntryState], *, now: int) -> None:
+    """Drop entries that have not reported for :data:`ENTRY_TIMEOUT_MS`.
 
     A frozen entry keeps its connection open, so only its silence shows.
     """
     for address, state in list(entries.items()):
-        if now - state.heard_at > HEARD_MS:
+        if now - state.last_seen_at > ENTRY_TIMEOUT_MS:
             del entries[address]
 
 
-def _get(
+def _mark_seen(
     entries: dict[str, EntryState], entry: EntryAddress, *, now: int
 ) -> EntryState:
     state = entries.get(entry.address)
     if state is None or state.entry.boot_id != entry.boot_id:
-        state = EntryState(entry=entry, heard_at=now)
+        state = EntryState(entry=entry, last_seen_at=now)
         entries[entry.address] = state
     state.entry = entry
-    state.heard_at = now
+    state.last_seen_at = now
     return state
--- a/src/arbutuspulley/controller/exchange.py
+++ b/src/arbutuspulley/controller/exchange.py
@@ -23,11 +23,11 @@
     Suspicion,
 )
 
-SILENT_MS = 3_000
+PEER_TIMEOUT_MS = 3_000
 """Time without a reply after which a peer counts as unreachable."""
 
 
-class _ServerNews(Value, frozen=True):
+class _ServerChange(Value, frozen=True):
     """A summary with the number under which it last changed.
 
     :param summary: with age 0; ``None`` if the server is no longer told of.
@@ -37,7 +37,7 @@
     summary: ServerSummary | None
 
 
-class _SuspicionNews(Value, frozen=True):
+class _SuspicionChange(Value, frozen=True):
     number: int
     suspicion: Suspicion
 
@@ -52,9 +52,9 @@
 
     epoch: str
     number: int = 0
-    servers: dict[str, _ServerNews] = {}
+    servers: dict[str, _ServerChange] = {}
     ages: dict[str, int] = {}
-    suspicions: dict[str, _SuspicionNews] = {}
+    suspicions: dict[str, _SuspicionChange] = {}
     demand: tuple[ItemDemand, ...] = ()
     demand_number: int = 0
 
@@ -75,7 +75,7 @@
     configuration_version: int = 0
     replied_at: int | None = None
     failures: int = 0
-    next_at: int = 0
+    next_call_at: int = 0
     servers: dict[str, ServerSummary] = {}
     entries: tuple[EntryAddress, ...] = ()
     suspicions: dict[str, Suspicion] = {}
@@ -103,12 +103,12 @@
         known = state.servers.get(name)
         if known is None or known.summary != bare:
             state.number += 1
-            state.servers[name] = _ServerNews(number=state.number, summary=bare)
+            state.servers[name] = _ServerChange(number=state.number, summary=bare)
     for suspicion in suspicions:
         told = state.suspicions.get(suspicion.fingerprint)
         if told is None or told.suspicion != suspicion:
             state.number += 1
-            state.suspicions[suspicion.fingerprint] = _SuspicionNews(
+            state.suspicions[suspicion.fingerprint] = _SuspicionChange(
                 number=state.number, suspicion=suspicion
             )
     if demand != state.demand:
@@ -135,14 +135,16 @@
     wanted = frozenset(request.items)
     told: list[ServerSummary] = []
     gone: list[str] = []
-    for name, news in state.servers.items():
-        if news.number <= after:
+    for name, change in state.servers.items():
+        if change.number <= after:
             continue
-        if news.summary is None or (wanted and wanted.isdisjoint(news.summary.items)):
+        if change.summary is None or (
+            wanted and wanted.isdisjoint(change.summary.items)
+        ):
             gone.append(name)
             continue
         age = state.ages.get(name, 0)
-        told.append(msgspec.structs.replace(news.summary, age_ms=age))
+        told.append(msgspec.structs.replace(change.summary, age_ms=age))
     known = request.configuration_version
     is_newer = known is not None and configuration.version > known
     return ExchangeReply(
@@ -155,7 +157,9 @@
         gone=tuple(gone),
         entries=entries,
         suspicions=tuple(
-            news.suspicion for news in state.suspicions.values() if news.number > after
+            change.suspicion
+            for change in state.suspicions.values()
+            if change.number > after
         ),
         usage=usage,
         demand=state.demand if state.demand_number > after or not after else None,
@@ -184,7 +188,7 @@
     )
 
 
-def choose_source(
+def choose_configuration_source(
     peers: Iterable[PeerState], *, version: int, now: int, chance: random.Random
 ) -> PeerState | None:
     """Choose the one peer to ask for its configuration, if one has a newer one.
@@ -197,7 +201,7 @@
     newer = [
         peer
         for peer in peers
-        if peer.configuration_version > version and not is_silent(peer, now=now)
+        if peer.configuration_version > version and not is_unreachable(peer, now=now)
     ]
     if not newer:
         return None
@@ -205,12 +209,12 @@
     return chance.choice([one for one in newer if one.configuration_version == best])
 
 
-def take_reply(peer: PeerState, reply: ExchangeReply, *, now: int) -> bool:
+def apply_reply(peer: PeerState, reply: ExchangeReply, *, now: int) -> bool:
     """Take in a peer's news.
 
     :return: whether the peer was unreachable or unknown until now.
     """
-    was_silent = is_silent(peer, now=now)
+    was_unreachable = is_unreachable(peer, now=now)
     if reply.epoch != peer.epoch:
         peer.servers, peer.suspicions, peer.demand = {}, {}, ()
     elif reply.number < peer.number:
@@ -225,10 +229,10 @@
     peer.status = reply.status
     if reply.demand is not None:
         peer.demand = reply.demand
-    peer.replied_at, peer.failures, peer.next_at = now, 0, 0
-    return was_silent
+    peer.replied_at, peer.failures, peer.next_call_at = now, 0, 0
+    return was_unreachable
 
 
-def is_silent(peer: PeerState, *, now: int) -> bool:
-    """Tell whether a peer has not answered for :data:`SILENT_MS`, or never."""
-    return peer.replied_at is None or now - peer.replied_at > SILENT_MS
+def is_unreachable(peer: PeerState, *, now: int) -> bool:
+    """Tell whether a peer has not answered for :data:`PEER_TIMEOUT_MS`, or never."""
+    return peer.replied_at is None or now - peer.replied_at > PEER_TIMEOUT_MS
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -10,17 +10,17 @@
 from arbutuspulley.controller.exchange import build_reply
 from arbutuspulley.controller.publishing import (
     build_fleet_status,
-    build_status,
+    build_instance_status,
     get_view,
     list_own_entries,
     publish,
-    publish_at_once,
+    publish_immediately,
     sum_own_usage,
-    wait_for_gap,
     wait_for_view,
+    wait_for_view_interval,
 )
 from arbutuspulley.controller.state import Controller, is_store_up
-from arbutuspulley.controller.suspicion_sync import tell_peers
+from arbutuspulley.controller.suspicion_sync import notify_peers
 from arbutuspulley.delivery import suspects
 from arbutuspulley.delivery.claims import ClaimState, make_claim, settle_claim
 from arbutuspulley.delivery.trials import record_clearance, record_deaths
@@ -46,10 +46,10 @@
 )
 from arbutuspulley.tracing import open_span
 
-VIEW_GAP_MS = 200
+MIN_VIEW_INTERVAL_MS = 200
 """Least time between two views sent to one entry."""
 
-SETTLE_TRIES = 30
+MAX_SETTLE_ATTEMPTS = 30
 """Tries to record how a claimed request ended, once a second."""
 
 _Result = TypeVar("_Result")
@@ -58,14 +58,14 @@
 def build_unary(controller: Controller) -> dict[channel.Method, channel.UnaryHandler]:
     """Return the handlers of plain methods."""
     return {
-        channel.REPORT: lambda request: _take_report(controller, request),
+        channel.REPORT: lambda request: _apply_report(controller, request),
         channel.CLAIM: lambda request: _claim(controller, request),
         channel.SETTLE: lambda request: _settle(controller, request),
         channel.REPORT_DEATH: lambda request: _record_deaths(controller, request),
         channel.CLEAR_SUSPICION: lambda request: _clear_suspicion(controller, request),
-        channel.TELL_SUSPICIONS: lambda told: _take_suspicions(controller, told),
+        channel.TELL_SUSPICIONS: lambda update: _apply_suspicions(controller, update),
         channel.EXCHANGE: lambda request: _exchange(controller, request),
-        channel.STATUS: lambda request: _tell_status(controller, request),
+        channel.STATUS: lambda request: _get_status(controller, request),
     }
 
 
@@ -87,15 +87,15 @@
                 sent = view.number
                 controller.metrics.views.inc()
                 yield view
-                await wait_for_gap(controller, VIEW_GAP_MS)
+                await wait_for_view_interval(controller, MIN_VIEW_INTERVAL_MS)
             await wait_for_view(controller, sent)
     finally:
         entries.end_watch(controller.entries, request.entry)
 
 
-async def _take_report(controller: Controller, report: EntryReport) -> Acknowledged:
+async def _apply_report(controller: Controller, report: EntryReport) -> Acknowledged:
     now = controller.clock.now()
-    entries.take_report(controller.entries, report, now=now)
+    entries.apply_report(controller.entries, report, now=now)
     add_demand(controller.demand, report, now=now)
     return Acknowledged()
 
@@ -110,7 +110,7 @@
         return ClaimReply(state=ClaimState.UNAVAILABLE)
     platform = controller.platform
     with open_span("claim", caller=request.caller, attempt=request.attempt_id):
-        reply = await _deliver(
+        reply = await _run_in_delivery_pool(
             controller,
             lambda: make_claim(platform.table, request, objects=platform.objects),
         )
@@ -126,18 +126,18 @@
     The entry need not wait: until it is recorded the claim stays open, and an open
     claim is never run again.
     """
-    task = asyncio.create_task(_keep_settling(controller, request))
+    task = asyncio.create_task(_settle_with_retries(controller, request))
     controller.settling.add(task)
     task.add_done_callback(controller.settling.discard)
     await asyncio.wait((task,), timeout=1)
     return Acknowledged()
 
 
-async def _keep_settling(controller: Controller, request: SettleRequest) -> None:
+async def _settle_with_retries(controller: Controller, request: SettleRequest) -> None:
     platform = controller.platform
-    for _ in range(SETTLE_TRIES):
+    for _ in range(MAX_SETTLE_ATTEMPTS):
         try:
-            await _deliver(
+            await _run_in_delivery_pool(
                 controller,
                 lambda: settle_claim(platform.table, request, objects=platform.objects),
             )
@@ -157,29 +157,31 @@
 ) -> SuspicionsReply:
     now = controller.clock.now()
     if is_store_up(controller):
-        reply = await _deliver(
+        reply = await _run_in_delivery_pool(
             controller, lambda: record_deaths(controller.platform.table, report)
         )
     else:
-        reply = _note_deaths(controller, report)
+        reply = _record_deaths_locally(controller, report)
     suspects.merge(controller.suspects, reply.suspicions, now=now)
     for suspicion in reply.suspicions:
         log_event(Event.SUSPECT_RECORDED, fingerprint=suspicion.fingerprint)
-    publish_at_once(controller)
-    await tell_peers(controller, reply.suspicions)
+    publish_immediately(controller)
+    await notify_peers(controller, reply.suspicions)
     return reply
 
 
-async def _take_suspicions(
-    controller: Controller, told: SuspicionsReply
+async def _apply_suspicions(
+    controller: Controller, update: SuspicionsReply
 ) -> Acknowledged:
     now = controller.clock.now()
-    suspects.merge(controller.suspects, told.suspicions, now=now)
-    publish_at_once(controller)
+    suspects.merge(controller.suspects, update.suspicions, now=now)
+    publish_immediately(controller)
     return Acknowledged()
 
 
-def _note_deaths(controller: Controller, report: DeathReport) -> SuspicionsReply:
+def _record_deaths_locally(
+    controller: Controller, report: DeathReport
+) -> SuspicionsReply:
     """Remember deaths while the store is down; peers hear of them all the same.
 
     A trial is not granted: another instance could try the same request at once.
@@ -187,7 +189,7 @@
     if report.trial_id:
         return SuspicionsReply()
     now = controller.clock.now()
-    noted = tuple(
+    suspicions = tuple(
         suspects.note_death(
             controller.suspects,
             fingerprint=fingerprint,
@@ -197,14 +199,14 @@
         )
         for fingerprint in report.fingerprints
     )
-    return SuspicionsReply(suspicions=noted)
+    return SuspicionsReply(suspicions=suspicions)
 
 
 async def _clear_suspicion(
     controller: Controller, report: ClearanceReport
 ) -> Acknowledged:
     try:
-        suspicion = await _deliver(
+        suspicion = await _run_in_delivery_pool(
             controller, lambda: record_clearance(controller.platform.table, report)
         )
     except (PlatformUnavailableError, OutcomeUnknownError):
@@ -224,14 +226,16 @@
         configuration=controller.activation.configuration,
         entries=list_own_entries(controller),
         usage=sum_own_usage(controller),
-        status=build_status(controller),
+        status=build_instance_status(controller),
     )
 
 
-async def _tell_status(controller: Controller, request: StatusRequest) -> FleetStatus:
+async def _get_status(controller: Controller, request: StatusRequest) -> FleetStatus:
     return build_fleet_status(controller, after=request.configuration_after)
 
 
-async def _deliver(controller: Controller, function: Callable[[], _Result]) -> _Result:
+async def _run_in_delivery_pool(
+    controller: Controller, function: Callable[[], _Result]
+) -> _Result:
     loop = asyncio.get_running_loop()
     return await loop.run_in_executor(controller.pools.delivery, function)
--- a/src/arbutuspulley/controller/ledgers.py
+++ b/src/arbutuspulley/controller/ledgers.py
@@ -32,7 +32,7 @@
 from arbutuspulley.ports.platform import ABSENT, Committed, Precondition
 
 
-class Ledgers(State):
+class WorkingLedgers(State):
     """Ledgers of owned servers as they stand after the newest reports.
 
     A report that changes nothing but its own sequence isn't committed, so these
@@ -50,7 +50,7 @@
 
 
 async def reconcile(
-    controller: Controller, work: Ledgers, state: ServerState, server: Server
+    controller: Controller, working: WorkingLedgers, state: ServerState, server: Server
 ) -> tuple[Order, ...]:
     """Take in a server's newest report, or its silence, and commit what changed.
 
@@ -58,7 +58,7 @@
     :raises PlatformUnavailableError: if nothing could be committed.
     :raises OutcomeUnknownError: if that is not known.
     """
-    before = _get_ledger(controller, work, state.name)
+    before = _get_ledger(controller, working, state.name)
     alive = is_alive(state, now=controller.clock.now())
     if state.report is None:
         return ()
@@ -67,33 +67,37 @@
         # The table was restored to a state before fences that this server has
         # seen, or another owner is ahead: order nothing, and claim anew above it.
         return ()
-    work.current[state.name] = result.ledger
-    if not _needs_commit(controller, work, result, alive=alive):
+    working.current[state.name] = result.ledger
+    if not _needs_commit(controller, working, result, alive=alive):
         return ()
     transaction = build_confirmation(
         token=uuid.uuid4().hex,
         group=controller.settings.group,
-        row=build_row(controller, work, result.ledger),
+        row=build_row(controller, working, result.ledger),
         copies=_list_copies(controller, result.ledger),
         alive=alive,
     )
     outcome = await transact(controller, transaction)
     if not isinstance(outcome, Committed):
-        forget(work, state.name)
+        discard(working, state.name)
         return ()
-    work.revisions[state.name] = outcome.revision
+    working.revisions[state.name] = outcome.revision
     _log(controller, state.name, result)
     return result.resend
 
 
 def _needs_commit(
-    controller: Controller, work: Ledgers, result: Reconciliation, *, alive: bool
+    controller: Controller,
+    working: WorkingLedgers,
+    result: Reconciliation,
+    *,
+    alive: bool,
 ) -> bool:
     server = result.ledger.server
-    seen = controller.rows.ledgers.get(server)
-    if result.changed or seen is None or seen.ledger.fence != result.ledger.fence:
+    stored = controller.rows.ledgers.get(server)
+    if result.changed or stored is None or stored.ledger.fence != result.ledger.fence:
         return True
-    if seen.ledger.entries != result.ledger.entries:
+    if stored.ledger.entries != result.ledger.entries:
         return True
     return any(
         (server in row.record.servers) != _is_answering(result.ledger, row, alive)
@@ -117,30 +121,34 @@
     return [get_copies(controller, item) for item in sorted(items)]
 
 
-def wait_again(work: Ledgers, server: str, item: str, report_sequence: int) -> None:
+def restart_effect_wait(
+    working: WorkingLedgers, server: str, item: str, report_sequence: int
+) -> None:
     """Count the wait for an order's effect from now, as it is only sent now."""
-    current = work.current[server]
+    current = working.current[server]
     entry = find_entry(current, item)
     if entry is not None:
         entry = msgspec.structs.replace(entry, since=report_sequence)
-        work.current[server] = replace_entry(current, item, entry)
+        working.current[server] = replace_entry(current, item, entry)
 
 
-def build_row(controller: Controller, work: Ledgers, ledger: ServerLedger) -> LedgerRow:
+def build_row(
+    controller: Controller, working: WorkingLedgers, ledger: ServerLedger
+) -> LedgerRow:
     """Return a ledger to write, under the present ownership."""
     owner = controller.rows.owners[ledger.server]
     key = build_owner_key(controller.settings.group, ledger.server)
     return LedgerRow(
         ledger=ledger,
-        revision=work.revisions[ledger.server],
+        revision=working.revisions[ledger.server],
         owner=Precondition(key=key, revision=owner.revision),
     )
 
 
-def forget(work: Ledgers, server: str) -> None:
+def discard(working: WorkingLedgers, server: str) -> None:
     """Drop what is known of a ledger beyond its row: the row is read again."""
-    work.current.pop(server, None)
-    work.revisions.pop(server, None)
+    working.current.pop(server, None)
+    working.revisions.pop(server, None)
 
 
 def get_copies(controller: Controller, item: str) -> CopiesRow:
@@ -153,9 +161,11 @@
     return CopiesRow(record=CopiesRecord(item=item), revision=revision)
 
 
-def is_free(controller: Controller, work: Ledgers, server: str) -> bool:
+def can_begin_step(
+    controller: Controller, working: WorkingLedgers, server: str
+) -> bool:
     """Tell whether a new step may begin on a server."""
-    if server in work.busy or server not in work.current:
+    if server in working.busy or server not in working.current:
         return False
     return may_order(controller, server)
 
@@ -177,15 +187,17 @@
         )
 
 
-def _get_ledger(controller: Controller, work: Ledgers, server: str) -> ServerLedger:
+def _get_ledger(
+    controller: Controller, working: WorkingLedgers, server: str
+) -> ServerLedger:
     """Return the ledger as it stands, taken over under the present fence."""
-    seen = controller.rows.ledgers.get(server)
-    revision = seen.revision if seen else ABSENT
-    known = work.current.get(server)
+    stored = controller.rows.ledgers.get(server)
+    revision = stored.revision if stored else ABSENT
+    known = working.current.get(server)
     fence = controller.rows.owners[server].record.fence
-    if known is None or work.revisions.get(server) != revision:
-        known = seen.ledger if seen else ServerLedger(server=server)
-        work.revisions[server] = revision
+    if known is None or working.revisions.get(server) != revision:
+        known = stored.ledger if stored else ServerLedger(server=server)
+        working.revisions[server] = revision
     if known.fence != fence:
         known = ledgers.take_over(known, fence=max(fence, known.fence))
     return known
--- a/src/arbutuspulley/controller/loops.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -18,43 +18,46 @@
     polling,
     sessions,
 )
-from arbutuspulley.controller.configuration_sync import Following, follow_configuration
-from arbutuspulley.controller.ledgers import Ledgers
+from arbutuspulley.controller.configuration_sync import (
+    ChangeCursor,
+    follow_configuration,
+)
+from arbutuspulley.controller.ledgers import WorkingLedgers
 from arbutuspulley.controller.publishing import publish
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.controller.store_watch import follow_instances, follow_rows
-from arbutuspulley.controller.suspicion_sync import SuspectRows, follow_suspects
+from arbutuspulley.controller.suspicion_sync import SuspicionCursor, follow_suspicions
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.lease import may_order
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 from arbutuspulley.rpc import channel
 
-PUBLISH_MS = 200
+PUBLISH_INTERVAL_MS = 200
 """Time between looks at whether entries and peers must be told something."""
 
-INSTANCES_MS = 5 * SECOND_MS
+INSTANCE_LIST_INTERVAL_MS = 5 * SECOND_MS
 """Time between reads of the instance list, which lags anyway."""
 
-SUSPECTS_MS = 5 * SECOND_MS
+SUSPICION_INTERVAL_MS = 5 * SECOND_MS
 """Time between reads of suspicions; peers tell of new ones sooner."""
 
-SWEEP_MS = 60 * SECOND_MS
+STALE_SESSION_INTERVAL_MS = 60 * SECOND_MS
 """Time between looks for rows of instances that are gone for good."""
 
-PLACE_MS = 200
+PLANNING_INTERVAL_MS = 200
 """Time between looks at whether a step of placement can begin."""
 
-FOLLOW_FASTER = 4
+PENDING_LOADS_SPEEDUP = 4
 """How many times as often rows are read while loads wait for their turn."""
 
-RETRY_MS = 500
+LEASE_RETRY_INTERVAL_MS = 500
 """Time between tries to get a lease while there is none."""
 
 JITTER = 0.1
 """Part by which each pause varies, so that instances do not fall into step."""
 
-WORK_WAIT_MS = 4 * SECOND_MS
+MAX_DRAIN_MS = 4 * SECOND_MS
 """Longest wait for orders on their way and claims being settled, as the process
 stops; a little longer than an unload waits for its order."""
 
@@ -69,20 +72,20 @@
 
     __slots__ = (
         "_controller",
-        "_renewing",
+        "_ownership_lock",
+        "_renewal_lock",
         "_server",
-        "_sharing",
         "_tasks",
-        "_work",
+        "_working",
     )
 
     def __init__(self, *, controller: Controller) -> None:
         self._controller = controller
-        self._work = Ledgers()
+        self._working = WorkingLedgers()
         self._tasks: set[asyncio.Task[object]] = set()
         self._server: grpc.aio.Server | None = None
-        self._renewing = asyncio.Lock()
-        self._sharing = asyncio.Lock()
+        self._renewal_lock = asyncio.Lock()
+        self._ownership_lock = asyncio.Lock()
 
     async def start(self) -> None:
         """Listen and start all loops.
@@ -96,27 +99,38 @@
             unary=handlers.build_unary(controller),
             streaming=handlers.build_streaming(controller),
         )
-        following = Following()
-        suspect_rows = SuspectRows()
-        memory = planning.Placing()
-        self._repeat(self._choose_renewal_pause, self._renew)
-        self._repeat(lambda: self._choose_follow_pause(memory), self._follow)
-        self._repeat_every(
-            settings.follow_ms, lambda: follow_configuration(controller, following)
+        change_cursor = ChangeCursor()
+        suspicion_cursor = SuspicionCursor()
+        planning_state = planning.PlanningState()
+        self._start_loop(self._choose_renewal_interval, self._renew)
+        self._start_loop(
+            lambda: self._choose_follow_interval(planning_state), self._follow
+        )
+        self._start_loop_every(
+            settings.follow_ms, lambda: follow_configuration(controller, change_cursor)
+        )
+        self._start_loop_every(
+            INSTANCE_LIST_INTERVAL_MS, lambda: follow_instances(controller)
+        )
+        self._start_loop_every(
+            STALE_SESSION_INTERVAL_MS,
+            lambda: sessions.delete_stale_sessions(controller),
         )
-        self._repeat_every(INSTANCES_MS, lambda: follow_instances(controller))
-        self._repeat_every(SWEEP_MS, lambda: sessions.sweep_sessions(controller))
-        self._repeat_every(
-            SUSPECTS_MS, lambda: follow_suspects(controller, suspect_rows)
+        self._start_loop_every(
+            SUSPICION_INTERVAL_MS,
+            lambda: follow_suspicions(controller, suspicion_cursor),
         )
-        self._repeat_every(settings.report_ms, self._read_reports)
-        self._repeat_every(
+        self._start_loop_every(settings.report_ms, self._read_reports)
+        self._start_loop_every(
             settings.exchange_ms, lambda: peers.exchange_with_all(controller)
         )
-        self._repeat_every(
-            PLACE_MS, lambda: planning.place(controller, self._work, memory)
+        self._start_loop_every(
+            PLANNING_INTERVAL_MS,
+            lambda: planning.run_planning_cycle(
+                controller, self._working, planning_state
+            ),
         )
-        self._repeat_every(PUBLISH_MS, self._publish)
+        self._start_loop_every(PUBLISH_INTERVAL_MS, self._publish)
 
     async def stop(self) -> None:
         """Finish orders on their way, release servers and lease, stop listening.
@@ -127,8 +141,8 @@
         """
         self._controller.stopping = True
         self._controller.view_changed.set()
-        await self._wait_for_work()
-        async with self._renewing, self._sharing:
+        await self._wait_for_pending_work()
+        async with self._renewal_lock, self._ownership_lock:
             await sessions.release_all(self._controller)
         for task in self._tasks:
             task.cancel()
@@ -138,23 +152,25 @@
         await peers.close_all(self._controller)
 
     async def _renew(self) -> None:
-        async with self._renewing:
+        async with self._renewal_lock:
             if not self._controller.stopping:
                 await sessions.renew_lease(self._controller)
 
     async def _follow(self) -> None:
         await follow_rows(self._controller)
-        busy = frozenset(self._work.busy)
-        async with self._sharing:
+        busy = frozenset(self._working.busy)
+        async with self._ownership_lock:
             await sessions.balance_servers(self._controller, busy=busy)
 
     async def _read_reports(self) -> None:
         controller = self._controller
-        for name in polling.choose_read(controller):
-            self._spawn(polling.read_report(controller, name, heard=self._hear))
+        for name in polling.choose_polled_servers(controller):
+            self._spawn(
+                polling.poll_report(controller, name, on_report=self._handle_report)
+            )
 
-    async def _hear(self, state: ServerState) -> None:
-        await orders.take_report(self._controller, self._work, state)
+    async def _handle_report(self, state: ServerState) -> None:
+        await orders.apply_report(self._controller, self._working, state)
 
     async def _publish(self) -> None:
         controller = self._controller
@@ -163,37 +179,37 @@
         controller.metrics.lease_held.set(may_order(controller.lease, now=now))
         controller.metrics.owned_servers.set(len(sessions.get_owned(controller)))
 
-    async def _wait_for_work(self) -> None:
+    async def _wait_for_pending_work(self) -> None:
         controller = self._controller
-        deadline = controller.clock.now() + WORK_WAIT_MS
+        deadline = controller.clock.now() + MAX_DRAIN_MS
         while controller.clock.now() < deadline:
-            if not self._work.busy and not controller.settling:
+            if not self._working.busy and not controller.settling:
                 return
             await asyncio.sleep(0.02)
 
-    def _choose_renewal_pause(self) -> int:
+    def _choose_renewal_interval(self) -> int:
         controller = self._controller
         held = may_order(controller.lease, now=controller.clock.now())
-        return controller.settings.renew_ms if held else RETRY_MS
+        return controller.settings.renew_ms if held else LEASE_RETRY_INTERVAL_MS
 
-    def _choose_follow_pause(self, memory: planning.Placing) -> int:
-        pause_ms = self._controller.settings.follow_ms
-        if planning.has_loads(self._controller, memory):
-            return pause_ms // FOLLOW_FASTER
-        return pause_ms
+    def _choose_follow_interval(self, planning_state: planning.PlanningState) -> int:
+        interval_ms = self._controller.settings.follow_ms
+        if planning.has_loads(self._controller, planning_state):
+            return interval_ms // PENDING_LOADS_SPEEDUP
+        return interval_ms
 
-    def _repeat_every(self, pause_ms: int, step: Step) -> None:
-        self._repeat(lambda: pause_ms, step)
+    def _start_loop_every(self, interval_ms: int, step: Step) -> None:
+        self._start_loop(lambda: interval_ms, step)
 
-    def _repeat(self, choose_pause: Callable[[], int], step: Step) -> None:
-        self._spawn(self._run(choose_pause, step))
+    def _start_loop(self, choose_interval: Callable[[], int], step: Step) -> None:
+        self._spawn(self._run(choose_interval, step))
 
-    async def _run(self, choose_pause: Callable[[], int], step: Step) -> None:
+    async def _run(self, choose_interval: Callable[[], int], step: Step) -> None:
         chance = self._controller.chance
         while True:
-            await _guard(step)
+            await _run_step(step)
             factor = 1 + chance.uniform(-JITTER, JITTER)
-            await asyncio.sleep(choose_pause() * factor / SECOND_MS)
+            await asyncio.sleep(choose_interval() * factor / SECOND_MS)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, object]) -> None:
         task: asyncio.Task[object] = asyncio.ensure_future(coroutine)
@@ -206,7 +222,7 @@
     return is_ready(controller.activation) and not controller.stopping
 
 
-async def _guard(step: Step) -> None:
+async def _run_step(step: Step) -> None:
     """Run one step; a fault in it must not end its loop."""
     try:
         await step()
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -12,13 +12,13 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.controller.ledgers import (
-    Ledgers,
+    WorkingLedgers,
     build_row,
-    forget,
+    can_begin_step,
+    discard,
     get_copies,
-    is_free,
     reconcile,
-    wait_again,
+    restart_effect_wait,
 )
 from arbutuspulley.controller.platform_calls import transact
 from arbutuspulley.controller.reports import ServerState
@@ -58,29 +58,29 @@
 told to stop sending requests for the item there."""
 
 
-async def take_report(
-    controller: Controller, work: Ledgers, state: ServerState
+async def apply_report(
+    controller: Controller, working: WorkingLedgers, state: ServerState
 ) -> None:
     """Take an owned server's newest report, or its silence, into the ledger."""
     server = list_servers(controller.activation.configuration).get(state.name)
-    if server is None or state.name in work.busy:
+    if server is None or state.name in working.busy:
         return
     if not may_order(controller, state.name):
-        forget(work, state.name)
+        discard(working, state.name)
         return
-    work.busy.add(state.name)
+    working.busy.add(state.name)
     try:
-        orders = await reconcile(controller, work, state, server)
+        orders = await reconcile(controller, working, state, server)
         for order in orders:
-            await _send(controller, work, state, order)
+            await _send(controller, working, state, order)
     except (PlatformUnavailableError, OutcomeUnknownError):
-        forget(work, state.name)
+        discard(working, state.name)
     finally:
-        work.busy.discard(state.name)
+        working.busy.discard(state.name)
 
 
 async def load(
-    controller: Controller, work: Ledgers, action: Load, slot: SlotRow
+    controller: Controller, working: WorkingLedgers, action: Load, slot: SlotRow
 ) -> bool:
     """Commit the intent of a load and send the order.
 
@@ -89,11 +89,11 @@
     name = action.server
     state = controller.servers.get(name)
     server = list_servers(controller.activation.configuration).get(name)
-    if state is None or server is None or not is_free(controller, work, name):
+    if state is None or server is None or not can_begin_step(controller, working, name):
         return False
     try:
         current = ledgers.intend_load(
-            work.current[name], server=server, item=action.item, report=state.report
+            working.current[name], server=server, item=action.item, report=state.report
         )
     except (DoesNotFitError, OutdatedPlanError) as error:
         log_event(Event.PLACEMENT_BLOCKED, level=logging.DEBUG, detail=error.detail)
@@ -103,7 +103,7 @@
     transaction = build_load_intent(
         token=uuid.uuid4().hex,
         group=controller.settings.group,
-        row=build_row(controller, work, current),
+        row=build_row(controller, working, current),
         slot=slot,
         holder=SlotRecord(
             session=controller.lease.session,
@@ -113,15 +113,17 @@
         ),
     )
     order = ledgers.build_order(current, entry)
-    done = await _intend(controller, work, state, current, transaction, order)
-    if done:
-        work.sent_at[name, entry.number] = controller.clock.now()
-    return done
+    committed = await _commit_and_send(
+        controller, working, state, current, transaction, order
+    )
+    if committed:
+        working.sent_at[name, entry.number] = controller.clock.now()
+    return committed
 
 
 async def unload(
     controller: Controller,
-    work: Ledgers,
+    working: WorkingLedgers,
     action: Unload,
     *,
     answering: frozenset[str],
@@ -133,14 +135,14 @@
     """
     name = action.server
     state = controller.servers.get(name)
-    if state is None or not is_free(controller, work, name):
+    if state is None or not can_begin_step(controller, working, name):
         return False
     try:
-        current = ledgers.intend_unload(work.current[name], item=action.item)
+        current = ledgers.intend_unload(working.current[name], item=action.item)
         transaction = build_unload_intent(
             token=uuid.uuid4().hex,
             group=controller.settings.group,
-            row=build_row(controller, work, current),
+            row=build_row(controller, working, current),
             copies=get_copies(controller, action.item),
             answering=answering,
             least=action.least,
@@ -151,45 +153,51 @@
     entry = find_entry(current, action.item)
     assert entry is not None
     order = ledgers.build_order(current, entry)
-    return await _intend(
-        controller, work, state, current, transaction, order, wait_ms=UNLOAD_GRACE_MS
+    return await _commit_and_send(
+        controller,
+        working,
+        state,
+        current,
+        transaction,
+        order,
+        delay_ms=UNLOAD_GRACE_MS,
     )
 
 
-async def _intend(
+async def _commit_and_send(
     controller: Controller,
-    work: Ledgers,
+    working: WorkingLedgers,
     state: ServerState,
     ledger: ServerLedger,
     transaction: Transaction,
     order: Order,
     *,
-    wait_ms: int = 0,
+    delay_ms: int = 0,
 ) -> bool:
     name = state.name
-    work.busy.add(name)
+    working.busy.add(name)
     try:
         outcome = await transact(controller, transaction)
         if not isinstance(outcome, Committed):
-            forget(work, name)
+            discard(working, name)
             return False
-        work.current[name], work.revisions[name] = ledger, outcome.revision
+        working.current[name], working.revisions[name] = ledger, outcome.revision
         log_event(Event.INTENT_COMMITTED, server=name, item=order.item, kind=order.kind)
-        if wait_ms:
-            await asyncio.sleep(wait_ms / SECOND_MS)
+        if delay_ms:
+            await asyncio.sleep(delay_ms / SECOND_MS)
             sequence = state.report.sequence if state.report else 0
-            wait_again(work, name, order.item, sequence)
-        await _send(controller, work, state, order)
+            restart_effect_wait(working, name, order.item, sequence)
+        await _send(controller, working, state, order)
         return True
     except (PlatformUnavailableError, OutcomeUnknownError):
-        forget(work, name)
+        discard(working, name)
         return False
     finally:
-        work.busy.discard(name)
+        working.busy.discard(name)
 
 
 async def _send(
-    controller: Controller, work: Ledgers, state: ServerState, order: Order
+    controller: Controller, working: WorkingLedgers, state: ServerState, order: Order
 ) -> None:
     """Send one order if the lease still runs, and note what the server said.
 
@@ -205,7 +213,7 @@
             item=order.item,
             detail="the lease has lapsed; the next owner sends it",
         )
-        forget(work, state.name)
+        discard(working, state.name)
         return
     log_event(
         Event.ORDER_SENT,
@@ -218,7 +226,7 @@
     try:
         reply = await _call(controller, state, order)
     except NotSentError:
-        _note_refused(work, state.name, order)
+        _record_refused(working, state.name, order)
         _count(controller, order, "not_sent")
         return
     except BrokenError as error:
@@ -232,7 +240,7 @@
         )
         return
     _count(controller, order, reply.outcome.value)
-    _take_reply(work, state.name, order, reply)
+    _apply_reply(working, state.name, order, reply)
 
 
 async def _call(controller: Controller, state: ServerState, order: Order) -> OrderReply:
@@ -244,11 +252,13 @@
         )
 
 
-def _take_reply(work: Ledgers, server: str, order: Order, reply: OrderReply) -> None:
-    current = work.current.get(server)
+def _apply_reply(
+    working: WorkingLedgers, server: str, order: Order, reply: OrderReply
+) -> None:
+    current = working.current.get(server)
     if reply.outcome is OrderOutcome.ACCEPTED:
         if current is not None:
-            work.current[server] = ledgers.note_accepted(current, order)
+            working.current[server] = ledgers.note_accepted(current, order)
         return
     log_event(
         Event.ORDER_REFUSED,
@@ -259,13 +269,13 @@
         detail=reply.detail,
     )
     if reply.outcome is OrderOutcome.REFUSED:
-        _note_refused(work, server, order)
+        _record_refused(working, server, order)
 
 
-def _note_refused(work: Ledgers, server: str, order: Order) -> None:
-    current = work.current.get(server)
+def _record_refused(working: WorkingLedgers, server: str, order: Order) -> None:
+    current = working.current.get(server)
     if current is not None:
-        work.current[server] = ledgers.note_refused(current, order)
+        working.current[server] = ledgers.note_refused(current, order)
 
 
 def _count(controller: Controller, order: Order, outcome: str) -> None:
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from arbutuspulley.configuration.activation import activate_if_newer, is_ready
-from arbutuspulley.controller.configuration_sync import log_progress
+from arbutuspulley.controller.configuration_sync import log_activation
 from arbutuspulley.controller.exchange import (
     PeerState,
+    apply_reply,
     build_request,
-    choose_source,
-    is_silent,
-    take_reply,
+    choose_configuration_source,
+    is_unreachable,
 )
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.delivery import suspects
@@ -20,13 +20,13 @@
 from arbutuspulley.rpc.channel import EXCHANGE, Client, PeerUnavailableError
 from arbutuspulley.rpc.messages import ExchangeReply
 
-TIMEOUT_MS = 2_000
+EXCHANGE_TIMEOUT_MS = 2_000
 """Longest wait for a peer's reply."""
 
-FIRST_WAIT_MS = 250
-"""Longest wait after a first failure; doubles up to :data:`LONGEST_WAIT_MS`."""
+INITIAL_BACKOFF_MS = 250
+"""Longest wait after a first failure; doubles up to :data:`MAX_BACKOFF_MS`."""
 
-LONGEST_WAIT_MS = 4_000
+MAX_BACKOFF_MS = 4_000
 """Longest wait between two calls to a peer that does not answer."""
 
 
@@ -34,9 +34,11 @@
     """Ask every peer that is due, all at once, and take in their replies."""
     await _update_peers(controller)
     now = controller.clock.now()
-    due = [peer for peer in controller.peers.values() if now >= peer.next_at]
+    due = [peer for peer in controller.peers.values() if now >= peer.next_call_at]
     version = controller.activation.configuration.version
-    source = choose_source(due, version=version, now=now, chance=controller.chance)
+    source = choose_configuration_source(
+        due, version=version, now=now, chance=controller.chance
+    )
     await asyncio.gather(
         *(
             _exchange(controller, peer, version=version if peer is source else None)
@@ -64,7 +66,7 @@
         controller.clients[address] = Client(address=address, key=settings.peer_key)
     now = controller.clock.now()
     for address in controller.peers.keys() - wanted:
-        if is_silent(controller.peers[address], now=now):
+        if is_unreachable(controller.peers[address], now=now):
             del controller.peers[address]
             await controller.clients.pop(address).close()
 
@@ -78,37 +80,37 @@
         configuration_version=version,
         items=(),
     )
-    asked_at = controller.clock.now()
+    sent_at = controller.clock.now()
     client = controller.clients[peer.address]
     try:
-        reply = await client.call(EXCHANGE, request, timeout_ms=TIMEOUT_MS)
+        reply = await client.call(EXCHANGE, request, timeout_ms=EXCHANGE_TIMEOUT_MS)
     except PeerUnavailableError as error:
-        _note_failure(controller, peer, error.detail)
+        _record_failure(controller, peer, error.detail)
         return
     assert isinstance(reply, ExchangeReply)
-    _take(controller, peer, reply, asked_at=asked_at)
+    _apply(controller, peer, reply, sent_at=sent_at)
 
 
-def _take(
-    controller: Controller, peer: PeerState, reply: ExchangeReply, *, asked_at: int
+def _apply(
+    controller: Controller, peer: PeerState, reply: ExchangeReply, *, sent_at: int
 ) -> None:
     now = controller.clock.now()
     controller.metrics.exchanges.labels("ok").inc()
     controller.metrics.exchange_bytes.inc(len(msgspec.msgpack.encode(reply)))
-    if take_reply(peer, reply, now=asked_at):
+    if apply_reply(peer, reply, now=sent_at):
         log_event(Event.PEER_UP, peer=reply.instance, address=peer.address)
     suspects.merge(controller.suspects, reply.suspicions, now=now)
     if reply.configuration is None:
         return
     was_ready = is_ready(controller.activation)
-    progress = activate_if_newer(controller.activation, reply.configuration)
-    log_progress(controller, progress)
-    if progress.applied and not was_ready:
+    result = activate_if_newer(controller.activation, reply.configuration)
+    log_activation(controller, result)
+    if result.applied and not was_ready:
         version = controller.activation.configuration.version
         log_event(Event.CONFIGURATION_FROM_PEER, peer=reply.instance, version=version)
 
 
-def _note_failure(controller: Controller, peer: PeerState, detail: str) -> None:
+def _record_failure(controller: Controller, peer: PeerState, detail: str) -> None:
     controller.metrics.exchanges.labels("failed").inc()
     now = controller.clock.now()
     peer.failures += 1
@@ -116,5 +118,7 @@
         log_event(
             Event.PEER_DOWN, level=logging.WARNING, peer=peer.instance, detail=detail
         )
-    bound = min(LONGEST_WAIT_MS, FIRST_WAIT_MS * 2 ** min(peer.failures - 1, 8))
-    peer.next_at = now + controller.chance.randint(bound // 2, bound)
+    backoff_ms = min(
+        MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** min(peer.failures - 1, 8)
+    )
+    peer.next_call_at = now + controller.chance.randint(backoff_ms // 2, backoff_ms)
--- a/src/arbutuspulley/controller/planning.py
+++ b/src/arbutuspulley/controller/planning.py
@@ -10,8 +10,8 @@
 
 from arbutuspulley.controller import orders
 from arbutuspulley.controller.demand import list_demand, sum_demand
-from arbutuspulley.controller.exchange import is_silent
-from arbutuspulley.controller.ledgers import Ledgers
+from arbutuspulley.controller.exchange import is_unreachable
+from arbutuspulley.controller.ledgers import WorkingLedgers
 from arbutuspulley.controller.platform_calls import transact
 from arbutuspulley.controller.sessions import get_owned, may_order
 from arbutuspulley.controller.state import Controller
@@ -25,17 +25,17 @@
 from arbutuspulley.placement.transactions import build_slot_release
 from arbutuspulley.rpc.messages import ServerSummary
 
-BLOCKED_MS = 5_000
+BLOCKED_LOG_DELAY_MS = 5_000
 """How long an item must have nowhere to go before that is told."""
 
-REPLAN_MS = 2_000
+REPLAN_INTERVAL_MS = 2_000
 """Time after which a plan is made anew though nothing changed but demand and time."""
 
 MINUTE_S = 60
 """Seconds in a minute."""
 
 
-class Placing(State):
+class PlanningState(State):
     """What is remembered between plans.
 
     :param blocked_since: when an item was first seen to have nowhere to go.
@@ -48,14 +48,16 @@
 
     planner: PlannerState = msgspec.field(default_factory=PlannerState)
     blocked_since: dict[str, int] = {}
-    told: set[str] = set()
+    logged: set[str] = set()
     tasks: set[asyncio.Task[bool]] = set()
     actions: tuple[Action, ...] = ()
     based_on: tuple[object, ...] = ()
     planned_at: int = 0
 
 
-async def place(controller: Controller, work: Ledgers, placing: Placing) -> None:
+async def run_planning_cycle(
+    controller: Controller, working: WorkingLedgers, planning_state: PlanningState
+) -> None:
     """Plan if there is news, and begin the steps that fall to this instance.
 
     Only an instance that owns servers plans; one that has just lost its lease does
@@ -64,21 +66,23 @@
     if controller.stopping or not get_owned(controller):
         return
     summaries = _list_summaries(controller)
-    await _release_slots(controller, work, summaries)
+    await _release_slots(controller, working, summaries)
     now = controller.clock.now()
     inputs = PlannerInputs(
         configuration=controller.activation.configuration,
         ledgers=_list_ledgers(controller),
         summaries=summaries,
-        demand=_measure_demand(controller, now=now),
+        demand=_sum_token_rates(controller, now=now),
+    )
+    _plan(controller, planning_state, inputs, now=now)
+    _start_unloads(
+        controller, working, planning_state, planning_state.actions, summaries
     )
-    _plan(controller, placing, inputs, now=now)
-    _begin_unloads(controller, work, placing, placing.actions, summaries)
-    loads = [action for action in placing.actions if isinstance(action, Load)]
-    _begin_loads(controller, work, placing, loads, inputs)
+    loads = [action for action in planning_state.actions if isinstance(action, Load)]
+    _start_loads(controller, working, planning_state, loads, inputs)
 
 
-def has_loads(controller: Controller, placing: Placing) -> bool:
+def has_loads(controller: Controller, planning_state: PlanningState) -> bool:
     """Tell whether the plan has loads that this instance must carry out.
 
     Its turn at the weight store then comes by rows that others write, so they are
@@ -86,28 +90,35 @@
     """
     return any(
         isinstance(action, Load) and may_order(controller, action.server)
-        for action in placing.actions
+        for action in planning_state.actions
     )
 
 
 def _plan(
-    controller: Controller, placing: Placing, inputs: PlannerInputs, *, now: int
+    controller: Controller,
+    planning_state: PlanningState,
+    inputs: PlannerInputs,
+    *,
+    now: int,
 ) -> None:
     based_on = (
         inputs.configuration.version,
         controller.rows.placement_changes,
         _list_answering(inputs.summaries),
     )
-    if based_on == placing.based_on and now - placing.planned_at < REPLAN_MS:
+    if (
+        based_on == planning_state.based_on
+        and now - planning_state.planned_at < REPLAN_INTERVAL_MS
+    ):
         return
-    placing.based_on, placing.planned_at = based_on, now
-    placing.actions = plan(placing.planner, inputs, now=now)
+    planning_state.based_on, planning_state.planned_at = based_on, now
+    planning_state.actions = plan(planning_state.planner, inputs, now=now)
     blocked = {
         action.item: action.detail
-        for action in placing.actions
+        for action in planning_state.actions
         if isinstance(action, Blocked)
     }
-    _log_blocked(placing, blocked, now=now)
+    _log_blocked(planning_state, blocked, now=now)
 
 
 def _list_summaries(controller: Controller) -> dict[str, ServerSummary]:
@@ -133,24 +144,24 @@
     )
 
 
-def _begin_unloads(
+def _start_unloads(
     controller: Controller,
-    work: Ledgers,
-    placing: Placing,
+    working: WorkingLedgers,
+    planning_state: PlanningState,
     actions: Iterable[Action],
     summaries: Mapping[str, ServerSummary],
 ) -> None:
     answering = _list_answering(summaries)
     for action in actions:
         if isinstance(action, Unload) and may_order(controller, action.server):
-            step = orders.unload(controller, work, action, answering=answering)
-            _begin(placing, step)
+            step = orders.unload(controller, working, action, answering=answering)
+            _start_step(planning_state, step)
 
 
-def _begin_loads(
+def _start_loads(
     controller: Controller,
-    work: Ledgers,
-    placing: Placing,
+    working: WorkingLedgers,
+    planning_state: PlanningState,
     loads: Sequence[Load],
     inputs: PlannerInputs,
 ) -> None:
@@ -167,7 +178,7 @@
     }
     alive = {name for name, summary in inputs.summaries.items() if summary.alive}
     for rank, action in enumerate(loads):
-        if action.server in work.busy or not may_order(controller, action.server):
+        if action.server in working.busy or not may_order(controller, action.server):
             continue
         slot = choose_slot(
             controller.rows.slots,
@@ -180,11 +191,13 @@
             now=controller.clock.now(),
         )
         if slot is not None:
-            _begin(placing, orders.load(controller, work, action, slot))
+            _start_step(planning_state, orders.load(controller, working, action, slot))
 
 
 async def _release_slots(
-    controller: Controller, work: Ledgers, summaries: Mapping[str, ServerSummary]
+    controller: Controller,
+    working: WorkingLedgers,
+    summaries: Mapping[str, ServerSummary],
 ) -> None:
     for slot in list(controller.rows.slots.values()):
         record = slot.record
@@ -196,7 +209,9 @@
             ledger=_list_ledgers(controller).get(record.server),
             alive=summary is not None and summary.alive,
             store=controller.activation.configuration.weight_store,
-            sent_at=work.sent_at.get((record.server, record.number), slot.changed_at),
+            sent_at=working.sent_at.get(
+                (record.server, record.number), slot.changed_at
+            ),
             now=controller.clock.now(),
         ):
             continue
@@ -204,43 +219,45 @@
             token=uuid.uuid4().hex, group=controller.settings.group, slot=slot
         )
         await transact(controller, transaction)
-        work.sent_at.pop((record.server, record.number), None)
+        working.sent_at.pop((record.server, record.number), None)
 
 
 def _list_ledgers(controller: Controller) -> dict[str, ServerLedger]:
-    return {name: seen.ledger for name, seen in controller.rows.ledgers.items()}
+    return {name: stored.ledger for name, stored in controller.rows.ledgers.items()}
 
 
-def _measure_demand(controller: Controller, *, now: int) -> dict[str, float]:
+def _sum_token_rates(controller: Controller, *, now: int) -> dict[str, float]:
     """Return the tokens a second that callers ask of each item everywhere."""
     parts = [list_demand(controller.demand, now=now)]
     parts += [
         peer.demand
         for peer in controller.peers.values()
-        if not is_silent(peer, now=now)
+        if not is_unreachable(peer, now=now)
     ]
     return {
         item: demand.tokens / MINUTE_S for item, demand in sum_demand(parts).items()
     }
 
 
-def _log_blocked(placing: Placing, blocked: dict[str, str], *, now: int) -> None:
+def _log_blocked(
+    planning_state: PlanningState, blocked: dict[str, str], *, now: int
+) -> None:
     """Tell once of each item that stays blocked; at a start, all are for a moment."""
-    placing.told &= blocked.keys()
-    placing.blocked_since = {
-        item: placing.blocked_since.get(item, now) for item in blocked
+    planning_state.logged &= blocked.keys()
+    planning_state.blocked_since = {
+        item: planning_state.blocked_since.get(item, now) for item in blocked
     }
     for item, detail in blocked.items():
-        lasts_ms = now - placing.blocked_since[item]
-        if lasts_ms < BLOCKED_MS or item in placing.told:
+        blocked_for_ms = now - planning_state.blocked_since[item]
+        if blocked_for_ms < BLOCKED_LOG_DELAY_MS or item in planning_state.logged:
             continue
-        placing.told.add(item)
+        planning_state.logged.add(item)
         log_event(
             Event.PLACEMENT_BLOCKED, level=logging.WARNING, item=item, detail=detail
         )
 
 
-def _begin(placing: Placing, step: Coroutine[Any, Any, bool]) -> None:
+def _start_step(planning_state: PlanningState, step: Coroutine[Any, Any, bool]) -> None:
     task = asyncio.ensure_future(step)
-    placing.tasks.add(task)
-    task.add_done_callback(placing.tasks.discard)
+    planning_state.tasks.add(task)
+    task.add_done_callback(planning_state.tasks.discard)
--- a/src/arbutuspulley/controller/platform_calls.py
+++ b/src/arbutuspulley/controller/platform_calls.py
@@ -6,7 +6,7 @@
 from concurrent.futures import Executor
 from typing import TypeVar
 
-from arbutuspulley.controller.rows import list_written, take_rows
+from arbutuspulley.controller.rows import apply_rows, list_written
 from arbutuspulley.controller.state import Controller, is_store_up
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.observation import update_rows
@@ -20,19 +20,23 @@
 from arbutuspulley.ports.platform import Committed, Conflict, Transaction
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
-COMMIT_TRIES = 2
+MAX_COMMIT_ATTEMPTS = 2
 """Sends of one transaction; the loops come round again soon enough by themselves."""
 
 _Result = TypeVar("_Result")
 
 
-async def ask(controller: Controller, function: Callable[[], _Result]) -> _Result:
+async def call_platform(
+    controller: Controller, function: Callable[[], _Result]
+) -> _Result:
     """Read something from the platform.
 
     :raises PlatformUnavailableError: if it did not answer, or is known to be down
         and it is not yet time for the next probe.
     """
-    return await _guard(controller, controller.reads, controller.pools.store, function)
+    return await _run_guarded(
+        controller, controller.reads, controller.pools.store, function
+    )
 
 
 async def transact(
@@ -40,7 +44,7 @@
     transaction: Transaction,
     *,
     pool: Executor | None = None,
-    max_attempts: int = COMMIT_TRIES,
+    max_attempts: int = MAX_COMMIT_ATTEMPTS,
 ) -> Committed | Conflict:
     """Commit a transaction of the controller's own and take in what it wrote.
 
@@ -51,7 +55,7 @@
         when they are next read.
     """
     table = controller.platform.table
-    outcome = await _guard(
+    outcome = await _run_guarded(
         controller,
         controller.writes,
         pool or controller.pools.store,
@@ -60,12 +64,12 @@
     if isinstance(outcome, Committed):
         written = list_written(transaction, revision=outcome.revision)
         now = controller.clock.now()
-        sessions = take_rows(controller.rows, written, now=now)
+        sessions = apply_rows(controller.rows, written, now=now)
         update_rows(controller.sessions, sessions, now=now)
     return outcome
 
 
-async def _guard(
+async def _run_guarded(
     controller: Controller,
     outage: OutageState,
     pool: Executor,
@@ -77,20 +81,20 @@
     try:
         result = await asyncio.get_running_loop().run_in_executor(pool, function)
     except (PlatformUnavailableError, OutcomeUnknownError) as error:
-        _note_failure(controller, outage, error.detail)
+        _record_failure(controller, outage, error.detail)
         raise
-    _note_success(controller, outage)
+    _record_success(controller, outage)
     return result
 
 
-def _note_failure(controller: Controller, outage: OutageState, detail: str) -> None:
+def _record_failure(controller: Controller, outage: OutageState, detail: str) -> None:
     now = controller.clock.now()
     if record_failure(outage, now=now, chance=controller.chance):
         log_event(Event.PLATFORM_DOWN, level=logging.WARNING, detail=detail)
     controller.metrics.store_up.set(is_store_up(controller))
 
 
-def _note_success(controller: Controller, outage: OutageState) -> None:
+def _record_success(controller: Controller, outage: OutageState) -> None:
     if record_success(outage) and is_store_up(controller):
         log_event(Event.PLATFORM_UP)
     controller.metrics.store_up.set(is_store_up(controller))
--- a/src/arbutuspulley/controller/polling.py
+++ b/src/arbutuspulley/controller/polling.py
@@ -6,26 +6,26 @@
 
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import Server
-from arbutuspulley.controller.exchange import is_silent
+from arbutuspulley.controller.exchange import is_unreachable
 from arbutuspulley.controller.reports import (
     ServerState,
+    apply_report,
     is_alive,
-    is_read_here,
-    note_refused,
+    is_polled_here,
+    record_refused,
     replace_address,
-    take_report,
 )
-from arbutuspulley.controller.rows import note_fence
+from arbutuspulley.controller.rows import record_fence
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.ownership import choose_poller
 from arbutuspulley.ports.engines import BrokenError, NotSentError, Report
 
-Heard = Callable[[ServerState], Awaitable[None]]
+ReportHandler = Callable[[ServerState], Awaitable[None]]
 """Called with each server whose newest report was just taken in."""
 
 
-def choose_read(controller: Controller) -> tuple[str, ...]:
+def choose_polled_servers(controller: Controller) -> tuple[str, ...]:
     """Return the servers whose reports this instance reads, and keep their states."""
     now = controller.clock.now()
     servers = list_servers(controller.activation.configuration)
@@ -34,7 +34,7 @@
     for name, server in servers.items():
         state = controller.servers.get(name)
         is_owned = _find_owner(controller, name) == controller.settings.instance
-        if not is_read_here(state, owned=is_owned, chosen=name in orphans, now=now):
+        if not is_polled_here(state, owned=is_owned, chosen=name in orphans, now=now):
             controller.servers.pop(name, None)
             continue
         if state is None:
@@ -49,7 +49,9 @@
     return tuple(names)
 
 
-async def read_report(controller: Controller, name: str, *, heard: Heard) -> None:
+async def poll_report(
+    controller: Controller, name: str, *, on_report: ReportHandler
+) -> None:
     """Read one server's report unless a read of it is still under way."""
     state = controller.servers.get(name)
     if state is None or state.polling:
@@ -62,7 +64,7 @@
         state.polling = False
     _log_change(controller, state, was_alive=was_alive)
     if controller.servers.get(name) is state:
-        await heard(state)
+        await on_report(state)
 
 
 async def _read(controller: Controller, state: ServerState) -> None:
@@ -73,17 +75,17 @@
             controller.pools.reports, lambda: report(state.address)
         )
     except NotSentError:
-        note_refused(state)
+        record_refused(state)
         controller.metrics.reports.labels("refused").inc()
         return
     except BrokenError:
         controller.metrics.reports.labels("broken").inc()
         return
     was_leaving = state.report is not None and state.report.leaving
-    if not take_report(state, answer, now=controller.clock.now()):
+    if not apply_report(state, answer, now=controller.clock.now()):
         return
     controller.metrics.reports.labels("ok").inc()
-    note_fence(controller.rows, state.name, answer.fence)
+    record_fence(controller.rows, state.name, answer.fence)
     if answer.leaving and not was_leaving:
         log_event(Event.SERVER_LEAVING, server=state.name, source="report")
 
@@ -103,7 +105,7 @@
     reachable = {
         peer.instance: peer
         for peer in controller.peers.values()
-        if not is_silent(peer, now=now)
+        if not is_unreachable(peer, now=now)
     }
     own = controller.settings.instance
     orphans: list[str] = []
--- a/src/arbutuspulley/controller/publishing.py
+++ b/src/arbutuspulley/controller/publishing.py
@@ -9,13 +9,13 @@
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import EMPTY, Configuration, Server
 from arbutuspulley.controller.demand import list_demand, sum_usage
-from arbutuspulley.controller.entries import forget_silent
-from arbutuspulley.controller.exchange import is_silent, record_changes
+from arbutuspulley.controller.entries import evict_silent
+from arbutuspulley.controller.exchange import is_unreachable, record_changes
 from arbutuspulley.controller.reports import build_summary
 from arbutuspulley.controller.sessions import get_owned
 from arbutuspulley.controller.state import Controller, is_store_up
 from arbutuspulley.controller.views import (
-    KEPT_MS,
+    SUMMARY_RETENTION_MS,
     merge_entries,
     merge_servers,
     merge_usage,
@@ -33,13 +33,13 @@
     View,
 )
 
-HEARING_MS = 3 * SECOND_MS
+MAX_SUMMARY_WAIT_MS = 3 * SECOND_MS
 """How long a new instance waits to hear of all servers before it serves."""
 
 _NO_VIEW = View(number=0, ready=False, store_up=False, configuration=EMPTY)
 
 
-class _Place(Value, frozen=True):
+class _ServerSite(Value, frozen=True):
     server: Server
     site: str
 
@@ -47,8 +47,8 @@
 def publish(controller: Controller) -> None:
     """Update what peers will be told, and the view; wake its watchers if it changed."""
     now = controller.clock.now()
-    forget_silent(controller.entries, now=now)
-    own = _summarise(controller, now=now)
+    evict_silent(controller.entries, now=now)
+    own = _build_summaries(controller, now=now)
     suspicions = tuple(controller.suspects.suspicions.values())
     record_changes(
         controller.outgoing_updates,
@@ -57,10 +57,10 @@
         demand=list_demand(controller.demand, now=now),
     )
     peers = controller.peers.values()
-    servers = _merge(controller, own, now=now)
+    servers = _merge_summaries(controller, own, now=now)
     changed = update_view(
         controller.views,
-        ready=_may_serve(controller, servers, now=now),
+        ready=_update_serving(controller, servers, now=now),
         store_up=is_store_up(controller),
         configuration=controller.activation.configuration,
         servers=servers,
@@ -74,17 +74,17 @@
         controller.view_changed = asyncio.Event()
 
 
-def publish_at_once(controller: Controller) -> None:
+def publish_immediately(controller: Controller) -> None:
     """Publish, and send the view without the usual gap since the last one."""
     publish(controller)
     controller.view_urgent.set()
     controller.view_urgent = asyncio.Event()
 
 
-async def wait_for_gap(controller: Controller, gap_ms: int) -> None:
+async def wait_for_view_interval(controller: Controller, interval_ms: int) -> None:
     """Wait for the gap between two views, or less if the next one is urgent."""
     try:
-        async with asyncio.timeout(gap_ms / SECOND_MS):
+        async with asyncio.timeout(interval_ms / SECOND_MS):
             await controller.view_urgent.wait()
     except TimeoutError:
         return
@@ -128,7 +128,7 @@
     )
 
 
-def build_status(controller: Controller) -> InstanceStatus:
+def build_instance_status(controller: Controller) -> InstanceStatus:
     """Return what this instance says of itself."""
     now = controller.clock.now()
     return InstanceStatus(
@@ -154,7 +154,7 @@
     :param after: if set, the configuration in force is sent along if it is newer.
     """
     now = controller.clock.now()
-    instances = {controller.settings.instance: build_status(controller)}
+    instances = {controller.settings.instance: build_instance_status(controller)}
     accepted = controller.activation.accepted_version
     for peer in controller.peers.values():
         accepted = max(accepted, peer.configuration_version)
@@ -163,9 +163,13 @@
         known = instances.get(peer.instance)
         if known is not None and known.reachable:
             continue
-        reachable = not is_silent(peer, now=now)
+        reachable = not is_unreachable(peer, now=now)
         is_known = peer.instance in controller.sessions.rows
-        if not reachable and not is_known and now - (peer.replied_at or 0) > KEPT_MS:
+        if (
+            not reachable
+            and not is_known
+            and now - (peer.replied_at or 0) > SUMMARY_RETENTION_MS
+        ):
             continue
         instances[peer.instance] = msgspec.structs.replace(
             peer.status, reachable=reachable
@@ -178,16 +182,16 @@
                 configuration_version=0,
                 reachable=False,
             )
-    own = _summarise(controller, now=now)
+    own = _build_summaries(controller, now=now)
     return FleetStatus(
         accepted_version=accepted,
         instances=tuple(instances[name] for name in sorted(instances)),
-        servers=_merge(controller, own, now=now),
-        configuration=_choose_sent(controller.activation.configuration, after),
+        servers=_merge_summaries(controller, own, now=now),
+        configuration=_select_newer(controller.activation.configuration, after),
     )
 
 
-def _may_serve(
+def _update_serving(
     controller: Controller, servers: tuple[ServerSummary, ...], *, now: int
 ) -> bool:
     """Tell whether entries may begin to serve; once they may, they always may.
@@ -197,7 +201,7 @@
     loaded anywhere. A server that this instance is to read and has not read yet is
     not heard of either: with the store away it finds no owner of any server, and may
     take one as its own before it asks it. A server that nobody speaks of is waited
-    for no longer than :data:`HEARING_MS`.
+    for no longer than :data:`MAX_SUMMARY_WAIT_MS`.
     """
     if controller.serving or not is_ready(controller.activation):
         return controller.serving
@@ -205,12 +209,12 @@
         controller.configured_at = now
     known = {summary.server for summary in servers if summary.boot_id}
     configured = list_servers(controller.activation.configuration).keys()
-    waited = now - controller.configured_at >= HEARING_MS
+    waited = now - controller.configured_at >= MAX_SUMMARY_WAIT_MS
     controller.serving = waited or configured <= known
     return controller.serving
 
 
-def _choose_sent(
+def _select_newer(
     configuration: Configuration, after: int | None
 ) -> Configuration | None:
     if after is None or configuration.version <= after:
@@ -218,7 +222,7 @@
     return configuration
 
 
-def _merge(
+def _merge_summaries(
     controller: Controller, own: dict[str, ServerSummary], *, now: int
 ) -> tuple[ServerSummary, ...]:
     return merge_servers(
@@ -230,22 +234,22 @@
     )
 
 
-def _summarise(controller: Controller, *, now: int) -> dict[str, ServerSummary]:
+def _build_summaries(controller: Controller, *, now: int) -> dict[str, ServerSummary]:
     """Return summaries of the servers whose reports this instance reads."""
-    places = {
-        name: _Place(server=server, site=site_name)
+    server_sites = {
+        name: _ServerSite(server=server, site=site_name)
         for site_name, site in controller.activation.configuration.sites.items()
         for name, server in site.servers.items()
     }
     summaries: dict[str, ServerSummary] = {}
     for name, state in controller.servers.items():
-        place = places.get(name)
-        if place is None:
+        server_site = server_sites.get(name)
+        if server_site is None:
             continue
         summaries[name] = build_summary(
             state,
-            server=place.server,
-            site=place.site,
+            server=server_site.server,
+            site=server_site.site,
             leaving_items=_list_leaving_items(controller, name),
             now=now,
         )
@@ -253,11 +257,11 @@
 
 
 def _list_leaving_items(controller: Controller, server: str) -> frozenset[str]:
-    seen = controller.rows.ledgers.get(server)
-    if seen is None:
+    stored = controller.rows.ledgers.get(server)
+    if stored is None:
         return frozenset()
     return frozenset(
         entry.item
-        for entry in seen.ledger.entries
+        for entry in stored.ledger.entries
         if entry.state is EntryState.UNLOADING
     )
--- a/src/arbutuspulley/controller/reports.py
+++ b/src/arbutuspulley/controller/reports.py
@@ -5,13 +5,13 @@
 from arbutuspulley.ports.engines import ItemState, Report
 from arbutuspulley.rpc.messages import ServerSummary
 
-ALIVE_MS = 3_000
+ALIVE_TIMEOUT_MS = 3_000
 """Time without a report after which a server counts as not alive."""
 
-REFUSALS_TO_DEAD = 2
+DEAD_AFTER_REFUSALS = 2
 """Connections refused in a row after which it counts as not alive at once."""
 
-LINGER_MS = 5_000
+POLL_AFTER_RELEASE_MS = 5_000
 """How long reports are still read after ownership has passed on, so that there is
 always an instance that knows the server's load."""
 
@@ -35,7 +35,7 @@
     owned_at: int | None = None
 
 
-def take_report(state: ServerState, report: Report, *, now: int) -> bool:
+def apply_report(state: ServerState, report: Report, *, now: int) -> bool:
     """Take in a report unless it is older than one of the same boot.
 
     :return: whether it is the newest.
@@ -50,16 +50,16 @@
     return True
 
 
-def note_refused(state: ServerState) -> None:
+def record_refused(state: ServerState) -> None:
     """Take in that the server refused the connection: its process is gone."""
     state.refusals += 1
 
 
 def is_alive(state: ServerState, *, now: int) -> bool:
     """Tell whether a server's reports come in time."""
-    if state.report is None or state.refusals >= REFUSALS_TO_DEAD:
+    if state.report is None or state.refusals >= DEAD_AFTER_REFUSALS:
         return False
-    return now - state.received_at <= ALIVE_MS
+    return now - state.received_at <= ALIVE_TIMEOUT_MS
 
 
 def build_summary(
@@ -106,7 +106,7 @@
     )
 
 
-def is_read_here(
+def is_polled_here(
     state: ServerState | None, *, owned: bool, chosen: bool, now: int
 ) -> bool:
     """Tell whether this instance reads a server's reports.
@@ -118,7 +118,7 @@
         return True
     if state is None or state.owned_at is None:
         return False
-    return now - state.owned_at <= LINGER_MS
+    return now - state.owned_at <= POLL_AFTER_RELEASE_MS
 
 
 def replace_address(state: ServerState, address: str) -> ServerState:
--- a/src/arbutuspulley/controller/rows.py
+++ b/src/arbutuspulley/controller/rows.py
@@ -14,7 +14,7 @@
 from arbutuspulley.ports.platform import Row, Transaction
 
 
-class SeenLedger(Value, frozen=True):
+class StoredLedger(Value, frozen=True):
     """A server's ledger as read."""
 
     ledger: ServerLedger
@@ -38,16 +38,16 @@
     placement_changes: int = 0
     revisions: dict[str, int] = {}
     owners: dict[str, OwnerRow] = {}
-    ledgers: dict[str, SeenLedger] = {}
+    ledgers: dict[str, StoredLedger] = {}
     copies: dict[str, CopiesRow] = {}
     slots: dict[int, SlotRow] = {}
     fences: dict[str, int] = {}
 
 
-_PLACEMENT = frozenset({"ledger", "copies", "load-slot"})
+_PLACEMENT_KINDS = frozenset({"ledger", "copies", "load-slot"})
 
 
-def take_rows(
+def apply_rows(
     rows: GroupRows, changed: Iterable[Row], *, now: int
 ) -> tuple[SessionRow, ...]:
     """Take in rows from a scan or from an own transaction, each only if newer.
@@ -60,19 +60,19 @@
             continue
         rows.revisions[row.key] = row.revision
         kind, _, name = row.key.removeprefix(f"{rows.group}/").partition("/")
-        rows.placement_changes += kind in _PLACEMENT
+        rows.placement_changes += kind in _PLACEMENT_KINDS
         if kind == "session":
             sessions.append(_read_session(row, name))
         elif kind == "owner" and not row.deleted:
-            _take_owner(rows, row)
+            _apply_owner(rows, row)
         elif kind == "ledger" and not row.deleted:
             ledger = placement.decode(row.value, ServerLedger)
-            rows.ledgers[name] = SeenLedger(ledger=ledger, revision=row.revision)
+            rows.ledgers[name] = StoredLedger(ledger=ledger, revision=row.revision)
         elif kind == "copies" and not row.deleted:
             record = placement.decode(row.value, CopiesRecord)
             rows.copies[name] = CopiesRow(record=record, revision=row.revision)
         elif kind == "load-slot":
-            _take_slot(rows, row, int(name), now=now)
+            _apply_slot(rows, row, int(name), now=now)
     return tuple(sessions)
 
 
@@ -90,7 +90,7 @@
     )
 
 
-def forget_rows(rows: GroupRows) -> None:
+def reset_rows(rows: GroupRows) -> None:
     """Begin anew, as the table's history was replaced by a backup's."""
     rows.revision = 0
     rows.revisions = {}
@@ -100,7 +100,7 @@
     rows.slots = {}
 
 
-def note_fence(rows: GroupRows, server: str, fence: int) -> None:
+def record_fence(rows: GroupRows, server: str, fence: int) -> None:
     """Remember the highest fencing number met for a server."""
     rows.fences[server] = max(fence, rows.fences.get(server, 0))
 
@@ -117,13 +117,13 @@
         return None
 
 
-def _take_owner(rows: GroupRows, row: Row) -> None:
+def _apply_owner(rows: GroupRows, row: Row) -> None:
     record = membership.decode_owner(row.value)
     rows.owners[record.server] = OwnerRow(record=record, revision=row.revision)
-    note_fence(rows, record.server, record.fence)
+    record_fence(rows, record.server, record.fence)
 
 
-def _take_slot(rows: GroupRows, row: Row, number: int, *, now: int) -> None:
+def _apply_slot(rows: GroupRows, row: Row, number: int, *, now: int) -> None:
     record = SlotRecord() if row.deleted else placement.decode(row.value, SlotRecord)
     rows.slots[number] = SlotRow(
         number=number, record=record, revision=row.revision, changed_at=now
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
-from arbutuspulley.controller.platform_calls import ask, transact
+from arbutuspulley.controller.platform_calls import call_platform, transact
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership import lease as leases
@@ -37,7 +37,7 @@
 )
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
-RENEWAL_TRIES = 2
+MAX_RENEWALS_PER_ROUND = 2
 """Renewals sent in one round."""
 
 RELEASE_TIMEOUT_MS = 3 * SECOND_MS
@@ -66,7 +66,7 @@
     """
     if controller.lease.revision is None:
         await _read_own_row(controller)
-    for _ in range(RENEWAL_TRIES):
+    for _ in range(MAX_RENEWALS_PER_ROUND):
         if await _renew_once(controller):
             return
 
@@ -136,10 +136,12 @@
         await _hand_over(controller, releases)
 
 
-async def sweep_sessions(controller: Controller) -> None:
+async def delete_stale_sessions(controller: Controller) -> None:
     """Delete rows of instances that are gone for good; one instance does each."""
-    named = frozenset(row.record.session for row in controller.rows.owners.values())
-    for row in list_stale_rows(controller.sessions, referenced=named):
+    referenced = frozenset(
+        row.record.session for row in controller.rows.owners.values()
+    )
+    for row in list_stale_rows(controller.sessions, referenced=referenced):
         chosen = choose_poller(row.instance, candidates=controller.live)
         if chosen != controller.settings.instance:
             continue
@@ -188,7 +190,7 @@
 
 async def _read_own_row(controller: Controller) -> None:
     key = build_session_key(controller.settings.group, controller.lease.instance)
-    row = await ask(controller, lambda: controller.platform.table.read(key))
+    row = await call_platform(controller, lambda: controller.platform.table.read(key))
     leases.adopt_row(controller.lease, revision=row.revision if row else ABSENT)
 
 
@@ -216,7 +218,7 @@
 
 async def _resolve_conflict(controller: Controller) -> None:
     key = build_session_key(controller.settings.group, controller.lease.instance)
-    row = await ask(controller, lambda: controller.platform.table.read(key))
+    row = await call_platform(controller, lambda: controller.platform.table.read(key))
     leases.resolve_conflict(
         controller.lease,
         decode_session(row.value) if row else None,
--- a/src/arbutuspulley/controller/store_watch.py
+++ b/src/arbutuspulley/controller/store_watch.py
@@ -2,8 +2,8 @@
 
 import logging
 
-from arbutuspulley.controller.platform_calls import ask
-from arbutuspulley.controller.rows import forget_rows, take_rows
+from arbutuspulley.controller.platform_calls import call_platform
+from arbutuspulley.controller.rows import apply_rows, reset_rows
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership import lease as leases
@@ -27,16 +27,16 @@
         sent_at = controller.clock.now()
         page = await _scan(controller, rows.revision)
         if rows.table_id and page.table_id != rows.table_id:
-            _begin_anew(controller, page.table_id)
+            _reset_after_restore(controller, page.table_id)
             continue
-        _take_page(controller, page, sent_at=sent_at)
+        _apply_page(controller, page, sent_at=sent_at)
         if not page.more:
             return
 
 
 async def follow_instances(controller: Controller) -> None:
     """Read which servers the platform lists as leaving."""
-    listings = await ask(controller, controller.platform.list_instances)
+    listings = await call_platform(controller, controller.platform.list_instances)
     leaving = frozenset(
         one.name for one in listings if one.state is InstanceState.LEAVING
     )
@@ -48,23 +48,23 @@
 async def _scan(controller: Controller, after: int) -> Page:
     prefix = f"{controller.rows.group}/"
     scan = controller.platform.table.scan
-    return await ask(controller, lambda: scan(prefix, after, SCAN_ROWS))
+    return await call_platform(controller, lambda: scan(prefix, after, SCAN_ROWS))
 
 
-def _take_page(controller: Controller, page: Page, *, sent_at: int) -> None:
+def _apply_page(controller: Controller, page: Page, *, sent_at: int) -> None:
     now = controller.clock.now()
     rows = controller.rows
-    changed = take_rows(rows, page.rows, now=now)
+    changed = apply_rows(rows, page.rows, now=now)
     rows.revision, rows.table_id = page.revision, page.table_id
     sessions.apply_scan(controller.sessions, changed, sent_at=sent_at, now=now)
-    named = frozenset(row.record.session for row in rows.owners.values())
-    for session in named:
+    referenced = frozenset(row.record.session for row in rows.owners.values())
+    for session in referenced:
         sessions.track_session(controller.sessions, session, now=now)
-    sessions.prune_sessions(controller.sessions, referenced=named)
-    _note_live(controller, now=now)
+    sessions.prune_sessions(controller.sessions, referenced=referenced)
+    _update_live_instances(controller, now=now)
 
 
-def _note_live(controller: Controller, *, now: int) -> None:
+def _update_live_instances(controller: Controller, *, now: int) -> None:
     live = sessions.list_live(controller.sessions)
     if live == controller.live:
         return
@@ -75,7 +75,7 @@
     controller.metrics.live_instances.set(len(live))
 
 
-def _begin_anew(controller: Controller, table_id: str) -> None:
+def _reset_after_restore(controller: Controller, table_id: str) -> None:
     """Forget rows and give up the lease, as the table was restored from a backup.
 
     Its sessions and owners are those of an earlier time. Going on with the own
@@ -83,7 +83,7 @@
     another owner, who reads them just as well.
     """
     log_event(Event.TABLE_RESTORED, level=logging.WARNING, table_id=table_id)
-    forget_rows(controller.rows)
+    reset_rows(controller.rows)
     controller.rows.table_id = table_id
     sessions.reset(controller.sessions)
     leases.abandon(controller.lease)
--- a/src/arbutuspulley/controller/views.py
+++ b/src/arbutuspulley/controller/views.py
@@ -10,7 +10,7 @@
 
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import Configuration
-from arbutuspulley.controller.exchange import PeerState, is_silent
+from arbutuspulley.controller.exchange import PeerState, is_unreachable
 from arbutuspulley.data import State
 from arbutuspulley.rpc.messages import (
     CallerUsage,
@@ -20,11 +20,11 @@
     View,
 )
 
-KEPT_MS = 60_000
+SUMMARY_RETENTION_MS = 60_000
 """How long a server's last account is told on, as not alive, once nobody renews it."""
 
 
-REFRESH_MS = 2_000
+REFRESH_INTERVAL_MS = 2_000
 """A view whose numbers still hold is sent again after this, with their new ages."""
 
 
@@ -56,18 +56,20 @@
     :param own: summaries from reports that this instance read itself.
     :param leaving: servers that the instance list calls leaving.
     """
-    accounts: dict[str, list[ServerSummary]] = {}
+    summaries: dict[str, list[ServerSummary]] = {}
     for name, summary in own.items():
-        accounts.setdefault(name, []).append(summary)
+        summaries.setdefault(name, []).append(summary)
     for peer in peers:
         for name, summary in peer.servers.items():
-            accounts.setdefault(name, []).append(_age(summary, peer, now=now))
+            summaries.setdefault(name, []).append(_add_age(summary, peer, now=now))
     merged = []
     for name, server in sorted(list_servers(configuration).items()):
-        told = [one for one in accounts.get(name, ()) if one.address == server.address]
-        if not told:
+        candidates = [
+            one for one in summaries.get(name, ()) if one.address == server.address
+        ]
+        if not candidates:
             continue
-        best = min(told, key=lambda one: (not one.alive, one.age_ms))
+        best = min(candidates, key=lambda one: (not one.alive, one.age_ms))
         if name in leaving and not best.leaving:
             best = msgspec.structs.replace(best, leaving=True)
         merged.append(best)
@@ -84,7 +86,7 @@
     """
     entries = {one.address: one for one in own}
     for peer in peers:
-        if not is_silent(peer, now=now):
+        if not is_unreachable(peer, now=now):
             entries |= {one.address: one for one in peer.entries}
     return tuple(entries[address] for address in sorted(entries))
 
@@ -94,7 +96,7 @@
     tokens: dict[str, float] = {}
     waiting: dict[str, int] = {}
     for peer in peers:
-        if is_silent(peer, now=now):
+        if is_unreachable(peer, now=now):
             continue
         for usage in peer.usage:
             name = usage.caller
@@ -132,7 +134,7 @@
         suspicions=suspicions,
         usage=usage,
     )
-    is_due = now - state.built_at >= REFRESH_MS
+    is_due = now - state.built_at >= REFRESH_INTERVAL_MS
     if not is_due and state.view and _strip_ages(view) == _strip_ages(state.view):
         return False
     state.built_at = now
@@ -140,15 +142,15 @@
     return True
 
 
-def _age(summary: ServerSummary, peer: PeerState, *, now: int) -> ServerSummary:
+def _add_age(summary: ServerSummary, peer: PeerState, *, now: int) -> ServerSummary:
     """Add the time since the peer last confirmed a summary.
 
     A peer that has fallen silent can't vouch that the server is alive, nor that it
-    is dead: its last word stands, and grows older, for :data:`KEPT_MS`.
+    is dead: its last word stands, and grows older, for :data:`SUMMARY_RETENTION_MS`.
     """
-    silent_for = now - (peer.replied_at or 0)
-    age = summary.age_ms + silent_for
-    alive = summary.alive and silent_for <= KEPT_MS
+    silent_ms = now - (peer.replied_at or 0)
+    age = summary.age_ms + silent_ms
+    alive = summary.alive and silent_ms <= SUMMARY_RETENTION_MS
     return msgspec.structs.replace(summary, age_ms=age, alive=alive)
 
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -16,8 +16,8 @@
 from arbutuspulley.configuration.merge import FileSet, merge_files
 from arbutuspulley.controller import handlers, orders, planning, polling
 from arbutuspulley.controller.exchange import PeerState
-from arbutuspulley.controller.ledgers import Ledgers
-from arbutuspulley.controller.publishing import HEARING_MS, publish
+from arbutuspulley.controller.ledgers import WorkingLedgers
+from arbutuspulley.controller.publishing import MAX_SUMMARY_WAIT_MS, publish
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.sessions import get_owned, may_order, release_all
 from arbutuspulley.membership.records import decode_owner
@@ -51,10 +51,10 @@
     try_step,
 )
 
-LONGEST_WAIT_S = LEASE_MS // 2_000
+MAX_BACKOFF_S = LEASE_MS // 2_000
 """Seconds after an outage in which every instance has asked the store again."""
 
-LAPSE_S = 11
+LEASE_EXPIRY_S = 11
 """Seconds after which others may act on a silent session: lease and margin."""
 
 
@@ -68,14 +68,14 @@
     return fake, time, nodes
 
 
-def hear_of(node, instance, *, now):
+def mark_peer_reachable(node, instance, *, now):
     """Let a node have heard of a peer just now."""
     peer = PeerState(address="x:1", instance=instance, replied_at=now)
     node.peers = {"x:1": peer}
     node.servers = {}
 
 
-async def settle(nodes, time):
+async def claim_servers(nodes, time):
     """Let both take sessions and share out, and return the fences as they are."""
     await run_second(nodes, time, seconds=40)
     fences = list_fences(nodes[0])
@@ -92,9 +92,9 @@
 
     async def run():
         _, time, (a, b) = build_pair()
-        before = await settle([a, b], time)
+        before = await claim_servers([a, b], time)
         (server,) = get_owned(a)
-        await run_second([b], time, seconds=LAPSE_S - 2)
+        await run_second([b], time, seconds=LEASE_EXPIRY_S - 2)
         assert list_fences(b) == before
         await run_second([b], time, seconds=4)
         assert list_fences(b)[server] == ("b", before[server][1] + 1)
@@ -115,18 +115,18 @@
 
     async def run():
         fake, time, nodes = build_pair()
-        before = await settle(nodes, time)
+        before = await claim_servers(nodes, time)
         fake.down = True
         await run_second(nodes, time, seconds=600)
         assert not any(get_owned(node) for node in nodes)
         assert not nodes[0].reads.up
-        read_alone = polling.choose_read(nodes[0])
-        hear_of(nodes[0], "b", now=time.now)
-        read_beside_b = polling.choose_read(nodes[0])
+        read_alone = polling.choose_polled_servers(nodes[0])
+        mark_peer_reachable(nodes[0], "b", now=time.now)
+        read_beside_b = polling.choose_polled_servers(nodes[0])
         assert set(read_alone) == set(before)
         assert [before[server][0] for server in read_beside_b] == ["a"]
         fake.down = False
-        await run_second(nodes[:1], time, seconds=LONGEST_WAIT_S)
+        await run_second(nodes[:1], time, seconds=MAX_BACKOFF_S)
         await run_second(nodes, time, seconds=6)
         after = list_fences(nodes[1])
         assert sum(len(get_owned(node)) for node in nodes) == 2
@@ -145,9 +145,9 @@
 
     async def run():
         fake, time, (a, b) = build_pair()
-        early = await settle([a, b], time)
+        early = await claim_servers([a, b], time)
         revision = fake.state.revision
-        await run_second([b], time, seconds=LAPSE_S + 4)
+        await run_second([b], time, seconds=LEASE_EXPIRY_S + 4)
         await run_second([a, b], time, seconds=60)
         late = list_fences(a)
         assert late != early
@@ -155,7 +155,7 @@
         await run_second([a, b], time, seconds=1)
         assert not get_owned(a)
         assert not get_owned(b)
-        await run_second([a, b], time, seconds=2 * LAPSE_S + 4)
+        await run_second([a, b], time, seconds=2 * LEASE_EXPIRY_S + 4)
         owned = [*get_owned(a), *get_owned(b)]
         assert sorted(owned) == sorted(late)
         for server, (_, fence) in list_fences(a).items():
@@ -170,7 +170,7 @@
 
     async def run():
         fake, time, (a, b) = build_pair()
-        before = await settle([a, b], time)
+        before = await claim_servers([a, b], time)
         session = a.lease.session
         setattr(fake, lost, 1)
         await run_second([a, b], time, seconds=20)
@@ -184,7 +184,7 @@
 def test_stopping_controller_hands_over_at_once():
     async def run():
         _, time, (a, b) = build_pair()
-        before = await settle([a, b], time)
+        before = await claim_servers([a, b], time)
         (server,) = get_owned(a)
         await release_all(a)
         await run_second([b], time, seconds=2)
@@ -221,8 +221,8 @@
     state.report = Report(server=server, boot_id="boot", sequence=1)
     state.received_at = time.now
     node.servers[server] = state
-    work = Ledgers()
-    await orders.take_report(node, work, state)
+    work = WorkingLedgers()
+    await orders.apply_report(node, work, state)
     item = list_configured_items(node.activation.configuration)["draft@1"]
     if before_commit:
         fake.before_transact = before_commit
@@ -233,7 +233,7 @@
 def test_intent_is_committed_before_its_order_is_sent():
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         engine = FakeEngine()
         a.engines = engine.engines
         server, work, done = await load_one(a, time=time)
@@ -257,17 +257,17 @@
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         thaw = threading.Event()
         a.engines = FakeEngine(report=lambda _: thaw.wait() and None).engines
-        names = polling.choose_read(a)
+        names = polling.choose_polled_servers(a)
         assert names
 
-        async def hear(_):
+        async def handle_report(_):
             pass
 
         reads = [
-            asyncio.create_task(polling.read_report(a, name, heard=hear))
+            asyncio.create_task(polling.poll_report(a, name, on_report=handle_report))
             for name in names
         ]
         try:
@@ -289,7 +289,7 @@
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         one = OVERLAY_B.replace("copies: 2", "copies: 1")
         files = build_files(overlays=(OVERLAY_A, one))
         a.activation.configuration = b.activation.configuration = merge_files(
@@ -303,11 +303,11 @@
         state = ServerState(name=own, address="127.0.0.1:9001", received_at=time.now)
         state.report = Report(server=own, boot_id="boot", sequence=1)
         a.servers[own] = state
-        work, memory = Ledgers(), planning.Placing()
-        await orders.take_report(a, work, state)
+        work, planning_state = WorkingLedgers(), planning.PlanningState()
+        await orders.apply_report(a, work, state)
         publish(a)
-        await planning.place(a, work, memory)
-        loads = [step for step in memory.actions if isinstance(step, Load)]
+        await planning.run_planning_cycle(a, work, planning_state)
+        loads = [step for step in planning_state.actions if isinstance(step, Load)]
         assert (loads, server != own) == ([], True)
 
     asyncio.run(run())
@@ -323,7 +323,7 @@
 
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         engine = FakeEngine()
         a.engines = engine.engines
 
@@ -342,11 +342,11 @@
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         engine = FakeEngine()
         a.engines = engine.engines
         (server,) = get_owned(a)
-        await run_second([b], time, seconds=LAPSE_S + 4)
+        await run_second([b], time, seconds=LEASE_EXPIRY_S + 4)
         a.lease.sent_at = time.now
         _, _, done = await load_one(a, time=time)
         assert list_fences(b)[server][0] == "b"
@@ -365,7 +365,7 @@
 
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         fake.down = True
         await run_second([a, b], time, seconds=10)
         a.platform = None
@@ -405,7 +405,7 @@
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         watch = handlers.build_streaming(b)[handlers.channel.WATCH]
         entry = EntryAddress(instance="b", site="s", address="x:9", boot_id="1")
         views = watch(WatchRequest(entry=entry))
@@ -434,7 +434,7 @@
     _, time, (a, _) = build_pair()
     publish(a)
     assert not a.views.view.ready
-    time.now += HEARING_MS - 1
+    time.now += MAX_SUMMARY_WAIT_MS - 1
     publish(a)
     assert not a.views.view.ready
     time.now += 1
@@ -449,7 +449,7 @@
     What is loaded there is not known then, and an entry would refuse it.
     """
     _, _, (a, _) = build_pair()
-    names = polling.choose_read(a)
+    names = polling.choose_polled_servers(a)
     assert names
     publish(a)
     assert not a.views.view.ready
@@ -462,7 +462,7 @@
 def test_release_while_the_store_is_down_ends_all_the_same():
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         fake.down = True
         await try_step(release_all(a))
         assert not get_owned(a)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -20,7 +20,7 @@
 ENTRY = EntryAddress(instance="b", site="s", address="127.0.0.1:1")
 
 
-def summarise(name, *, items=("m@1",), running=0, age_ms=0):
+def build_summary(name, *, items=("m@1",), running=0, age_ms=0):
     return ServerSummary(
         server=name,
         site="s",
@@ -31,22 +31,22 @@
     )
 
 
-def update(news, *summaries, suspicions=(), demand=()):
+def record(updates, *summaries, suspicions=(), demand=()):
     exchange.record_changes(
-        news,
+        updates,
         servers={one.server: one for one in summaries},
         suspicions=suspicions,
         demand=demand,
     )
 
 
-def ask(news, peer, *, now=0, items=(), version=3):
+def exchange_once(updates, peer, *, now=0, items=(), version=3):
     """Let a peer's state take the reply to its next request; return the reply."""
     request = exchange.build_request(
         peer, instance="a", configuration_version=version, items=items
     )
     reply = exchange.build_reply(
-        news,
+        updates,
         request,
         instance="b",
         configuration=Configuration(version=3),
@@ -54,21 +54,21 @@
         usage=(),
         status=STATUS,
     )
-    exchange.take_reply(peer, reply, now=now)
+    exchange.apply_reply(peer, reply, now=now)
     return reply
 
 
 def test_only_changes_are_told_and_ages_are_none():
-    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
+    updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     demand = (ItemDemand(item="m@1", requests=1, tokens=9),)
-    update(news, summarise("s1"), summarise("s2"), demand=demand)
-    first = ask(news, peer)
+    record(updates, build_summary("s1"), build_summary("s2"), demand=demand)
+    first = exchange_once(updates, peer)
     assert {one.server for one in first.servers} == {"s1", "s2"}
-    update(news, summarise("s1", age_ms=900), summarise("s2"), demand=demand)
-    quiet = ask(news, peer)
+    record(updates, build_summary("s1", age_ms=900), build_summary("s2"), demand=demand)
+    quiet = exchange_once(updates, peer)
     assert (quiet.servers, quiet.gone, quiet.demand) == ((), (), None)
-    update(news, summarise("s1", running=4), demand=())
-    changed = ask(news, peer)
+    record(updates, build_summary("s1", running=4), demand=())
+    changed = exchange_once(updates, peer)
     assert [one.server for one in changed.servers] == ["s1"]
     assert changed.gone == ("s2",)
     assert changed.demand == ()
@@ -84,53 +84,55 @@
     """
     old, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     for running in range(9):
-        update(old, summarise("s1", running=running))
-    ask(old, peer)
+        record(old, build_summary("s1", running=running))
+    exchange_once(old, peer)
     new = OutgoingUpdates(epoch="2")
-    update(new, summarise("s2"))
-    ask(new, peer)
+    record(new, build_summary("s2"))
+    exchange_once(new, peer)
     assert set(peer.servers) == {"s2"}
 
 
 def test_late_reply_does_not_undo_a_newer_one():
-    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
-    update(news, summarise("s1", running=1))
-    late = ask(news, PeerState(address="x:1"))
-    update(news, summarise("s1", running=2))
-    ask(news, peer)
-    assert not exchange.take_reply(peer, late, now=5)
+    updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
+    record(updates, build_summary("s1", running=1))
+    late = exchange_once(updates, PeerState(address="x:1"))
+    record(updates, build_summary("s1", running=2))
+    exchange_once(updates, peer)
+    assert not exchange.apply_reply(peer, late, now=5)
     assert peer.servers["s1"].running == 2
 
 
 @pytest.mark.parametrize(
-    ("items", "told", "gone"),
+    ("items", "sent", "gone"),
     [
         ((), {"s1", "s2"}, set()),
         (("m@1",), {"s1"}, {"s2"}),
         (("x@1",), set(), {"s1", "s2"}),
     ],
 )
-def test_peer_hears_of_servers_that_hold_what_it_serves(items, told, gone):
-    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
-    update(news, summarise("s1"), summarise("s2", items=("n@1",)))
-    reply = ask(news, peer, items=items)
-    assert {one.server for one in reply.servers} == told
+def test_peer_hears_of_servers_that_hold_what_it_serves(items, sent, gone):
+    updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
+    record(updates, build_summary("s1"), build_summary("s2", items=("n@1",)))
+    reply = exchange_once(updates, peer, items=items)
+    assert {one.server for one in reply.servers} == sent
     assert set(reply.gone) == gone
 
 
 def test_suspicion_is_told_once_and_again_when_it_changes():
-    news, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
-    update(news, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1",)),))
-    told = [len(ask(news, peer).suspicions) for _ in range(2)]
-    update(news, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1", "s2/1")),))
-    assert [*told, len(ask(news, peer).suspicions)] == [1, 0, 1]
+    updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
+    record(updates, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1",)),))
+    sent = [len(exchange_once(updates, peer).suspicions) for _ in range(2)]
+    record(updates, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1", "s2/1")),))
+    assert [*sent, len(exchange_once(updates, peer).suspicions)] == [1, 0, 1]
 
 
 @pytest.mark.parametrize(
     ("version", "sent"), [(0, True), (2, True), (3, False), (9, False), (None, False)]
 )
 def test_configuration_is_passed_on_to_who_has_an_older_one(version, sent):
-    reply = ask(OutgoingUpdates(epoch="1"), PeerState(address="x:1"), version=version)
+    reply = exchange_once(
+        OutgoingUpdates(epoch="1"), PeerState(address="x:1"), version=version
+    )
     assert (reply.configuration is not None) is sent
     assert reply.configuration_version == 3
 
@@ -146,14 +148,16 @@
         for address, version in versions.items()
     ]
     peers[3].replied_at = 0
-    choose = partial(exchange.choose_source, peers, now=5_000, chance=random.Random(1))
+    choose = partial(
+        exchange.choose_configuration_source, peers, now=5_000, chance=random.Random(1)
+    )
     assert choose(version=3).address in ("x:2", "x:3")
     assert choose(version=5) is None
 
 
 def test_peer_is_silent_before_its_first_reply_and_after_three_seconds():
     peer = PeerState(address="x:1")
-    assert exchange.is_silent(peer, now=0)
-    ask(OutgoingUpdates(epoch="1"), peer, now=1_000)
-    assert not exchange.is_silent(peer, now=1_000 + exchange.SILENT_MS)
-    assert exchange.is_silent(peer, now=1_001 + exchange.SILENT_MS)
+    assert exchange.is_unreachable(peer, now=0)
+    exchange_once(OutgoingUpdates(epoch="1"), peer, now=1_000)
+    assert not exchange.is_unreachable(peer, now=1_000 + exchange.PEER_TIMEOUT_MS)
+    assert exchange.is_unreachable(peer, now=1_001 + exchange.PEER_TIMEOUT_MS)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -17,7 +17,7 @@
 NOW = 100_000
 
 
-def summarise(**changes):
+def build_summary(**changes):
     values = {"server": "engine-a", "site": "site-a", "address": SERVER.address}
     return ServerSummary(**(values | changes))
 
@@ -48,44 +48,52 @@
     ("own", "peers", "listed", "expected"),
     [
         pytest.param(
-            [summarise(age_ms=40)], [], frozenset(), (True, False, 40), id="own report"
+            [build_summary(age_ms=40)],
+            [],
+            frozenset(),
+            (True, False, 40),
+            id="own report",
         ),
         pytest.param(
-            [summarise()], [], {"engine-a"}, (True, True, 0), id="list says leaving"
+            [build_summary()], [], {"engine-a"}, (True, True, 0), id="list says leaving"
         ),
         pytest.param(
-            [summarise(leaving=True)],
+            [build_summary(leaving=True)],
             [],
             frozenset(),
             (True, True, 0),
             id="report says leaving, list still calls it live",
         ),
         pytest.param(
-            [summarise(alive=False)],
-            [build_peer(summarise(age_ms=900))],
+            [build_summary(alive=False)],
+            [build_peer(build_summary(age_ms=900))],
             frozenset(),
             (True, False, 900),
             id="a live account beats a dead one",
         ),
         pytest.param(
-            [summarise(age_ms=900)],
-            [build_peer(summarise(age_ms=10), replied_at=NOW - 200)],
+            [build_summary(age_ms=900)],
+            [build_peer(build_summary(age_ms=10), replied_at=NOW - 200)],
             frozenset(),
             (True, False, 210),
             id="fresher account of a peer",
         ),
         pytest.param(
             [],
-            [build_peer(summarise(), replied_at=NOW - views.KEPT_MS)],
+            [build_peer(build_summary(), replied_at=NOW - views.SUMMARY_RETENTION_MS)],
             frozenset(),
-            (True, False, views.KEPT_MS),
+            (True, False, views.SUMMARY_RETENTION_MS),
             id="last word of a silent peer stands",
         ),
         pytest.param(
             [],
-            [build_peer(summarise(), replied_at=NOW - views.KEPT_MS - 1)],
+            [
+                build_peer(
+                    build_summary(), replied_at=NOW - views.SUMMARY_RETENTION_MS - 1
+                )
+            ],
             frozenset(),
-            (False, False, views.KEPT_MS + 1),
+            (False, False, views.SUMMARY_RETENTION_MS + 1),
             id="but not for ever",
         ),
     ],
@@ -96,7 +104,7 @@
 
 
 def test_servers_moved_elsewhere_or_unknown_are_left_out():
-    others = (summarise(address="127.0.0.1:1"), summarise(server="engine-x"))
+    others = (build_summary(address="127.0.0.1:1"), build_summary(server="engine-x"))
     assert merge(others) == {}
 
 
@@ -123,17 +131,17 @@
         "ready": True,
         "store_up": True,
         "configuration": CONFIGURATION,
-        "servers": (summarise(age_ms=1),),
+        "servers": (build_summary(age_ms=1),),
         "entries": (),
         "suspicions": (),
         "usage": (),
     }
-    older = told | {"servers": (summarise(age_ms=500),)}
-    busier = told | {"servers": (summarise(running=1),)}
+    older = told | {"servers": (build_summary(age_ms=500),)}
+    busier = told | {"servers": (build_summary(running=1),)}
     sent = [
         views.update_view(state, **told, now=0),
-        views.update_view(state, **older, now=views.REFRESH_MS - 1),
-        views.update_view(state, **busier, now=views.REFRESH_MS - 1),
+        views.update_view(state, **older, now=views.REFRESH_INTERVAL_MS - 1),
+        views.update_view(state, **busier, now=views.REFRESH_INTERVAL_MS - 1),
         views.update_view(state, **(busier | {"store_up": False}), now=2_000),
         views.update_view(state, **(busier | {"store_up": False}), now=3_998),
         views.update_view(state, **(busier | {"store_up": False}), now=4_000),
@@ -158,7 +166,7 @@
     Entries that still sent requests for the item until then would see them cut.
     """
     state = ServerState(name="engine-a", address=SERVER.address)
-    reports.take_report(state, build_report(), now=NOW)
+    reports.apply_report(state, build_report(), now=NOW)
     summary = reports.build_summary(
         state, server=SERVER, site="s", leaving_items=frozenset({"n@1"}), now=NOW + 70
     )
@@ -174,13 +182,13 @@
 ):
     state = ServerState(name="engine-a", address=SERVER.address)
     assert not reports.is_alive(state, now=NOW)
-    reports.take_report(state, build_report(), now=NOW)
+    reports.apply_report(state, build_report(), now=NOW)
     for _ in range(refusals):
-        reports.note_refused(state)
+        reports.record_refused(state)
     assert reports.is_alive(state, now=NOW + passed) is alive
     late = build_report(sequence=0)
-    assert not reports.take_report(state, late, now=NOW + 9_000)
-    assert reports.take_report(state, build_report(boot_id="2", sequence=0), now=NOW)
+    assert not reports.apply_report(state, late, now=NOW + 9_000)
+    assert reports.apply_report(state, build_report(boot_id="2", sequence=0), now=NOW)
     assert reports.is_alive(state, now=NOW)
 
 
@@ -201,7 +209,7 @@
     assert set(known) == {killed.address, frozen.address}
     own_entries.end_watch(known, again)
     assert set(known) == {frozen.address}
-    own_entries.forget_silent(known, now=own_entries.HEARD_MS)
+    own_entries.evict_silent(known, now=own_entries.ENTRY_TIMEOUT_MS)
     assert set(known) == {frozen.address}
-    own_entries.forget_silent(known, now=own_entries.HEARD_MS + 1)
+    own_entries.evict_silent(known, now=own_entries.ENTRY_TIMEOUT_MS + 1)
     assert known == {}
