--- a/src/arbutuspulley/controller/__init__.py
+++ b/src/arbutuspulley/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller of one instance: its loops, its handlers and what they share."""
+"""The controller of one instance: loops, RPC handlers and the state they share."""
--- a/src/arbutuspulley/controller/configuration_sync.py
+++ b/src/arbutuspulley/controller/configuration_sync.py
@@ -1,4 +1,4 @@
-"""Brings accepted configuration changes into force."""
+"""Reads accepted configuration changes from the store and activates them."""
 
 import logging
 
@@ -21,9 +21,9 @@
 
 
 class ChangeCursor(State):
-    """Where reading of changes goes on.
+    """Position in the store's configuration changes after which the next read starts.
 
-    :param started: whether the newest configuration was read once.
+    :param is_initialised: whether the newest configuration has been read once.
     """
 
     is_initialised: bool = False
@@ -32,7 +32,7 @@
 
 
 async def follow_configuration(controller: Controller, cursor: ChangeCursor) -> None:
-    """Read accepted changes since the last round and bring them into force.
+    """Read and activate the changes accepted since the last call.
 
     :raises PlatformUnavailableError: if the platform did not answer.
     """
@@ -45,7 +45,7 @@
 
 
 def log_activation(controller: Controller, result: ActivationResult) -> None:
-    """Tell what a step brought into force and what it did not."""
+    """Log which versions were activated, ignored or refused."""
     for version in result.applied:
         log_event(Event.CONFIGURATION_IN_FORCE, version=version)
     if result.applied:
@@ -61,7 +61,7 @@
         log_event(
             Event.CONFIGURATION_REFUSED,
             level=logging.ERROR,
-            detail="the store holds another content under the version in force",
+            detail="the store holds different content for the active version",
         )
 
 
--- a/src/arbutuspulley/controller/demand.py
+++ b/src/arbutuspulley/controller/demand.py
@@ -1,4 +1,4 @@
-"""What callers ask for, smoothed from the reports of this instance's entries."""
+"""Demand per item: exponentially decayed sums over the reports of own entries."""
 
 import math
 from collections.abc import Iterable
@@ -8,14 +8,14 @@
 from arbutuspulley.rpc.messages import CallerUsage, EntryReport, ItemDemand
 
 SMOOTHING_MS = 30_000
-"""Time constant: demand that ends has faded to a third after it."""
+"""Time constant of the decay: demand that ends falls to about a third in it."""
 
-MIN_RATE_PER_S = 0.01
-"""Rates a second below this are dropped."""
+MIN_DECAYED_REQUESTS = 0.01
+"""Items whose decayed sum of requests and refusals is below this are dropped."""
 
 
 class _Rate(State):
-    """Smoothed sums; a constant rate of one a second settles at the constant."""
+    """Decayed sums; one event a second converges to the time constant in seconds."""
 
     requests: float = 0.0
     tokens: float = 0.0
@@ -23,9 +23,9 @@
 
 
 class DemandState(State):
-    """Demand of each item through this instance.
+    """Demand for each item through this instance.
 
-    :param faded_at: until when sums have been faded.
+    :param decayed_at: time up to which the decay has been applied, in ms.
     """
 
     items: dict[str, _Rate] = {}
@@ -33,7 +33,7 @@
 
 
 def add_demand(state: DemandState, report: EntryReport, *, now: int) -> None:
-    """Take in one report of an entry."""
+    """Add the demand in an entry's report."""
     _decay(state, now=now)
     for demand in report.demand:
         rate = state.items.setdefault(demand.item, _Rate())
@@ -43,7 +43,7 @@
 
 
 def list_demand(state: DemandState, *, now: int) -> tuple[ItemDemand, ...]:
-    """Return the demand of a minute at the present rate, by item."""
+    """Return the demand per minute at the current rate, sorted by item."""
     _decay(state, now=now)
     scale = 60 * SECOND_MS / SMOOTHING_MS
     return tuple(
@@ -58,7 +58,7 @@
 
 
 def sum_demand(parts: Iterable[tuple[ItemDemand, ...]]) -> dict[str, ItemDemand]:
-    """Return the demand of several instances together, by item."""
+    """Return the total demand of several instances, by item."""
     total: dict[str, ItemDemand] = {}
     for part in parts:
         for demand in part:
@@ -75,7 +75,7 @@
 
 
 def sum_usage(parts: Iterable[tuple[CallerUsage, ...]]) -> tuple[CallerUsage, ...]:
-    """Return what callers use through several entries together."""
+    """Return the total usage of each caller across several entries."""
     total: dict[str, CallerUsage] = {}
     for part in parts:
         for usage in part:
@@ -97,5 +97,5 @@
         rate.requests *= factor
         rate.tokens *= factor
         rate.refused *= factor
-        if rate.requests + rate.refused < MIN_RATE_PER_S:
+        if rate.requests + rate.refused < MIN_DECAYED_REQUESTS:
             del state.items[item]
--- a/src/arbutuspulley/controller/entries.py
+++ b/src/arbutuspulley/controller/entries.py
@@ -1,17 +1,17 @@
-"""The entries of this instance, as they report and watch."""
+"""The entries of this instance, known by their reports and view streams."""
 
 from arbutuspulley.data import State
 from arbutuspulley.rpc.messages import EntryAddress, EntryReport
 
 ENTRY_TIMEOUT_MS = 3_000
-"""Time without a sign of life after which an entry is no longer told to callers."""
+"""Time without a report after which callers are no longer given an entry's address."""
 
 
 class EntryState(State):
     """An entry of this instance.
 
-    :param heard_at: when it last reported or began to watch.
-    :param watches: open streams of views to it.
+    :param last_seen_at: when it last reported or opened a view stream, in ms.
+    :param watches: number of open view streams to it.
     """
 
     entry: EntryAddress
@@ -23,17 +23,17 @@
 def begin_watch(
     entries: dict[str, EntryState], entry: EntryAddress, *, now: int
 ) -> None:
-    """Take in that an entry opened a stream of views."""
+    """Record that an entry opened a view stream."""
     state = _mark_seen(entries, entry, now=now)
     state.watches += 1
 
 
 def end_watch(entries: dict[str, EntryState], entry: EntryAddress) -> None:
-    """Take in that a stream of views to an entry ended.
+    """Record that a view stream to an entry ended; remove the entry after its last.
 
-    The stream of an entry that was killed breaks at once, long before its reports
-    are missed; callers must not be sent there meanwhile. If the entry was restarted
-    at the same address, the end of its earlier stream says nothing of it.
+    The stream of a killed entry breaks at once, long before its reports time out;
+    callers must not be sent there meanwhile. The stream of an earlier process at the
+    same address says nothing about a restarted entry, so its end is ignored.
     """
     state = entries.get(entry.address)
     if state is None or state.entry.boot_id != entry.boot_id:
@@ -46,15 +46,15 @@
 def apply_report(
     entries: dict[str, EntryState], report: EntryReport, *, now: int
 ) -> None:
-    """Take in an entry's report."""
+    """Store an entry's newest report."""
     state = _mark_seen(entries, report.entry, now=now)
     state.report = report
 
 
 def evict_silent(entries: dict[str, EntryState], *, now: int) -> None:
-    """Drop entries that have not reported for :data:`ENTRY_TIMEOUT_MS`.
+    """Remove entries that have not reported for :data:`ENTRY_TIMEOUT_MS`.
 
-    A frozen entry keeps its connection open, so only its silence shows.
+    A frozen entry keeps its connection open, so only the missing reports reveal it.
     """
     for address, state in list(entries.items()):
         if now - state.last_seen_at > ENTRY_TIMEOUT_MS:
--- a/src/arbutuspulley/controller/exchange.py
+++ b/src/arbutuspulley/controller/exchange.py
@@ -1,8 +1,9 @@
-"""What controllers tell one another: changes only, and who is silent.
+"""Delta exchange between controllers, and detection of unreachable peers.
 
-Each controller asks each peer for news about once a second. A reply carries the
-server summaries and suspicions that changed since the asker's last reply from the
-same process, so that a quiet system exchanges little more than empty messages.
+Each controller polls each peer about once a second. A reply carries only the server
+summaries and suspicions that changed since the last reply that the requesting
+controller got from the same process, so replies are almost empty while nothing
+changes.
 """
 
 import random
@@ -24,13 +25,13 @@
 )
 
 PEER_TIMEOUT_MS = 3_000
-"""Time without a reply after which a peer counts as unreachable."""
+"""Time since a peer's last reply after which it counts as unreachable."""
 
 
 class _ServerChange(Value, frozen=True):
-    """A summary with the number under which it last changed.
+    """A server's summary and the number of its last change.
 
-    :param summary: with age 0; ``None`` if the server is no longer told of.
+    :param summary: with age 0; ``None`` if the server is no longer reported.
     """
 
     number: int
@@ -43,11 +44,11 @@
 
 
 class OutgoingUpdates(State):
-    """What this controller tells its peers.
+    """State that this controller sends to its peers, with a number for each change.
 
-    :param epoch: names this process; numbers start anew with each.
-    :param number: counts changes.
-    :param ages: age of each server's load numbers as last updated.
+    :param epoch: identifies this process; change numbers restart with each process.
+    :param number: number of the latest change.
+    :param ages: age of each server's load figures at the last update, in ms.
     """
 
     epoch: str
@@ -60,12 +61,13 @@
 
 
 class PeerState(State):
-    """What one peer told.
+    """State received from one peer.
 
     :param address: ``host:port`` of its controller.
-    :param instance: its name; empty until it answered once.
-    :param replied_at: when its last reply came; ``None`` before the first.
-    :param next_at: earliest time of the next call while it doesn't answer.
+    :param instance: its name; empty before its first reply.
+    :param replied_at: when the request of its last reply was sent, in ms; ``None``
+        before the first.
+    :param next_call_at: earliest time of the next call after a failure, in ms.
     """
 
     address: str
@@ -91,10 +93,10 @@
     suspicions: Iterable[Suspicion],
     demand: tuple[ItemDemand, ...],
 ) -> None:
-    """Take in what this controller now knows and number what changed.
+    """Store the current state and give each change a number.
 
-    The age of a summary is no change: a peer that gets no news of a server knows
-    that its numbers still hold.
+    A change of a summary's age alone is no change: a peer that receives no update of
+    a server can take its load figures as still valid.
     """
     state.ages = {name: summary.age_ms for name, summary in servers.items()}
     for name in state.servers.keys() | servers.keys():
@@ -105,8 +107,8 @@
             state.number += 1
             state.servers[name] = _ServerChange(number=state.number, summary=bare)
     for suspicion in suspicions:
-        told = state.suspicions.get(suspicion.fingerprint)
-        if told is None or told.suspicion != suspicion:
+        last = state.suspicions.get(suspicion.fingerprint)
+        if last is None or last.suspicion != suspicion:
             state.number += 1
             state.suspicions[suspicion.fingerprint] = _SuspicionChange(
                 number=state.number, suspicion=suspicion
@@ -126,14 +128,14 @@
     usage: tuple[CallerUsage, ...],
     status: InstanceStatus,
 ) -> ExchangeReply:
-    """Answer a peer with what is new to it.
+    """Return the changes that a peer has not received yet.
 
-    A server that no longer holds an item the peer serves is told as gone, since
-    the peer may still know it as a holder.
+    A server that has none of the items in the request is listed as gone, since the
+    peer may still know it as a holder of one.
     """
     after = request.after if request.epoch == state.epoch else 0
     wanted = frozenset(request.items)
-    told: list[ServerSummary] = []
+    changed: list[ServerSummary] = []
     gone: list[str] = []
     for name, change in state.servers.items():
         if change.number <= after:
@@ -144,7 +146,7 @@
             gone.append(name)
             continue
         age = state.ages.get(name, 0)
-        told.append(msgspec.structs.replace(change.summary, age_ms=age))
+        changed.append(msgspec.structs.replace(change.summary, age_ms=age))
     known = request.configuration_version
     is_newer = known is not None and configuration.version > known
     return ExchangeReply(
@@ -153,7 +155,7 @@
         number=state.number,
         configuration_version=configuration.version,
         configuration=configuration if is_newer else None,
-        servers=tuple(told),
+        servers=tuple(changed),
         gone=tuple(gone),
         entries=entries,
         suspicions=tuple(
@@ -174,10 +176,10 @@
     configuration_version: int | None,
     items: tuple[str, ...],
 ) -> ExchangeRequest:
-    """Ask a peer for what is new since its last reply.
+    """Return a request for a peer's changes since its last reply.
 
-    :param configuration_version: the version in force, if the peer's whole
-        configuration is wanted should it be newer.
+    :param configuration_version: the active version if the peer shall send its full
+        configuration in case that is newer; else ``None``.
     """
     return ExchangeRequest(
         instance=instance,
@@ -191,12 +193,12 @@
 def choose_configuration_source(
     peers: Iterable[PeerState], *, version: int, now: int, chance: random.Random
 ) -> PeerState | None:
-    """Choose the one peer to ask for its configuration, if one has a newer one.
+    """Choose one peer to fetch a newer configuration from, if a peer has one.
 
-    A change comes by the table within a second or so; peers are for instances that
-    the table fails. If every peer sent its configuration to whoever is a version
-    behind, a change would bring as many whole copies to each instance as it has
-    peers. So the version is told by all, and the rest by one.
+    A change normally arrives through the table within about a second; peers are a
+    fallback for instances that cannot read the table. If every peer sent its full
+    configuration to each outdated instance, a change would transfer as many copies to
+    each instance as it has peers. So all peers send the version, and one the content.
     """
     newer = [
         peer
@@ -206,11 +208,11 @@
     if not newer:
         return None
     best = max(peer.configuration_version for peer in newer)
-    return chance.choice([one for one in newer if one.configuration_version == best])
+    return chance.choice([peer for peer in newer if peer.configuration_version == best])
 
 
 def apply_reply(peer: PeerState, reply: ExchangeReply, *, now: int) -> bool:
-    """Take in a peer's news.
+    """Apply a peer's reply; ignore one that is older than the state held.
 
     :return: whether the peer was unreachable or unknown until now.
     """
@@ -224,7 +226,9 @@
     peer.servers |= {summary.server: summary for summary in reply.servers}
     for name in reply.gone:
         peer.servers.pop(name, None)
-    peer.suspicions |= {one.fingerprint: one for one in reply.suspicions}
+    peer.suspicions |= {
+        suspicion.fingerprint: suspicion for suspicion in reply.suspicions
+    }
     peer.entries, peer.usage = reply.entries, reply.usage
     peer.status = reply.status
     if reply.demand is not None:
@@ -234,5 +238,5 @@
 
 
 def is_unreachable(peer: PeerState, *, now: int) -> bool:
-    """Tell whether a peer has not answered for :data:`PEER_TIMEOUT_MS`, or never."""
+    """Tell whether a peer has not replied for :data:`PEER_TIMEOUT_MS`, or never."""
     return peer.replied_at is None or now - peer.replied_at > PEER_TIMEOUT_MS
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -1,4 +1,4 @@
-"""Answers the remote calls of entries, the console and peer controllers."""
+"""RPC handlers for entries, the console and peer controllers."""
 
 import asyncio
 import logging
@@ -47,16 +47,16 @@
 from arbutuspulley.tracing import open_span
 
 MIN_VIEW_INTERVAL_MS = 200
-"""Least time between two views sent to one entry."""
+"""Minimum time between two views sent to one entry."""
 
 MAX_SETTLE_ATTEMPTS = 30
-"""Tries to record how a claimed request ended, once a second."""
+"""Maximum number of attempts to record a claim's outcome, about one a second."""
 
 _Result = TypeVar("_Result")
 
 
 def build_unary(controller: Controller) -> dict[channel.Method, channel.UnaryHandler]:
-    """Return the handlers of plain methods."""
+    """Return the handlers of unary methods."""
     return {
         channel.REPORT: lambda request: _apply_report(controller, request),
         channel.CLAIM: lambda request: _claim(controller, request),
@@ -101,10 +101,10 @@
 
 
 async def _claim(controller: Controller, request: ClaimRequest) -> ClaimReply:
-    """Claim for an entry, or refuse at once while the store is down.
+    """Make a claim for an entry, or refuse it at once while the store is down.
 
-    Waiting out an outage would hold the caller, and let claims pile up that all
-    arrive together when the store comes back.
+    Waiting for the store would block the caller, and claims would pile up and all reach
+    the store together at the end of the outage.
     """
     if not is_store_up(controller):
         return ClaimReply(state=ClaimState.UNAVAILABLE)
@@ -121,10 +121,10 @@
 
 
 async def _settle(controller: Controller, request: SettleRequest) -> Acknowledged:
-    """Record how a claimed request ended, in the background if the store is down.
+    """Record how a claimed request ended; retry in the background if the store is down.
 
-    The entry need not wait: until it is recorded the claim stays open, and an open
-    claim is never run again.
+    The entry need not wait for it: the claim stays open until the outcome is recorded,
+    and a request with an open claim is never run again.
     """
     task = asyncio.create_task(_settle_with_retries(controller, request))
     controller.settling.add(task)
@@ -182,9 +182,9 @@
 def _record_deaths_locally(
     controller: Controller, report: DeathReport
 ) -> SuspicionsReply:
-    """Remember deaths while the store is down; peers hear of them all the same.
+    """Record deaths in memory while the store is down; peers are notified as usual.
 
-    A trial is not granted: another instance could try the same request at once.
+    A trial is not granted: another instance could try the same request concurrently.
     """
     if report.trial_id:
         return SuspicionsReply()
--- a/src/arbutuspulley/controller/health.py
+++ b/src/arbutuspulley/controller/health.py
@@ -1,4 +1,4 @@
-"""Health and metrics of the controller over HTTP."""
+"""HTTP endpoints for the controller's health and metrics."""
 
 from collections.abc import Callable
 
@@ -10,13 +10,13 @@
 from arbutuspulley.web import Limits, WebServer, build_application
 
 THREADS = 4
-"""Worker threads; only probes and the metrics collector call."""
+"""Worker threads; the only clients are probes and the metrics collector."""
 
 
 class _Root:
     """CherryPy handlers.
 
-    :param is_ready: asked for each ``/readyz``.
+    :param is_ready: called for each ``/readyz``.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
 
     @cherrypy.expose
     def healthz(self) -> str:
-        """Answer as long as the process runs."""
+        """Answer 200 as long as the process runs."""
         return "ok\n"
 
     @cherrypy.expose
     def readyz(self) -> str:
-        """Answer 503 until a configuration is in force."""
+        """Answer 503 until a configuration is active."""
         if self._is_ready():
             return "ready\n"
         cherrypy.response.status = 503
@@ -48,7 +48,7 @@
 def start_health(
     *, address: str, is_ready: Callable[[], bool], registry: CollectorRegistry
 ) -> Callable[[], None]:
-    """Serve health and metrics on a thread of their own.
+    """Serve health and metrics on a separate thread.
 
     :param address: ``host:port`` to listen on.
     :return: a function that stops serving.
--- a/src/arbutuspulley/controller/ledgers.py
+++ b/src/arbutuspulley/controller/ledgers.py
@@ -1,4 +1,4 @@
-"""The ledgers of owned servers, kept current by reports and committed when changed."""
+"""Ledgers of owned servers: updated by reports, and committed when they change."""
 
 import logging
 import uuid
@@ -33,14 +33,15 @@
 
 
 class WorkingLedgers(State):
-    """Ledgers of owned servers as they stand after the newest reports.
+    """In-memory ledgers of owned servers, after the newest reports.
 
-    A report that changes nothing but its own sequence isn't committed, so these
-    may be ahead of the table's rows.
+    A report that changes only its own sequence number isn't committed, so these may
+    be ahead of the table's rows.
 
-    :param revisions: revision of the row that each was derived from.
-    :param busy: servers with a transaction or an order on its way.
-    :param sent_at: when the load order for a slot was sent, by order number.
+    :param revisions: revision of the row from which each ledger was derived.
+    :param busy: servers with a transaction or an order in flight.
+    :param sent_at: when the load order for a slot was sent, in ms, by server and order
+        number.
     """
 
     current: dict[str, ServerLedger] = {}
@@ -52,11 +53,13 @@
 async def reconcile(
     controller: Controller, working: WorkingLedgers, state: ServerState, server: Server
 ) -> tuple[Order, ...]:
-    """Take in a server's newest report, or its silence, and commit what changed.
+    """Reconcile a server's ledger with its newest report and commit the changes.
 
-    :return: orders to send again, now that their new numbers are committed.
-    :raises PlatformUnavailableError: if nothing could be committed.
-    :raises OutcomeUnknownError: if that is not known.
+    If reports are overdue, the server's copies no longer count as answering.
+
+    :return: orders to resend, now that their new numbers are committed.
+    :raises PlatformUnavailableError: if the commit certainly had no effect.
+    :raises OutcomeUnknownError: if the commit may have had an effect.
     """
     before = _get_ledger(controller, working, state.name)
     alive = is_alive(state, now=controller.clock.now())
@@ -64,8 +67,9 @@
         return ()
     result = ledgers.reconcile(before, server=server, report=state.report)
     if result.superseded:
-        # The table was restored to a state before fences that this server has
-        # seen, or another owner is ahead: order nothing, and claim anew above it.
+        # The server has seen a higher fence: the table was restored to an earlier
+        # state, or another owner has taken over. Send no orders; claim the server
+        # again under a higher fence.
         return ()
     working.current[state.name] = result.ledger
     if not _needs_commit(controller, working, result, alive=alive):
@@ -111,7 +115,7 @@
 
 
 def _list_copies(controller: Controller, ledger: ServerLedger) -> list[CopiesRow]:
-    """Return the copies rows that a server's ledger may change."""
+    """Return the rows of copies that a server's ledger may change."""
     items = {entry.item for entry in ledger.entries}
     items |= {
         item
@@ -124,7 +128,7 @@
 def restart_effect_wait(
     working: WorkingLedgers, server: str, item: str, report_sequence: int
 ) -> None:
-    """Count the wait for an order's effect from now, as it is only sent now."""
+    """Restart the wait for an order's effect, as the order is only sent now."""
     current = working.current[server]
     entry = find_entry(current, item)
     if entry is not None:
@@ -135,7 +139,7 @@
 def build_row(
     controller: Controller, working: WorkingLedgers, ledger: ServerLedger
 ) -> LedgerRow:
-    """Return a ledger to write, under the present ownership."""
+    """Return the row for a ledger, conditional on the current ownership."""
     owner = controller.rows.owners[ledger.server]
     key = build_owner_key(controller.settings.group, ledger.server)
     return LedgerRow(
@@ -146,13 +150,13 @@
 
 
 def discard(working: WorkingLedgers, server: str) -> None:
-    """Drop what is known of a ledger beyond its row: the row is read again."""
+    """Discard the in-memory ledger, so that it is derived from its row again."""
     working.current.pop(server, None)
     working.revisions.pop(server, None)
 
 
 def get_copies(controller: Controller, item: str) -> CopiesRow:
-    """Return the row of an item's answering copies as last read."""
+    """Return the row that lists an item's answering copies, as last read."""
     known = controller.rows.copies.get(item)
     if known is not None:
         return known
@@ -164,7 +168,7 @@
 def can_begin_step(
     controller: Controller, working: WorkingLedgers, server: str
 ) -> bool:
-    """Tell whether a new step may begin on a server."""
+    """Tell whether a load or an unload may begin on a server."""
     if server in working.busy or server not in working.current:
         return False
     return may_order(controller, server)
@@ -190,7 +194,7 @@
 def _get_ledger(
     controller: Controller, working: WorkingLedgers, server: str
 ) -> ServerLedger:
-    """Return the ledger as it stands, taken over under the present fence."""
+    """Return the current ledger, taken over under the current fence if necessary."""
     stored = controller.rows.ledgers.get(server)
     revision = stored.revision if stored else ABSENT
     known = working.current.get(server)
--- a/src/arbutuspulley/controller/loops.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -1,4 +1,4 @@
-"""The controller's loops: each on its own, so that none waits for another."""
+"""The controller's loops, each a separate task, so that none waits for another."""
 
 import asyncio
 import logging
@@ -34,40 +34,40 @@
 from arbutuspulley.rpc import channel
 
 PUBLISH_INTERVAL_MS = 200
-"""Time between looks at whether entries and peers must be told something."""
+"""Time between updates of the state for entries and peers."""
 
 INSTANCE_LIST_INTERVAL_MS = 5 * SECOND_MS
-"""Time between reads of the instance list, which lags anyway."""
+"""Time between reads of the instance list, which lags in any case."""
 
 SUSPICION_INTERVAL_MS = 5 * SECOND_MS
-"""Time between reads of suspicions; peers tell of new ones sooner."""
+"""Time between reads of suspicions; peers send new ones sooner."""
 
 STALE_SESSION_INTERVAL_MS = 60 * SECOND_MS
-"""Time between looks for rows of instances that are gone for good."""
+"""Time between searches for session rows of instances that are gone."""
 
 PLANNING_INTERVAL_MS = 200
-"""Time between looks at whether a step of placement can begin."""
+"""Time between planning cycles."""
 
 PENDING_LOADS_SPEEDUP = 4
-"""How many times as often rows are read while loads wait for their turn."""
+"""Factor by which rows are read more often while loads wait for a load slot."""
 
 LEASE_RETRY_INTERVAL_MS = 500
-"""Time between tries to get a lease while there is none."""
+"""Time between attempts to obtain a lease while none is held."""
 
 JITTER = 0.1
-"""Part by which each pause varies, so that instances do not fall into step."""
+"""Fraction by which each interval varies, so that instances do not synchronise."""
 
 MAX_DRAIN_MS = 4 * SECOND_MS
-"""Longest wait for orders on their way and claims being settled, as the process
-stops; a little longer than an unload waits for its order."""
+"""Longest wait at shutdown for orders in flight and for outcomes of claims; a little
+longer than the time from an unload's intent to its order."""
 
 Step = Callable[[], Awaitable[object]]
 
 
 class ControllerLoops:
-    """A controller at work.
+    """Runs the loops and the RPC server of a controller.
 
-    :param controller: its state; touched on the loop only.
+    :param controller: its state; accessed on the event loop only.
     """
 
     __slots__ = (
@@ -104,7 +104,8 @@
         planning_state = planning.PlanningState()
         self._start_loop(self._choose_renewal_interval, self._renew)
         self._start_loop(
-            lambda: self._choose_follow_interval(planning_state), self._follow
+            lambda: self._choose_follow_interval(planning_state),
+            self._sync_rows_and_ownership,
         )
         self._start_loop_every(
             settings.follow_ms, lambda: follow_configuration(controller, change_cursor)
@@ -120,7 +121,7 @@
             SUSPICION_INTERVAL_MS,
             lambda: follow_suspicions(controller, suspicion_cursor),
         )
-        self._start_loop_every(settings.report_ms, self._read_reports)
+        self._start_loop_every(settings.report_ms, self._poll_servers)
         self._start_loop_every(
             settings.exchange_ms, lambda: peers.exchange_with_all(controller)
         )
@@ -133,11 +134,11 @@
         self._start_loop_every(PUBLISH_INTERVAL_MS, self._publish)
 
     async def stop(self) -> None:
-        """Finish orders on their way, release servers and lease, stop listening.
+        """Finish orders in flight, release servers and lease, stop listening.
 
-        A renewal or a claim still on its way would change the rows that the release
-        expects, and its conflict would leave the others waiting for the lease to
-        lapse; so both are let finish first.
+        A renewal or claim in flight would change the rows that the release expects; the
+        release would fail with a conflict, and other instances would have to wait until
+        the lease expires. So both are awaited first.
         """
         self._controller.stopping = True
         self._controller.view_changed.set()
@@ -156,13 +157,13 @@
             if not self._controller.stopping:
                 await sessions.renew_lease(self._controller)
 
-    async def _follow(self) -> None:
+    async def _sync_rows_and_ownership(self) -> None:
         await follow_rows(self._controller)
         busy = frozenset(self._working.busy)
         async with self._ownership_lock:
             await sessions.balance_servers(self._controller, busy=busy)
 
-    async def _read_reports(self) -> None:
+    async def _poll_servers(self) -> None:
         controller = self._controller
         for name in polling.choose_polled_servers(controller):
             self._spawn(
@@ -218,12 +219,12 @@
 
 
 def is_serving(controller: Controller) -> bool:
-    """Tell whether a configuration is in force, for ``/readyz``."""
+    """Tell whether a configuration is active and shutdown has not begun."""
     return is_ready(controller.activation) and not controller.stopping
 
 
 async def _run_step(step: Step) -> None:
-    """Run one step; a fault in it must not end its loop."""
+    """Run one step of a loop; an exception in it must not end the loop."""
     try:
         await step()
     except (PlatformUnavailableError, OutcomeUnknownError):
--- a/src/arbutuspulley/controller/metrics.py
+++ b/src/arbutuspulley/controller/metrics.py
@@ -6,7 +6,7 @@
 
 
 class Metrics(State):
-    """The controller's metrics and the registry that holds them."""
+    """The controller's metrics and their registry."""
 
     registry: CollectorRegistry
     lease_held: Gauge
@@ -27,7 +27,7 @@
 
 
 def build_metrics() -> Metrics:
-    """Return the metrics on a registry of their own."""
+    """Return the metrics, on a new registry."""
     registry = CollectorRegistry()
 
     def gauge(name: str, text: str) -> Gauge:
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -1,8 +1,8 @@
-"""Carries out placement on the servers that this instance owns.
+"""Executes loads and unloads on the servers that this instance owns.
 
-Always in the same sequence: decide, commit the decision to the ledger, check the
-lease on the own clock, send. What a crash or a pause interrupts is found in the
-ledger by whoever owns the server next.
+The sequence is always the same: decide, commit the intent to the ledger, check the
+lease by the local clock, send the order. If a crash or a pause interrupts it, the next
+owner of the server finds the intent in the ledger.
 """
 
 import asyncio
@@ -54,14 +54,17 @@
 from arbutuspulley.tracing import open_span
 
 UNLOAD_GRACE_MS = 3 * SECOND_MS
-"""Time between the intent of an unload and its order: by then every entry has been
-told to stop sending requests for the item there."""
+"""Time between the intent of an unload and its order, by which every entry has a view
+without the item on that server and sends no more requests for it there."""
 
 
 async def apply_report(
     controller: Controller, working: WorkingLedgers, state: ServerState
 ) -> None:
-    """Take an owned server's newest report, or its silence, into the ledger."""
+    """Reconcile the ledger of an owned server with its newest report, or its absence.
+
+    Orders that the reconciliation returns are sent again.
+    """
     server = list_servers(controller.activation.configuration).get(state.name)
     if server is None or state.name in working.busy:
         return
@@ -128,7 +131,7 @@
     *,
     answering: frozenset[str],
 ) -> bool:
-    """Commit the intent of an unload, wait for entries to follow, send the order.
+    """Commit the intent of an unload, wait for entries to apply it, and send the order.
 
     :param answering: servers that are alive and not leaving.
     :return: whether the intent was committed.
@@ -199,11 +202,11 @@
 async def _send(
     controller: Controller, working: WorkingLedgers, state: ServerState, order: Order
 ) -> None:
-    """Send one order if the lease still runs, and note what the server said.
+    """Send one order if the lease is still valid, and apply the server's reply.
 
-    The check comes last before sending. A holder that was paused after its commit
-    wakes with its lease over; its order would reach the server beside those of
-    the next owner, who reads the intent in the ledger and sends it anew.
+    The lease is checked immediately before sending. An owner that was paused after its
+    commit resumes with an expired lease; its order would reach the server in addition
+    to that of the next owner, who reads the intent in the ledger and sends it again.
     """
     if not may_order(controller, state.name):
         log_event(
@@ -211,7 +214,7 @@
             level=logging.WARNING,
             server=state.name,
             item=order.item,
-            detail="the lease has lapsed; the next owner sends it",
+            detail="the lease has expired; the next owner sends the order",
         )
         discard(working, state.name)
         return
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -1,4 +1,4 @@
-"""Asks peer controllers for news."""
+"""Polls peer controllers for changes of their state."""
 
 import asyncio
 import logging
@@ -21,17 +21,17 @@
 from arbutuspulley.rpc.messages import ExchangeReply
 
 EXCHANGE_TIMEOUT_MS = 2_000
-"""Longest wait for a peer's reply."""
+"""Timeout of a call to a peer."""
 
 INITIAL_BACKOFF_MS = 250
-"""Longest wait after a first failure; doubles up to :data:`MAX_BACKOFF_MS`."""
+"""Maximum backoff after a first failure; doubles up to :data:`MAX_BACKOFF_MS`."""
 
 MAX_BACKOFF_MS = 4_000
-"""Longest wait between two calls to a peer that does not answer."""
+"""Maximum backoff between two calls to a peer that does not answer."""
 
 
 async def exchange_with_all(controller: Controller) -> None:
-    """Ask every peer that is due, all at once, and take in their replies."""
+    """Poll every peer that is due, concurrently, and apply their replies."""
     await _update_peers(controller)
     now = controller.clock.now()
     due = [peer for peer in controller.peers.values() if now >= peer.next_call_at]
@@ -54,7 +54,10 @@
 
 
 async def _update_peers(controller: Controller) -> None:
-    """Know a peer for each session row and each address given by the settings."""
+    """Keep one peer for each session row and each address in the settings.
+
+    A peer that is in neither is removed once it is unreachable.
+    """
     settings = controller.settings
     wanted = set(settings.peers)
     for row in controller.sessions.rows.values():
--- a/src/arbutuspulley/controller/planning.py
+++ b/src/arbutuspulley/controller/planning.py
@@ -1,4 +1,4 @@
-"""Plans placement and carries out the steps on the servers owned here."""
+"""Plans placement and starts the steps on the servers that this instance owns."""
 
 import asyncio
 import logging
@@ -26,24 +26,24 @@
 from arbutuspulley.rpc.messages import ServerSummary
 
 BLOCKED_LOG_DELAY_MS = 5_000
-"""How long an item must have nowhere to go before that is told."""
+"""How long an item's placement must be blocked before that is logged."""
 
 REPLAN_INTERVAL_MS = 2_000
-"""Time after which a plan is made anew though nothing changed but demand and time."""
+"""Time between plans while nothing changes except demand and time."""
 
 MINUTE_S = 60
 """Seconds in a minute."""
 
 
 class PlanningState(State):
-    """What is remembered between plans.
+    """State kept between planning cycles.
 
-    :param blocked_since: when an item was first seen to have nowhere to go.
-    :param told: blocked items that were logged.
-    :param tasks: steps under way.
+    :param blocked_since: when each blocked item was first found to be blocked, in ms.
+    :param logged: blocked items that have been logged.
+    :param tasks: steps in progress.
     :param actions: the last plan.
-    :param based_on: what the last plan was made from.
-    :param planned_at: when that was.
+    :param based_on: versions of the inputs of the last plan.
+    :param planned_at: when the last plan was made, in ms.
     """
 
     planner: PlannerState = msgspec.field(default_factory=PlannerState)
@@ -58,10 +58,10 @@
 async def run_planning_cycle(
     controller: Controller, working: WorkingLedgers, planning_state: PlanningState
 ) -> None:
-    """Plan if there is news, and begin the steps that fall to this instance.
+    """Plan if the inputs have changed, and start the steps on own servers.
 
-    Only an instance that owns servers plans; one that has just lost its lease does
-    not, for it could carry out nothing.
+    Only an instance that owns servers plans. One that has just lost its lease does
+    not, as it could execute no step.
     """
     if controller.stopping or not get_owned(controller):
         return
@@ -83,10 +83,10 @@
 
 
 def has_loads(controller: Controller, planning_state: PlanningState) -> bool:
-    """Tell whether the plan has loads that this instance must carry out.
+    """Tell whether the plan has loads that this instance must execute.
 
-    Its turn at the weight store then comes by rows that others write, so they are
-    read more often.
+    Other instances' rows then show when the weight store has a free load slot, so
+    the rows are read more often.
     """
     return any(
         isinstance(action, Load) and may_order(controller, action.server)
@@ -122,13 +122,14 @@
 
 
 def _list_summaries(controller: Controller) -> dict[str, ServerSummary]:
-    """Return an account of each configured server.
+    """Return a summary of each configured server.
 
-    One that nobody has told of yet counts as silent, not as missing: a controller
-    that has just started would otherwise load elsewhere what is there all the time.
+    A server without a summary yet counts as not alive, rather than as missing: a
+    controller that has just started would otherwise load elsewhere the items that
+    the server already has.
     """
     view = controller.views.view
-    known = {one.server: one for one in view.servers} if view else {}
+    known = {summary.server: summary for summary in view.servers} if view else {}
     for site_name, site in controller.activation.configuration.sites.items():
         for name, server in site.servers.items():
             if name not in known:
@@ -140,7 +141,9 @@
 
 def _list_answering(summaries: Mapping[str, ServerSummary]) -> frozenset[str]:
     return frozenset(
-        name for name, one in summaries.items() if one.alive and not one.leaving
+        name
+        for name, summary in summaries.items()
+        if summary.alive and not summary.leaving
     )
 
 
@@ -165,10 +168,10 @@
     loads: Sequence[Load],
     inputs: PlannerInputs,
 ) -> None:
-    """Begin the loads of own servers that it is the turn of.
+    """Start the loads on own servers that get a load slot.
 
-    Slots are chosen for all of them from the same rows, so no two loads of one plan
-    get the same free slot.
+    The slots of one plan are all chosen from the same rows, so no two of its loads get
+    the same free slot.
     """
     sessions = {
         row.record.session
@@ -227,7 +230,7 @@
 
 
 def _sum_token_rates(controller: Controller, *, now: int) -> dict[str, float]:
-    """Return the tokens a second that callers ask of each item everywhere."""
+    """Return the tokens a second requested of each item over all instances."""
     parts = [list_demand(controller.demand, now=now)]
     parts += [
         peer.demand
@@ -242,7 +245,7 @@
 def _log_blocked(
     planning_state: PlanningState, blocked: dict[str, str], *, now: int
 ) -> None:
-    """Tell once of each item that stays blocked; at a start, all are for a moment."""
+    """Log each item that stays blocked, once; at a start all are blocked briefly."""
     planning_state.logged &= blocked.keys()
     planning_state.blocked_since = {
         item: planning_state.blocked_since.get(item, now) for item in blocked
--- a/src/arbutuspulley/controller/platform_calls.py
+++ b/src/arbutuspulley/controller/platform_calls.py
@@ -1,4 +1,4 @@
-"""How the controller asks the platform: on I/O threads, and not during an outage."""
+"""Calls to the platform's store: on I/O threads, and with backoff in an outage."""
 
 import asyncio
 import logging
@@ -21,7 +21,7 @@
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
 MAX_COMMIT_ATTEMPTS = 2
-"""Sends of one transaction; the loops come round again soon enough by themselves."""
+"""Attempts per transaction; few, because each loop runs again soon anyway."""
 
 _Result = TypeVar("_Result")
 
@@ -29,10 +29,10 @@
 async def call_platform(
     controller: Controller, function: Callable[[], _Result]
 ) -> _Result:
-    """Read something from the platform.
+    """Run a read of the platform on the store threads.
 
-    :raises PlatformUnavailableError: if it did not answer, or is known to be down
-        and it is not yet time for the next probe.
+    :raises PlatformUnavailableError: if the platform did not answer, or is down and
+        the backoff before the next attempt has not ended.
     """
     return await _run_guarded(
         controller, controller.reads, controller.pools.store, function
@@ -46,13 +46,13 @@
     pool: Executor | None = None,
     max_attempts: int = MAX_COMMIT_ATTEMPTS,
 ) -> Committed | Conflict:
-    """Commit a transaction of the controller's own and take in what it wrote.
+    """Commit a transaction of the controller and apply the rows that it wrote.
 
-    :param pool: threads to use, by default those for all store calls.
-    :param max_attempts: sends of the transaction if its reply is lost.
-    :raises PlatformUnavailableError: if it certainly had no effect.
-    :raises OutcomeUnknownError: if that could not be found out; the rows tell it
-        when they are next read.
+    :param pool: threads to run on; by default those for store calls.
+    :param max_attempts: maximum number of attempts if the reply is lost.
+    :raises PlatformUnavailableError: if the transaction certainly had no effect.
+    :raises OutcomeUnknownError: if it may have had an effect; the next scan of the
+        rows shows whether it had.
     """
     table = controller.platform.table
     outcome = await _run_guarded(
--- a/src/arbutuspulley/controller/polling.py
+++ b/src/arbutuspulley/controller/polling.py
@@ -1,4 +1,4 @@
-"""Reads the reports of servers, each on its own, so that a frozen one delays none."""
+"""Polls servers for reports, each independently, so that a frozen one delays none."""
 
 import asyncio
 import logging
@@ -22,11 +22,11 @@
 from arbutuspulley.ports.engines import BrokenError, NotSentError, Report
 
 ReportHandler = Callable[[ServerState], Awaitable[None]]
-"""Called with each server whose newest report was just taken in."""
+"""Called with a server's state after each poll, also one that failed."""
 
 
 def choose_polled_servers(controller: Controller) -> tuple[str, ...]:
-    """Return the servers whose reports this instance reads, and keep their states."""
+    """Return the servers that this instance polls, and update the dict of states."""
     now = controller.clock.now()
     servers = list_servers(controller.activation.configuration)
     orphans = _list_orphans(controller, servers, now=now)
@@ -52,7 +52,7 @@
 async def poll_report(
     controller: Controller, name: str, *, on_report: ReportHandler
 ) -> None:
-    """Read one server's report unless a read of it is still under way."""
+    """Poll one server unless a poll of it is still in progress."""
     state = controller.servers.get(name)
     if state is None or state.polling:
         return
@@ -101,7 +101,7 @@
 def _list_orphans(
     controller: Controller, servers: dict[str, Server], *, now: int
 ) -> frozenset[str]:
-    """Return the servers that nobody reachable owns and that fall to this instance."""
+    """Return the servers without a reachable owner that this instance has to poll."""
     reachable = {
         peer.instance: peer
         for peer in controller.peers.values()
@@ -119,10 +119,10 @@
 
 
 def _find_owner(controller: Controller, server: str) -> str:
-    """Return the instance that owns a server, or last did and wasn't replaced yet.
+    """Return the instance that owns or last owned a server; empty if it was released.
 
-    Whether its lease still runs doesn't matter here: in an outage of the store all
-    leases lapse, and reports must be read all the same.
+    Whether the owner's lease is still valid doesn't matter here: in a store outage all
+    leases expire, and servers must be polled nevertheless.
     """
     row = controller.rows.owners.get(server)
     return row.record.instance if row is not None and row.record.session else ""
--- a/src/arbutuspulley/controller/publishing.py
+++ b/src/arbutuspulley/controller/publishing.py
@@ -1,4 +1,4 @@
-"""Puts together what entries, peers and the console are told."""
+"""Builds the state that entries, peers and the console receive."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 )
 
 MAX_SUMMARY_WAIT_MS = 3 * SECOND_MS
-"""How long a new instance waits to hear of all servers before it serves."""
+"""Longest wait of a new instance for summaries of all servers before it serves."""
 
 _NO_VIEW = View(number=0, ready=False, store_up=False, configuration=EMPTY)
 
@@ -45,7 +45,7 @@
 
 
 def publish(controller: Controller) -> None:
-    """Update what peers will be told, and the view; wake its watchers if it changed."""
+    """Update the state for peers and the view; wake the view's watchers on a change."""
     now = controller.clock.now()
     evict_silent(controller.entries, now=now)
     own = _build_summaries(controller, now=now)
@@ -75,14 +75,14 @@
 
 
 def publish_immediately(controller: Controller) -> None:
-    """Publish, and send the view without the usual gap since the last one."""
+    """Publish, and send the view without waiting for the minimum interval."""
     publish(controller)
     controller.view_urgent.set()
     controller.view_urgent = asyncio.Event()
 
 
 async def wait_for_view_interval(controller: Controller, interval_ms: int) -> None:
-    """Wait for the gap between two views, or less if the next one is urgent."""
+    """Wait for the interval between two views, or until the next one is urgent."""
     try:
         async with asyncio.timeout(interval_ms / SECOND_MS):
             await controller.view_urgent.wait()
@@ -91,9 +91,9 @@
 
 
 def get_view(controller: Controller, address: str) -> View:
-    """Return the present view for one entry of this instance.
+    """Return the current view for one entry of this instance.
 
-    What callers use through its sibling entries counts as used elsewhere.
+    Usage by callers through its sibling entries counts as usage elsewhere.
     """
     view = controller.views.view or _NO_VIEW
     siblings = [
@@ -108,7 +108,7 @@
 
 
 async def wait_for_view(controller: Controller, number: int) -> None:
-    """Wait until there is another view than the one with this number."""
+    """Wait until there is a view with another number than this one."""
     while not controller.stopping:
         view = controller.views.view
         if view is not None and view.number != number:
@@ -122,14 +122,14 @@
 
 
 def sum_own_usage(controller: Controller) -> tuple[CallerUsage, ...]:
-    """Return what callers use through the entries of this instance."""
+    """Return the usage of each caller through the entries of this instance."""
     return sum_usage(
         state.report.usage for state in controller.entries.values() if state.report
     )
 
 
 def build_instance_status(controller: Controller) -> InstanceStatus:
-    """Return what this instance says of itself."""
+    """Return the status of this instance."""
     now = controller.clock.now()
     return InstanceStatus(
         instance=controller.settings.instance,
@@ -149,9 +149,9 @@
 def build_fleet_status(
     controller: Controller, *, after: int | None = None
 ) -> FleetStatus:
-    """Return what is known of all instances; silent ones are marked unreachable.
+    """Return the known status of all instances; those without replies are unreachable.
 
-    :param after: if set, the configuration in force is sent along if it is newer.
+    :param after: if set, include the active configuration if its version is newer.
     """
     now = controller.clock.now()
     instances = {controller.settings.instance: build_instance_status(controller)}
@@ -194,14 +194,14 @@
 def _update_serving(
     controller: Controller, servers: tuple[ServerSummary, ...], *, now: int
 ) -> bool:
-    """Tell whether entries may begin to serve; once they may, they always may.
-
-    A new instance has the configuration before it has heard of every server. An
-    entry that served then would refuse models that are loaded all the while, as not
-    loaded anywhere. A server that this instance is to read and has not read yet is
-    not heard of either: with the store away it finds no owner of any server, and may
-    take one as its own before it asks it. A server that nobody speaks of is waited
-    for no longer than :data:`MAX_SUMMARY_WAIT_MS`.
+    """Update and return whether entries may serve; once true, it stays true.
+
+    A new instance has the configuration before it has a summary of every server. An
+    entry that served at that point would refuse loaded models as not loaded anywhere.
+    A server that this instance polls but has not read yet has no summary either: while
+    the store is unavailable the instance knows no owners, and may choose to poll a
+    server itself before its first report. The wait for servers without a summary ends
+    after :data:`MAX_SUMMARY_WAIT_MS`.
     """
     if controller.serving or not is_ready(controller.activation):
         return controller.serving
@@ -235,7 +235,7 @@
 
 
 def _build_summaries(controller: Controller, *, now: int) -> dict[str, ServerSummary]:
-    """Return summaries of the servers whose reports this instance reads."""
+    """Return summaries of the servers that this instance polls."""
     server_sites = {
         name: _ServerSite(server=server, site=site_name)
         for site_name, site in controller.activation.configuration.sites.items()
--- a/src/arbutuspulley/controller/reports.py
+++ b/src/arbutuspulley/controller/reports.py
@@ -1,4 +1,4 @@
-"""What is known of each server from its own reports, and what peers are told."""
+"""State of each polled server, from its reports, and the summaries built from it."""
 
 from arbutuspulley.configuration.schema import Server
 from arbutuspulley.data import State
@@ -9,21 +9,21 @@
 """Time without a report after which a server counts as not alive."""
 
 DEAD_AFTER_REFUSALS = 2
-"""Connections refused in a row after which it counts as not alive at once."""
+"""Consecutive refused connections after which a server counts as not alive at once."""
 
 POLL_AFTER_RELEASE_MS = 5_000
-"""How long reports are still read after ownership has passed on, so that there is
-always an instance that knows the server's load."""
+"""How long a server is still polled after its ownership moved to another instance, so
+that there is always an instance that knows its load."""
 
 
 class ServerState(State):
-    """A server whose reports this instance reads.
+    """A server that this instance polls.
 
     :param report: the newest report.
-    :param received_at: when it came.
-    :param refusals: connections refused since.
-    :param polling: whether a read is under way.
-    :param owned_at: when this instance last owned it.
+    :param received_at: when the newest report was received, in ms.
+    :param refusals: connections refused since the newest report.
+    :param polling: whether a poll is in progress.
+    :param owned_at: when this instance last owned the server, in ms.
     """
 
     name: str
@@ -36,9 +36,9 @@
 
 
 def apply_report(state: ServerState, report: Report, *, now: int) -> bool:
-    """Take in a report unless it is older than one of the same boot.
+    """Store a report unless a newer one of the same boot is known.
 
-    :return: whether it is the newest.
+    :return: whether the report was stored.
     """
     known = state.report
     is_same_boot = known is not None and known.boot_id == report.boot_id
@@ -51,12 +51,12 @@
 
 
 def record_refused(state: ServerState) -> None:
-    """Take in that the server refused the connection: its process is gone."""
+    """Record that the server refused a connection, as its process is gone."""
     state.refusals += 1
 
 
 def is_alive(state: ServerState, *, now: int) -> bool:
-    """Tell whether a server's reports come in time."""
+    """Tell whether a server's reports arrive in time."""
     if state.report is None or state.refusals >= DEAD_AFTER_REFUSALS:
         return False
     return now - state.received_at <= ALIVE_TIMEOUT_MS
@@ -70,10 +70,10 @@
     leaving_items: frozenset[str],
     now: int,
 ) -> ServerSummary:
-    """Return what entries need to know of a server.
+    """Return the summary of a server for entries and peers.
 
-    :param leaving_items: items that the ledger has set to be unloaded. Entries
-        stop using them before the order is sent, so that it cuts off no request.
+    :param leaving_items: items that the ledger marks for unloading. Entries stop using
+        them before the order is sent, so that the unload interrupts no request.
     """
     report = state.report
     if report is None:
@@ -85,9 +85,9 @@
             alive=False,
         )
     items = (
-        one.item
-        for one in report.items
-        if one.state is ItemState.LOADED and one.item not in leaving_items
+        item.item
+        for item in report.items
+        if item.state is ItemState.LOADED and item.item not in leaving_items
     )
     return ServerSummary(
         server=state.name,
@@ -109,10 +109,10 @@
 def is_polled_here(
     state: ServerState | None, *, owned: bool, chosen: bool, now: int
 ) -> bool:
-    """Tell whether this instance reads a server's reports.
+    """Tell whether this instance polls a server.
 
     :param owned: whether it owns the server now.
-    :param chosen: whether it was chosen because nobody else is heard of it.
+    :param chosen: whether it was chosen to poll it, as no reachable instance owns it.
     """
     if owned or chosen:
         return True
@@ -122,7 +122,7 @@
 
 
 def replace_address(state: ServerState, address: str) -> ServerState:
-    """Return the state for a server that the configuration moved elsewhere."""
+    """Return the server's state, a new one if the configuration changed its address."""
     if state.address == address:
         return state
     return ServerState(name=state.name, address=address, owned_at=state.owned_at)
--- a/src/arbutuspulley/controller/rows.py
+++ b/src/arbutuspulley/controller/rows.py
@@ -1,4 +1,4 @@
-"""The rows of one group as last read, kept current by scanning from a revision."""
+"""Table rows of one group as last read; scans from a revision keep them current."""
 
 from collections.abc import Iterable
 
@@ -15,21 +15,22 @@
 
 
 class StoredLedger(Value, frozen=True):
-    """A server's ledger as read."""
+    """A server's ledger as last read from its row."""
 
     ledger: ServerLedger
     revision: int
 
 
 class GroupRows(State):
-    """What is known of a group's table rows.
-
-    :param revision: where the next scan goes on.
-    :param table_id: names the table's history; empty before the first scan.
-    :param placement_changes: counts changes of ledgers, copies and slots.
-    :param revisions: the newest revision known of each key, deletions included.
-    :param fences: the highest fencing number ever met for each server. It outlives
-        a restored table, whose numbers may be lower than those servers have seen.
+    """Table rows of a group, as last read.
+
+    :param revision: revision after which the next scan starts.
+    :param table_id: identifies the table's history; empty before the first scan.
+    :param placement_changes: number of changes of ledgers, copies and slots.
+    :param revisions: newest known revision of each key, including deletions.
+    :param fences: highest fencing number ever seen for each server. It is kept when the
+        table is restored, as the restored numbers may be lower than those that the
+        servers have seen.
     """
 
     group: str
@@ -50,9 +51,9 @@
 def apply_rows(
     rows: GroupRows, changed: Iterable[Row], *, now: int
 ) -> tuple[SessionRow, ...]:
-    """Take in rows from a scan or from an own transaction, each only if newer.
+    """Apply rows from a scan or from an own transaction, each only if it is newer.
 
-    :return: the session rows among them, which membership observes.
+    :return: the session rows among the applied ones, for membership observation.
     """
     sessions: list[SessionRow] = []
     for row in changed:
@@ -77,7 +78,7 @@
 
 
 def list_written(transaction: Transaction, *, revision: int) -> tuple[Row, ...]:
-    """Return the rows that a committed transaction has left."""
+    """Return the rows as a committed transaction has written them."""
     return tuple(
         Row(
             key=write.key,
@@ -91,7 +92,7 @@
 
 
 def reset_rows(rows: GroupRows) -> None:
-    """Begin anew, as the table's history was replaced by a backup's."""
+    """Discard all rows after the table was restored from a backup; keep the fences."""
     rows.revision = 0
     rows.revisions = {}
     rows.owners = {}
@@ -101,7 +102,7 @@
 
 
 def record_fence(rows: GroupRows, server: str, fence: int) -> None:
-    """Remember the highest fencing number met for a server."""
+    """Record a fencing number of a server if it is the highest so far."""
     rows.fences[server] = max(fence, rows.fences.get(server, 0))
 
 
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -1,4 +1,4 @@
-"""Renews the session lease and claims, hands over and releases servers."""
+"""Renews the session lease; claims servers, hands them over and releases them."""
 
 import asyncio
 import logging
@@ -38,14 +38,14 @@
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
 MAX_RENEWALS_PER_ROUND = 2
-"""Renewals sent in one round."""
+"""Maximum number of renewals sent in one round."""
 
 RELEASE_TIMEOUT_MS = 3 * SECOND_MS
-"""Longest time spent on releasing at the end; what stays lapses by itself."""
+"""Timeout of the release at shutdown; a lease that isn't released expires."""
 
 
 def may_order(controller: Controller, server: str) -> bool:
-    """Tell whether this instance owns a server, certainly and now."""
+    """Tell whether this instance certainly owns a server now."""
     if not leases.may_order(controller.lease, now=controller.clock.now()):
         return False
     row = controller.rows.owners.get(server)
@@ -53,16 +53,16 @@
 
 
 def get_owned(controller: Controller) -> dict[str, OwnerRow]:
-    """Return the servers owned, none if the lease may have lapsed."""
+    """Return the owned servers; none if the lease may have expired."""
     if not leases.may_order(controller.lease, now=controller.clock.now()):
         return {}
     return list_owned(controller.rows.owners, session=controller.lease.session)
 
 
 async def renew_lease(controller: Controller) -> None:
-    """Send one renewal, under a new session if the lease lapsed.
+    """Renew the lease, under a new session if it expired.
 
-    One that meets its own earlier effect, whose reply was lost, is sent again.
+    A renewal that conflicts with an earlier one whose reply was lost is sent again.
     """
     if controller.lease.revision is None:
         await _read_own_row(controller)
@@ -74,7 +74,7 @@
 async def _renew_once(controller: Controller) -> bool:
     """Send one renewal.
 
-    :return: whether there is nothing more to be tried at once.
+    :return: whether no immediate retry is needed.
     """
     lease = controller.lease
     now = controller.clock.now()
@@ -104,9 +104,9 @@
 
 
 async def balance_servers(controller: Controller, *, busy: frozenset[str]) -> None:
-    """Claim servers that fall to this instance and hand over what is too much.
+    """Claim servers for this instance, or hand over those beyond its share.
 
-    :param busy: servers with an order on its way, which are not handed over now.
+    :param busy: servers with an order in flight, which are not handed over now.
     """
     if controller.stopping:
         return
@@ -137,7 +137,7 @@
 
 
 async def delete_stale_sessions(controller: Controller) -> None:
-    """Delete rows of instances that are gone for good; one instance does each."""
+    """Delete session rows of instances that are gone; one instance deletes each row."""
     referenced = frozenset(
         row.record.session for row in controller.rows.owners.values()
     )
@@ -155,10 +155,10 @@
 
 
 async def release_all(controller: Controller) -> None:
-    """Give up ownership and lease as the process stops, within a bound.
+    """Release the owned servers and the lease at shutdown, with a timeout.
 
-    Others then claim at once. If the store is down, they wait for the lease to
-    lapse instead; the process ends all the same.
+    Other instances can then claim the servers at once. If the store is down, they wait
+    until the lease expires instead; the process ends nevertheless.
     """
     lease = controller.lease
     rows = list(get_owned(controller).values())
@@ -181,7 +181,7 @@
             Event.LEASE_RELEASED,
             level=logging.WARNING,
             session=session,
-            detail="the store did not answer; the lease lapses by itself",
+            detail="the store did not answer; the lease will expire",
         )
         return
     done = isinstance(outcome, Committed)
@@ -229,7 +229,7 @@
         log_event(
             Event.LEASE_LAPSED,
             level=logging.ERROR,
-            detail="another process runs under this instance's name",
+            detail="another process uses this instance's name",
         )
 
 
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -1,4 +1,4 @@
-"""All that one controller knows; it lives on the controller's loop."""
+"""The state of one controller; it is only accessed on the controller's event loop."""
 
 import asyncio
 import random
@@ -26,9 +26,9 @@
 
 
 class ControllerSettings(Value, frozen=True):
-    """Checked settings of the process; see the program's flags.
+    """Validated settings of the process; see the program's flags.
 
-    :param advertise: empty if peers reach it at ``listen``.
+    :param advertise: address for peers; empty if they use ``listen``.
     """
 
     instance: str
@@ -48,12 +48,12 @@
 
 
 class Pools(State):
-    """I/O threads, apart from one another so that no user of one waits for another.
+    """I/O thread pools, separate so that one kind of call never waits for another.
 
-    :param lease: renewals only.
-    :param store: all else that the controller itself asks of the platform.
-    :param delivery: claims, deaths and clearances that entries wait for.
-    :param reports: reading servers' reports; a frozen server holds a thread.
+    :param lease: lease renewals only.
+    :param store: all other platform calls of the controller's own.
+    :param delivery: claims, deaths and clearances, for which entries wait.
+    :param reports: polling servers; a frozen server occupies a thread.
     :param orders: sending orders.
     """
 
@@ -65,19 +65,21 @@
 
 
 class Controller(State):
-    """The whole state of one controller.
-
-    :param reads: whether the platform answers reads.
-    :param writes: whether the platform takes writes.
-    :param listed_leaving: servers that the instance list calls leaving.
-    :param live_since: when the set of live instances last changed.
-    :param configured_at: when a configuration first came into force here.
-    :param serving: whether entries were told that serving may begin.
-    :param view_changed: set whenever there is a new view; replaced then.
-    :param view_urgent: set when a view must not wait for the gap between views;
-        replaced then.
-    :param settling: claims whose end is being recorded.
-    :param stopping: set once the process has begun to stop.
+    """The complete state of one controller.
+
+    :param reads: outage state of the platform's reads.
+    :param writes: outage state of the platform's writes.
+    :param activation: the active configuration and pending changes.
+    :param listed_leaving: servers that the instance list marks as leaving.
+    :param live: instances with a valid session.
+    :param live_since: when the set of live instances last changed, in ms.
+    :param configured_at: when publishing first found an active configuration, in ms.
+    :param serving: whether entries may serve.
+    :param view_changed: set when there is a new view, and then replaced by a new event.
+    :param view_urgent: set when a view must not wait for the minimum interval between
+        views, and then replaced by a new event.
+    :param settling: tasks that record the outcome of claims.
+    :param stopping: whether shutdown has begun.
     """
 
     settings: ControllerSettings
@@ -113,5 +115,5 @@
 
 
 def is_store_up(controller: Controller) -> bool:
-    """Tell whether the platform lately answered reads and writes."""
+    """Tell whether the platform recently answered reads and writes."""
     return controller.reads.up and controller.writes.up
--- a/src/arbutuspulley/controller/store_watch.py
+++ b/src/arbutuspulley/controller/store_watch.py
@@ -1,4 +1,4 @@
-"""Follows the group's rows and the instance list."""
+"""Reads changes of the group's table rows, and the platform's instance list."""
 
 import logging
 
@@ -11,14 +11,14 @@
 from arbutuspulley.ports.platform import InstanceState, Page
 
 SCAN_ROWS = 500
-"""Rows asked for in one scan."""
+"""Maximum number of rows in one scan."""
 
 MAX_PAGES = 100
-"""Pages read in one round; the next round goes on from there."""
+"""Maximum number of pages read in one call; the next call continues from there."""
 
 
 async def follow_rows(controller: Controller) -> None:
-    """Read the rows that changed since the last round.
+    """Read the rows that changed since the last call.
 
     :raises PlatformUnavailableError: if the platform did not answer.
     """
@@ -35,10 +35,10 @@
 
 
 async def follow_instances(controller: Controller) -> None:
-    """Read which servers the platform lists as leaving."""
+    """Read which servers the platform's instance list marks as leaving."""
     listings = await call_platform(controller, controller.platform.list_instances)
     leaving = frozenset(
-        one.name for one in listings if one.state is InstanceState.LEAVING
+        listing.name for listing in listings if listing.state is InstanceState.LEAVING
     )
     for name in leaving - controller.listed_leaving:
         log_event(Event.SERVER_LEAVING, server=name, source="instance list")
@@ -76,11 +76,11 @@
 
 
 def _reset_after_restore(controller: Controller, table_id: str) -> None:
-    """Forget rows and give up the lease, as the table was restored from a backup.
+    """Discard all rows and the lease after the table was restored from a backup.
 
-    Its sessions and owners are those of an earlier time. Going on with the own
-    lease would let two instances own one server: the restored rows may name
-    another owner, who reads them just as well.
+    The restored sessions and owners are those of an earlier time. Keeping the lease
+    could let two instances own one server: the restored rows may name another owner,
+    and that instance reads them, too.
     """
     log_event(Event.TABLE_RESTORED, level=logging.WARNING, table_id=table_id)
     reset_rows(controller.rows)
--- a/src/arbutuspulley/controller/suspicion_sync.py
+++ b/src/arbutuspulley/controller/suspicion_sync.py
@@ -1,4 +1,4 @@
-"""Keeps this instance's suspicions in step with the table."""
+"""Synchronises this instance's suspicions with the table and with its peers."""
 
 import asyncio
 from collections.abc import Iterable
@@ -14,18 +14,18 @@
 from arbutuspulley.rpc.messages import Suspicion, SuspicionsReply
 
 NOTIFY_TIMEOUT_MS = 300
-"""Longest wait for peers to take in suspicions."""
+"""Timeout of a call that sends suspicions to a peer."""
 
 
 class SuspicionCursor(State):
-    """Where reading of suspicions goes on."""
+    """Position in the table after which the next read of suspicions starts."""
 
     revision: int = 0
     table_id: str = ""
 
 
 async def follow_suspicions(controller: Controller, rows: SuspicionCursor) -> None:
-    """Read suspicions that changed, and drop those that are over.
+    """Read suspicions that changed, and delete those that have expired.
 
     :raises PlatformUnavailableError: if the platform did not answer.
     """
@@ -42,13 +42,14 @@
 
 
 async def notify_peers(controller: Controller, suspicions: Iterable[Suspicion]) -> None:
-    """Tell all peers that answer of suspicions, and wait until they know.
-
-    The caller of a request that a server died under may send it again as soon as it
-    has its answer, through an entry that has heard nothing and takes it for harmless:
-    one more server would be lost at each. So the peers are told before the answer
-    goes out, not by the next exchange up to a second later. A peer that is cut off
-    learns from the table or an exchange; nobody waits longer than the timeout for it.
+    """Send suspicions to all reachable peers and wait until they have applied them.
+
+    The caller of a request under which a server died may resend it as soon as it gets
+    its error, through an entry that doesn't know the suspicion yet and lets it run: one
+    more server would be lost at each such entry. So the peers are notified before the
+    reply is sent, not by the next exchange up to a second later. A disconnected peer
+    gets the suspicion from the table or an exchange; the wait for it is bounded by the
+    timeout.
     """
     update = SuspicionsReply(suspicions=tuple(suspicions))
     if not update.suspicions:
@@ -70,7 +71,7 @@
 
 
 async def _delete_row(controller: Controller, suspicion: Suspicion) -> None:
-    """Delete a suspicion's row; one instance does, since all drop it together."""
+    """Delete a suspicion's row on one chosen instance, as all expire it together."""
     chosen = choose_poller(suspicion.fingerprint, candidates=controller.live)
     if chosen != controller.settings.instance:
         return
--- a/src/arbutuspulley/controller/views.py
+++ b/src/arbutuspulley/controller/views.py
@@ -1,7 +1,7 @@
-"""What an entry is told: one summary a server, one address an entry.
+"""Views for entries: one summary per server, one address per entry.
 
-Several instances may speak of one server while its ownership changes hands or its
-owner is gone, so the liveliest and freshest account is taken.
+Several instances may report one server while its ownership moves or its owner is
+gone. A summary with the server alive is preferred, then the one with the lowest age.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,18 +21,19 @@
 )
 
 SUMMARY_RETENTION_MS = 60_000
-"""How long a server's last account is told on, as not alive, once nobody renews it."""
+"""Time since a peer's last reply after which its last summaries count as not alive, and
+its last status is dropped if it has no session row either."""
 
 
 REFRESH_INTERVAL_MS = 2_000
-"""A view whose numbers still hold is sent again after this, with their new ages."""
+"""Time after which an unchanged view is sent again, with the current ages."""
 
 
 class ViewState(State):
-    """The view that was last sent to entries.
+    """The newest view for entries.
 
-    :param view: ``None`` before the first.
-    :param built_at: when it was built.
+    :param view: ``None`` before the first one is built.
+    :param built_at: when the view was built, in ms.
     """
 
     view: View | None = None
@@ -47,14 +48,14 @@
     leaving: frozenset[str],
     now: int,
 ) -> tuple[ServerSummary, ...]:
-    """Return one summary for each configured server that anyone speaks of.
+    """Return one summary for each configured server that any instance reports.
 
-    A leaving server shows in the instance list, in its reports or in both, and
-    either may lag: the first sign counts. A server that the list no longer has is
+    A server is leaving as soon as either the instance list or its report says so, as
+    either may lag behind the other. A server that is no longer in the instance list is
     still alive if it reports.
 
-    :param own: summaries from reports that this instance read itself.
-    :param leaving: servers that the instance list calls leaving.
+    :param own: summaries of the servers that this instance polls.
+    :param leaving: servers that the instance list marks as leaving.
     """
     summaries: dict[str, list[ServerSummary]] = {}
     for name, summary in own.items():
@@ -65,11 +66,13 @@
     merged = []
     for name, server in sorted(list_servers(configuration).items()):
         candidates = [
-            one for one in summaries.get(name, ()) if one.address == server.address
+            summary
+            for summary in summaries.get(name, ())
+            if summary.address == server.address
         ]
         if not candidates:
             continue
-        best = min(candidates, key=lambda one: (not one.alive, one.age_ms))
+        best = min(candidates, key=lambda summary: (not summary.alive, summary.age_ms))
         if name in leaving and not best.leaving:
             best = msgspec.structs.replace(best, leaving=True)
         merged.append(best)
@@ -79,20 +82,20 @@
 def merge_entries(
     own: Iterable[EntryAddress], peers: Iterable[PeerState], *, now: int
 ) -> tuple[EntryAddress, ...]:
-    """Return the entries that callers may be told of, by address.
+    """Return the entries whose addresses callers may be given, sorted by address.
 
-    The entries of a peer that has fallen silent are left out at once, and come
-    back with its first answer: an address too few costs callers nothing.
+    The entries of an unreachable peer are left out at once, and included again after
+    its first reply: a missing address costs callers nothing.
     """
-    entries = {one.address: one for one in own}
+    entries = {entry.address: entry for entry in own}
     for peer in peers:
         if not is_unreachable(peer, now=now):
-            entries |= {one.address: one for one in peer.entries}
+            entries |= {entry.address: entry for entry in peer.entries}
     return tuple(entries[address] for address in sorted(entries))
 
 
 def merge_usage(peers: Iterable[PeerState], *, now: int) -> tuple[CallerUsage, ...]:
-    """Return what callers use through all other instances together."""
+    """Return each caller's total usage through all other instances."""
     tokens: dict[str, float] = {}
     waiting: dict[str, int] = {}
     for peer in peers:
@@ -120,7 +123,7 @@
     usage: tuple[CallerUsage, ...],
     now: int,
 ) -> bool:
-    """Build the next view if anything changed but the age of load numbers.
+    """Build the next view if anything except ages changed, or ages must be refreshed.
 
     :return: whether there is a new view to send.
     """
@@ -143,10 +146,10 @@
 
 
 def _add_age(summary: ServerSummary, peer: PeerState, *, now: int) -> ServerSummary:
-    """Add the time since the peer last confirmed a summary.
+    """Add the time since the peer's last reply to the age of a summary.
 
-    A peer that has fallen silent can't vouch that the server is alive, nor that it
-    is dead: its last word stands, and grows older, for :data:`SUMMARY_RETENTION_MS`.
+    An unreachable peer can confirm neither that a server is alive nor that it is dead,
+    so its last summary is kept, with growing age, for :data:`SUMMARY_RETENTION_MS`.
     """
     silent_ms = now - (peer.replied_at or 0)
     age = summary.age_ms + silent_ms
@@ -155,5 +158,7 @@
 
 
 def _strip_ages(view: View) -> View:
-    servers = tuple(msgspec.structs.replace(one, age_ms=0) for one in view.servers)
+    servers = tuple(
+        msgspec.structs.replace(summary, age_ms=0) for summary in view.servers
+    )
     return msgspec.structs.replace(view, servers=servers)
