--- a/src/arbutuspulley/adapters/__init__.py
+++ b/src/arbutuspulley/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: thin clients that fill in the ports over HTTP."""
+"""Adapters: thin HTTP clients that implement the ports."""
--- a/src/arbutuspulley/adapters/engine_calls.py
+++ b/src/arbutuspulley/adapters/engine_calls.py
@@ -1,7 +1,7 @@
-"""One HTTP call to a backend server, and what its failure proves.
+"""HTTP calls to a backend server, and the errors that they fail with.
 
-The one question to answer without error is whether a failed request may have run:
-:func:`send` answers it for connections, :func:`build_status_error` for statuses.
+An error must state correctly whether the failed request may have run: :func:`send`
+decides this for connection failures, :func:`build_status_error` for statuses.
 """
 
 from collections.abc import Mapping
@@ -19,10 +19,10 @@
 from arbutuspulley.results import RunState
 
 MAX_REPLY_BYTES = 16 * 1024 * 1024
-"""Largest reply taken from a plain service or to an order or a report."""
+"""Maximum size of a reply from a service, or to an order or a report request."""
 
 MAX_DETAIL_CHARACTERS = 300
-"""Most letters taken over from a server's error message."""
+"""Maximum length of the part of a server's error message that is kept."""
 
 _BAD_REQUEST_STATUSES = frozenset({400, 404, 405, 413, 422})
 
@@ -32,7 +32,7 @@
 
 
 class _ErrorBody(Message, frozen=True):
-    """An error in the usual protocol's shape."""
+    """An error body in the format of the chat completions API."""
 
     error: _ErrorDetail = _ErrorDetail()
 
@@ -48,12 +48,12 @@
     body: bytes | None,
     headers: Mapping[str, str],
 ) -> BaseHTTPResponse:
-    """Send a request once and return the head of the answer.
+    """Send a request once and return the response, with its body unread.
 
-    :param pool: from :func:`~arbutuspulley.adapters.http.build_pool`, which neither
-        retries nor follows redirects.
-    :raises NotSentError: if no byte left.
-    :raises BrokenError: if some may have left and no answer came.
+    :param pool: from :func:`~arbutuspulley.adapters.http.build_pool`, so that it
+        neither retries nor follows redirects.
+    :raises NotSentError: if no byte of the request was sent.
+    :raises BrokenError: if part of it may have been sent and no response arrived.
     """
     try:
         return pool.urlopen(
@@ -72,14 +72,15 @@
 
 
 def read_body(response: BaseHTTPResponse) -> bytes:
-    """Return the body and give the connection back.
+    """Return the body and release the connection to its pool.
 
-    :raises BrokenError: if it does not come whole or is too large.
+    :raises BrokenError: if the body is incomplete or larger than
+        :data:`MAX_REPLY_BYTES`.
     """
     try:
         body = response.read(MAX_REPLY_BYTES + 1)
     except HTTPError as error:
-        raise BrokenError(detail=f"reply broke off: {describe(error)}") from error
+        raise BrokenError(detail=f"reply interrupted: {describe(error)}") from error
     if len(body) > MAX_REPLY_BYTES:
         response.close()
         raise BrokenError(detail=f"reply over {MAX_REPLY_BYTES} bytes")
@@ -88,18 +89,18 @@
 
 
 def build_status_error(response: BaseHTTPResponse) -> RefusedError | BrokenError:
-    """Tell what a status other than 200 proves.
+    """Return the error for a response with a status other than 200.
 
-    Only the server's own word that it did not admit the request, or a status by
-    which it found the request wrong, proves that nothing ran. A bare 500 or 503
-    may come from a server that failed halfway.
+    Only the server's own header that it did not admit the request, or a status for an
+    invalid request, proves that the request did not run. A plain 500 or 503 may come
+    from a server that failed while it ran the request.
     """
     was_not_admitted = is_not_admitted(response)
     is_invalid = response.status in _BAD_REQUEST_STATUSES
     detail = _read_detail(response)
     if not was_not_admitted and not is_invalid:
         return BrokenError(detail=detail)
-    # A server that lacks the item says 404 as well, but another one may have it.
+    # A server without the item answers 404, too, but another server may have it.
     lacks_item = response.status == 404 and was_not_admitted
     return RefusedError(
         detail=detail,
@@ -110,12 +111,12 @@
 
 
 def is_not_admitted(response: BaseHTTPResponse) -> bool:
-    """Tell whether the server itself says that it did not run the request."""
+    """Tell whether the server's headers say that it did not run the request."""
     return response.headers.get(RUN_STATE) == RunState.NOT_RUN.value
 
 
 def describe(error: HTTPError) -> str:
-    """Name an error without the addresses and objects in its own message."""
+    """Return an error's class name; its message has addresses and object ids."""
     return type(error).__name__
 
 
--- a/src/arbutuspulley/adapters/engine_orders.py
+++ b/src/arbutuspulley/adapters/engine_orders.py
@@ -1,8 +1,8 @@
-"""Sends an order to the one boot of an engine that it is meant for.
+"""Sends an order only to the boot of an engine that it is meant for.
 
-The ledger frees what was reserved for orders of an earlier boot as soon as the engine
-reports a new one. That is safe only if no such order can arrive later: it must end
-with the connection, and so with the process, to which it was sent.
+The ledger frees memory reserved for orders of an earlier boot as soon as the engine
+reports a new boot. That is safe only if no such order can arrive later: an order must
+fail with the connection, and so with the engine process, to which it was sent.
 """
 
 from http.client import HTTPException, NotConnected
@@ -30,11 +30,11 @@
 def send_order(
     address: str, order: Order, *, connect_timeout_ms: int, timeout_ms: int
 ) -> OrderReply:
-    """Ask for the engine's boot and send the order on the same connection.
+    """Check the engine's boot id and send the order on the same connection.
 
-    :param timeout_ms: longest wait for each of both replies.
-    :raises NotSentError: if no byte of the order left, also because the engine has
-        another boot than the order names.
+    :param timeout_ms: timeout of each of the two replies.
+    :raises NotSentError: if no byte of the order was sent; also if the engine's boot id
+        differs from the order's.
     :raises BrokenError: if the order may have arrived.
     """
     host, port = split_address(address)
@@ -52,17 +52,17 @@
     try:
         connection.connect()
         connection.timeout = timeout_ms / SECOND_MS
-        # If the engine closes the connection and restarts before the order goes out,
-        # opening it anew would carry the order to the next boot, where nothing is
-        # reserved for it. Without this the order fails instead.
+        # If the engine closes the connection and restarts before the order is sent, an
+        # automatic reconnect would send the order to the next boot, where no memory is
+        # reserved for it. With this setting the order fails instead.
         connection.auto_open = 0
         connection.request("GET", "/report", headers=_HEADERS)
         report = _REPORT.decode(connection.getresponse().data)
     except _FAILURES as error:
-        detail = f"no report before the order: {type(error).__name__}"
+        detail = f"cannot read the report before the order: {type(error).__name__}"
         raise NotSentError(detail=detail) from error
     if order.boot_id and report.boot_id != order.boot_id:
-        raise NotSentError(detail="the engine has restarted since the order was made")
+        raise NotSentError(detail="the engine has restarted since the order was built")
 
 
 def _send(connection: HTTPConnection, order: Order) -> OrderReply:
@@ -75,6 +75,6 @@
     except NotConnected as error:
         raise NotSentError(detail="the engine closed the connection") from error
     except _FAILURES as error:
-        detail = f"order broke off: {type(error).__name__}"
+        detail = f"order interrupted: {type(error).__name__}"
         raise BrokenError(detail=detail) from error
     raise BrokenError(detail=f"order answered with status {response.status}")
--- a/src/arbutuspulley/adapters/engines.py
+++ b/src/arbutuspulley/adapters/engines.py
@@ -1,6 +1,6 @@
-"""Backend servers over HTTP: model engines (server-sent events) and plain services.
+"""HTTP client for backend servers: model engines (server-sent events) and services.
 
-What a failed call proves is worked out in :mod:`.engine_calls`.
+:mod:`.engine_calls` decides which error a failed call raises.
 """
 
 from collections.abc import Callable, Generator
@@ -82,15 +82,15 @@
     connections: int = 64,
     clock: Clock | None = None,
 ) -> Engines:
-    """Return the verbs towards backend servers.
-
-    :param connect_timeout_ms: longest wait for a connection.
-    :param read_timeout_ms: longest wait for the next event of an answer, or for the
-        next bytes of a service's reply.
-    :param order_timeout_ms: longest wait for the reply to an order, a report, a
-        cancellation or for cache events.
-    :param connections: idle connections kept to each server.
-    :param clock: the time that waits for events go by.
+    """Return the implementation of the engines port.
+
+    :param connect_timeout_ms: timeout of opening a connection.
+    :param read_timeout_ms: timeout of the next event of an answer, and of the next
+        bytes of a service's reply.
+    :param order_timeout_ms: timeout of the replies to orders, report requests,
+        cancellations and requests for cache events.
+    :param connections: maximum number of idle connections to each server.
+    :param clock: clock for the timeout of the next event.
     """
     clock = clock or Clock()
     request_pools = _cache_pools(
@@ -107,9 +107,9 @@
     def call_service(address: str, request: ServiceRequest) -> ServiceReply:
         if request.method.upper() in _RETRYABLE_METHODS:
             return _call_service(request_pools(address), request)
-        # A kept connection that the server closes as idle while a request is on
-        # its way leaves the outcome unknown, and an unrepeatable request could not
-        # be sent again. A fresh connection cannot be idle, so this never happens.
+        # If the server closes a reused connection as idle while a request is in
+        # flight, the outcome is unknown, and an unrepeatable request could not be
+        # retried. A new connection cannot be idle, so this cannot happen on it.
         with build_pool(
             address=address,
             connect_timeout_ms=connect_timeout_ms,
@@ -155,7 +155,7 @@
             read_timeout_ms=read_timeout_ms,
             connections=connections,
         )
-        # Two threads may get here at once; setdefault keeps one pool for both.
+        # Two threads may get here at once; with setdefault both use the same pool.
         return pools.setdefault(address, built)
 
     return get_pool
@@ -182,9 +182,9 @@
     if response.status != 200:
         raise build_status_error(response)
     chunks = _read_chunks(response, idle_timeout_ms=idle_timeout_ms, clock=clock)
-    # Closing a generator that was never started skips its ``finally`` and leaves the
-    # connection, and so the cancellation, to the garbage collector. Advancing it to
-    # its first, empty yield makes closing work from the beginning.
+    # Closing a generator that was never started skips its ``finally``, which would
+    # leave closing the connection, and so the cancellation, to the garbage collector.
+    # Advancing it to its first yield, a placeholder, makes ``close`` work at once.
     next(chunks)
     return chunks
 
@@ -192,7 +192,7 @@
 def _read_chunks(
     response: BaseHTTPResponse, *, idle_timeout_ms: int, clock: Clock
 ) -> Generator[Chunk, None, None]:
-    """Yield a placeholder, then every chunk up to the end marker."""
+    """Yield a placeholder, then each chunk, including the one with the end marker."""
     is_complete = False
     buffer = sse.EventBuffer()
     try:
@@ -200,8 +200,8 @@
         last_event_at = clock.now()
         while not is_complete:
             events = _feed(buffer, _read_some(response))
-            # An engine whose batch hangs may go on sending comments, so bytes
-            # alone are no sign that the answer is coming.
+            # An engine whose batch hangs may keep sending comments, so received bytes
+            # alone don't show that the answer is making progress.
             if not events and clock.now() - last_event_at > idle_timeout_ms:
                 raise BrokenError(detail=f"stream idle for over {idle_timeout_ms} ms")
             for event in events:
@@ -222,7 +222,7 @@
     try:
         received = response.read1(_READ_BYTES)
     except HTTPError as error:
-        raise BrokenError(detail=f"stream broke off: {describe(error)}") from error
+        raise BrokenError(detail=f"stream interrupted: {describe(error)}") from error
     if not received:
         raise BrokenError(detail="stream ended without its end marker")
     return received
@@ -238,7 +238,7 @@
 def _build_chunk(event: sse.SentEvent) -> Chunk:
     attempt_id, _, offset = event.id.rpartition(":")
     if not offset.isdecimal():
-        # Without its place the event could be any part of any answer.
+        # Without attempt and offset the event could be any part of any answer.
         raise BrokenError(detail="stream has an event without attempt and offset")
     return Chunk(
         attempt_id=attempt_id,
@@ -269,7 +269,7 @@
 def _remove_hop_by_hop(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
-    """Leave out the headers that concern one connection only."""
+    """Return the headers without the hop-by-hop ones."""
     return tuple(
         (name, value)
         for name, value in headers
@@ -278,7 +278,7 @@
 
 
 def _cancel(pool: urllib3.HTTPConnectionPool, attempt_id: str) -> None:
-    """Ask for a cancellation; an engine that cannot be reached needs none."""
+    """Cancel an attempt; errors are ignored, as an unreachable engine runs nothing."""
     body = msgspec.json.encode(CancelRequest(attempt_id=attempt_id))
     try:
         read_body(send(pool, "POST", "/cancel", body=body, headers=_JSON))
@@ -298,4 +298,4 @@
     try:
         return decoder.decode(received)
     except msgspec.DecodeError as error:
-        raise BrokenError(detail=f"{target} answered with another format") from error
+        raise BrokenError(detail=f"reply to {target} cannot be decoded") from error
--- a/src/arbutuspulley/adapters/http.py
+++ b/src/arbutuspulley/adapters/http.py
@@ -1,4 +1,4 @@
-"""The shared set-up of the HTTP client: bounded waits and no hidden retries."""
+"""Connection pools of the HTTP client: with timeouts and without implicit retries."""
 
 import urllib3
 from urllib3.exceptions import ConnectTimeoutError, EmptyPoolError, HTTPError
@@ -6,7 +6,7 @@
 from arbutuspulley.settings import split_address
 
 MAX_IDLE_CONNECTIONS = 32
-"""Idle connections kept open to one address."""
+"""Maximum number of idle connections to one address."""
 
 
 def build_pool(
@@ -16,16 +16,16 @@
     read_timeout_ms: int = 2_000,
     connections: int = MAX_IDLE_CONNECTIONS,
 ) -> urllib3.HTTPConnectionPool:
-    """Return a pool of connections to one address, safe to use from all threads.
+    """Return a thread-safe pool of connections to one address.
 
-    The pool never retries and never follows a redirect: only the caller knows
-    whether sending the same bytes again is allowed. Its ``urlopen`` raises
+    The pool never retries and never follows a redirect: only the caller knows whether
+    it may send the same request again. Its ``urlopen`` raises
     :class:`urllib3.exceptions.HTTPError`; see :func:`is_not_sent`.
 
-    :param address: ``host:port`` with an IP number as host.
-    :param connect_timeout_ms: longest wait for a new connection.
-    :param read_timeout_ms: longest wait for the next bytes of an answer.
-    :param connections: idle connections to keep; more are opened when needed.
+    :param address: ``host:port`` with an IP address as host.
+    :param connect_timeout_ms: timeout of opening a connection.
+    :param read_timeout_ms: timeout of the next bytes of a response.
+    :param connections: maximum number of idle connections; more are opened on demand.
     """
     host, port = split_address(address)
     return urllib3.HTTPConnectionPool(
@@ -41,13 +41,12 @@
 
 
 def is_not_sent(error: HTTPError) -> bool:
-    """Tell whether no byte of the request left this process.
+    """Tell whether no byte of the request was sent.
 
-    Only a connection that was never established proves it. A connection that
-    breaks later may have carried the request, however early it breaks: a reset
-    while sending shows up here after the kernel took the bytes, and the server
-    may have read them.
+    Only a connection that was never established proves this. One that breaks later
+    may have carried the request, however early it breaks: a reset during sending is
+    reported after the kernel accepted the bytes, and the server may have read them.
 
-    :param error: what a call of a pool from :func:`build_pool` raised.
+    :param error: error raised by a pool from :func:`build_pool`.
     """
     return isinstance(error, ConnectTimeoutError | EmptyPoolError)
--- a/src/arbutuspulley/adapters/platform.py
+++ b/src/arbutuspulley/adapters/platform.py
@@ -1,4 +1,4 @@
-"""The platform's table, objects and instance list over HTTP and JSON."""
+"""HTTP client for the platform's table, objects and instance list."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -46,22 +46,22 @@
 
 
 class _Response(Value, frozen=True):
-    """Status and body of an HTTP answer that arrived whole."""
+    """Status and body of a complete HTTP response."""
 
     status: int
     body: bytes
 
 
 def connect_platform(*, address: str, timeout_ms: int = 2_000) -> Platform:
-    """Return the platform's verbs; connections are opened when first needed.
+    """Return the implementation of the platform port; connections are opened lazily.
 
-    Reads raise :class:`~arbutuspulley.results.PlatformUnavailableError` whatever
-    went wrong, for a read has no effect. ``transact`` and ``put_if_absent`` raise
-    it only if they certainly had none, and else
-    :class:`~arbutuspulley.results.OutcomeUnknownError`.
+    Reads have no effect, so they raise
+    :class:`~arbutuspulley.results.PlatformUnavailableError` for every failure.
+    ``transact`` and ``put_if_absent`` raise it only if they certainly had no effect,
+    and :class:`~arbutuspulley.results.OutcomeUnknownError` otherwise.
 
     :param address: ``host:port`` of the platform.
-    :param timeout_ms: longest wait for a connection, and then for the answer.
+    :param timeout_ms: timeout of opening a connection, and then of the response.
     """
     pool = build_pool(
         address=address, connect_timeout_ms=timeout_ms, read_timeout_ms=timeout_ms
@@ -131,7 +131,7 @@
 def _fetch(
     pool: urllib3.HTTPConnectionPool, path: str, parameters: Mapping[str, str]
 ) -> _Response:
-    """Read something; whatever fails, nothing was changed."""
+    """Send a read; no failure of it can have changed anything."""
     try:
         response = _send(pool, "GET", _build_path(path, parameters), None, {})
     except HTTPError as error:
@@ -148,12 +148,12 @@
     body: bytes,
     headers: Mapping[str, str],
 ) -> _Response:
-    """Change something and tell apart "not done" from "not known".
+    """Send a write; its errors distinguish "had no effect" from "may have had one".
 
-    A reply that is lost, cut short or late says nothing: the platform may have
-    written before it broke off, and a caller that took it for "not done" would
-    write twice. Only a connection that never stood, or the platform's own refusal
-    (503 and any 4xx but a conflict), proves that nothing was written.
+    A reply that is lost, truncated or late proves nothing: the platform may have
+    written before the failure, and a caller that assumed "no effect" would write
+    twice. Only a connection that was never established, or the platform's own refusal
+    (503 and any 4xx except a conflict), proves that nothing was written.
     """
     try:
         response = _send(pool, method, path, body, headers)
@@ -192,14 +192,14 @@
     try:
         return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
-        raise PlatformUnavailableError(detail="platform answer unreadable") from error
+        raise PlatformUnavailableError(detail="platform reply malformed") from error
 
 
 def _decode_outcome(response: _Response, kind: type[_Reply]) -> _Reply:
     try:
         return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
-        raise OutcomeUnknownError(detail="platform answer unreadable") from error
+        raise OutcomeUnknownError(detail="platform reply malformed") from error
 
 
 def _wrap_values(transaction: Transaction) -> TransactRequest:
@@ -221,13 +221,13 @@
 
 
 def _unwrap_row(row: Row) -> Row:
-    """Take a row's value out of its envelope."""
+    """Return a row with the content of its envelope as value, token and replaces."""
     if row.deleted:
         return row
     try:
         envelope = msgspec.msgpack.decode(row.value, type=Envelope)
     except msgspec.DecodeError as error:
-        raise PlatformUnavailableError(detail=f"row {row.key} unreadable") from error
+        raise PlatformUnavailableError(detail=f"row {row.key} malformed") from error
     return msgspec.structs.replace(
         row, value=envelope.value, token=envelope.token, replaces=envelope.replaces
     )
--- a/src/arbutuspulley/adapters/platform_messages.py
+++ b/src/arbutuspulley/adapters/platform_messages.py
@@ -1,8 +1,8 @@
-"""Messages on the wire between the platform's client and its stand-in.
+"""Messages between the platform's client and its stand-in.
 
-Bodies are JSON; bytes in them are base64. Rows travel as
-:class:`~arbutuspulley.ports.platform.Row` without token, which the platform
-does not know of: the client keeps it in an :class:`Envelope` around the value.
+Bodies are JSON, with bytes in base64. Rows are sent as
+:class:`~arbutuspulley.ports.platform.Row` without the token, which the platform does
+not have: the client stores it in an :class:`Envelope` around the value.
 """
 
 from arbutuspulley.data import Message
@@ -28,11 +28,11 @@
 
 
 class Envelope(Message, frozen=True):
-    """What the table holds as a row's value.
+    """The stored value of a row: the caller's value with its metadata.
 
     :param token: token of the transaction that wrote the row.
-    :param replaces: revision of the row that this one replaced, if the
-        transaction had a precondition on it.
+    :param replaces: revision of the row that this one replaced, if the transaction
+        had a precondition on it.
     """
 
     value: bytes
@@ -41,7 +41,7 @@
 
 
 class TransactRequest(Message, frozen=True):
-    """A transaction as the platform sees it; values are envelopes."""
+    """A transaction as it is sent to the platform; values are envelopes."""
 
     preconditions: tuple[Precondition, ...] = ()
     writes: tuple[Write, ...] = ()
@@ -54,7 +54,7 @@
 
 
 class LoadRequest(Message, frozen=True):
-    """Asks the weight store for an item's weights."""
+    """Request to the weight store to load an item's weights."""
 
     memory_mib: int
 
@@ -62,8 +62,8 @@
 class LoadReply(Message, frozen=True):
     """The weight store's answer to a load.
 
-    :param duration_ms: how long fetching the weights takes.
-    :param retry_after_ms: when to ask again, if the load was not admitted.
+    :param duration_ms: time that fetching the weights takes.
+    :param retry_after_ms: time until a retry, if the load was not admitted.
     """
 
     duration_ms: int = 0
--- a/src/arbutuspulley/adapters/sse.py
+++ b/src/arbutuspulley/adapters/sse.py
@@ -1,17 +1,17 @@
-"""Server-sent events: reads a stream of bytes as events."""
+"""Incremental parser for server-sent events."""
 
 from collections.abc import Iterator
 
 from arbutuspulley.data import State, Value
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Largest event taken; a longer one means the stream is no event stream."""
+"""Maximum size of an event; a longer one means that this is no event stream."""
 
 
 class SentEvent(Value, frozen=True):
-    """One event.
+    """One server-sent event.
 
-    :param id: the event's own id, empty if it has none.
+    :param id: the event's id; empty if it has none.
     """
 
     id: str
@@ -23,13 +23,13 @@
 
 
 class EventBuffer(State):
-    """What has been received of an event that is not complete yet."""
+    """Buffer for the received part of an incomplete event."""
 
     pending: bytes = b""
 
 
 def feed(buffer: EventBuffer, received: bytes) -> Iterator[SentEvent]:
-    """Take received bytes and yield the events that they complete.
+    """Add received bytes to the buffer and yield the events that they complete.
 
     Comments and fields other than ``id`` and ``data`` are skipped.
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller's loops over a fake platform, and two real ones with one frozen."""
+"""The controller's loops on a fake platform, and controller processes, one frozen."""
 
 import asyncio
 import json
@@ -52,14 +52,14 @@
 )
 
 MAX_BACKOFF_S = LEASE_MS // 2_000
-"""Seconds after an outage in which every instance has asked the store again."""
+"""Seconds after an outage within which every instance has called the store again."""
 
 LEASE_EXPIRY_S = 11
-"""Seconds after which others may act on a silent session: lease and margin."""
+"""Seconds without renewal after which other instances may claim: lease and margin."""
 
 
 def build_pair():
-    """Return a fake platform, a clock and two nodes that have shared two servers."""
+    """Return a fake platform, a clock and two controllers that can own two servers."""
     fake, time = FakePlatform(), TestTime()
     nodes = [
         build_node(name, fake.platform, time, configuration=build_configuration())
@@ -69,25 +69,25 @@
 
 
 def mark_peer_reachable(node, instance, *, now):
-    """Let a node have heard of a peer just now."""
+    """Make a peer count as reachable by a controller, which polls no servers yet."""
     peer = PeerState(address="x:1", instance=instance, replied_at=now)
     node.peers = {"x:1": peer}
     node.servers = {}
 
 
 async def claim_servers(nodes, time):
-    """Let both take sessions and share out, and return the fences as they are."""
+    """Let both take sessions and claim a server each; return the fences."""
     await run_second(nodes, time, seconds=40)
     fences = list_fences(nodes[0])
     assert {owner for owner, _ in fences.values()} == {"a", "b"}
     return fences
 
 
-def test_paused_owner_orders_nothing_and_its_servers_go_on_with_higher_fences():
+def test_paused_owner_orders_nothing_and_its_servers_get_higher_fences():
     """Owner ``a`` is paused for 13 s. ``b`` waits out its lease and takes over.
 
-    When ``a`` wakes it has read nothing yet and still believes in its rows; only
-    its own clock can tell it that it must not order.
+    When ``a`` resumes it has not read the rows yet: its copy still names it as owner,
+    and only its local clock shows that it must not send orders.
     """
 
     async def run():
@@ -104,13 +104,13 @@
     asyncio.run(run())
 
 
-def test_outage_of_ten_minutes_moves_nothing_and_ends_within_a_bound():
-    """The store is out for ten minutes; all leases lapse and nobody may order.
+def test_outage_of_ten_minutes_moves_no_server_and_recovery_is_bounded():
+    """The store is down for ten minutes; all leases expire and no instance may order.
 
-    Reports of all servers are still read: by their last owner, or by whoever hears
-    nothing of it. The store comes back, and ``a`` is there first: all it reads of
-    ``b`` is ten minutes old. Each takes its own servers again, under higher fences,
-    within the longest wait and a round or two; no server changes hands.
+    All servers are still polled: by their last owner, or by an instance that cannot
+    reach it. When the store is back, ``a`` is the first to read it, and the session of
+    ``b`` is ten minutes old. Each reclaims its own servers, under higher fences, within
+    the maximum backoff and one or two rounds; no server changes its owner.
     """
 
     async def run():
@@ -120,11 +120,11 @@
         await run_second(nodes, time, seconds=600)
         assert not any(get_owned(node) for node in nodes)
         assert not nodes[0].reads.up
-        read_alone = polling.choose_polled_servers(nodes[0])
+        polled_without_peer = polling.choose_polled_servers(nodes[0])
         mark_peer_reachable(nodes[0], "b", now=time.now)
-        read_beside_b = polling.choose_polled_servers(nodes[0])
-        assert set(read_alone) == set(before)
-        assert [before[server][0] for server in read_beside_b] == ["a"]
+        polled_with_peer = polling.choose_polled_servers(nodes[0])
+        assert set(polled_without_peer) == set(before)
+        assert [before[server][0] for server in polled_with_peer] == ["a"]
         fake.down = False
         await run_second(nodes[:1], time, seconds=MAX_BACKOFF_S)
         await run_second(nodes, time, seconds=6)
@@ -136,11 +136,11 @@
     asyncio.run(run())
 
 
-def test_table_restored_from_a_backup_starts_ownership_anew_above_all_fences():
-    """Operators restore the table to a backup of before the last claims.
+def test_table_restored_from_a_backup_resets_ownership_above_all_fences():
+    """Operators restore the table to a backup made before the last claims.
 
-    Its rows name sessions and fences of an earlier time. Instances that went on
-    from their own memory would order under numbers that others get again.
+    Its rows hold sessions and fences of an earlier time. Instances that continued with
+    their in-memory state would send orders under fences that are assigned again.
     """
 
     async def run():
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("lost", ["lost_replies", "lost_requests"])
 def test_lost_renewals_do_not_cost_the_lease(lost):
-    """One renewal is lost on its way, or its reply is, while the store is up."""
+    """One renewal request or its reply is lost while the store is up."""
 
     async def run():
         fake, time, (a, b) = build_pair()
@@ -195,7 +195,7 @@
 
 
 class FakeEngine:
-    """Takes orders and remembers them; ``report`` answers for its reports."""
+    """Records the orders it receives; ``report`` is its report function."""
 
     def __init__(self, outcome=OrderOutcome.ACCEPTED, report=None):
         self.orders = []
@@ -215,7 +215,7 @@
 
 
 async def load_one(node, *, time, before_commit=None, fake=None):
-    """Let a node load the model on a server that it owns."""
+    """Let a controller load the model on a server that it owns."""
     (server,) = get_owned(node)
     state = ServerState(name=server, address="127.0.0.1:9001")
     state.report = Report(server=server, boot_id="boot", sequence=1)
@@ -249,10 +249,10 @@
 
 
 def test_frozen_server_delays_no_renewal():
-    """An engine freezes: it takes connections and answers nothing.
+    """An engine freezes: it accepts connections and never replies.
 
-    Reads of its reports hold their threads until they time out. If renewals waited
-    behind them, one frozen server would cost the instance all that it owns.
+    Polls of it occupy their threads until they time out. If renewals waited for these
+    threads, one frozen server would cost the instance its lease and all its servers.
     """
 
     async def run():
@@ -280,11 +280,11 @@
     asyncio.run(run())
 
 
-def test_controller_that_has_just_started_loads_nothing_that_may_be_there():
-    """A controller restarts and owns its servers before it has heard of the others.
+def test_controller_that_has_just_started_does_not_load_existing_copies_again():
+    """A controller restarts and owns its servers before it has the others' summaries.
 
-    The only copy of a model answers on another one's server. Taken for lost, it
-    would be loaded again here, and unloaded later: two moves for nothing.
+    The only copy of a model is on a server of another instance. If it counted as lost,
+    it would be loaded here as well and unloaded later: two unnecessary moves.
     """
 
     async def run():
@@ -316,8 +316,8 @@
 def test_pause_between_commit_and_order_sends_nothing():
     """An owner commits the intent of a load and is paused for a minute.
 
-    It wakes with the order ready. The next owner has found the intent in the
-    ledger and has ordered it already; a server that does not check orders would
+    It resumes just before sending the order. The next owner has found the intent in the
+    ledger and has sent its order already; a server that does not check orders would
     apply both.
     """
 
@@ -338,7 +338,7 @@
 
 
 def test_owner_that_was_replaced_commits_no_intent():
-    """The owner's clock is slow, so its lease seems to run when others took over."""
+    """The owner's clock is slow, so its lease seems valid after another took over."""
 
     async def run():
         _, time, (a, b) = build_pair()
@@ -357,10 +357,10 @@
 
 
 def test_work_that_needs_the_store_is_refused_at_once_while_it_is_down():
-    """The store is down. A booking confirmation and a server's death come in.
+    """The store is down. A booking confirmation and a server's death are reported.
 
-    Waiting for the store would hold both callers for its timeouts, and let claims
-    pile up that arrive together when it is back. Neither may call it at all.
+    Waiting for the store would block both callers for its timeouts, and claims would
+    pile up and reach it together afterwards. Neither may call it at all.
     """
 
     async def run():
@@ -384,7 +384,7 @@
 
 
 class PeerClient:
-    """Carries calls straight to another node's handlers; ``None`` never answers."""
+    """Calls another controller's handlers directly; with ``None`` each call fails."""
 
     def __init__(self, node):
         self.node = node
@@ -396,11 +396,11 @@
 
 
 def test_entries_of_peers_know_of_a_death_before_its_report_is_answered():
-    """A request kills its server; its caller gets an answer and sends it again.
+    """A request kills its server; its caller gets an error and sends it again.
 
-    It comes to an entry of another instance within milliseconds, long before the next
-    exchange. That entry must know by then, or it loses a server, too. A peer that is
-    cut off holds nobody up.
+    It reaches an entry of another instance within milliseconds, long before the next
+    exchange. That entry must know the suspicion by then, or another server dies. A
+    disconnected peer must not delay the reply.
     """
 
     async def run():
@@ -418,18 +418,18 @@
         next_view = asyncio.ensure_future(anext(views))
         assert (await reporting).recorded
         assert "f" in b.suspects.suspicions
-        # The gap between views is timed by the loop; an urgent view ends it.
+        # The event loop times the interval between views; an urgent view ends it early.
         assert [one.fingerprint for one in (await next_view).suspicions] == ["f"]
         await views.aclose()
 
     asyncio.run(run())
 
 
-def test_new_instance_does_not_serve_before_it_has_heard_of_the_servers():
-    """A new instance has the configuration from a peer, but knows no server yet.
+def test_new_instance_does_not_serve_before_it_has_summaries_of_the_servers():
+    """A new instance has the configuration from a peer, but no server's summary yet.
 
-    Its entry would refuse every model as loaded nowhere, though all are. A server
-    that nobody speaks of is not waited for longer than a few seconds.
+    Its entry would refuse every model as loaded nowhere, though all are loaded. The
+    wait for servers without a summary ends after a few seconds.
     """
     _, time, (a, _) = build_pair()
     publish(a)
@@ -442,11 +442,11 @@
     assert a.views.view.ready
 
 
-def test_new_instance_does_not_serve_on_servers_that_it_has_not_read_yet():
-    """A new instance starts with the store away, and so knows no owner of any server.
+def test_new_instance_does_not_serve_before_it_has_polled_its_servers():
+    """A new instance starts while the store is unavailable, and so knows no owners.
 
-    It takes the servers that nobody owns as its own to read, before it has asked one.
-    What is loaded there is not known then, and an entry would refuse it.
+    It chooses to poll the servers without an owner, but has no report of them yet. It
+    doesn't know their models at that point, and an entry would refuse these.
     """
     _, _, (a, _) = build_pair()
     names = polling.choose_polled_servers(a)
@@ -459,7 +459,7 @@
     assert a.views.view.ready
 
 
-def test_release_while_the_store_is_down_ends_all_the_same():
+def test_release_while_the_store_is_down_still_ends():
     async def run():
         fake, time, (a, b) = build_pair()
         await claim_servers([a, b], time)
@@ -470,7 +470,7 @@
     asyncio.run(run())
 
 
-def test_all_wrong_settings_are_named_together(capsys):
+def test_all_invalid_settings_are_reported_together(capsys):
     with pytest.raises(SystemExit) as refused:
         program.app(
             [
@@ -503,7 +503,7 @@
 
 
 def approve_plan(platform, fleet, directory):
-    """Bring the fleet's files into force, with ``copies`` of its model."""
+    """Propose and approve the configuration files of the fleet's plan."""
     base, *overlays = (
         SourceFile(name=path.name, text=path.read_text())
         for path in fleets.write_files(fleet, directory)
@@ -520,7 +520,7 @@
 
 
 def read_owner(platform, server):
-    """Return instance and fence in a server's ownership row."""
+    """Return the instance and the fence in a server's owner row."""
     row = platform.table.read(f"main/owner/{server}")
     if row is None:
         return "", 0
@@ -533,12 +533,12 @@
     return urllib3.request("GET", url).json()["orders"]
 
 
-def test_frozen_controller_is_replaced_and_orders_nothing_when_it_wakes(tmp_path):
-    """Controller ``a`` is frozen for longer than its lease, in real processes.
+def test_frozen_controller_is_replaced_and_orders_nothing_when_it_resumes(tmp_path):
+    """Controller ``a``, a real process, is frozen for longer than its lease.
 
-    ``b`` takes its server over under a higher fence. An operator then approves a
-    second copy, and ``b`` orders it there. ``a`` wakes and must not order under its
-    old fence, on servers that check orders and on those that don't.
+    ``b`` takes over its server under a higher fence. An operator then approves a
+    second copy, and ``b`` sends the order for it. ``a`` resumes and must not send
+    orders under its old fence, whether or not the servers check orders.
     """
     with open_launcher(tmp_path) as launcher:
         fleet = fleets.build_fleet(PLAN, launcher)
@@ -596,8 +596,8 @@
 def test_new_instance_starts_from_a_peer_while_the_store_is_down(tmp_path):
     """The store is down, and two instances are replaced meanwhile.
 
-    One finds a peer and serves under the version in force there. The other finds
-    nobody: what it would serve under was never accepted, so it isn't ready.
+    One reaches a peer and serves with the peer's active version. The other reaches no
+    peer: it has no accepted configuration, so it isn't ready.
     """
     with open_launcher(tmp_path) as launcher:
         fleet = fleets.build_fleet(PLAN, launcher)
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""Contract of the engines port: what each failure proves, and what orders do."""
+"""Contract of the engines port: the error of each failure, and effects of orders."""
 
 import os
 import signal
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("path", ["chat/", ""])
-def test_a_whole_answer_has_every_event_once(engine, path):
+def test_a_complete_answer_has_every_event_once(engine, path):
     request = build_request(path=path)
     chunks = list(ENGINES.infer(engine.address, request))
     assert [(chunk.attempt_id, chunk.offset) for chunk in chunks] == [
@@ -105,11 +105,11 @@
         (404, [NOT_RUN], RefusedError, {"final": False}),
     ],
 )
-def test_a_status_proves_only_what_the_server_says(status, headers, error, fields):
-    """A server fails halfway and answers 503; the request has begun to run.
+def test_a_status_is_not_run_only_if_the_server_says_so(status, headers, error, fields):
+    """A server fails after a request has begun to run, and answers 503.
 
-    Taken for "not run", it is sent again and runs twice. Only the server's own
-    word that it did not admit the request proves that.
+    If this counted as "not run", the request would be retried and run twice. Only the
+    server's own header that it did not admit the request proves "not run".
     """
     served = []
 
@@ -145,20 +145,20 @@
         ([b"x" * (MAX_EVENT_BYTES + 1)], [], "event over"),
     ],
 )
-def test_a_stream_is_whole_only_with_its_end_marker(parts, offsets, error):
+def test_a_stream_is_complete_only_with_its_end_marker(parts, offsets, error):
     def answer(_incoming):
         return Outgoing(body=(part for part in parts))
 
     read = []
-    told = None
+    detail = None
     with run_routes({(ANY, ANY): answer}) as address:
         try:
             for chunk in ENGINES.infer(address, build_request()):
                 read.append(chunk.offset)
         except BrokenError as broken:
-            told = broken.detail
+            detail = broken.detail
     assert read == offsets
-    assert told == error or error in told
+    assert detail == error or error in detail
 
 
 @pytest.mark.parametrize(
@@ -172,7 +172,7 @@
         ({"skip_end_markers": 1}, BrokenError, 5, 1),
     ],
 )
-def test_faults_of_an_engine(engine, faults, error, got, admitted):
+def test_errors_of_engine_faults(engine, faults, error, got, admitted):
     set_faults(engine.address, **faults)
     read = []
     with pytest.raises(error):
@@ -183,7 +183,7 @@
     assert runs.get("r", {"admitted": 0})["admitted"] == admitted
 
 
-def test_nobody_listening_proves_that_nothing_ran():
+def test_a_refused_connection_means_not_sent():
     address = find_free_address()
     for call in (
         lambda: ENGINES.infer(address, build_request()),
@@ -195,7 +195,7 @@
     ENGINES.cancel(address, "a")
 
 
-def test_an_answer_goes_on_at_another_engine(engine):
+def test_an_answer_is_resumed_on_another_engine(engine):
     request = build_request(tokens=6)
     set_faults(engine.address, break_streams=1, break_after_tokens=2)
     got = []
@@ -211,7 +211,7 @@
     assert read_text(got) == build_text(request)
 
 
-def test_late_chunks_keep_the_name_of_their_attempt(engine):
+def test_late_chunks_keep_the_id_of_their_attempt(engine):
     set_faults(engine.address, stray_chunks=1)
     chunks = list(ENGINES.infer(engine.address, build_request(tokens=2)))
     assert [(chunk.attempt_id, chunk.offset) for chunk in chunks[:4]] == [
@@ -224,10 +224,10 @@
 
 @pytest.mark.parametrize("read_first", [0, 1])
 def test_closing_an_answer_cancels_it(engine, read_first):
-    """A caller leaves, even before the first token came.
+    """A caller disconnects, even before the first token.
 
-    Its answer goes on being produced, and the slot is taken from others, if the
-    connection to the engine is kept for the next request instead of closed.
+    If the connection to the engine were kept for the next request instead of closed,
+    the engine would continue the answer and occupy a slot for it.
     """
     chunks = ENGINES.infer(engine.address, build_request(tokens=4_000))
     for _ in range(read_first):
@@ -246,12 +246,12 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "told"), [(b": waiting\n\n", "idle"), (b"", "ReadTimeoutError")]
+    ("part", "detail"), [(b": waiting\n\n", "idle"), (b"", "ReadTimeoutError")]
 )
-def test_an_answer_that_stalls_is_broken(part, told):
-    """An engine's batch hangs while its HTTP threads go on sending comments.
+def test_an_answer_that_stalls_is_broken(part, detail):
+    """An engine's batch hangs while its HTTP threads keep sending comments.
 
-    The caller waits for ever: each comment restarted the wait for bytes.
+    If each comment restarted the read timeout, the caller would wait for ever.
     """
 
     def stall():
@@ -265,13 +265,13 @@
     routes = {(ANY, ANY): lambda _incoming: Outgoing(body=stall())}
     with run_routes(routes) as address, pytest.raises(BrokenError) as caught:
         list(hurried.infer(address, build_request()))
-    assert told in caught.value.detail
+    assert detail in caught.value.detail
 
 
 class IdleCloser:
-    """Answers one request a connection and closes it when a second one comes.
+    """Answers one request per connection and closes it when a second one arrives.
 
-    So does a server that closes an idle connection while a request is on its way.
+    This imitates a server that closes an idle connection while a request is in flight.
     """
 
     def __init__(self):
@@ -292,12 +292,12 @@
 
 
 @pytest.mark.parametrize(("method", "broken"), [("GET", True), ("POST", False)])
-def test_unrepeatable_calls_use_no_kept_connection(method, broken):
-    """A host confirms a booking after a quiet minute and reads "outcome unknown".
+def test_unrepeatable_calls_reuse_no_connection(method, broken):
+    """A host confirms a booking after an idle minute and gets "outcome unknown".
 
-    The service had closed the idle connection just as the request went out, so
-    nobody could tell whether it ran. A call that may not be sent again takes a
-    fresh connection; a GET is broken and may be repeated.
+    The service closed the idle connection just as the request was sent, so it was
+    unknown whether the request ran. A call that must not be retried uses a new
+    connection; a GET fails as broken and may be retried.
     """
     server = IdleCloser()
     request = ServiceRequest(method=method, path="/", headers=(), body=b"")
@@ -327,10 +327,10 @@
 )
 @pytest.mark.parametrize("checks", [True, False])
 def test_orders_to_servers_of_both_kinds(checks, orders, checking, trusting):
-    """An owner that was paused over its lease wakes and sends an old load order.
+    """An owner that was paused until its lease expired sends an old load order.
 
-    A server that checks orders refuses it. One that doesn't loads the item, beside
-    what the new owner has put there meanwhile.
+    A server that checks orders refuses it. A server that doesn't loads the item, in
+    addition to what the new owner has loaded there meanwhile.
     """
     expected = checking if checks or trusting is None else trusting
     with run_engine(checks_orders=checks) as engine:
@@ -346,11 +346,11 @@
 
 
 @pytest.mark.parametrize(("checks", "late_item"), [(True, False), (False, True)])
-def test_a_late_order_after_its_successor(checks, late_item):
-    """A load order is stuck on the way; the owner gives up and unloads the item.
+def test_a_load_order_that_arrives_after_the_unload(checks, late_item):
+    """A load order is delayed in the network; the owner gives up and unloads the item.
 
-    Both replies are lost, and the load arrives after the unload. A server that
-    doesn't check orders then holds an item that nobody wants any more.
+    Both replies are lost, and the load arrives after the unload. A server that doesn't
+    check orders then holds an item that is no longer wanted.
     """
     with run_engine(checks_orders=checks) as engine:
         set_faults(engine.address, hold_orders=1)
@@ -365,10 +365,10 @@
 @pytest.mark.parametrize(
     ("fault", "applied"), [({"drop_orders": 1}, 0), ({"lose_order_replies": 1}, 1)]
 )
-def test_a_lost_order_reply_proves_nothing(fault, applied):
-    """An order's reply never comes; the order may have been applied or not.
+def test_a_lost_order_reply_is_broken_and_not_retried(fault, applied):
+    """An order's reply never arrives; the order may or may not have been applied.
 
-    The call must end as broken both times, and the order must be sent only once.
+    The call must fail as broken in both cases, and the order must be sent only once.
     """
     with run_engine() as engine:
         ENGINES.report(engine.address)
@@ -384,11 +384,12 @@
     [("old", (), 0), ("now", (), 1), ("now", (("Connection", "close"),), 0)],
     ids=["restarted-before", "same-boot", "restarts-in-between"],
 )
-def test_an_order_reaches_only_the_boot_it_was_made_for(boot_id, headers, sent):
-    """An engine restarts while a load order is on its way to it.
+def test_an_order_reaches_only_the_boot_it_was_built_for(boot_id, headers, sent):
+    """An engine restarts while a load order is in flight to it.
 
-    The new boot reports its empty memory, so the ledger frees what the order had
-    reserved. If the order then arrived, it would load what is counted nowhere.
+    The new boot reports empty memory, so the ledger frees the memory reserved for the
+    order. If the order then arrived, it would load an item that the ledger doesn't
+    count.
     """
     report = msgspec.json.encode(Report(server="e1", boot_id="now", sequence=1))
     reply = msgspec.json.encode(OrderReply(outcome=OrderOutcome.ACCEPTED))
@@ -411,7 +412,7 @@
     assert len(orders) == sent
 
 
-def test_an_order_delayed_on_the_way_is_applied_later():
+def test_a_delayed_order_is_applied_later():
     with run_engine() as engine:
         set_faults(engine.address, delay_orders=1, delay_orders_ms=50)
         with pytest.raises(BrokenError):
@@ -419,7 +420,7 @@
         wait_until(lambda: ENGINES.report(engine.address).items)
 
 
-def test_reports_lag_and_say_by_how_much():
+def test_reports_lag_and_state_their_age():
     with run_engine(report_lag_ms=200) as engine:
         ENGINES.order(engine.address, LOAD)
         first = ENGINES.report(engine.address)
@@ -431,13 +432,13 @@
     assert later.sequence > first.sequence
 
 
-def test_control_refuses_what_it_does_not_know(engine):
+def test_control_refuses_unknown_faults(engine):
     with pytest.raises(AssertionError):
         set_faults(engine.address, no_such_fault=1)
 
 
 class EngineProcess:
-    """The program itself."""
+    """The engine stand-in as a process."""
 
     def __init__(self, address):
         command = [sys.executable, "-m", "arbutuspulley.standins.engine"]
@@ -452,11 +453,11 @@
             return None
 
 
-def test_an_engine_process_dies_by_poison_and_stops_whole():
-    """A request crashes its engine, which starts again with an empty memory.
+def test_an_engine_process_crashes_by_a_marked_request_and_stops_gracefully():
+    """A request crashes its engine, which restarts with empty memory.
 
-    The kept connections are dead then, and the new process has another boot id.
-    Stopped by SIGTERM it refuses new work and finishes what is in flight.
+    The idle connections are dead then, and the new process has another boot id. On
+    SIGTERM it refuses new requests and finishes those in flight.
     """
     address = find_free_address()
     first = EngineProcess(address)
@@ -482,10 +483,10 @@
 
 
 def test_loads_wait_for_the_weight_store():
-    """The weight store is down as an engine is told to load.
+    """The weight store is down when an engine receives a load order.
 
-    The load must neither fail nor go on without permission: it occupies memory,
-    and ends once the store is back and admits it.
+    The load must neither fail nor proceed without admission: it occupies memory, and
+    completes once the store is back and admits it.
     """
     platform = build_platform()
     platform.start()
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Peers tell one another changes only, and notice who is silent."""
+"""Delta exchange between peers, and detection of unreachable peers."""
 
 import random
 from functools import partial
@@ -41,7 +41,7 @@
 
 
 def exchange_once(updates, peer, *, now=0, items=(), version=3):
-    """Let a peer's state take the reply to its next request; return the reply."""
+    """Apply the reply to a peer's next request to its state; return the reply."""
     request = exchange.build_request(
         peer, instance="a", configuration_version=version, items=items
     )
@@ -58,7 +58,7 @@
     return reply
 
 
-def test_only_changes_are_told_and_ages_are_none():
+def test_only_changes_are_sent_and_an_age_is_no_change():
     updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     demand = (ItemDemand(item="m@1", requests=1, tokens=9),)
     record(updates, build_summary("s1"), build_summary("s2"), demand=demand)
@@ -76,11 +76,11 @@
     assert (peer.entries, peer.demand) == ((ENTRY,), ())
 
 
-def test_restarted_peer_is_heard_from_the_start():
-    """A controller is restarted and counts its news from 1 again.
+def test_restarted_peer_sends_its_state_from_the_start():
+    """A controller restarts and numbers its changes from 1 again.
 
-    An asker that went on from its old number would hear nothing of it for as long
-    as the new count stays below, and keep servers that it no longer owns.
+    A peer that continued from the old number would receive no changes until the new
+    number exceeds it, and would keep summaries that are no longer reported.
     """
     old, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     for running in range(9):
@@ -92,7 +92,7 @@
     assert set(peer.servers) == {"s2"}
 
 
-def test_late_reply_does_not_undo_a_newer_one():
+def test_late_reply_does_not_overwrite_a_newer_one():
     updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     record(updates, build_summary("s1", running=1))
     late = exchange_once(updates, PeerState(address="x:1"))
@@ -110,7 +110,7 @@
         (("x@1",), set(), {"s1", "s2"}),
     ],
 )
-def test_peer_hears_of_servers_that_hold_what_it_serves(items, sent, gone):
+def test_peer_receives_only_servers_that_hold_its_items(items, sent, gone):
     updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     record(updates, build_summary("s1"), build_summary("s2", items=("n@1",)))
     reply = exchange_once(updates, peer, items=items)
@@ -118,7 +118,7 @@
     assert set(reply.gone) == gone
 
 
-def test_suspicion_is_told_once_and_again_when_it_changes():
+def test_suspicion_is_sent_once_and_again_when_it_changes():
     updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     record(updates, suspicions=(Suspicion(fingerprint="f", deaths=("s1/1",)),))
     sent = [len(exchange_once(updates, peer).suspicions) for _ in range(2)]
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize(
     ("version", "sent"), [(0, True), (2, True), (3, False), (9, False), (None, False)]
 )
-def test_configuration_is_passed_on_to_who_has_an_older_one(version, sent):
+def test_configuration_is_sent_to_a_peer_with_an_older_one(version, sent):
     reply = exchange_once(
         OutgoingUpdates(epoch="1"), PeerState(address="x:1"), version=version
     )
@@ -137,10 +137,11 @@
     assert reply.configuration_version == 3
 
 
-def test_whole_configuration_is_asked_of_one_newest_peer_that_answers():
-    """A change is accepted; all peers but this instance have it in force already.
+def test_full_configuration_is_fetched_from_one_reachable_newest_peer():
+    """A change is accepted, and already active on all peers but this instance.
 
-    If each sent it whole, a change would bring as many copies as there are peers.
+    If each peer sent the full configuration, one change would transfer as many copies
+    as there are peers.
     """
     versions = {"x:1": 4, "x:2": 5, "x:3": 5, "x:4": 9}
     peers = [
@@ -155,7 +156,7 @@
     assert choose(version=5) is None
 
 
-def test_peer_is_silent_before_its_first_reply_and_after_three_seconds():
+def test_peer_is_unreachable_before_its_first_reply_and_after_the_timeout():
     peer = PeerState(address="x:1")
     assert exchange.is_unreachable(peer, now=0)
     exchange_once(OutgoingUpdates(epoch="1"), peer, now=1_000)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""What entries are told of servers, entries and usage."""
+"""Views for entries: merged servers, entries and usage."""
 
 import msgspec
 import pytest
@@ -62,28 +62,28 @@
             [],
             frozenset(),
             (True, True, 0),
-            id="report says leaving, list still calls it live",
+            id="report says leaving, list still says live",
         ),
         pytest.param(
             [build_summary(alive=False)],
             [build_peer(build_summary(age_ms=900))],
             frozenset(),
             (True, False, 900),
-            id="a live account beats a dead one",
+            id="a live summary is preferred to a dead one",
         ),
         pytest.param(
             [build_summary(age_ms=900)],
             [build_peer(build_summary(age_ms=10), replied_at=NOW - 200)],
             frozenset(),
             (True, False, 210),
-            id="fresher account of a peer",
+            id="a peer's summary with a lower age",
         ),
         pytest.param(
             [],
             [build_peer(build_summary(), replied_at=NOW - views.SUMMARY_RETENTION_MS)],
             frozenset(),
             (True, False, views.SUMMARY_RETENTION_MS),
-            id="last word of a silent peer stands",
+            id="last summary of an unreachable peer is kept",
         ),
         pytest.param(
             [],
@@ -94,27 +94,27 @@
             ],
             frozenset(),
             (False, False, views.SUMMARY_RETENTION_MS + 1),
-            id="but not for ever",
+            id="until the retention time ends",
         ),
     ],
 )
-def test_account_of_a_server(own, peers, listed, expected):
-    told = merge(own, peers, listed)["engine-a"]
-    assert (told.alive, told.leaving, told.age_ms) == expected
+def test_merged_summary_of_a_server(own, peers, listed, expected):
+    merged = merge(own, peers, listed)["engine-a"]
+    assert (merged.alive, merged.leaving, merged.age_ms) == expected
 
 
-def test_servers_moved_elsewhere_or_unknown_are_left_out():
+def test_servers_with_another_address_or_unknown_ones_are_left_out():
     others = (build_summary(address="127.0.0.1:1"), build_summary(server="engine-x"))
     assert merge(others) == {}
 
 
-def test_entries_of_a_silent_peer_are_told_to_nobody():
-    """An instance is cut off or dead; callers must not be sent to its entries."""
+def test_entries_of_an_unreachable_peer_are_left_out():
+    """An instance is disconnected or dead; callers must not be sent to its entries."""
     own = EntryAddress(instance="a", site="s", address="127.0.0.1:5")
     other = EntryAddress(instance="b", site="s", address="127.0.0.1:6")
-    for replied_at, told in ((NOW - 3_000, [own, other]), (NOW - 3_001, [own])):
+    for replied_at, expected in ((NOW - 3_000, [own, other]), (NOW - 3_001, [own])):
         peer = build_peer(replied_at=replied_at, entries=(other,))
-        assert list(views.merge_entries([own], [peer], now=NOW)) == told
+        assert list(views.merge_entries([own], [peer], now=NOW)) == expected
 
 
 def test_usage_of_all_other_instances_is_summed():
@@ -125,9 +125,9 @@
     assert (total.tokens_per_s, total.waiting) == (5.0, 2)
 
 
-def test_view_is_sent_when_it_changed_or_its_ages_are_due():
+def test_view_is_sent_when_it_changed_or_its_ages_must_be_refreshed():
     state = ViewState()
-    told = {
+    values = {
         "ready": True,
         "store_up": True,
         "configuration": CONFIGURATION,
@@ -136,10 +136,10 @@
         "suspicions": (),
         "usage": (),
     }
-    older = told | {"servers": (build_summary(age_ms=500),)}
-    busier = told | {"servers": (build_summary(running=1),)}
+    older = values | {"servers": (build_summary(age_ms=500),)}
+    busier = values | {"servers": (build_summary(running=1),)}
     sent = [
-        views.update_view(state, **told, now=0),
+        views.update_view(state, **values, now=0),
         views.update_view(state, **older, now=views.REFRESH_INTERVAL_MS - 1),
         views.update_view(state, **busier, now=views.REFRESH_INTERVAL_MS - 1),
         views.update_view(state, **(busier | {"store_up": False}), now=2_000),
@@ -161,9 +161,10 @@
 
 
 def test_summary_names_loaded_items_that_are_not_about_to_be_unloaded():
-    """An unload is committed and its order goes out seconds later.
+    """An unload is committed, and its order is sent seconds later.
 
-    Entries that still sent requests for the item until then would see them cut.
+    If entries kept sending requests for the item until then, the unload would
+    interrupt them.
     """
     state = ServerState(name="engine-a", address=SERVER.address)
     reports.apply_report(state, build_report(), now=NOW)
@@ -177,7 +178,7 @@
     ("passed", "refusals", "alive"),
     [(3_000, 0, True), (3_001, 0, False), (0, 1, True), (0, 2, False)],
 )
-def test_server_is_dead_when_silent_or_when_it_refuses_connections(
+def test_server_is_dead_without_reports_or_when_it_refuses_connections(
     passed, refusals, alive
 ):
     state = ServerState(name="engine-a", address=SERVER.address)
@@ -192,11 +193,11 @@
     assert reports.is_alive(state, now=NOW)
 
 
-def test_killed_entry_is_dropped_when_its_stream_breaks_and_a_frozen_one_by_silence():
-    """An entry is killed: its stream of views breaks. Another one is frozen.
+def test_killed_entry_is_removed_when_its_stream_breaks_and_a_frozen_one_by_timeout():
+    """An entry is killed, and its view stream breaks. Another one is frozen.
 
-    The frozen one keeps its connection; only its missing reports show it. The end
-    of a killed process's stream must not hide the process that came in its place.
+    The frozen one keeps its connection; only its missing reports reveal it. The end of
+    a killed process's stream must not remove the process that replaced it.
     """
     killed = EntryAddress(instance="a", site="s", address="127.0.0.1:5", boot_id="1")
     frozen = msgspec.structs.replace(killed, address="127.0.0.1:6")
