--- a/src/arbutuspulley/adapters/engines.py
+++ b/src/arbutuspulley/adapters/engines.py
@@ -298,4 +298,4 @@
     try:
         return decoder.decode(received)
     except msgspec.DecodeError as error:
-        raise BrokenError(detail=f"reply to {target} cannot be decoded") from error
+        raise BrokenError(detail=f"{target} answered with a malformed body") from error
--- a/src/arbutuspulley/controller/entries.py
+++ b/src/arbutuspulley/controller/entries.py
@@ -51,7 +51,7 @@
     state.report = report
 
 
-def evict_silent(entries: dict[str, EntryState], *, now: int) -> None:
+def evict_timed_out(entries: dict[str, EntryState], *, now: int) -> None:
     """Remove entries that have not reported for :data:`ENTRY_TIMEOUT_MS`.
 
     A frozen entry keeps its connection open, so only the missing reports reveal it.
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -131,7 +131,7 @@
     *,
     answering: frozenset[str],
 ) -> bool:
-    """Commit the intent of an unload, wait for entries to apply it, and send the order.
+    """Commit the intent of an unload, wait until entries know it, and send the order.
 
     :param answering: servers that are alive and not leaving.
     :return: whether the intent was committed.
--- a/src/arbutuspulley/controller/publishing.py
+++ b/src/arbutuspulley/controller/publishing.py
@@ -9,7 +9,7 @@
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import EMPTY, Configuration, Server
 from arbutuspulley.controller.demand import list_demand, sum_usage
-from arbutuspulley.controller.entries import evict_silent
+from arbutuspulley.controller.entries import evict_timed_out
 from arbutuspulley.controller.exchange import is_unreachable, record_changes
 from arbutuspulley.controller.reports import build_summary
 from arbutuspulley.controller.sessions import get_owned
@@ -47,7 +47,7 @@
 def publish(controller: Controller) -> None:
     """Update the state for peers and the view; wake the view's watchers on a change."""
     now = controller.clock.now()
-    evict_silent(controller.entries, now=now)
+    evict_timed_out(controller.entries, now=now)
     own = _build_summaries(controller, now=now)
     suspicions = tuple(controller.suspects.suspicions.values())
     record_changes(
--- a/src/arbutuspulley/controller/suspicion_sync.py
+++ b/src/arbutuspulley/controller/suspicion_sync.py
@@ -24,21 +24,21 @@
     table_id: str = ""
 
 
-async def follow_suspicions(controller: Controller, rows: SuspicionCursor) -> None:
+async def follow_suspicions(controller: Controller, cursor: SuspicionCursor) -> None:
     """Read suspicions that changed, and delete those that have expired.
 
     :raises PlatformUnavailableError: if the platform did not answer.
     """
-    if rows.table_id != controller.rows.table_id:
-        rows.revision, rows.table_id = 0, controller.rows.table_id
-    table, after = controller.platform.table, rows.revision
+    if cursor.table_id != controller.rows.table_id:
+        cursor.revision, cursor.table_id = 0, controller.rows.table_id
+    table, after = controller.platform.table, cursor.revision
     page = await call_platform(controller, lambda: read_suspicions(table, after=after))
-    rows.revision = page.revision
+    cursor.revision = page.revision
     now = controller.clock.now()
     suspects.merge(controller.suspects, page.suspicions, now=now)
-    known = dict(controller.suspects.suspicions)
+    stored = dict(controller.suspects.suspicions)
     for fingerprint in suspects.forget_old(controller.suspects, now=now):
-        await _delete_row(controller, known[fingerprint])
+        await _delete_row(controller, stored[fingerprint])
 
 
 async def notify_peers(controller: Controller, suspicions: Iterable[Suspicion]) -> None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -258,8 +258,8 @@
     async def run():
         _, time, (a, b) = build_pair()
         await claim_servers([a, b], time)
-        thaw = threading.Event()
-        a.engines = FakeEngine(report=lambda _: thaw.wait() and None).engines
+        unfreeze = threading.Event()
+        a.engines = FakeEngine(report=lambda _: unfreeze.wait() and None).engines
         names = polling.choose_polled_servers(a)
         assert names
 
@@ -274,7 +274,7 @@
             await asyncio.wait_for(run_second([a, b], time, seconds=20), 10)
             assert get_owned(a)
         finally:
-            thaw.set()
+            unfreeze.set()
             await asyncio.gather(*reads, return_exceptions=True)
 
     asyncio.run(run())
@@ -290,8 +290,8 @@
     async def run():
         _, time, (a, b) = build_pair()
         await claim_servers([a, b], time)
-        one = OVERLAY_B.replace("copies: 2", "copies: 1")
-        files = build_files(overlays=(OVERLAY_A, one))
+        single_copy = OVERLAY_B.replace("copies: 2", "copies: 1")
+        files = build_files(overlays=(OVERLAY_A, single_copy))
         a.activation.configuration = b.activation.configuration = merge_files(
             files, version=1
         )
@@ -374,9 +374,9 @@
         reply = await unary[handlers.channel.CLAIM](claim)
         assert reply.state == "unavailable"
         death = DeathReport(server="s", boot_id="1", fingerprints=("f",))
-        noted = await unary[handlers.channel.REPORT_DEATH](death)
-        assert not noted.recorded
-        assert [one.fingerprint for one in noted.suspicions] == ["f"]
+        recorded = await unary[handlers.channel.REPORT_DEATH](death)
+        assert not recorded.recorded
+        assert [suspicion.fingerprint for suspicion in recorded.suspicions] == ["f"]
         trial = msgspec.structs.replace(death, trial_id="t")
         assert not (await unary[handlers.channel.REPORT_DEATH](trial)).granted
 
@@ -419,7 +419,9 @@
         assert (await reporting).recorded
         assert "f" in b.suspects.suspicions
         # The event loop times the interval between views; an urgent view ends it early.
-        assert [one.fingerprint for one in (await next_view).suspicions] == ["f"]
+        assert [
+            suspicion.fingerprint for suspicion in (await next_view).suspicions
+        ] == ["f"]
         await views.aclose()
 
     asyncio.run(run())
@@ -480,10 +482,10 @@
                 *("--peers", "127.0.0.1:2,there:3", "--log-format", "xml"),
             ]
         )
-    shown = capsys.readouterr().err
+    stderr = capsys.readouterr().err
     assert refused.value.code == 2
     for setting in ("--listen", "--http", "--peers", "--renew-ms", "--log-format"):
-        assert setting in shown
+        assert setting in stderr
 
 
 PLAN = fleets.Plan(
@@ -566,8 +568,8 @@
         wait_until(
             lambda: owners()[lost] == ("b", before[lost][1] + 1), what="b to claim"
         )
-        two = msgspec.structs.replace(PLAN.models["draft"], copies=2)
-        fleet.plan = msgspec.structs.replace(PLAN, models={"draft": two})
+        two_copies = msgspec.structs.replace(PLAN.models["draft"], copies=2)
+        fleet.plan = msgspec.structs.replace(PLAN, models={"draft": two_copies})
         approve_plan(platform, fleet, tmp_path)
         wait_until(
             lambda: all(read_orders(fleet, name) for name in names), what="both copies"
@@ -613,13 +615,13 @@
         fleets.start_controller(fleet, second)
         fleet.routes["controller-c", "controller-a"] = "127.0.0.1:1"
         fleet.routes["controller-c", "controller-b"] = "127.0.0.1:1"
-        (alone, its_health) = find_free_addresses(2)
-        fleet.addresses |= {"controller-c": alone, "health-c": its_health}
+        (isolated, isolated_health) = find_free_addresses(2)
+        fleet.addresses |= {"controller-c": isolated, "health-c": isolated_health}
         fleets.start_controller(fleet, fleets.InstancePlan(name="c", site="site-a"))
         launcher.wait_ready("controller-b", "controller-c")
         health = fleet.addresses["health-b"]
         wait_until(lambda: is_ready(health), what="b to start from a")
         assert "configuration_from_peer" in launcher.read_log("controller-b")
-        assert not is_ready(its_health)
+        assert not is_ready(isolated_health)
         statuses = launcher.stop("controller-a", "controller-b", "controller-c")
         assert set(statuses.values()) == {0}
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -261,10 +261,12 @@
             yield part
 
     ticks = iter(range(0, 1_000_000_000, 50))
-    hurried = connect_engines(read_timeout_ms=300, clock=Clock(read=ticks.__next__))
+    engines_with_fast_clock = connect_engines(
+        read_timeout_ms=300, clock=Clock(read=ticks.__next__)
+    )
     routes = {(ANY, ANY): lambda _incoming: Outgoing(body=stall())}
     with run_routes(routes) as address, pytest.raises(BrokenError) as caught:
-        list(hurried.infer(address, build_request()))
+        list(engines_with_fast_clock.infer(address, build_request()))
     assert detail in caught.value.detail
 
 
@@ -326,7 +328,7 @@
     ],
 )
 @pytest.mark.parametrize("checks", [True, False])
-def test_orders_to_servers_of_both_kinds(checks, orders, checking, trusting):
+def test_orders_to_servers_with_and_without_checks(checks, orders, checking, trusting):
     """An owner that was paused until its lease expired sends an old load order.
 
     A server that checks orders refuses it. A server that doesn't loads the item, in
@@ -358,8 +360,8 @@
             ENGINES.order(engine.address, LOAD)
         assert ENGINES.order(engine.address, UNLOAD).outcome == "accepted"
         set_faults(engine.address, release_orders=True)
-        held = [item.item for item in ENGINES.report(engine.address).items]
-    assert held == ([ITEM] if late_item else [])
+        items = [item.item for item in ENGINES.report(engine.address).items]
+    assert items == ([ITEM] if late_item else [])
 
 
 @pytest.mark.parametrize(
@@ -395,13 +397,13 @@
     reply = msgspec.json.encode(OrderReply(outcome=OrderOutcome.ACCEPTED))
     orders = []
 
-    def take(incoming):
+    def accept_order(incoming):
         orders.append(incoming.body)
         return Outgoing(body=reply)
 
     routes = {
         ("GET", "/report"): lambda _: Outgoing(body=report, headers=headers),
-        ("POST", "/orders"): take,
+        ("POST", "/orders"): accept_order,
     }
     order = msgspec.structs.replace(LOAD, boot_id=boot_id)
     with run_routes(routes) as address:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -34,7 +34,7 @@
 def record(updates, *summaries, suspicions=(), demand=()):
     exchange.record_changes(
         updates,
-        servers={one.server: one for one in summaries},
+        servers={summary.server: summary for summary in summaries},
         suspicions=suspicions,
         demand=demand,
     )
@@ -63,13 +63,13 @@
     demand = (ItemDemand(item="m@1", requests=1, tokens=9),)
     record(updates, build_summary("s1"), build_summary("s2"), demand=demand)
     first = exchange_once(updates, peer)
-    assert {one.server for one in first.servers} == {"s1", "s2"}
+    assert {summary.server for summary in first.servers} == {"s1", "s2"}
     record(updates, build_summary("s1", age_ms=900), build_summary("s2"), demand=demand)
-    quiet = exchange_once(updates, peer)
-    assert (quiet.servers, quiet.gone, quiet.demand) == ((), (), None)
+    unchanged = exchange_once(updates, peer)
+    assert (unchanged.servers, unchanged.gone, unchanged.demand) == ((), (), None)
     record(updates, build_summary("s1", running=4), demand=())
     changed = exchange_once(updates, peer)
-    assert [one.server for one in changed.servers] == ["s1"]
+    assert [summary.server for summary in changed.servers] == ["s1"]
     assert changed.gone == ("s2",)
     assert changed.demand == ()
     assert set(peer.servers) == {"s1"}
@@ -114,7 +114,7 @@
     updates, peer = OutgoingUpdates(epoch="1"), PeerState(address="x:1")
     record(updates, build_summary("s1"), build_summary("s2", items=("n@1",)))
     reply = exchange_once(updates, peer, items=items)
-    assert {one.server for one in reply.servers} == sent
+    assert {summary.server for summary in reply.servers} == sent
     assert set(reply.gone) == gone
 
 
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -27,7 +27,7 @@
         address="x:1",
         instance="b",
         replied_at=replied_at,
-        servers={one.server: one for one in summaries},
+        servers={summary.server: summary for summary in summaries},
         entries=entries,
         usage=usage,
     )
@@ -36,12 +36,12 @@
 def merge(own=(), peers=(), leaving=frozenset()):
     merged = views.merge_servers(
         CONFIGURATION,
-        own={one.server: one for one in own},
+        own={summary.server: summary for summary in own},
         peers=peers,
         leaving=leaving,
         now=NOW,
     )
-    return {one.server: one for one in merged}
+    return {summary.server: summary for summary in merged}
 
 
 @pytest.mark.parametrize(
@@ -201,16 +201,16 @@
     """
     killed = EntryAddress(instance="a", site="s", address="127.0.0.1:5", boot_id="1")
     frozen = msgspec.structs.replace(killed, address="127.0.0.1:6")
-    known = {}
+    states = {}
     for entry in (killed, frozen):
-        own_entries.begin_watch(known, entry, now=0)
-    again = msgspec.structs.replace(killed, boot_id="2")
-    own_entries.begin_watch(known, again, now=0)
-    own_entries.end_watch(known, killed)
-    assert set(known) == {killed.address, frozen.address}
-    own_entries.end_watch(known, again)
-    assert set(known) == {frozen.address}
-    own_entries.evict_silent(known, now=own_entries.ENTRY_TIMEOUT_MS)
-    assert set(known) == {frozen.address}
-    own_entries.evict_silent(known, now=own_entries.ENTRY_TIMEOUT_MS + 1)
-    assert known == {}
+        own_entries.begin_watch(states, entry, now=0)
+    restarted = msgspec.structs.replace(killed, boot_id="2")
+    own_entries.begin_watch(states, restarted, now=0)
+    own_entries.end_watch(states, killed)
+    assert set(states) == {killed.address, frozen.address}
+    own_entries.end_watch(states, restarted)
+    assert set(states) == {frozen.address}
+    own_entries.evict_timed_out(states, now=own_entries.ENTRY_TIMEOUT_MS)
+    assert set(states) == {frozen.address}
+    own_entries.evict_timed_out(states, now=own_entries.ENTRY_TIMEOUT_MS + 1)
+    assert states == {}
