--- a/src/arbutuspulley/adapters/engines.py
+++ b/src/arbutuspulley/adapters/engines.py
@@ -1,6 +1,6 @@
-"""Backend servers over HTTP: model engines (server-sent events) and plain services.
+"""HTTP client for backend servers: model engines (server-sent events) and services.
 
-What a failed call proves is worked out in :mod:`.engine_calls`.
+:mod:`.engine_calls` decides which error a failed call raises.
 """
 
 from collections.abc import Callable, Generator
@@ -13,10 +13,10 @@
 
 from arbutuspulley.adapters import sse
 from arbutuspulley.adapters.engine_calls import (
+    build_status_error,
     describe,
     is_not_admitted,
-    read_refusal,
-    read_whole,
+    read_body,
     send,
 )
 from arbutuspulley.adapters.engine_messages import (
@@ -45,12 +45,12 @@
 from arbutuspulley.tracing import TRACEPARENT
 
 _READ_BYTES = 64 * 1024
-_REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
+_RETRYABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 _BUSY_STATUSES = frozenset({429, 503})
 _JSON_TYPE = "application/json"
 _JSON = {"Content-Type": _JSON_TYPE}
-_ADMITTED = Chunk(attempt_id="", offset=0, data=b"")
-_HOP_HEADERS = frozenset(
+_PLACEHOLDER = Chunk(attempt_id="", offset=0, data=b"")
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -67,7 +67,7 @@
 )
 
 _Reply = TypeVar("_Reply")
-_Pools = Callable[[str], urllib3.HTTPConnectionPool]
+_PoolLookup = Callable[[str], urllib3.HTTPConnectionPool]
 
 
 _REPORT = msgspec.json.Decoder(Report)
@@ -82,34 +82,34 @@
     connections: int = 64,
     clock: Clock | None = None,
 ) -> Engines:
-    """Return the verbs towards backend servers.
-
-    :param connect_timeout_ms: longest wait for a connection.
-    :param read_timeout_ms: longest wait for the next event of an answer, or for the
-        next bytes of a service's reply.
-    :param order_timeout_ms: longest wait for the reply to an order, a report, a
-        cancellation or for cache events.
-    :param connections: idle connections kept to each server.
-    :param clock: the time that waits for events go by.
+    """Return the implementation of the engines port.
+
+    :param connect_timeout_ms: timeout of opening a connection.
+    :param read_timeout_ms: timeout of the next event of an answer, and of the next
+        bytes of a service's reply.
+    :param order_timeout_ms: timeout of the replies to orders, report requests,
+        cancellations and requests for cache events.
+    :param connections: maximum number of idle connections to each server.
+    :param clock: clock for the timeout of the next event.
     """
     clock = clock or Clock()
-    answers = _keep_pools(
+    request_pools = _cache_pools(
         connect_timeout_ms=connect_timeout_ms,
         read_timeout_ms=read_timeout_ms,
         connections=connections,
     )
-    control = _keep_pools(
+    control_pools = _cache_pools(
         connect_timeout_ms=connect_timeout_ms,
         read_timeout_ms=order_timeout_ms,
         connections=2,
     )
 
     def call_service(address: str, request: ServiceRequest) -> ServiceReply:
-        if request.method.upper() in _REPEATABLE_METHODS:
-            return _call_service(answers(address), request)
-        # A kept connection that the server closes as idle while a request is on
-        # its way leaves the outcome unknown, and an unrepeatable request could not
-        # be sent again. A fresh connection cannot be idle, so this never happens.
+        if request.method.upper() in _RETRYABLE_METHODS:
+            return _call_service(request_pools(address), request)
+        # If the server closes a reused connection as idle while a request is in
+        # flight, the outcome is unknown, and an unrepeatable request could not be
+        # retried. A new connection cannot be idle, so this cannot happen on it.
         with build_pool(
             address=address,
             connect_timeout_ms=connect_timeout_ms,
@@ -120,29 +120,32 @@
 
     return Engines(
         infer=lambda address, request: _infer(
-            answers(address), request, idle_ms=read_timeout_ms, clock=clock
+            request_pools(address),
+            request,
+            idle_timeout_ms=read_timeout_ms,
+            clock=clock,
         ),
-        cancel=lambda address, attempt_id: _cancel(control(address), attempt_id),
-        report=lambda address: _exchange(control(address), "/report", _REPORT),
+        cancel=lambda address, attempt_id: _cancel(control_pools(address), attempt_id),
+        report=lambda address: _get_json(control_pools(address), "/report", _REPORT),
         order=lambda address, order: send_order(
             address,
             order,
             connect_timeout_ms=connect_timeout_ms,
             timeout_ms=order_timeout_ms,
         ),
-        cache_events=lambda address, after: _exchange(
-            control(address), f"/cache-events?after={after}", _CACHE_EVENTS
+        cache_events=lambda address, after: _get_json(
+            control_pools(address), f"/cache-events?after={after}", _CACHE_EVENTS
         ),
         call_service=call_service,
     )
 
 
-def _keep_pools(
+def _cache_pools(
     *, connect_timeout_ms: int, read_timeout_ms: int, connections: int
-) -> _Pools:
+) -> _PoolLookup:
     pools: dict[str, urllib3.HTTPConnectionPool] = {}
 
-    def find(address: str) -> urllib3.HTTPConnectionPool:
+    def get_pool(address: str) -> urllib3.HTTPConnectionPool:
         pool = pools.get(address)
         if pool is not None:
             return pool
@@ -152,17 +155,17 @@
             read_timeout_ms=read_timeout_ms,
             connections=connections,
         )
-        # Two threads may get here at once; setdefault keeps one pool for both.
+        # Two threads may get here at once; with setdefault both use the same pool.
         return pools.setdefault(address, built)
 
-    return find
+    return get_pool
 
 
 def _infer(
     pool: urllib3.HTTPConnectionPool,
     request: InferenceRequest,
     *,
-    idle_ms: int,
+    idle_timeout_ms: int,
     clock: Clock,
 ) -> Generator[Chunk, None, None]:
     headers = {
@@ -177,37 +180,37 @@
         headers[TRACEPARENT] = request.traceparent
     response = send(pool, "POST", request.path, body=request.body, headers=headers)
     if response.status != 200:
-        raise read_refusal(response)
-    chunks = _read_chunks(response, idle_ms=idle_ms, clock=clock)
-    # Closing a generator that was never started skips its ``finally`` and leaves the
-    # connection, and so the cancellation, to the garbage collector. Advancing it to
-    # its first, empty yield makes closing work from the beginning.
+        raise build_status_error(response)
+    chunks = _read_chunks(response, idle_timeout_ms=idle_timeout_ms, clock=clock)
+    # Closing a generator that was never started skips its ``finally``, which would
+    # leave closing the connection, and so the cancellation, to the garbage collector.
+    # Advancing it to its first yield, a placeholder, makes ``close`` work at once.
     next(chunks)
     return chunks
 
 
 def _read_chunks(
-    response: BaseHTTPResponse, *, idle_ms: int, clock: Clock
+    response: BaseHTTPResponse, *, idle_timeout_ms: int, clock: Clock
 ) -> Generator[Chunk, None, None]:
-    """Yield a placeholder, then every chunk up to the end marker."""
-    whole = False
+    """Yield a placeholder, then each chunk, including the one with the end marker."""
+    is_complete = False
     buffer = sse.EventBuffer()
     try:
-        yield _ADMITTED
-        heard_at = clock.now()
-        while not whole:
+        yield _PLACEHOLDER
+        last_event_at = clock.now()
+        while not is_complete:
             events = _feed(buffer, _read_some(response))
-            # An engine whose batch hangs may go on sending comments, so bytes
-            # alone are no sign that the answer is coming.
-            if not events and clock.now() - heard_at > idle_ms:
-                raise BrokenError(detail=f"stream idle for over {idle_ms} ms")
+            # An engine whose batch hangs may keep sending comments, so received bytes
+            # alone don't show that the answer is making progress.
+            if not events and clock.now() - last_event_at > idle_timeout_ms:
+                raise BrokenError(detail=f"stream idle for over {idle_timeout_ms} ms")
             for event in events:
                 chunk = _build_chunk(event)
-                whole = whole or chunk.last
+                is_complete = is_complete or chunk.last
                 yield chunk
-                heard_at = clock.now()
+                last_event_at = clock.now()
     finally:
-        if whole:
+        if is_complete:
             response.drain_conn()
             response.release_conn()
         else:
@@ -219,7 +222,7 @@
     try:
         received = response.read1(_READ_BYTES)
     except HTTPError as error:
-        raise BrokenError(detail=f"stream broke off: {describe(error)}") from error
+        raise BrokenError(detail=f"stream interrupted: {describe(error)}") from error
     if not received:
         raise BrokenError(detail="stream ended without its end marker")
     return received
@@ -235,7 +238,7 @@
 def _build_chunk(event: sse.SentEvent) -> Chunk:
     attempt_id, _, offset = event.id.rpartition(":")
     if not offset.isdecimal():
-        # Without its place the event could be any part of any answer.
+        # Without attempt and offset the event could be any part of any answer.
         raise BrokenError(detail="stream has an event without attempt and offset")
     return Chunk(
         attempt_id=attempt_id,
@@ -248,49 +251,51 @@
 def _call_service(
     pool: urllib3.HTTPConnectionPool, request: ServiceRequest
 ) -> ServiceReply:
-    headers = urllib3.HTTPHeaderDict(_keep_end_to_end(request.headers))
+    headers = urllib3.HTTPHeaderDict(_remove_hop_by_hop(request.headers))
     if request.traceparent:
         headers[TRACEPARENT] = request.traceparent
     response = send(
         pool, request.method, request.path, body=request.body or None, headers=headers
     )
     if response.status in _BUSY_STATUSES and is_not_admitted(response):
-        raise read_refusal(response)
+        raise build_status_error(response)
     return ServiceReply(
         status=response.status,
-        headers=_keep_end_to_end(tuple(response.headers.iteritems())),
-        body=read_whole(response),
+        headers=_remove_hop_by_hop(tuple(response.headers.iteritems())),
+        body=read_body(response),
     )
 
 
-def _keep_end_to_end(
+def _remove_hop_by_hop(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
-    """Leave out the headers that concern one connection only."""
+    """Return the headers without the hop-by-hop ones."""
     return tuple(
-        (name, value) for name, value in headers if name.lower() not in _HOP_HEADERS
+        (name, value)
+        for name, value in headers
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     )
 
 
 def _cancel(pool: urllib3.HTTPConnectionPool, attempt_id: str) -> None:
-    """Ask for a cancellation; an engine that cannot be reached needs none."""
+    """Cancel an attempt; errors are ignored, as an unreachable engine runs nothing."""
     body = msgspec.json.encode(CancelRequest(attempt_id=attempt_id))
     try:
-        read_whole(send(pool, "POST", "/cancel", body=body, headers=_JSON))
+        read_body(send(pool, "POST", "/cancel", body=body, headers=_JSON))
     except (NotSentError, BrokenError):
         return
 
 
-def _exchange(
+def _get_json(
     pool: urllib3.HTTPConnectionPool,
     target: str,
     decoder: msgspec.json.Decoder[_Reply],
 ) -> _Reply:
     response = send(pool, "GET", target, body=None, headers=_JSON)
-    received = read_whole(response)
+    received = read_body(response)
     if response.status != 200:
         raise BrokenError(detail=f"{target} answered with status {response.status}")
     try:
         return decoder.decode(received)
     except msgspec.DecodeError as error:
-        raise BrokenError(detail=f"{target} answered with another format") from error
+        raise BrokenError(detail=f"{target} answered with a malformed body") from error
--- a/src/arbutuspulley/adapters/platform.py
+++ b/src/arbutuspulley/adapters/platform.py
@@ -1,4 +1,4 @@
-"""The platform's table, objects and instance list over HTTP and JSON."""
+"""HTTP client for the platform's table, objects and instance list."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -45,23 +45,23 @@
 _BINARY_HEADERS = {"Content-Type": "application/octet-stream"}
 
 
-class _Answer(Value, frozen=True):
-    """Status and body of an HTTP answer that arrived whole."""
+class _Response(Value, frozen=True):
+    """Status and body of a complete HTTP response."""
 
     status: int
     body: bytes
 
 
 def connect_platform(*, address: str, timeout_ms: int = 2_000) -> Platform:
-    """Return the platform's verbs; connections are opened when first needed.
+    """Return the implementation of the platform port; connections are opened lazily.
 
-    Reads raise :class:`~arbutuspulley.results.PlatformUnavailableError` whatever
-    went wrong, for a read has no effect. ``transact`` and ``put_if_absent`` raise
-    it only if they certainly had none, and else
-    :class:`~arbutuspulley.results.OutcomeUnknownError`.
+    Reads have no effect, so they raise
+    :class:`~arbutuspulley.results.PlatformUnavailableError` for every failure.
+    ``transact`` and ``put_if_absent`` raise it only if they certainly had no effect,
+    and :class:`~arbutuspulley.results.OutcomeUnknownError` otherwise.
 
     :param address: ``host:port`` of the platform.
-    :param timeout_ms: longest wait for a connection, and then for the answer.
+    :param timeout_ms: timeout of opening a connection, and then of the response.
     """
     pool = build_pool(
         address=address, connect_timeout_ms=timeout_ms, read_timeout_ms=timeout_ms
@@ -89,10 +89,10 @@
 
 
 def _read_row(pool: urllib3.HTTPConnectionPool, key: str) -> Row | None:
-    answer = _fetch(pool, ROW_PATH, {"key": key})
-    if answer.status == _NOT_FOUND:
+    response = _fetch(pool, ROW_PATH, {"key": key})
+    if response.status == _NOT_FOUND:
         return None
-    return _open_row(_decode(answer, Row))
+    return _unwrap_row(_decode(response, Row))
 
 
 def _scan(
@@ -100,28 +100,28 @@
 ) -> Page:
     parameters = {"prefix": prefix, "after": str(after), "limit": str(limit)}
     page = _decode(_fetch(pool, SCAN_PATH, parameters), Page)
-    rows = tuple(_open_row(row) for row in page.rows)
+    rows = tuple(_unwrap_row(row) for row in page.rows)
     return msgspec.structs.replace(page, rows=rows)
 
 
 def _transact(
     pool: urllib3.HTTPConnectionPool, transaction: Transaction
 ) -> Committed | Conflict:
-    body = msgspec.json.encode(_seal(transaction))
-    answer = _change(pool, "POST", TRANSACT_PATH, body, _JSON_HEADERS)
-    if answer.status == _CONFLICT:
-        return _decode_outcome(answer, Conflict)
-    return _decode_outcome(answer, Committed)
+    body = msgspec.json.encode(_wrap_values(transaction))
+    response = _write(pool, "POST", TRANSACT_PATH, body, _JSON_HEADERS)
+    if response.status == _CONFLICT:
+        return _decode_outcome(response, Conflict)
+    return _decode_outcome(response, Committed)
 
 
 def _get_object(pool: urllib3.HTTPConnectionPool, name: str) -> bytes | None:
-    answer = _fetch(pool, OBJECTS_PATH, {"name": name})
-    return None if answer.status == _NOT_FOUND else answer.body
+    response = _fetch(pool, OBJECTS_PATH, {"name": name})
+    return None if response.status == _NOT_FOUND else response.body
 
 
 def _put_object(pool: urllib3.HTTPConnectionPool, name: str, data: bytes) -> bool:
     path = _build_path(OBJECTS_PATH, {"name": name})
-    return _change(pool, "PUT", path, data, _BINARY_HEADERS).status == _CREATED
+    return _write(pool, "PUT", path, data, _BINARY_HEADERS).status == _CREATED
 
 
 def _list_instances(pool: urllib3.HTTPConnectionPool) -> tuple[InstanceListing, ...]:
@@ -130,41 +130,41 @@
 
 def _fetch(
     pool: urllib3.HTTPConnectionPool, path: str, parameters: Mapping[str, str]
-) -> _Answer:
-    """Read something; whatever fails, nothing was changed."""
+) -> _Response:
+    """Send a read; no failure of it can have changed anything."""
     try:
-        answer = _send(pool, "GET", _build_path(path, parameters), None, {})
+        response = _send(pool, "GET", _build_path(path, parameters), None, {})
     except HTTPError as error:
         raise PlatformUnavailableError(detail=_describe(error)) from error
-    if answer.status not in (_OK, _NOT_FOUND):
-        raise PlatformUnavailableError(detail=f"platform answered {answer.status}")
-    return answer
+    if response.status not in (_OK, _NOT_FOUND):
+        raise PlatformUnavailableError(detail=f"platform answered {response.status}")
+    return response
 
 
-def _change(
+def _write(
     pool: urllib3.HTTPConnectionPool,
     method: str,
     path: str,
     body: bytes,
     headers: Mapping[str, str],
-) -> _Answer:
-    """Change something and tell apart "not done" from "not known".
+) -> _Response:
+    """Send a write; its errors distinguish "had no effect" from "may have had one".
 
-    A reply that is lost, cut short or late says nothing: the platform may have
-    written before it broke off, and a caller that took it for "not done" would
-    write twice. Only a connection that never stood, or the platform's own refusal
-    (503 and any 4xx but a conflict), proves that nothing was written.
+    A reply that is lost, truncated or late proves nothing: the platform may have
+    written before the failure, and a caller that assumed "no effect" would write
+    twice. Only a connection that was never established, or the platform's own refusal
+    (503 and any 4xx except a conflict), proves that nothing was written.
     """
     try:
-        answer = _send(pool, method, path, body, headers)
+        response = _send(pool, method, path, body, headers)
     except HTTPError as error:
         if is_not_sent(error):
             raise PlatformUnavailableError(detail=_describe(error)) from error
         raise OutcomeUnknownError(detail=_describe(error)) from error
-    if answer.status in (_OK, _CREATED, _CONFLICT):
-        return answer
-    detail = f"platform answered {answer.status}"
-    if answer.status == _UNAVAILABLE or 400 <= answer.status < 500:
+    if response.status in (_OK, _CREATED, _CONFLICT):
+        return response
+    detail = f"platform answered {response.status}"
+    if response.status == _UNAVAILABLE or 400 <= response.status < 500:
         raise PlatformUnavailableError(detail=detail)
     raise OutcomeUnknownError(detail=detail)
 
@@ -175,9 +175,9 @@
     path: str,
     body: bytes | None,
     headers: Mapping[str, str],
-) -> _Answer:
+) -> _Response:
     response = pool.urlopen(method, path, body=body, headers=headers)
-    return _Answer(status=response.status, body=response.data)
+    return _Response(status=response.status, body=response.data)
 
 
 def _build_path(path: str, parameters: Mapping[str, str]) -> str:
@@ -188,46 +188,46 @@
     return f"platform: {type(error).__name__}"
 
 
-def _decode(answer: _Answer, kind: type[_Reply]) -> _Reply:
+def _decode(response: _Response, kind: type[_Reply]) -> _Reply:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
-        raise PlatformUnavailableError(detail="platform answer unreadable") from error
+        raise PlatformUnavailableError(detail="platform reply malformed") from error
 
 
-def _decode_outcome(answer: _Answer, kind: type[_Reply]) -> _Reply:
+def _decode_outcome(response: _Response, kind: type[_Reply]) -> _Reply:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
-        raise OutcomeUnknownError(detail="platform answer unreadable") from error
+        raise OutcomeUnknownError(detail="platform reply malformed") from error
 
 
-def _seal(transaction: Transaction) -> TransactRequest:
+def _wrap_values(transaction: Transaction) -> TransactRequest:
     expected = {part.key: part.revision for part in transaction.preconditions}
     return TransactRequest(
         preconditions=transaction.preconditions,
         writes=tuple(
-            _seal_write(write, transaction.token, expected.get(write.key))
+            _wrap_value(write, transaction.token, expected.get(write.key))
             for write in transaction.writes
         ),
     )
 
 
-def _seal_write(write: Write, token: str, replaces: int | None) -> Write:
+def _wrap_value(write: Write, token: str, replaces: int | None) -> Write:
     if write.value is None:
         return write
     envelope = Envelope(value=write.value, token=token, replaces=replaces)
     return Write(key=write.key, value=msgspec.msgpack.encode(envelope))
 
 
-def _open_row(row: Row) -> Row:
-    """Take a row's value out of its envelope."""
+def _unwrap_row(row: Row) -> Row:
+    """Return a row with the content of its envelope as value, token and replaces."""
     if row.deleted:
         return row
     try:
         envelope = msgspec.msgpack.decode(row.value, type=Envelope)
     except msgspec.DecodeError as error:
-        raise PlatformUnavailableError(detail=f"row {row.key} unreadable") from error
+        raise PlatformUnavailableError(detail=f"row {row.key} malformed") from error
     return msgspec.structs.replace(
         row, value=envelope.value, token=envelope.token, replaces=envelope.replaces
     )
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -1,8 +1,8 @@
-"""Carries out placement on the servers that this instance owns.
+"""Executes loads and unloads on the servers that this instance owns.
 
-Always in the same sequence: decide, commit the decision to the ledger, check the
-lease on the own clock, send. What a crash or a pause interrupts is found in the
-ledger by whoever owns the server next.
+The sequence is always the same: decide, commit the intent to the ledger, check the
+lease by the local clock, send the order. If a crash or a pause interrupts it, the next
+owner of the server finds the intent in the ledger.
 """
 
 import asyncio
@@ -11,16 +11,16 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
-from arbutuspulley.controller.asking import transact
 from arbutuspulley.controller.ledgers import (
-    Ledgers,
+    WorkingLedgers,
     build_row,
-    forget,
+    can_begin_step,
+    discard,
     get_copies,
-    is_free,
     reconcile,
-    wait_again,
+    restart_effect_wait,
 )
+from arbutuspulley.controller.platform_calls import transact
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.sessions import may_order
 from arbutuspulley.controller.state import Controller
@@ -54,33 +54,36 @@
 from arbutuspulley.tracing import open_span
 
 UNLOAD_GRACE_MS = 3 * SECOND_MS
-"""Time between the intent of an unload and its order: by then every entry has been
-told to stop sending requests for the item there."""
+"""Time between the intent of an unload and its order, by which every entry has a view
+without the item on that server and sends no more requests for it there."""
 
 
-async def take_report(
-    controller: Controller, work: Ledgers, state: ServerState
+async def apply_report(
+    controller: Controller, working: WorkingLedgers, state: ServerState
 ) -> None:
-    """Take an owned server's newest report, or its silence, into the ledger."""
-    server = list_servers(controller.force.configuration).get(state.name)
-    if server is None or state.name in work.busy:
+    """Reconcile the ledger of an owned server with its newest report, or its absence.
+
+    Orders that the reconciliation returns are sent again.
+    """
+    server = list_servers(controller.activation.configuration).get(state.name)
+    if server is None or state.name in working.busy:
         return
     if not may_order(controller, state.name):
-        forget(work, state.name)
+        discard(working, state.name)
         return
-    work.busy.add(state.name)
+    working.busy.add(state.name)
     try:
-        orders = await reconcile(controller, work, state, server)
+        orders = await reconcile(controller, working, state, server)
         for order in orders:
-            await _send(controller, work, state, order)
+            await _send(controller, working, state, order)
     except (PlatformUnavailableError, OutcomeUnknownError):
-        forget(work, state.name)
+        discard(working, state.name)
     finally:
-        work.busy.discard(state.name)
+        working.busy.discard(state.name)
 
 
 async def load(
-    controller: Controller, work: Ledgers, action: Load, slot: SlotRow
+    controller: Controller, working: WorkingLedgers, action: Load, slot: SlotRow
 ) -> bool:
     """Commit the intent of a load and send the order.
 
@@ -88,12 +91,12 @@
     """
     name = action.server
     state = controller.servers.get(name)
-    server = list_servers(controller.force.configuration).get(name)
-    if state is None or server is None or not is_free(controller, work, name):
+    server = list_servers(controller.activation.configuration).get(name)
+    if state is None or server is None or not can_begin_step(controller, working, name):
         return False
     try:
         current = ledgers.intend_load(
-            work.current[name], server=server, item=action.item, report=state.report
+            working.current[name], server=server, item=action.item, report=state.report
         )
     except (DoesNotFitError, OutdatedPlanError) as error:
         log_event(Event.PLACEMENT_BLOCKED, level=logging.DEBUG, detail=error.detail)
@@ -103,7 +106,7 @@
     transaction = build_load_intent(
         token=uuid.uuid4().hex,
         group=controller.settings.group,
-        row=build_row(controller, work, current),
+        row=build_row(controller, working, current),
         slot=slot,
         holder=SlotRecord(
             session=controller.lease.session,
@@ -113,34 +116,36 @@
         ),
     )
     order = ledgers.build_order(current, entry)
-    done = await _intend(controller, work, state, current, transaction, order)
-    if done:
-        work.sent_at[name, entry.number] = controller.clock.now()
-    return done
+    committed = await _commit_and_send(
+        controller, working, state, current, transaction, order
+    )
+    if committed:
+        working.sent_at[name, entry.number] = controller.clock.now()
+    return committed
 
 
 async def unload(
     controller: Controller,
-    work: Ledgers,
+    working: WorkingLedgers,
     action: Unload,
     *,
     answering: frozenset[str],
 ) -> bool:
-    """Commit the intent of an unload, wait for entries to follow, send the order.
+    """Commit the intent of an unload, wait until entries know it, and send the order.
 
     :param answering: servers that are alive and not leaving.
     :return: whether the intent was committed.
     """
     name = action.server
     state = controller.servers.get(name)
-    if state is None or not is_free(controller, work, name):
+    if state is None or not can_begin_step(controller, working, name):
         return False
     try:
-        current = ledgers.intend_unload(work.current[name], item=action.item)
+        current = ledgers.intend_unload(working.current[name], item=action.item)
         transaction = build_unload_intent(
             token=uuid.uuid4().hex,
             group=controller.settings.group,
-            row=build_row(controller, work, current),
+            row=build_row(controller, working, current),
             copies=get_copies(controller, action.item),
             answering=answering,
             least=action.least,
@@ -151,51 +156,57 @@
     entry = find_entry(current, action.item)
     assert entry is not None
     order = ledgers.build_order(current, entry)
-    return await _intend(
-        controller, work, state, current, transaction, order, wait_ms=UNLOAD_GRACE_MS
+    return await _commit_and_send(
+        controller,
+        working,
+        state,
+        current,
+        transaction,
+        order,
+        delay_ms=UNLOAD_GRACE_MS,
     )
 
 
-async def _intend(
+async def _commit_and_send(
     controller: Controller,
-    work: Ledgers,
+    working: WorkingLedgers,
     state: ServerState,
     ledger: ServerLedger,
     transaction: Transaction,
     order: Order,
     *,
-    wait_ms: int = 0,
+    delay_ms: int = 0,
 ) -> bool:
     name = state.name
-    work.busy.add(name)
+    working.busy.add(name)
     try:
         outcome = await transact(controller, transaction)
         if not isinstance(outcome, Committed):
-            forget(work, name)
+            discard(working, name)
             return False
-        work.current[name], work.revisions[name] = ledger, outcome.revision
+        working.current[name], working.revisions[name] = ledger, outcome.revision
         log_event(Event.INTENT_COMMITTED, server=name, item=order.item, kind=order.kind)
-        if wait_ms:
-            await asyncio.sleep(wait_ms / SECOND_MS)
+        if delay_ms:
+            await asyncio.sleep(delay_ms / SECOND_MS)
             sequence = state.report.sequence if state.report else 0
-            wait_again(work, name, order.item, sequence)
-        await _send(controller, work, state, order)
+            restart_effect_wait(working, name, order.item, sequence)
+        await _send(controller, working, state, order)
         return True
     except (PlatformUnavailableError, OutcomeUnknownError):
-        forget(work, name)
+        discard(working, name)
         return False
     finally:
-        work.busy.discard(name)
+        working.busy.discard(name)
 
 
 async def _send(
-    controller: Controller, work: Ledgers, state: ServerState, order: Order
+    controller: Controller, working: WorkingLedgers, state: ServerState, order: Order
 ) -> None:
-    """Send one order if the lease still runs, and note what the server said.
+    """Send one order if the lease is still valid, and apply the server's reply.
 
-    The check comes last before sending. A holder that was paused after its commit
-    wakes with its lease over; its order would reach the server beside those of
-    the next owner, who reads the intent in the ledger and sends it anew.
+    The lease is checked immediately before sending. An owner that was paused after its
+    commit resumes with an expired lease; its order would reach the server in addition
+    to that of the next owner, who reads the intent in the ledger and sends it again.
     """
     if not may_order(controller, state.name):
         log_event(
@@ -203,9 +214,9 @@
             level=logging.WARNING,
             server=state.name,
             item=order.item,
-            detail="the lease has lapsed; the next owner sends it",
+            detail="the lease has expired; the next owner sends the order",
         )
-        forget(work, state.name)
+        discard(working, state.name)
         return
     log_event(
         Event.ORDER_SENT,
@@ -218,7 +229,7 @@
     try:
         reply = await _call(controller, state, order)
     except NotSentError:
-        _note_refused(work, state.name, order)
+        _record_refused(working, state.name, order)
         _count(controller, order, "not_sent")
         return
     except BrokenError as error:
@@ -232,7 +243,7 @@
         )
         return
     _count(controller, order, reply.outcome.value)
-    _take_reply(work, state.name, order, reply)
+    _apply_reply(working, state.name, order, reply)
 
 
 async def _call(controller: Controller, state: ServerState, order: Order) -> OrderReply:
@@ -244,11 +255,13 @@
         )
 
 
-def _take_reply(work: Ledgers, server: str, order: Order, reply: OrderReply) -> None:
-    current = work.current.get(server)
+def _apply_reply(
+    working: WorkingLedgers, server: str, order: Order, reply: OrderReply
+) -> None:
+    current = working.current.get(server)
     if reply.outcome is OrderOutcome.ACCEPTED:
         if current is not None:
-            work.current[server] = ledgers.note_accepted(current, order)
+            working.current[server] = ledgers.note_accepted(current, order)
         return
     log_event(
         Event.ORDER_REFUSED,
@@ -259,13 +272,13 @@
         detail=reply.detail,
     )
     if reply.outcome is OrderOutcome.REFUSED:
-        _note_refused(work, server, order)
+        _record_refused(working, server, order)
 
 
-def _note_refused(work: Ledgers, server: str, order: Order) -> None:
-    current = work.current.get(server)
+def _record_refused(working: WorkingLedgers, server: str, order: Order) -> None:
+    current = working.current.get(server)
     if current is not None:
-        work.current[server] = ledgers.note_refused(current, order)
+        working.current[server] = ledgers.note_refused(current, order)
 
 
 def _count(controller: Controller, order: Order, outcome: str) -> None:
--- a/src/arbutuspulley/controller/asking.py
+++ b/src/arbutuspulley/controller/platform_calls.py
@@ -1,4 +1,4 @@
-"""How the controller asks the platform: on I/O threads, and not during an outage."""
+"""Calls to the platform's store: on I/O threads, and with backoff in an outage."""
 
 import asyncio
 import logging
@@ -6,7 +6,7 @@
 from concurrent.futures import Executor
 from typing import TypeVar
 
-from arbutuspulley.controller.rows import list_written, take_rows
+from arbutuspulley.controller.rows import apply_rows, list_written
 from arbutuspulley.controller.state import Controller, is_store_up
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.observation import update_rows
@@ -20,19 +20,23 @@
 from arbutuspulley.ports.platform import Committed, Conflict, Transaction
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 
-COMMIT_TRIES = 2
-"""Sends of one transaction; the loops come round again soon enough by themselves."""
+MAX_COMMIT_ATTEMPTS = 2
+"""Attempts per transaction; few, because each loop runs again soon anyway."""
 
 _Result = TypeVar("_Result")
 
 
-async def ask(controller: Controller, function: Callable[[], _Result]) -> _Result:
-    """Read something from the platform.
+async def call_platform(
+    controller: Controller, function: Callable[[], _Result]
+) -> _Result:
+    """Run a read of the platform on the store threads.
 
-    :raises PlatformUnavailableError: if it did not answer, or is known to be down
-        and it is not yet time for the next probe.
+    :raises PlatformUnavailableError: if the platform did not answer, or is down and
+        the backoff before the next attempt has not ended.
     """
-    return await _guard(controller, controller.reads, controller.pools.store, function)
+    return await _run_guarded(
+        controller, controller.reads, controller.pools.store, function
+    )
 
 
 async def transact(
@@ -40,18 +44,18 @@
     transaction: Transaction,
     *,
     pool: Executor | None = None,
-    max_attempts: int = COMMIT_TRIES,
+    max_attempts: int = MAX_COMMIT_ATTEMPTS,
 ) -> Committed | Conflict:
-    """Commit a transaction of the controller's own and take in what it wrote.
+    """Commit a transaction of the controller and apply the rows that it wrote.
 
-    :param pool: threads to use, by default those for all store calls.
-    :param max_attempts: sends of the transaction if its reply is lost.
-    :raises PlatformUnavailableError: if it certainly had no effect.
-    :raises OutcomeUnknownError: if that could not be found out; the rows tell it
-        when they are next read.
+    :param pool: threads to run on; by default those for store calls.
+    :param max_attempts: maximum number of attempts if the reply is lost.
+    :raises PlatformUnavailableError: if the transaction certainly had no effect.
+    :raises OutcomeUnknownError: if it may have had an effect; the next scan of the
+        rows shows whether it had.
     """
     table = controller.platform.table
-    outcome = await _guard(
+    outcome = await _run_guarded(
         controller,
         controller.writes,
         pool or controller.pools.store,
@@ -60,12 +64,12 @@
     if isinstance(outcome, Committed):
         written = list_written(transaction, revision=outcome.revision)
         now = controller.clock.now()
-        sessions = take_rows(controller.rows, written, now=now)
+        sessions = apply_rows(controller.rows, written, now=now)
         update_rows(controller.sessions, sessions, now=now)
     return outcome
 
 
-async def _guard(
+async def _run_guarded(
     controller: Controller,
     outage: OutageState,
     pool: Executor,
@@ -77,20 +81,20 @@
     try:
         result = await asyncio.get_running_loop().run_in_executor(pool, function)
     except (PlatformUnavailableError, OutcomeUnknownError) as error:
-        _note_failure(controller, outage, error.detail)
+        _record_failure(controller, outage, error.detail)
         raise
-    _note_success(controller, outage)
+    _record_success(controller, outage)
     return result
 
 
-def _note_failure(controller: Controller, outage: OutageState, detail: str) -> None:
+def _record_failure(controller: Controller, outage: OutageState, detail: str) -> None:
     now = controller.clock.now()
     if record_failure(outage, now=now, chance=controller.chance):
         log_event(Event.PLATFORM_DOWN, level=logging.WARNING, detail=detail)
     controller.metrics.store_up.set(is_store_up(controller))
 
 
-def _note_success(controller: Controller, outage: OutageState) -> None:
+def _record_success(controller: Controller, outage: OutageState) -> None:
     if record_success(outage) and is_store_up(controller):
         log_event(Event.PLATFORM_UP)
     controller.metrics.store_up.set(is_store_up(controller))
--- a/src/arbutuspulley/controller/polling.py
+++ b/src/arbutuspulley/controller/polling.py
@@ -1,4 +1,4 @@
-"""Reads the reports of servers, each on its own, so that a frozen one delays none."""
+"""Polls servers for reports, each independently, so that a frozen one delays none."""
 
 import asyncio
 import logging
@@ -6,35 +6,35 @@
 
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import Server
-from arbutuspulley.controller.exchange import is_silent
+from arbutuspulley.controller.exchange import is_unreachable
 from arbutuspulley.controller.reports import (
     ServerState,
+    apply_report,
     is_alive,
-    is_read_here,
-    note_refused,
+    is_polled_here,
+    record_refused,
     replace_address,
-    take_report,
 )
-from arbutuspulley.controller.rows import note_fence
+from arbutuspulley.controller.rows import record_fence
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.membership.ownership import choose_poller
 from arbutuspulley.ports.engines import BrokenError, NotSentError, Report
 
-Heard = Callable[[ServerState], Awaitable[None]]
-"""Called with each server whose newest report was just taken in."""
+ReportHandler = Callable[[ServerState], Awaitable[None]]
+"""Called with a server's state after each poll, also one that failed."""
 
 
-def choose_read(controller: Controller) -> tuple[str, ...]:
-    """Return the servers whose reports this instance reads, and keep their states."""
+def choose_polled_servers(controller: Controller) -> tuple[str, ...]:
+    """Return the servers that this instance polls, and update the dict of states."""
     now = controller.clock.now()
-    servers = list_servers(controller.force.configuration)
+    servers = list_servers(controller.activation.configuration)
     orphans = _list_orphans(controller, servers, now=now)
     names: list[str] = []
     for name, server in servers.items():
         state = controller.servers.get(name)
         is_owned = _find_owner(controller, name) == controller.settings.instance
-        if not is_read_here(state, owned=is_owned, chosen=name in orphans, now=now):
+        if not is_polled_here(state, owned=is_owned, chosen=name in orphans, now=now):
             controller.servers.pop(name, None)
             continue
         if state is None:
@@ -49,8 +49,10 @@
     return tuple(names)
 
 
-async def read_report(controller: Controller, name: str, *, heard: Heard) -> None:
-    """Read one server's report unless a read of it is still under way."""
+async def poll_report(
+    controller: Controller, name: str, *, on_report: ReportHandler
+) -> None:
+    """Poll one server unless a poll of it is still in progress."""
     state = controller.servers.get(name)
     if state is None or state.polling:
         return
@@ -62,7 +64,7 @@
         state.polling = False
     _log_change(controller, state, was_alive=was_alive)
     if controller.servers.get(name) is state:
-        await heard(state)
+        await on_report(state)
 
 
 async def _read(controller: Controller, state: ServerState) -> None:
@@ -73,17 +75,17 @@
             controller.pools.reports, lambda: report(state.address)
         )
     except NotSentError:
-        note_refused(state)
+        record_refused(state)
         controller.metrics.reports.labels("refused").inc()
         return
     except BrokenError:
         controller.metrics.reports.labels("broken").inc()
         return
     was_leaving = state.report is not None and state.report.leaving
-    if not take_report(state, answer, now=controller.clock.now()):
+    if not apply_report(state, answer, now=controller.clock.now()):
         return
     controller.metrics.reports.labels("ok").inc()
-    note_fence(controller.rows, state.name, answer.fence)
+    record_fence(controller.rows, state.name, answer.fence)
     if answer.leaving and not was_leaving:
         log_event(Event.SERVER_LEAVING, server=state.name, source="report")
 
@@ -99,11 +101,11 @@
 def _list_orphans(
     controller: Controller, servers: dict[str, Server], *, now: int
 ) -> frozenset[str]:
-    """Return the servers that nobody reachable owns and that fall to this instance."""
+    """Return the servers without a reachable owner that this instance has to poll."""
     reachable = {
         peer.instance: peer
         for peer in controller.peers.values()
-        if not is_silent(peer, now=now)
+        if not is_unreachable(peer, now=now)
     }
     own = controller.settings.instance
     orphans: list[str] = []
@@ -117,10 +119,10 @@
 
 
 def _find_owner(controller: Controller, server: str) -> str:
-    """Return the instance that owns a server, or last did and wasn't replaced yet.
+    """Return the instance that owns or last owned a server; empty if it was released.
 
-    Whether its lease still runs doesn't matter here: in an outage of the store all
-    leases lapse, and reports must be read all the same.
+    Whether the owner's lease is still valid doesn't matter here: in a store outage all
+    leases expire, and servers must be polled nevertheless.
     """
     row = controller.rows.owners.get(server)
     return row.record.instance if row is not None and row.record.session else ""
--- a/src/arbutuspulley/controller/rows.py
+++ b/src/arbutuspulley/controller/rows.py
@@ -1,4 +1,4 @@
-"""The rows of one group as last read, kept current by scanning from a revision."""
+"""Table rows of one group as last read; scans from a revision keep them current."""
 
 from collections.abc import Iterable
 
@@ -14,22 +14,23 @@
 from arbutuspulley.ports.platform import Row, Transaction
 
 
-class SeenLedger(Value, frozen=True):
-    """A server's ledger as read."""
+class StoredLedger(Value, frozen=True):
+    """A server's ledger as last read from its row."""
 
     ledger: ServerLedger
     revision: int
 
 
 class GroupRows(State):
-    """What is known of a group's table rows.
-
-    :param revision: where the next scan goes on.
-    :param table_id: names the table's history; empty before the first scan.
-    :param placement_changes: counts changes of ledgers, copies and slots.
-    :param revisions: the newest revision known of each key, deletions included.
-    :param fences: the highest fencing number ever met for each server. It outlives
-        a restored table, whose numbers may be lower than those servers have seen.
+    """Table rows of a group, as last read.
+
+    :param revision: revision after which the next scan starts.
+    :param table_id: identifies the table's history; empty before the first scan.
+    :param placement_changes: number of changes of ledgers, copies and slots.
+    :param revisions: newest known revision of each key, including deletions.
+    :param fences: highest fencing number ever seen for each server. It is kept when the
+        table is restored, as the restored numbers may be lower than those that the
+        servers have seen.
     """
 
     group: str
@@ -38,21 +39,21 @@
     placement_changes: int = 0
     revisions: dict[str, int] = {}
     owners: dict[str, OwnerRow] = {}
-    ledgers: dict[str, SeenLedger] = {}
+    ledgers: dict[str, StoredLedger] = {}
     copies: dict[str, CopiesRow] = {}
     slots: dict[int, SlotRow] = {}
     fences: dict[str, int] = {}
 
 
-_PLACEMENT = frozenset({"ledger", "copies", "load-slot"})
+_PLACEMENT_KINDS = frozenset({"ledger", "copies", "load-slot"})
 
 
-def take_rows(
+def apply_rows(
     rows: GroupRows, changed: Iterable[Row], *, now: int
 ) -> tuple[SessionRow, ...]:
-    """Take in rows from a scan or from an own transaction, each only if newer.
+    """Apply rows from a scan or from an own transaction, each only if it is newer.
 
-    :return: the session rows among them, which membership observes.
+    :return: the session rows among the applied ones, for membership observation.
     """
     sessions: list[SessionRow] = []
     for row in changed:
@@ -60,24 +61,24 @@
             continue
         rows.revisions[row.key] = row.revision
         kind, _, name = row.key.removeprefix(f"{rows.group}/").partition("/")
-        rows.placement_changes += kind in _PLACEMENT
+        rows.placement_changes += kind in _PLACEMENT_KINDS
         if kind == "session":
             sessions.append(_read_session(row, name))
         elif kind == "owner" and not row.deleted:
-            _take_owner(rows, row)
+            _apply_owner(rows, row)
         elif kind == "ledger" and not row.deleted:
             ledger = placement.decode(row.value, ServerLedger)
-            rows.ledgers[name] = SeenLedger(ledger=ledger, revision=row.revision)
+            rows.ledgers[name] = StoredLedger(ledger=ledger, revision=row.revision)
         elif kind == "copies" and not row.deleted:
             record = placement.decode(row.value, CopiesRecord)
             rows.copies[name] = CopiesRow(record=record, revision=row.revision)
         elif kind == "load-slot":
-            _take_slot(rows, row, int(name), now=now)
+            _apply_slot(rows, row, int(name), now=now)
     return tuple(sessions)
 
 
 def list_written(transaction: Transaction, *, revision: int) -> tuple[Row, ...]:
-    """Return the rows that a committed transaction has left."""
+    """Return the rows as a committed transaction has written them."""
     return tuple(
         Row(
             key=write.key,
@@ -90,8 +91,8 @@
     )
 
 
-def forget_rows(rows: GroupRows) -> None:
-    """Begin anew, as the table's history was replaced by a backup's."""
+def reset_rows(rows: GroupRows) -> None:
+    """Discard all rows after the table was restored from a backup; keep the fences."""
     rows.revision = 0
     rows.revisions = {}
     rows.owners = {}
@@ -100,8 +101,8 @@
     rows.slots = {}
 
 
-def note_fence(rows: GroupRows, server: str, fence: int) -> None:
-    """Remember the highest fencing number met for a server."""
+def record_fence(rows: GroupRows, server: str, fence: int) -> None:
+    """Record a fencing number of a server if it is the highest so far."""
     rows.fences[server] = max(fence, rows.fences.get(server, 0))
 
 
@@ -117,13 +118,13 @@
         return None
 
 
-def _take_owner(rows: GroupRows, row: Row) -> None:
+def _apply_owner(rows: GroupRows, row: Row) -> None:
     record = membership.decode_owner(row.value)
     rows.owners[record.server] = OwnerRow(record=record, revision=row.revision)
-    note_fence(rows, record.server, record.fence)
+    record_fence(rows, record.server, record.fence)
 
 
-def _take_slot(rows: GroupRows, row: Row, number: int, *, now: int) -> None:
+def _apply_slot(rows: GroupRows, row: Row, number: int, *, now: int) -> None:
     record = SlotRecord() if row.deleted else placement.decode(row.value, SlotRecord)
     rows.slots[number] = SlotRow(
         number=number, record=record, revision=row.revision, changed_at=now
--- a/src/arbutuspulley/controller/views.py
+++ b/src/arbutuspulley/controller/views.py
@@ -1,7 +1,7 @@
-"""What an entry is told: one summary a server, one address an entry.
+"""Views for entries: one summary per server, one address per entry.
 
-Several instances may speak of one server while its ownership changes hands or its
-owner is gone, so the liveliest and freshest account is taken.
+Several instances may report one server while its ownership moves or its owner is
+gone. A summary with the server alive is preferred, then the one with the lowest age.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,7 @@
 
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.configuration.schema import Configuration
-from arbutuspulley.controller.exchange import PeerState, is_silent
+from arbutuspulley.controller.exchange import PeerState, is_unreachable
 from arbutuspulley.data import State
 from arbutuspulley.rpc.messages import (
     CallerUsage,
@@ -20,19 +20,20 @@
     View,
 )
 
-KEPT_MS = 60_000
-"""How long a server's last account is told on, as not alive, once nobody renews it."""
+SUMMARY_RETENTION_MS = 60_000
+"""Time since a peer's last reply after which its last summaries count as not alive, and
+its last status is dropped if it has no session row either."""
 
 
-REFRESH_MS = 2_000
-"""A view whose numbers still hold is sent again after this, with their new ages."""
+REFRESH_INTERVAL_MS = 2_000
+"""Time after which an unchanged view is sent again, with the current ages."""
 
 
 class ViewState(State):
-    """The view that was last sent to entries.
+    """The newest view for entries.
 
-    :param view: ``None`` before the first.
-    :param built_at: when it was built.
+    :param view: ``None`` before the first one is built.
+    :param built_at: when the view was built, in ms.
     """
 
     view: View | None = None
@@ -47,27 +48,31 @@
     leaving: frozenset[str],
     now: int,
 ) -> tuple[ServerSummary, ...]:
-    """Return one summary for each configured server that anyone speaks of.
+    """Return one summary for each configured server that any instance reports.
 
-    A leaving server shows in the instance list, in its reports or in both, and
-    either may lag: the first sign counts. A server that the list no longer has is
+    A server is leaving as soon as either the instance list or its report says so, as
+    either may lag behind the other. A server that is no longer in the instance list is
     still alive if it reports.
 
-    :param own: summaries from reports that this instance read itself.
-    :param leaving: servers that the instance list calls leaving.
+    :param own: summaries of the servers that this instance polls.
+    :param leaving: servers that the instance list marks as leaving.
     """
-    accounts: dict[str, list[ServerSummary]] = {}
+    summaries: dict[str, list[ServerSummary]] = {}
     for name, summary in own.items():
-        accounts.setdefault(name, []).append(summary)
+        summaries.setdefault(name, []).append(summary)
     for peer in peers:
         for name, summary in peer.servers.items():
-            accounts.setdefault(name, []).append(_age(summary, peer, now=now))
+            summaries.setdefault(name, []).append(_add_age(summary, peer, now=now))
     merged = []
     for name, server in sorted(list_servers(configuration).items()):
-        told = [one for one in accounts.get(name, ()) if one.address == server.address]
-        if not told:
+        candidates = [
+            summary
+            for summary in summaries.get(name, ())
+            if summary.address == server.address
+        ]
+        if not candidates:
             continue
-        best = min(told, key=lambda one: (not one.alive, one.age_ms))
+        best = min(candidates, key=lambda summary: (not summary.alive, summary.age_ms))
         if name in leaving and not best.leaving:
             best = msgspec.structs.replace(best, leaving=True)
         merged.append(best)
@@ -77,24 +82,24 @@
 def merge_entries(
     own: Iterable[EntryAddress], peers: Iterable[PeerState], *, now: int
 ) -> tuple[EntryAddress, ...]:
-    """Return the entries that callers may be told of, by address.
+    """Return the entries whose addresses callers may be given, sorted by address.
 
-    The entries of a peer that has fallen silent are left out at once, and come
-    back with its first answer: an address too few costs callers nothing.
+    The entries of an unreachable peer are left out at once, and included again after
+    its first reply: a missing address costs callers nothing.
     """
-    entries = {one.address: one for one in own}
+    entries = {entry.address: entry for entry in own}
     for peer in peers:
-        if not is_silent(peer, now=now):
-            entries |= {one.address: one for one in peer.entries}
+        if not is_unreachable(peer, now=now):
+            entries |= {entry.address: entry for entry in peer.entries}
     return tuple(entries[address] for address in sorted(entries))
 
 
 def merge_usage(peers: Iterable[PeerState], *, now: int) -> tuple[CallerUsage, ...]:
-    """Return what callers use through all other instances together."""
+    """Return each caller's total usage through all other instances."""
     tokens: dict[str, float] = {}
     waiting: dict[str, int] = {}
     for peer in peers:
-        if is_silent(peer, now=now):
+        if is_unreachable(peer, now=now):
             continue
         for usage in peer.usage:
             name = usage.caller
@@ -118,7 +123,7 @@
     usage: tuple[CallerUsage, ...],
     now: int,
 ) -> bool:
-    """Build the next view if anything changed but the age of load numbers.
+    """Build the next view if anything except ages changed, or ages must be refreshed.
 
     :return: whether there is a new view to send.
     """
@@ -132,7 +137,7 @@
         suspicions=suspicions,
         usage=usage,
     )
-    is_due = now - state.built_at >= REFRESH_MS
+    is_due = now - state.built_at >= REFRESH_INTERVAL_MS
     if not is_due and state.view and _strip_ages(view) == _strip_ages(state.view):
         return False
     state.built_at = now
@@ -140,18 +145,20 @@
     return True
 
 
-def _age(summary: ServerSummary, peer: PeerState, *, now: int) -> ServerSummary:
-    """Add the time since the peer last confirmed a summary.
+def _add_age(summary: ServerSummary, peer: PeerState, *, now: int) -> ServerSummary:
+    """Add the time since the peer's last reply to the age of a summary.
 
-    A peer that has fallen silent can't vouch that the server is alive, nor that it
-    is dead: its last word stands, and grows older, for :data:`KEPT_MS`.
+    An unreachable peer can confirm neither that a server is alive nor that it is dead,
+    so its last summary is kept, with growing age, for :data:`SUMMARY_RETENTION_MS`.
     """
-    silent_for = now - (peer.replied_at or 0)
-    age = summary.age_ms + silent_for
-    alive = summary.alive and silent_for <= KEPT_MS
+    silent_ms = now - (peer.replied_at or 0)
+    age = summary.age_ms + silent_ms
+    alive = summary.alive and silent_ms <= SUMMARY_RETENTION_MS
     return msgspec.structs.replace(summary, age_ms=age, alive=alive)
 
 
 def _strip_ages(view: View) -> View:
-    servers = tuple(msgspec.structs.replace(one, age_ms=0) for one in view.servers)
+    servers = tuple(
+        msgspec.structs.replace(summary, age_ms=0) for summary in view.servers
+    )
     return msgspec.structs.replace(view, servers=servers)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller's loops over a fake platform, and two real ones with one frozen."""
+"""The controller's loops on a fake platform, and controller processes, one frozen."""
 
 import asyncio
 import json
@@ -14,10 +14,10 @@
 from arbutuspulley.configuration.files import SourceFile
 from arbutuspulley.configuration.lookup import list_configured_items
 from arbutuspulley.configuration.merge import FileSet, merge_files
-from arbutuspulley.controller import handlers, orders, placing, polling
+from arbutuspulley.controller import handlers, orders, planning, polling
 from arbutuspulley.controller.exchange import PeerState
-from arbutuspulley.controller.ledgers import Ledgers
-from arbutuspulley.controller.publishing import HEARING_MS, publish
+from arbutuspulley.controller.ledgers import WorkingLedgers
+from arbutuspulley.controller.publishing import MAX_SUMMARY_WAIT_MS, publish
 from arbutuspulley.controller.reports import ServerState
 from arbutuspulley.controller.sessions import get_owned, may_order, release_all
 from arbutuspulley.membership.records import decode_owner
@@ -51,15 +51,15 @@
     try_step,
 )
 
-LONGEST_WAIT_S = LEASE_MS // 2_000
-"""Seconds after an outage in which every instance has asked the store again."""
+MAX_BACKOFF_S = LEASE_MS // 2_000
+"""Seconds after an outage within which every instance has called the store again."""
 
-LAPSE_S = 11
-"""Seconds after which others may act on a silent session: lease and margin."""
+LEASE_EXPIRY_S = 11
+"""Seconds without renewal after which other instances may claim: lease and margin."""
 
 
 def build_pair():
-    """Return a fake platform, a clock and two nodes that have shared two servers."""
+    """Return a fake platform, a clock and two controllers that can own two servers."""
     fake, time = FakePlatform(), TestTime()
     nodes = [
         build_node(name, fake.platform, time, configuration=build_configuration())
@@ -68,33 +68,33 @@
     return fake, time, nodes
 
 
-def hear_of(node, instance, *, now):
-    """Let a node have heard of a peer just now."""
+def mark_peer_reachable(node, instance, *, now):
+    """Make a peer count as reachable by a controller, which polls no servers yet."""
     peer = PeerState(address="x:1", instance=instance, replied_at=now)
     node.peers = {"x:1": peer}
     node.servers = {}
 
 
-async def settle(nodes, time):
-    """Let both take sessions and share out, and return the fences as they are."""
+async def claim_servers(nodes, time):
+    """Let both take sessions and claim a server each; return the fences."""
     await run_second(nodes, time, seconds=40)
     fences = list_fences(nodes[0])
     assert {owner for owner, _ in fences.values()} == {"a", "b"}
     return fences
 
 
-def test_paused_owner_orders_nothing_and_its_servers_go_on_with_higher_fences():
+def test_paused_owner_orders_nothing_and_its_servers_get_higher_fences():
     """Owner ``a`` is paused for 13 s. ``b`` waits out its lease and takes over.
 
-    When ``a`` wakes it has read nothing yet and still believes in its rows; only
-    its own clock can tell it that it must not order.
+    When ``a`` resumes it has not read the rows yet: its copy still names it as owner,
+    and only its local clock shows that it must not send orders.
     """
 
     async def run():
         _, time, (a, b) = build_pair()
-        before = await settle([a, b], time)
+        before = await claim_servers([a, b], time)
         (server,) = get_owned(a)
-        await run_second([b], time, seconds=LAPSE_S - 2)
+        await run_second([b], time, seconds=LEASE_EXPIRY_S - 2)
         assert list_fences(b) == before
         await run_second([b], time, seconds=4)
         assert list_fences(b)[server] == ("b", before[server][1] + 1)
@@ -104,29 +104,29 @@
     asyncio.run(run())
 
 
-def test_outage_of_ten_minutes_moves_nothing_and_ends_within_a_bound():
-    """The store is out for ten minutes; all leases lapse and nobody may order.
+def test_outage_of_ten_minutes_moves_no_server_and_recovery_is_bounded():
+    """The store is down for ten minutes; all leases expire and no instance may order.
 
-    Reports of all servers are still read: by their last owner, or by whoever hears
-    nothing of it. The store comes back, and ``a`` is there first: all it reads of
-    ``b`` is ten minutes old. Each takes its own servers again, under higher fences,
-    within the longest wait and a round or two; no server changes hands.
+    All servers are still polled: by their last owner, or by an instance that cannot
+    reach it. When the store is back, ``a`` is the first to read it, and the session of
+    ``b`` is ten minutes old. Each reclaims its own servers, under higher fences, within
+    the maximum backoff and one or two rounds; no server changes its owner.
     """
 
     async def run():
         fake, time, nodes = build_pair()
-        before = await settle(nodes, time)
+        before = await claim_servers(nodes, time)
         fake.down = True
         await run_second(nodes, time, seconds=600)
         assert not any(get_owned(node) for node in nodes)
         assert not nodes[0].reads.up
-        read_alone = polling.choose_read(nodes[0])
-        hear_of(nodes[0], "b", now=time.now)
-        read_beside_b = polling.choose_read(nodes[0])
-        assert set(read_alone) == set(before)
-        assert [before[server][0] for server in read_beside_b] == ["a"]
+        polled_without_peer = polling.choose_polled_servers(nodes[0])
+        mark_peer_reachable(nodes[0], "b", now=time.now)
+        polled_with_peer = polling.choose_polled_servers(nodes[0])
+        assert set(polled_without_peer) == set(before)
+        assert [before[server][0] for server in polled_with_peer] == ["a"]
         fake.down = False
-        await run_second(nodes[:1], time, seconds=LONGEST_WAIT_S)
+        await run_second(nodes[:1], time, seconds=MAX_BACKOFF_S)
         await run_second(nodes, time, seconds=6)
         after = list_fences(nodes[1])
         assert sum(len(get_owned(node)) for node in nodes) == 2
@@ -136,18 +136,18 @@
     asyncio.run(run())
 
 
-def test_table_restored_from_a_backup_starts_ownership_anew_above_all_fences():
-    """Operators restore the table to a backup of before the last claims.
+def test_table_restored_from_a_backup_resets_ownership_above_all_fences():
+    """Operators restore the table to a backup made before the last claims.
 
-    Its rows name sessions and fences of an earlier time. Instances that went on
-    from their own memory would order under numbers that others get again.
+    Its rows hold sessions and fences of an earlier time. Instances that continued with
+    their in-memory state would send orders under fences that are assigned again.
     """
 
     async def run():
         fake, time, (a, b) = build_pair()
-        early = await settle([a, b], time)
+        early = await claim_servers([a, b], time)
         revision = fake.state.revision
-        await run_second([b], time, seconds=LAPSE_S + 4)
+        await run_second([b], time, seconds=LEASE_EXPIRY_S + 4)
         await run_second([a, b], time, seconds=60)
         late = list_fences(a)
         assert late != early
@@ -155,7 +155,7 @@
         await run_second([a, b], time, seconds=1)
         assert not get_owned(a)
         assert not get_owned(b)
-        await run_second([a, b], time, seconds=2 * LAPSE_S + 4)
+        await run_second([a, b], time, seconds=2 * LEASE_EXPIRY_S + 4)
         owned = [*get_owned(a), *get_owned(b)]
         assert sorted(owned) == sorted(late)
         for server, (_, fence) in list_fences(a).items():
@@ -166,11 +166,11 @@
 
 @pytest.mark.parametrize("lost", ["lost_replies", "lost_requests"])
 def test_lost_renewals_do_not_cost_the_lease(lost):
-    """One renewal is lost on its way, or its reply is, while the store is up."""
+    """One renewal request or its reply is lost while the store is up."""
 
     async def run():
         fake, time, (a, b) = build_pair()
-        before = await settle([a, b], time)
+        before = await claim_servers([a, b], time)
         session = a.lease.session
         setattr(fake, lost, 1)
         await run_second([a, b], time, seconds=20)
@@ -184,7 +184,7 @@
 def test_stopping_controller_hands_over_at_once():
     async def run():
         _, time, (a, b) = build_pair()
-        before = await settle([a, b], time)
+        before = await claim_servers([a, b], time)
         (server,) = get_owned(a)
         await release_all(a)
         await run_second([b], time, seconds=2)
@@ -195,7 +195,7 @@
 
 
 class FakeEngine:
-    """Takes orders and remembers them; ``report`` answers for its reports."""
+    """Records the orders it receives; ``report`` is its report function."""
 
     def __init__(self, outcome=OrderOutcome.ACCEPTED, report=None):
         self.orders = []
@@ -215,15 +215,15 @@
 
 
 async def load_one(node, *, time, before_commit=None, fake=None):
-    """Let a node load the model on a server that it owns."""
+    """Let a controller load the model on a server that it owns."""
     (server,) = get_owned(node)
     state = ServerState(name=server, address="127.0.0.1:9001")
     state.report = Report(server=server, boot_id="boot", sequence=1)
     state.received_at = time.now
     node.servers[server] = state
-    work = Ledgers()
-    await orders.take_report(node, work, state)
-    item = list_configured_items(node.force.configuration)["draft@1"]
+    work = WorkingLedgers()
+    await orders.apply_report(node, work, state)
+    item = list_configured_items(node.activation.configuration)["draft@1"]
     if before_commit:
         fake.before_transact = before_commit
     step = orders.load(node, work, Load(server=server, item=item), SlotRow(number=0))
@@ -233,7 +233,7 @@
 def test_intent_is_committed_before_its_order_is_sent():
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         engine = FakeEngine()
         a.engines = engine.engines
         server, work, done = await load_one(a, time=time)
@@ -249,50 +249,52 @@
 
 
 def test_frozen_server_delays_no_renewal():
-    """An engine freezes: it takes connections and answers nothing.
+    """An engine freezes: it accepts connections and never replies.
 
-    Reads of its reports hold their threads until they time out. If renewals waited
-    behind them, one frozen server would cost the instance all that it owns.
+    Polls of it occupy their threads until they time out. If renewals waited for these
+    threads, one frozen server would cost the instance its lease and all its servers.
     """
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
-        thaw = threading.Event()
-        a.engines = FakeEngine(report=lambda _: thaw.wait() and None).engines
-        names = polling.choose_read(a)
+        await claim_servers([a, b], time)
+        unfreeze = threading.Event()
+        a.engines = FakeEngine(report=lambda _: unfreeze.wait() and None).engines
+        names = polling.choose_polled_servers(a)
         assert names
 
-        async def hear(_):
+        async def handle_report(_):
             pass
 
         reads = [
-            asyncio.create_task(polling.read_report(a, name, heard=hear))
+            asyncio.create_task(polling.poll_report(a, name, on_report=handle_report))
             for name in names
         ]
         try:
             await asyncio.wait_for(run_second([a, b], time, seconds=20), 10)
             assert get_owned(a)
         finally:
-            thaw.set()
+            unfreeze.set()
             await asyncio.gather(*reads, return_exceptions=True)
 
     asyncio.run(run())
 
 
-def test_controller_that_has_just_started_loads_nothing_that_may_be_there():
-    """A controller restarts and owns its servers before it has heard of the others.
+def test_controller_that_has_just_started_does_not_load_existing_copies_again():
+    """A controller restarts and owns its servers before it has the others' summaries.
 
-    The only copy of a model answers on another one's server. Taken for lost, it
-    would be loaded again here, and unloaded later: two moves for nothing.
+    The only copy of a model is on a server of another instance. If it counted as lost,
+    it would be loaded here as well and unloaded later: two unnecessary moves.
     """
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
-        one = OVERLAY_B.replace("copies: 2", "copies: 1")
-        files = build_files(overlays=(OVERLAY_A, one))
-        a.force.configuration = b.force.configuration = merge_files(files, version=1)
+        await claim_servers([a, b], time)
+        single_copy = OVERLAY_B.replace("copies: 2", "copies: 1")
+        files = build_files(overlays=(OVERLAY_A, single_copy))
+        a.activation.configuration = b.activation.configuration = merge_files(
+            files, version=1
+        )
         engine = FakeEngine()
         a.engines = b.engines = engine.engines
         server, _, _ = await load_one(b, time=time)
@@ -301,11 +303,11 @@
         state = ServerState(name=own, address="127.0.0.1:9001", received_at=time.now)
         state.report = Report(server=own, boot_id="boot", sequence=1)
         a.servers[own] = state
-        work, memory = Ledgers(), placing.Placing()
-        await orders.take_report(a, work, state)
+        work, planning_state = WorkingLedgers(), planning.PlanningState()
+        await orders.apply_report(a, work, state)
         publish(a)
-        await placing.place(a, work, memory)
-        loads = [step for step in memory.actions if isinstance(step, Load)]
+        await planning.run_planning_cycle(a, work, planning_state)
+        loads = [step for step in planning_state.actions if isinstance(step, Load)]
         assert (loads, server != own) == ([], True)
 
     asyncio.run(run())
@@ -314,14 +316,14 @@
 def test_pause_between_commit_and_order_sends_nothing():
     """An owner commits the intent of a load and is paused for a minute.
 
-    It wakes with the order ready. The next owner has found the intent in the
-    ledger and has ordered it already; a server that does not check orders would
+    It resumes just before sending the order. The next owner has found the intent in the
+    ledger and has sent its order already; a server that does not check orders would
     apply both.
     """
 
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         engine = FakeEngine()
         a.engines = engine.engines
 
@@ -336,15 +338,15 @@
 
 
 def test_owner_that_was_replaced_commits_no_intent():
-    """The owner's clock is slow, so its lease seems to run when others took over."""
+    """The owner's clock is slow, so its lease seems valid after another took over."""
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         engine = FakeEngine()
         a.engines = engine.engines
         (server,) = get_owned(a)
-        await run_second([b], time, seconds=LAPSE_S + 4)
+        await run_second([b], time, seconds=LEASE_EXPIRY_S + 4)
         a.lease.sent_at = time.now
         _, _, done = await load_one(a, time=time)
         assert list_fences(b)[server][0] == "b"
@@ -355,15 +357,15 @@
 
 
 def test_work_that_needs_the_store_is_refused_at_once_while_it_is_down():
-    """The store is down. A booking confirmation and a server's death come in.
+    """The store is down. A booking confirmation and a server's death are reported.
 
-    Waiting for the store would hold both callers for its timeouts, and let claims
-    pile up that arrive together when it is back. Neither may call it at all.
+    Waiting for the store would block both callers for its timeouts, and claims would
+    pile up and reach it together afterwards. Neither may call it at all.
     """
 
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         fake.down = True
         await run_second([a, b], time, seconds=10)
         a.platform = None
@@ -372,9 +374,9 @@
         reply = await unary[handlers.channel.CLAIM](claim)
         assert reply.state == "unavailable"
         death = DeathReport(server="s", boot_id="1", fingerprints=("f",))
-        noted = await unary[handlers.channel.REPORT_DEATH](death)
-        assert not noted.recorded
-        assert [one.fingerprint for one in noted.suspicions] == ["f"]
+        recorded = await unary[handlers.channel.REPORT_DEATH](death)
+        assert not recorded.recorded
+        assert [suspicion.fingerprint for suspicion in recorded.suspicions] == ["f"]
         trial = msgspec.structs.replace(death, trial_id="t")
         assert not (await unary[handlers.channel.REPORT_DEATH](trial)).granted
 
@@ -382,7 +384,7 @@
 
 
 class PeerClient:
-    """Carries calls straight to another node's handlers; ``None`` never answers."""
+    """Calls another controller's handlers directly; with ``None`` each call fails."""
 
     def __init__(self, node):
         self.node = node
@@ -394,16 +396,16 @@
 
 
 def test_entries_of_peers_know_of_a_death_before_its_report_is_answered():
-    """A request kills its server; its caller gets an answer and sends it again.
+    """A request kills its server; its caller gets an error and sends it again.
 
-    It comes to an entry of another instance within milliseconds, long before the next
-    exchange. That entry must know by then, or it loses a server, too. A peer that is
-    cut off holds nobody up.
+    It reaches an entry of another instance within milliseconds, long before the next
+    exchange. That entry must know the suspicion by then, or another server dies. A
+    disconnected peer must not delay the reply.
     """
 
     async def run():
         _, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         watch = handlers.build_streaming(b)[handlers.channel.WATCH]
         entry = EntryAddress(instance="b", site="s", address="x:9", boot_id="1")
         views = watch(WatchRequest(entry=entry))
@@ -416,23 +418,25 @@
         next_view = asyncio.ensure_future(anext(views))
         assert (await reporting).recorded
         assert "f" in b.suspects.suspicions
-        # The gap between views is timed by the loop; an urgent view ends it.
-        assert [one.fingerprint for one in (await next_view).suspicions] == ["f"]
+        # The event loop times the interval between views; an urgent view ends it early.
+        assert [
+            suspicion.fingerprint for suspicion in (await next_view).suspicions
+        ] == ["f"]
         await views.aclose()
 
     asyncio.run(run())
 
 
-def test_new_instance_does_not_serve_before_it_has_heard_of_the_servers():
-    """A new instance has the configuration from a peer, but knows no server yet.
+def test_new_instance_does_not_serve_before_it_has_summaries_of_the_servers():
+    """A new instance has the configuration from a peer, but no server's summary yet.
 
-    Its entry would refuse every model as loaded nowhere, though all are. A server
-    that nobody speaks of is not waited for longer than a few seconds.
+    Its entry would refuse every model as loaded nowhere, though all are loaded. The
+    wait for servers without a summary ends after a few seconds.
     """
     _, time, (a, _) = build_pair()
     publish(a)
     assert not a.views.view.ready
-    time.now += HEARING_MS - 1
+    time.now += MAX_SUMMARY_WAIT_MS - 1
     publish(a)
     assert not a.views.view.ready
     time.now += 1
@@ -440,14 +444,14 @@
     assert a.views.view.ready
 
 
-def test_new_instance_does_not_serve_on_servers_that_it_has_not_read_yet():
-    """A new instance starts with the store away, and so knows no owner of any server.
+def test_new_instance_does_not_serve_before_it_has_polled_its_servers():
+    """A new instance starts while the store is unavailable, and so knows no owners.
 
-    It takes the servers that nobody owns as its own to read, before it has asked one.
-    What is loaded there is not known then, and an entry would refuse it.
+    It chooses to poll the servers without an owner, but has no report of them yet. It
+    doesn't know their models at that point, and an entry would refuse these.
     """
     _, _, (a, _) = build_pair()
-    names = polling.choose_read(a)
+    names = polling.choose_polled_servers(a)
     assert names
     publish(a)
     assert not a.views.view.ready
@@ -457,10 +461,10 @@
     assert a.views.view.ready
 
 
-def test_release_while_the_store_is_down_ends_all_the_same():
+def test_release_while_the_store_is_down_still_ends():
     async def run():
         fake, time, (a, b) = build_pair()
-        await settle([a, b], time)
+        await claim_servers([a, b], time)
         fake.down = True
         await try_step(release_all(a))
         assert not get_owned(a)
@@ -468,7 +472,7 @@
     asyncio.run(run())
 
 
-def test_all_wrong_settings_are_named_together(capsys):
+def test_all_invalid_settings_are_reported_together(capsys):
     with pytest.raises(SystemExit) as refused:
         program.app(
             [
@@ -478,10 +482,10 @@
                 *("--peers", "127.0.0.1:2,there:3", "--log-format", "xml"),
             ]
         )
-    shown = capsys.readouterr().err
+    stderr = capsys.readouterr().err
     assert refused.value.code == 2
     for setting in ("--listen", "--http", "--peers", "--renew-ms", "--log-format"):
-        assert setting in shown
+        assert setting in stderr
 
 
 PLAN = fleets.Plan(
@@ -501,7 +505,7 @@
 
 
 def approve_plan(platform, fleet, directory):
-    """Bring the fleet's files into force, with ``copies`` of its model."""
+    """Propose and approve the configuration files of the fleet's plan."""
     base, *overlays = (
         SourceFile(name=path.name, text=path.read_text())
         for path in fleets.write_files(fleet, directory)
@@ -518,7 +522,7 @@
 
 
 def read_owner(platform, server):
-    """Return instance and fence in a server's ownership row."""
+    """Return the instance and the fence in a server's owner row."""
     row = platform.table.read(f"main/owner/{server}")
     if row is None:
         return "", 0
@@ -531,12 +535,12 @@
     return urllib3.request("GET", url).json()["orders"]
 
 
-def test_frozen_controller_is_replaced_and_orders_nothing_when_it_wakes(tmp_path):
-    """Controller ``a`` is frozen for longer than its lease, in real processes.
+def test_frozen_controller_is_replaced_and_orders_nothing_when_it_resumes(tmp_path):
+    """Controller ``a``, a real process, is frozen for longer than its lease.
 
-    ``b`` takes its server over under a higher fence. An operator then approves a
-    second copy, and ``b`` orders it there. ``a`` wakes and must not order under its
-    old fence, on servers that check orders and on those that don't.
+    ``b`` takes over its server under a higher fence. An operator then approves a
+    second copy, and ``b`` sends the order for it. ``a`` resumes and must not send
+    orders under its old fence, whether or not the servers check orders.
     """
     with open_launcher(tmp_path) as launcher:
         fleet = fleets.build_fleet(PLAN, launcher)
@@ -564,8 +568,8 @@
         wait_until(
             lambda: owners()[lost] == ("b", before[lost][1] + 1), what="b to claim"
         )
-        two = msgspec.structs.replace(PLAN.models["draft"], copies=2)
-        fleet.plan = msgspec.structs.replace(PLAN, models={"draft": two})
+        two_copies = msgspec.structs.replace(PLAN.models["draft"], copies=2)
+        fleet.plan = msgspec.structs.replace(PLAN, models={"draft": two_copies})
         approve_plan(platform, fleet, tmp_path)
         wait_until(
             lambda: all(read_orders(fleet, name) for name in names), what="both copies"
@@ -594,8 +598,8 @@
 def test_new_instance_starts_from_a_peer_while_the_store_is_down(tmp_path):
     """The store is down, and two instances are replaced meanwhile.
 
-    One finds a peer and serves under the version in force there. The other finds
-    nobody: what it would serve under was never accepted, so it isn't ready.
+    One reaches a peer and serves with the peer's active version. The other reaches no
+    peer: it has no accepted configuration, so it isn't ready.
     """
     with open_launcher(tmp_path) as launcher:
         fleet = fleets.build_fleet(PLAN, launcher)
@@ -611,13 +615,13 @@
         fleets.start_controller(fleet, second)
         fleet.routes["controller-c", "controller-a"] = "127.0.0.1:1"
         fleet.routes["controller-c", "controller-b"] = "127.0.0.1:1"
-        (alone, its_health) = find_free_addresses(2)
-        fleet.addresses |= {"controller-c": alone, "health-c": its_health}
+        (isolated, isolated_health) = find_free_addresses(2)
+        fleet.addresses |= {"controller-c": isolated, "health-c": isolated_health}
         fleets.start_controller(fleet, fleets.InstancePlan(name="c", site="site-a"))
         launcher.wait_ready("controller-b", "controller-c")
         health = fleet.addresses["health-b"]
         wait_until(lambda: is_ready(health), what="b to start from a")
         assert "configuration_from_peer" in launcher.read_log("controller-b")
-        assert not is_ready(its_health)
+        assert not is_ready(isolated_health)
         statuses = launcher.stop("controller-a", "controller-b", "controller-c")
         assert set(statuses.values()) == {0}
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""What entries are told of servers, entries and usage."""
+"""Views for entries: merged servers, entries and usage."""
 
 import msgspec
 import pytest
@@ -17,7 +17,7 @@
 NOW = 100_000
 
 
-def summarise(**changes):
+def build_summary(**changes):
     values = {"server": "engine-a", "site": "site-a", "address": SERVER.address}
     return ServerSummary(**(values | changes))
 
@@ -27,7 +27,7 @@
         address="x:1",
         instance="b",
         replied_at=replied_at,
-        servers={one.server: one for one in summaries},
+        servers={summary.server: summary for summary in summaries},
         entries=entries,
         usage=usage,
     )
@@ -36,77 +36,85 @@
 def merge(own=(), peers=(), leaving=frozenset()):
     merged = views.merge_servers(
         CONFIGURATION,
-        own={one.server: one for one in own},
+        own={summary.server: summary for summary in own},
         peers=peers,
         leaving=leaving,
         now=NOW,
     )
-    return {one.server: one for one in merged}
+    return {summary.server: summary for summary in merged}
 
 
 @pytest.mark.parametrize(
     ("own", "peers", "listed", "expected"),
     [
         pytest.param(
-            [summarise(age_ms=40)], [], frozenset(), (True, False, 40), id="own report"
+            [build_summary(age_ms=40)],
+            [],
+            frozenset(),
+            (True, False, 40),
+            id="own report",
         ),
         pytest.param(
-            [summarise()], [], {"engine-a"}, (True, True, 0), id="list says leaving"
+            [build_summary()], [], {"engine-a"}, (True, True, 0), id="list says leaving"
         ),
         pytest.param(
-            [summarise(leaving=True)],
+            [build_summary(leaving=True)],
             [],
             frozenset(),
             (True, True, 0),
-            id="report says leaving, list still calls it live",
+            id="report says leaving, list still says live",
         ),
         pytest.param(
-            [summarise(alive=False)],
-            [build_peer(summarise(age_ms=900))],
+            [build_summary(alive=False)],
+            [build_peer(build_summary(age_ms=900))],
             frozenset(),
             (True, False, 900),
-            id="a live account beats a dead one",
+            id="a live summary is preferred to a dead one",
         ),
         pytest.param(
-            [summarise(age_ms=900)],
-            [build_peer(summarise(age_ms=10), replied_at=NOW - 200)],
+            [build_summary(age_ms=900)],
+            [build_peer(build_summary(age_ms=10), replied_at=NOW - 200)],
             frozenset(),
             (True, False, 210),
-            id="fresher account of a peer",
+            id="a peer's summary with a lower age",
         ),
         pytest.param(
             [],
-            [build_peer(summarise(), replied_at=NOW - views.KEPT_MS)],
+            [build_peer(build_summary(), replied_at=NOW - views.SUMMARY_RETENTION_MS)],
             frozenset(),
-            (True, False, views.KEPT_MS),
-            id="last word of a silent peer stands",
+            (True, False, views.SUMMARY_RETENTION_MS),
+            id="last summary of an unreachable peer is kept",
         ),
         pytest.param(
             [],
-            [build_peer(summarise(), replied_at=NOW - views.KEPT_MS - 1)],
+            [
+                build_peer(
+                    build_summary(), replied_at=NOW - views.SUMMARY_RETENTION_MS - 1
+                )
+            ],
             frozenset(),
-            (False, False, views.KEPT_MS + 1),
-            id="but not for ever",
+            (False, False, views.SUMMARY_RETENTION_MS + 1),
+            id="until the retention time ends",
         ),
     ],
 )
-def test_account_of_a_server(own, peers, listed, expected):
-    told = merge(own, peers, listed)["engine-a"]
-    assert (told.alive, told.leaving, told.age_ms) == expected
+def test_merged_summary_of_a_server(own, peers, listed, expected):
+    merged = merge(own, peers, listed)["engine-a"]
+    assert (merged.alive, merged.leaving, merged.age_ms) == expected
 
 
-def test_servers_moved_elsewhere_or_unknown_are_left_out():
-    others = (summarise(address="127.0.0.1:1"), summarise(server="engine-x"))
+def test_servers_with_another_address_or_unknown_ones_are_left_out():
+    others = (build_summary(address="127.0.0.1:1"), build_summary(server="engine-x"))
     assert merge(others) == {}
 
 
-def test_entries_of_a_silent_peer_are_told_to_nobody():
-    """An instance is cut off or dead; callers must not be sent to its entries."""
+def test_entries_of_an_unreachable_peer_are_left_out():
+    """An instance is disconnected or dead; callers must not be sent to its entries."""
     own = EntryAddress(instance="a", site="s", address="127.0.0.1:5")
     other = EntryAddress(instance="b", site="s", address="127.0.0.1:6")
-    for replied_at, told in ((NOW - 3_000, [own, other]), (NOW - 3_001, [own])):
+    for replied_at, expected in ((NOW - 3_000, [own, other]), (NOW - 3_001, [own])):
         peer = build_peer(replied_at=replied_at, entries=(other,))
-        assert list(views.merge_entries([own], [peer], now=NOW)) == told
+        assert list(views.merge_entries([own], [peer], now=NOW)) == expected
 
 
 def test_usage_of_all_other_instances_is_summed():
@@ -117,23 +125,23 @@
     assert (total.tokens_per_s, total.waiting) == (5.0, 2)
 
 
-def test_view_is_sent_when_it_changed_or_its_ages_are_due():
+def test_view_is_sent_when_it_changed_or_its_ages_must_be_refreshed():
     state = ViewState()
-    told = {
+    values = {
         "ready": True,
         "store_up": True,
         "configuration": CONFIGURATION,
-        "servers": (summarise(age_ms=1),),
+        "servers": (build_summary(age_ms=1),),
         "entries": (),
         "suspicions": (),
         "usage": (),
     }
-    older = told | {"servers": (summarise(age_ms=500),)}
-    busier = told | {"servers": (summarise(running=1),)}
+    older = values | {"servers": (build_summary(age_ms=500),)}
+    busier = values | {"servers": (build_summary(running=1),)}
     sent = [
-        views.update_view(state, **told, now=0),
-        views.update_view(state, **older, now=views.REFRESH_MS - 1),
-        views.update_view(state, **busier, now=views.REFRESH_MS - 1),
+        views.update_view(state, **values, now=0),
+        views.update_view(state, **older, now=views.REFRESH_INTERVAL_MS - 1),
+        views.update_view(state, **busier, now=views.REFRESH_INTERVAL_MS - 1),
         views.update_view(state, **(busier | {"store_up": False}), now=2_000),
         views.update_view(state, **(busier | {"store_up": False}), now=3_998),
         views.update_view(state, **(busier | {"store_up": False}), now=4_000),
@@ -153,12 +161,13 @@
 
 
 def test_summary_names_loaded_items_that_are_not_about_to_be_unloaded():
-    """An unload is committed and its order goes out seconds later.
+    """An unload is committed, and its order is sent seconds later.
 
-    Entries that still sent requests for the item until then would see them cut.
+    If entries kept sending requests for the item until then, the unload would
+    interrupt them.
     """
     state = ServerState(name="engine-a", address=SERVER.address)
-    reports.take_report(state, build_report(), now=NOW)
+    reports.apply_report(state, build_report(), now=NOW)
     summary = reports.build_summary(
         state, server=SERVER, site="s", leaving_items=frozenset({"n@1"}), now=NOW + 70
     )
@@ -169,39 +178,39 @@
     ("passed", "refusals", "alive"),
     [(3_000, 0, True), (3_001, 0, False), (0, 1, True), (0, 2, False)],
 )
-def test_server_is_dead_when_silent_or_when_it_refuses_connections(
+def test_server_is_dead_without_reports_or_when_it_refuses_connections(
     passed, refusals, alive
 ):
     state = ServerState(name="engine-a", address=SERVER.address)
     assert not reports.is_alive(state, now=NOW)
-    reports.take_report(state, build_report(), now=NOW)
+    reports.apply_report(state, build_report(), now=NOW)
     for _ in range(refusals):
-        reports.note_refused(state)
+        reports.record_refused(state)
     assert reports.is_alive(state, now=NOW + passed) is alive
     late = build_report(sequence=0)
-    assert not reports.take_report(state, late, now=NOW + 9_000)
-    assert reports.take_report(state, build_report(boot_id="2", sequence=0), now=NOW)
+    assert not reports.apply_report(state, late, now=NOW + 9_000)
+    assert reports.apply_report(state, build_report(boot_id="2", sequence=0), now=NOW)
     assert reports.is_alive(state, now=NOW)
 
 
-def test_killed_entry_is_dropped_when_its_stream_breaks_and_a_frozen_one_by_silence():
-    """An entry is killed: its stream of views breaks. Another one is frozen.
+def test_killed_entry_is_removed_when_its_stream_breaks_and_a_frozen_one_by_timeout():
+    """An entry is killed, and its view stream breaks. Another one is frozen.
 
-    The frozen one keeps its connection; only its missing reports show it. The end
-    of a killed process's stream must not hide the process that came in its place.
+    The frozen one keeps its connection; only its missing reports reveal it. The end of
+    a killed process's stream must not remove the process that replaced it.
     """
     killed = EntryAddress(instance="a", site="s", address="127.0.0.1:5", boot_id="1")
     frozen = msgspec.structs.replace(killed, address="127.0.0.1:6")
-    known = {}
+    states = {}
     for entry in (killed, frozen):
-        own_entries.begin_watch(known, entry, now=0)
-    again = msgspec.structs.replace(killed, boot_id="2")
-    own_entries.begin_watch(known, again, now=0)
-    own_entries.end_watch(known, killed)
-    assert set(known) == {killed.address, frozen.address}
-    own_entries.end_watch(known, again)
-    assert set(known) == {frozen.address}
-    own_entries.forget_silent(known, now=own_entries.HEARD_MS)
-    assert set(known) == {frozen.address}
-    own_entries.forget_silent(known, now=own_entries.HEARD_MS + 1)
-    assert known == {}
+        own_entries.begin_watch(states, entry, now=0)
+    restarted = msgspec.structs.replace(killed, boot_id="2")
+    own_entries.begin_watch(states, restarted, now=0)
+    own_entries.end_watch(states, killed)
+    assert set(states) == {killed.address, frozen.address}
+    own_entries.end_watch(states, restarted)
+    assert set(states) == {frozen.address}
+    own_entries.evict_timed_out(states, now=own_entries.ENTRY_TIMEOUT_MS)
+    assert set(states) == {frozen.address}
+    own_entries.evict_timed_out(states, now=own_entries.ENTRY_TIMEOUT_MS + 1)
+    assert states == {}
