--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounting.py
@@ -3,7 +3,7 @@
 from arbutuspulley.admission import cost, queue, retry_budget
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery import request as life
-from arbutuspulley.entry import turns
+from arbutuspulley.entry import admission_queue
 from arbutuspulley.entry.state import Attempt, Demand, Ongoing, Runtime
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError
@@ -97,7 +97,7 @@
     request, now = ongoing.request, runtime.clock.now()
     produced = request.offset - ongoing.call.offset
     if not request.exposed and not produced:
-        turns.leave_queue(runtime, ongoing)
+        admission_queue.leave_queue(runtime, ongoing)
         return
     used = cost.compute_cost(
         prompt_bytes=len(ongoing.call.body),
@@ -106,7 +106,7 @@
     )
     admission = runtime.state.admission
     effects = queue.finish(admission, request.request_id, tokens=used, now=now)
-    turns.apply_effects(runtime, effects)
+    admission_queue.apply_effects(runtime, effects)
 
 
 def learn(runtime: Runtime, ongoing: Ongoing) -> None:
--- a/src/arbutuspulley/entry/views.py
+++ b/src/arbutuspulley/entry/controller_sync.py
@@ -10,10 +10,10 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.delivery import suspects
+from arbutuspulley.entry.admission_queue import apply_effects
 from arbutuspulley.entry.deaths import flush_unrecorded
 from arbutuspulley.entry.index import build_index
 from arbutuspulley.entry.state import EntryState, Runtime
-from arbutuspulley.entry.turns import apply_effects
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.routing.choice import apply_reports
 from arbutuspulley.rpc.channel import PeerUnavailableError
--- a/src/arbutuspulley/entry/dispatch.py
+++ b/src/arbutuspulley/entry/dispatch.py
@@ -9,11 +9,11 @@
 from arbutuspulley.delivery import request as life
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.delivery.suspects import Judgement, build_fingerprint, judge
-from arbutuspulley.entry import accounts, trials, turns
+from arbutuspulley.entry import accounting, admission_queue, trials
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.choosing import choose_server
 from arbutuspulley.entry.deaths import report_death
 from arbutuspulley.entry.index import find_item
+from arbutuspulley.entry.server_choice import choose_server
 from arbutuspulley.entry.state import REQUEST_LIFE_MS, Attempt, Ongoing, Runtime
 from arbutuspulley.ports.engines import InferenceRequest
 from arbutuspulley.results import Code
@@ -28,11 +28,11 @@
     :raises RequestError: if it is refused.
     """
     ongoing = build_ongoing(runtime, call)
-    accounts.count_demand(runtime, ongoing)
+    accounting.count_demand(runtime, ongoing)
     _refuse_quarantined(runtime, ongoing)
     runtime.state.ongoing[call.request_id] = ongoing
     try:
-        event = await turns.wait_for_turn(runtime, ongoing)
+        event = await admission_queue.wait_for_turn(runtime, ongoing)
         attempt = await _perform(runtime, ongoing, event)
     except BaseException:
         _forget(runtime, ongoing)
@@ -64,7 +64,7 @@
     if attempt is None:
         _forget(runtime, ongoing)
     if isinstance(event, life.Ended):
-        accounts.learn(runtime, ongoing)
+        accounting.learn(runtime, ongoing)
     return attempt
 
 
@@ -131,7 +131,7 @@
     )
     for effect in effects:
         if isinstance(effect, life.Fail):
-            accounts.count_refusal(runtime, ongoing, effect.error)
+            accounting.count_refusal(runtime, ongoing, effect.error)
             raise effect.error
         if isinstance(effect, life.Dispatch):
             return await _dispatch(runtime, ongoing, effect)
@@ -161,7 +161,7 @@
         deadline=ongoing.request.deadline,
         trial=trial is not None,
     )
-    accounts.begin_attempt(runtime, ongoing, attempt)
+    accounting.begin_attempt(runtime, ongoing, attempt)
     return attempt
 
 
@@ -194,7 +194,7 @@
         return
     if isinstance(event, life.CallerLeft | life.DeadlinePassed):
         _cancel(runtime, attempt)
-    accounts.end_attempt(runtime, ongoing, attempt, event, died=died)
+    accounting.end_attempt(runtime, ongoing, attempt, event, died=died)
     if died:
         await report_death(runtime, ongoing, attempt)
     elif isinstance(event, life.Ended):
@@ -214,4 +214,4 @@
     if runtime.state.ongoing.pop(ongoing.call.request_id, None) is None:
         return
     trials.end_trial(runtime, ongoing, ran=False)
-    accounts.settle(runtime, ongoing)
+    accounting.settle(runtime, ongoing)
--- a/src/arbutuspulley/entry/draining.py
+++ b/src/arbutuspulley/entry/draining.py
@@ -9,8 +9,8 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery.failures import build_failure
+from arbutuspulley.entry.controller_sync import is_ready, list_entries, send_report
 from arbutuspulley.entry.state import Runtime
-from arbutuspulley.entry.views import is_ready, list_entries, send_report
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError
 from arbutuspulley.routing.addresses import rank_entries
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -16,12 +16,12 @@
 from arbutuspulley.delivery.failures import RETRY_AFTER_MS, build_failure
 from arbutuspulley.entry import answers, calls
 from arbutuspulley.entry.calls import Call
+from arbutuspulley.entry.controller_sync import is_ready, list_entries
 from arbutuspulley.entry.draining import build_refusal
 from arbutuspulley.entry.index import Identity, SiteIndex, identify, may_call
 from arbutuspulley.entry.inference import answer_inference
 from arbutuspulley.entry.services import ServiceCall, answer_service, find_service
 from arbutuspulley.entry.state import Runtime
-from arbutuspulley.entry.views import is_ready, list_entries
 from arbutuspulley.ports.engines import ServiceRequest
 from arbutuspulley.results import Code, RunState
 from arbutuspulley.routing.addresses import choose_entry_count, rank_entries
--- a/src/arbutuspulley/entry/inference.py
+++ b/src/arbutuspulley/entry/inference.py
@@ -7,9 +7,9 @@
 
 from arbutuspulley.delivery.claims import ClaimState
 from arbutuspulley.delivery.failures import build_failure
-from arbutuspulley.entry import answers, claiming
+from arbutuspulley.entry import answers, claims
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.claiming import settling
+from arbutuspulley.entry.claims import settling
 from arbutuspulley.entry.relay import CallerLeftError, HasLeft, deliver, wait
 from arbutuspulley.entry.state import Runtime
 from arbutuspulley.results import Code, RequestError, RunState
@@ -42,7 +42,7 @@
 
     A caller that left comes back with the same key and finds the answer.
     """
-    stored = wait(runtime, claiming.claim(runtime, call), has_left=_never)
+    stored = wait(runtime, claims.claim(runtime, call), has_left=_never)
     if stored is not None:
         return _replay(call, stored)
     # Whatever the caller has got of an earlier answer, this is the first run.
@@ -51,9 +51,7 @@
         return _begin_stream(_build_claimed_events(runtime, call))
     with settling(runtime, call):
         body = _assemble(runtime, call, _never)
-    answer = claiming.StoredAnswer(
-        status=200, content_type=answers.JSON_TYPE, body=body
-    )
+    answer = claims.StoredAnswer(status=200, content_type=answers.JSON_TYPE, body=body)
     _settle(runtime, call, answer)
     return answers.build_success(body)
 
@@ -103,7 +101,7 @@
                 yield event
             except GeneratorExit:
                 is_here = False
-    answer = claiming.StoredAnswer(
+    answer = claims.StoredAnswer(
         status=200, content_type=answers.EVENTS_TYPE, body=b"".join(events)
     )
     _settle(runtime, call, answer)
@@ -139,7 +137,7 @@
             raise
 
 
-def _replay(call: Call, stored: claiming.StoredAnswer) -> answers.Answer:
+def _replay(call: Call, stored: claims.StoredAnswer) -> answers.Answer:
     """Give the answer that an earlier run of the request got."""
     if stored.content_type != answers.EVENTS_TYPE:
         return answers.build_success(stored.body, status=stored.status)
@@ -152,8 +150,8 @@
     )
 
 
-def _settle(runtime: Runtime, call: Call, answer: claiming.StoredAnswer) -> None:
-    settled = claiming.settle(runtime, call, ClaimState.ANSWERED, answer)
+def _settle(runtime: Runtime, call: Call, answer: claims.StoredAnswer) -> None:
+    settled = claims.settle(runtime, call, ClaimState.ANSWERED, answer)
     wait(runtime, settled, has_left=_never)
 
 
--- a/src/arbutuspulley/entry/relay.py
+++ b/src/arbutuspulley/entry/relay.py
@@ -15,7 +15,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery import request as life
 from arbutuspulley.delivery.cursor import Cursor, Verdict, accept, begin_attempt
-from arbutuspulley.entry import accounts, dispatch
+from arbutuspulley.entry import accounting, dispatch
 from arbutuspulley.entry.calls import Call
 from arbutuspulley.entry.state import Attempt, Runtime
 from arbutuspulley.events import Event, log_event
@@ -231,7 +231,7 @@
 
 def _note_first(runtime: Runtime, attempt: Attempt) -> None:
     request_id = attempt.request.request_id
-    runtime.loop.post(lambda: accounts.note_first_event(runtime, request_id))
+    runtime.loop.post(lambda: accounting.note_first_event(runtime, request_id))
 
 
 def _abandon(runtime: Runtime, call: Call, cursor: Cursor) -> None:
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -14,9 +14,9 @@
 from arbutuspulley.delivery import request as life
 from arbutuspulley.delivery.claims import ClaimState
 from arbutuspulley.delivery.failures import build_failure
-from arbutuspulley.entry import answers, claiming
+from arbutuspulley.entry import answers, claims
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.claiming import settling
+from arbutuspulley.entry.claims import settling
 from arbutuspulley.entry.relay import wait
 from arbutuspulley.entry.state import REQUEST_LIFE_MS, Runtime
 from arbutuspulley.ports.engines import (
@@ -75,7 +75,7 @@
     """
     if not asked.call.unrepeatable:
         return _build_answer(_run(runtime, asked))
-    stored = wait(runtime, claiming.claim(runtime, asked.call), has_left=_never)
+    stored = wait(runtime, claims.claim(runtime, asked.call), has_left=_never)
     if stored is None:
         return _run_claimed(runtime, asked)
     return answers.build_success(
@@ -86,10 +86,10 @@
 def _run_claimed(runtime: Runtime, asked: ServiceCall) -> answers.Answer:
     with settling(runtime, asked.call):
         reply = _run(runtime, asked)
-    stored = claiming.StoredAnswer(
+    stored = claims.StoredAnswer(
         status=reply.status, content_type=_find_type(reply), body=reply.body
     )
-    settled = claiming.settle(runtime, asked.call, ClaimState.ANSWERED, stored)
+    settled = claims.settle(runtime, asked.call, ClaimState.ANSWERED, stored)
     wait(runtime, settled, has_left=_never)
     return _build_answer(reply)
 
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -18,7 +18,7 @@
 from arbutuspulley.delivery.request import RequestState
 from arbutuspulley.delivery.suspects import SuspectState
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.controllers import Controller
+from arbutuspulley.entry.controller_client import Controller
 from arbutuspulley.entry.index import EMPTY_INDEX, SiteIndex
 from arbutuspulley.entry.metrics import Metrics
 from arbutuspulley.loop import LoopThread
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -13,8 +13,8 @@
 from arbutuspulley.delivery import suspects
 from arbutuspulley.delivery.suspects import Judgement
 from arbutuspulley.entry.background import keep
-from arbutuspulley.entry.choosing import choose_for_trial
 from arbutuspulley.entry.deaths import call_controller, record_all, release_server
+from arbutuspulley.entry.server_choice import choose_for_trial
 from arbutuspulley.entry.state import (
     REQUEST_LIFE_MS,
     Holder,
--- a/src/arbutuspulley/programs/entry.py
+++ b/src/arbutuspulley/programs/entry.py
@@ -12,14 +12,14 @@
 
 from arbutuspulley.adapters.engines import connect_engines
 from arbutuspulley.clock import SECOND_MS, Clock
+from arbutuspulley.entry.admission_queue import tick_regularly
 from arbutuspulley.entry.background import keep_working
-from arbutuspulley.entry.controllers import connect_controller
+from arbutuspulley.entry.controller_client import connect_controller
+from arbutuspulley.entry.controller_sync import report_regularly, watch_controller
 from arbutuspulley.entry.draining import drain
 from arbutuspulley.entry.metrics import build_metrics
 from arbutuspulley.entry.server import SPARE_THREADS, build_server
 from arbutuspulley.entry.state import EntryState, Runtime, Settings
-from arbutuspulley.entry.turns import tick_regularly
-from arbutuspulley.entry.views import report_regularly, watch_controller
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.loop import LoopThread
 from arbutuspulley.rpc.channel import Client
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -17,12 +17,12 @@
 from arbutuspulley.configuration import schema
 from arbutuspulley.configuration.lookup import hash_key
 from arbutuspulley.delivery import claims, trials
-from arbutuspulley.entry.controllers import Controller
+from arbutuspulley.entry.admission_queue import tick_regularly
+from arbutuspulley.entry.controller_client import Controller
+from arbutuspulley.entry.controller_sync import describe_entry, take_view
 from arbutuspulley.entry.metrics import build_metrics
 from arbutuspulley.entry.server import build_server
 from arbutuspulley.entry.state import EntryState, Runtime, Settings
-from arbutuspulley.entry.turns import tick_regularly
-from arbutuspulley.entry.views import describe_entry, take_view
 from arbutuspulley.loop import LoopThread
 from arbutuspulley.ports.engines import NotSentError
 from arbutuspulley.rpc.channel import PeerUnavailableError
--- a/tests/test_entry_views.py
+++ b/tests/test_entry_controller_sync.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.configuration.schema import EMPTY
-from arbutuspulley.entry import background, views
+from arbutuspulley.entry import background, controller_sync
 from arbutuspulley.entry.state import Demand
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import ServerSummary, Suspicion, View
@@ -52,20 +52,20 @@
 
     Taken at its word, models and callers' keys would vanish until it has caught up.
     """
-    views.take_view(runtime, build_view(1, version=2), now=0)
-    views.take_view(runtime, second, now=1)
+    controller_sync.take_view(runtime, build_view(1, version=2), now=0)
+    controller_sync.take_view(runtime, second, now=1)
     state = runtime.state
-    assert (state.index.version, views.is_ready(state)) == (version, True)
+    assert (state.index.version, controller_sync.is_ready(state)) == (version, True)
     assert sorted(state.summaries) == servers
     assert state.view.configuration.version == version
 
 
 def test_is_ready_only_with_a_configuration_that_knows_the_site(runtime):
     for view in (build_view(version=0), build_view(ready=False)):
-        views.take_view(runtime, view, now=0)
-        assert not views.is_ready(runtime.state)
-    views.take_view(runtime, build_view(), now=0)
-    assert views.is_ready(runtime.state)
+        controller_sync.take_view(runtime, view, now=0)
+        assert not controller_sync.is_ready(runtime.state)
+    controller_sync.take_view(runtime, build_view(), now=0)
+    assert controller_sync.is_ready(runtime.state)
 
 
 def test_servers_stay_while_a_new_controller_has_not_heard_of_them(runtime):
@@ -73,20 +73,26 @@
 
     An entry that believed it would refuse all requests for some seconds.
     """
-    views.take_view(runtime, build_view(), now=0)
+    controller_sync.take_view(runtime, build_view(), now=0)
     runtime.state.reconnected_at = 10
-    views.take_view(runtime, build_view(servers=()), now=10)
+    controller_sync.take_view(runtime, build_view(servers=()), now=10)
     assert list(runtime.state.summaries) == ["e1"]
-    views.take_view(runtime, build_view(servers=()), now=10 + views.SERVERS_KEPT_MS)
+    controller_sync.take_view(
+        runtime, build_view(servers=()), now=10 + controller_sync.SERVERS_KEPT_MS
+    )
     assert list(runtime.state.summaries) == []
 
 
 def test_a_suspicion_goes_when_the_controller_has_forgotten_it(runtime):
     suspicion = Suspicion(fingerprint="f", deaths=("e1/b1",))
-    views.take_view(runtime, build_view(suspicions=(suspicion,)), now=0)
-    views.take_view(runtime, build_view(2), now=views.SUSPICION_LAG_MS - 1)
+    controller_sync.take_view(runtime, build_view(suspicions=(suspicion,)), now=0)
+    controller_sync.take_view(
+        runtime, build_view(2), now=controller_sync.SUSPICION_LAG_MS - 1
+    )
     assert runtime.state.suspects.suspicions == {"f": suspicion}
-    views.take_view(runtime, build_view(3), now=views.SUSPICION_LAG_MS)
+    controller_sync.take_view(
+        runtime, build_view(3), now=controller_sync.SUSPICION_LAG_MS
+    )
     assert runtime.state.suspects.suspicions == {}
 
 
@@ -98,10 +104,10 @@
     demand = runtime.state.demand
     demand["m@1"] = Demand(requests=2, tokens=30, refused=1)
     controller.down = True
-    assert not asyncio.run(views.send_report(runtime))
+    assert not asyncio.run(controller_sync.send_report(runtime))
     runtime.state.demand["m@1"].requests += 1
     controller.down = False
-    assert asyncio.run(views.send_report(runtime))
+    assert asyncio.run(controller_sync.send_report(runtime))
     (report,) = controller.reports
     (item,) = report.demand
     assert (item.requests, item.tokens, item.refused) == (3, 30, 1)
@@ -129,7 +135,7 @@
 
     async def pause(seconds):
         pauses.append(seconds)
-        assert views.is_ready(runtime.state)
+        assert controller_sync.is_ready(runtime.state)
 
     port = type(controller.port)(
         **{name: getattr(controller.port, name) for name in ("report", "claim")},
@@ -141,7 +147,7 @@
     runtime = build_runtime(port, clock=Clock(read=lambda: 0))
     monkeypatch.setattr(asyncio, "sleep", pause)
     with pytest.raises(EndOfTestError):
-        asyncio.run(views.watch_controller(runtime))
+        asyncio.run(controller_sync.watch_controller(runtime))
     assert (runtime.state.index.version, runtime.state.reconnected_at) == (2, 0)
     assert len(set(pauses)) == 4 and max(pauses[:3]) <= 1.6 and pauses[2] > pauses[0]
 
--- a/tests/test_choosing.py
+++ b/tests/test_entry_server_choice.py
@@ -5,10 +5,10 @@
 import pytest
 
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.choosing import choose_for_trial, choose_server
+from arbutuspulley.entry.controller_sync import take_view
 from arbutuspulley.entry.dispatch import build_ongoing
 from arbutuspulley.entry.index import Identity
-from arbutuspulley.entry.views import take_view
+from arbutuspulley.entry.server_choice import choose_for_trial, choose_server
 from arbutuspulley.routing.choice import begin_attempt, record_failure
 from arbutuspulley.rpc.messages import ServerSummary, View
 from tests.entries import FakeController, build_chat, build_configuration, build_runtime
