--- a/src/arbutuspulley/entry/background.py
+++ b/src/arbutuspulley/entry/background.py
@@ -22,7 +22,7 @@
     task.add_done_callback(_KEPT.discard)
 
 
-async def keep_working(
+async def run_with_restarts(
     work: Callable[[Runtime], Awaitable[NoReturn]], runtime: Runtime
 ) -> NoReturn:
     """Begin a piece of work again whenever it ends by a fault.
--- a/src/arbutuspulley/entry/controller_client.py
+++ b/src/arbutuspulley/entry/controller_client.py
@@ -26,7 +26,7 @@
 """Longest wait for the reply to a report."""
 
 
-class Controller(Value, frozen=True):
+class ControllerClient(Value, frozen=True):
     """Verbs towards the controller; awaited on the loop.
 
     Each raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
@@ -40,7 +40,7 @@
     clear_suspicion: Callable[[ClearanceReport], Awaitable[object]]
 
 
-def connect_controller(client: channel.Client) -> Controller:
+def connect_controller(client: channel.Client) -> ControllerClient:
     """Return the verbs over a connection."""
 
     async def claim(request: ClaimRequest) -> ClaimReply:
@@ -53,7 +53,7 @@
         )
         return cast(SuspicionsReply, reply)
 
-    return Controller(
+    return ControllerClient(
         watch=lambda request: cast(
             AsyncIterator[View], client.stream(channel.WATCH, request)
         ),
--- a/src/arbutuspulley/entry/controller_sync.py
+++ b/src/arbutuspulley/entry/controller_sync.py
@@ -53,7 +53,7 @@
                     log_event(Event.PEER_UP, peer="controller")
                     runtime.state.reconnected_at = now
                 failures = 0
-                take_view(runtime, view, now=now)
+                update_view(runtime, view, now=now)
         except PeerUnavailableError as error:
             if not failures:
                 log_event(
@@ -119,12 +119,12 @@
         site=settings.site,
         address=settings.address,
         draining=state.draining,
-        load=round(state.in_flight / settings.most_in_flight, 3),
+        load=round(state.in_flight / settings.max_in_flight, 3),
         boot_id=settings.boot_id,
     )
 
 
-def take_view(runtime: Runtime, view: View, *, now: int) -> None:
+def update_view(runtime: Runtime, view: View, *, now: int) -> None:
     """Take up a view.
 
     A controller that has just been replaced knows nothing yet, or an older
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -214,7 +214,7 @@
     identity = identify(state.index, authorization)
     if state.refusing:
         raise build_refusal(runtime)
-    if state.in_flight > runtime.settings.most_in_flight:
+    if state.in_flight > runtime.settings.max_in_flight:
         # Each call keeps a worker thread. Some are left over, so that a refusal,
         # an address and a health check are still answered at once.
         raise build_failure(
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -18,7 +18,7 @@
 from arbutuspulley.delivery.request import RequestState
 from arbutuspulley.delivery.suspects import SuspectState
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.controller_client import Controller
+from arbutuspulley.entry.controller_client import ControllerClient
 from arbutuspulley.entry.index import EMPTY_INDEX, SiteIndex
 from arbutuspulley.entry.metrics import Metrics
 from arbutuspulley.loop import LoopThread
@@ -44,7 +44,7 @@
     address: str
     boot_id: str
     max_body_bytes: int = 1024 * 1024
-    most_in_flight: int = 90
+    max_in_flight: int = 90
 
 
 class Attempt(Value, frozen=True):
@@ -164,6 +164,6 @@
     loop: LoopThread
     clock: Clock
     engines: Engines
-    controller: Controller
+    controller: ControllerClient
     metrics: Metrics
     chance: random.Random
--- a/src/arbutuspulley/programs/entry.py
+++ b/src/arbutuspulley/programs/entry.py
@@ -13,7 +13,7 @@
 from arbutuspulley.adapters.engines import connect_engines
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.entry.admission_queue import tick_regularly
-from arbutuspulley.entry.background import keep_working
+from arbutuspulley.entry.background import run_with_restarts
 from arbutuspulley.entry.controller_client import connect_controller
 from arbutuspulley.entry.controller_sync import report_regularly, watch_controller
 from arbutuspulley.entry.draining import drain
@@ -91,7 +91,7 @@
         address=advertise or listen,
         boot_id=uuid.uuid4().hex,
         max_body_bytes=max_body_bytes,
-        most_in_flight=threads - SPARE_THREADS,
+        max_in_flight=threads - SPARE_THREADS,
     )
     host, port = split_address(listen)
     _serve(settings, controller, peer_key, host=host, port=port, threads=threads)
@@ -124,7 +124,7 @@
     client = loop.wait_for(_connect(controller, peer_key))
     runtime = build_runtime(settings, loop=loop, client=client, threads=threads)
     for work in (watch_controller, report_regularly, tick_regularly):
-        loop.spawn(keep_working(work, runtime))
+        loop.spawn(run_with_restarts(work, runtime))
     server = build_server(runtime=runtime, host=host, port=port, threads=threads)
     server.start()
     log_event(Event.STARTED, program=PROGRAM, instance=settings.instance)
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -18,8 +18,8 @@
 from arbutuspulley.configuration.lookup import hash_key
 from arbutuspulley.delivery import claims, trials
 from arbutuspulley.entry.admission_queue import tick_regularly
-from arbutuspulley.entry.controller_client import Controller
-from arbutuspulley.entry.controller_sync import describe_entry, take_view
+from arbutuspulley.entry.controller_client import ControllerClient
+from arbutuspulley.entry.controller_sync import describe_entry, update_view
 from arbutuspulley.entry.metrics import build_metrics
 from arbutuspulley.entry.server import build_server
 from arbutuspulley.entry.state import EntryState, Runtime, Settings
@@ -51,7 +51,7 @@
         self.after_death = None
         self.reports = []
         self.settled = []
-        self.port = Controller(
+        self.port = ControllerClient(
             watch=None,
             report=self._report,
             claim=self._claim,
@@ -193,7 +193,7 @@
         for entry in entries or self.entries:
             take = entry.runtime
             take.loop.call(
-                lambda taking=take: take_view(taking, view, now=taking.clock.now())
+                lambda taking=take: update_view(taking, view, now=taking.clock.now())
             )
 
     def list_servers(self, *names):
--- a/tests/test_entry_controller_sync.py
+++ b/tests/test_entry_controller_sync.py
@@ -52,8 +52,8 @@
 
     Taken at its word, models and callers' keys would vanish until it has caught up.
     """
-    controller_sync.take_view(runtime, build_view(1, version=2), now=0)
-    controller_sync.take_view(runtime, second, now=1)
+    controller_sync.update_view(runtime, build_view(1, version=2), now=0)
+    controller_sync.update_view(runtime, second, now=1)
     state = runtime.state
     assert (state.index.version, controller_sync.is_ready(state)) == (version, True)
     assert sorted(state.summaries) == servers
@@ -62,9 +62,9 @@
 
 def test_is_ready_only_with_a_configuration_that_knows_the_site(runtime):
     for view in (build_view(version=0), build_view(ready=False)):
-        controller_sync.take_view(runtime, view, now=0)
+        controller_sync.update_view(runtime, view, now=0)
         assert not controller_sync.is_ready(runtime.state)
-    controller_sync.take_view(runtime, build_view(), now=0)
+    controller_sync.update_view(runtime, build_view(), now=0)
     assert controller_sync.is_ready(runtime.state)
 
 
@@ -73,11 +73,11 @@
 
     An entry that believed it would refuse all requests for some seconds.
     """
-    controller_sync.take_view(runtime, build_view(), now=0)
+    controller_sync.update_view(runtime, build_view(), now=0)
     runtime.state.reconnected_at = 10
-    controller_sync.take_view(runtime, build_view(servers=()), now=10)
+    controller_sync.update_view(runtime, build_view(servers=()), now=10)
     assert list(runtime.state.summaries) == ["e1"]
-    controller_sync.take_view(
+    controller_sync.update_view(
         runtime, build_view(servers=()), now=10 + controller_sync.SERVERS_KEPT_MS
     )
     assert list(runtime.state.summaries) == []
@@ -85,12 +85,12 @@
 
 def test_a_suspicion_goes_when_the_controller_has_forgotten_it(runtime):
     suspicion = Suspicion(fingerprint="f", deaths=("e1/b1",))
-    controller_sync.take_view(runtime, build_view(suspicions=(suspicion,)), now=0)
-    controller_sync.take_view(
+    controller_sync.update_view(runtime, build_view(suspicions=(suspicion,)), now=0)
+    controller_sync.update_view(
         runtime, build_view(2), now=controller_sync.SUSPICION_LAG_MS - 1
     )
     assert runtime.state.suspects.suspicions == {"f": suspicion}
-    controller_sync.take_view(
+    controller_sync.update_view(
         runtime, build_view(3), now=controller_sync.SUSPICION_LAG_MS
     )
     assert runtime.state.suspects.suspicions == {}
@@ -164,5 +164,5 @@
 
     monkeypatch.setattr(background, "RESTART_MS", 0)
     with pytest.raises(EndOfTestError):
-        asyncio.run(background.keep_working(work, runtime))
+        asyncio.run(background.run_with_restarts(work, runtime))
     assert len(begun) == 3
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -313,7 +313,7 @@
 def test_a_full_entry_refuses_at_once():
     """Each call keeps a worker thread; when all are taken nobody would be answered."""
     with run_bench(token_ms=20) as bench:
-        entry = bench.add_entry(most_in_flight=1)
+        entry = bench.add_entry(max_in_flight=1)
         bench.spread()
         asking = threading.Thread(target=lambda: entry.ask(build_chat(tokens=100)))
         asking.start()
--- a/tests/test_entry_server_choice.py
+++ b/tests/test_entry_server_choice.py
@@ -5,7 +5,7 @@
 import pytest
 
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.controller_sync import take_view
+from arbutuspulley.entry.controller_sync import update_view
 from arbutuspulley.entry.dispatch import build_ongoing
 from arbutuspulley.entry.index import Identity
 from arbutuspulley.entry.server_choice import choose_for_trial, choose_server
@@ -32,7 +32,7 @@
         configuration=build_configuration(),
         servers=tuple(servers),
     )
-    take_view(runtime, view, now=runtime.clock.now())
+    update_view(runtime, view, now=runtime.clock.now())
     return runtime
 
 
