--- a/src/arbutuspulley/entry/accounting.py
+++ b/src/arbutuspulley/entry/accounting.py
@@ -2,14 +2,14 @@
 
 from arbutuspulley.admission import cost, queue, retry_budget
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.delivery import request as life
+from arbutuspulley.delivery import request as lifecycle
 from arbutuspulley.entry import admission_queue
-from arbutuspulley.entry.state import Attempt, Demand, Ongoing, Runtime
+from arbutuspulley.entry.state import Attempt, Demand, OngoingRequest, Runtime
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError
 from arbutuspulley.routing import choice
 
-_LACKING = frozenset(
+_CAPACITY_CODES = frozenset(
     {
         Code.MODEL_NOT_LOADED,
         Code.OVERLOADED,
@@ -19,22 +19,24 @@
 )
 
 
-def count_demand(runtime: Runtime, ongoing: Ongoing) -> None:
+def record_demand(runtime: Runtime, ongoing: OngoingRequest) -> None:
     """Count a request that asks for an item."""
     demand = runtime.state.demand.setdefault(ongoing.item.key, Demand())
     demand.requests += 1
     demand.tokens += ongoing.cost
 
 
-def count_refusal(runtime: Runtime, ongoing: Ongoing, error: RequestError) -> None:
+def record_refusal(
+    runtime: Runtime, ongoing: OngoingRequest, error: RequestError
+) -> None:
     """Count a request that was refused for lack of a copy or of room."""
-    if error.code not in _LACKING:
+    if error.code not in _CAPACITY_CODES:
         return
     demand = runtime.state.demand.setdefault(ongoing.item.key, Demand())
     demand.refused += 1
 
 
-def begin_attempt(runtime: Runtime, ongoing: Ongoing, attempt: Attempt) -> None:
+def begin_attempt(runtime: Runtime, ongoing: OngoingRequest, attempt: Attempt) -> None:
     """Count an attempt at the server that was chosen for it."""
     state, now = runtime.state, runtime.clock.now()
     server, request_id = attempt.server, ongoing.call.request_id
@@ -47,7 +49,7 @@
         log_event(Event.STREAM_RESUMED, request=request_id, offset=offset)
 
 
-def note_first_event(runtime: Runtime, request_id: str) -> None:
+def record_first_event(runtime: Runtime, request_id: str) -> None:
     """Take note that the first event of an answer has come."""
     ongoing = runtime.state.ongoing.get(request_id)
     if ongoing is None or ongoing.attempt is None:
@@ -62,15 +64,18 @@
 
 def end_attempt(
     runtime: Runtime,
-    ongoing: Ongoing,
+    ongoing: OngoingRequest,
     attempt: Attempt,
-    event: life.Event,
+    event: lifecycle.Event,
     *,
     died: bool,
 ) -> None:
     """Take what the end of an attempt tells of its server."""
     state, now = runtime.state, runtime.clock.now()
-    succeeded, outcome = isinstance(event, life.Ended), type(event).__name__.lower()
+    succeeded, outcome = (
+        isinstance(event, lifecycle.Ended),
+        type(event).__name__.lower(),
+    )
     ongoing.attempt = None
     choice.end_attempt(
         state.routing, attempt.server, ongoing.cost, now=now, succeeded=succeeded
@@ -84,15 +89,15 @@
             outcome=outcome,
             died=died,
         )
-    if isinstance(event, life.Refused) and event.leaving:
+    if isinstance(event, lifecycle.Refused) and event.leaving:
         choice.record_leaving(state.routing, attempt.server, now)
-    elif isinstance(event, life.NotSent | life.Broken) or died:
+    elif isinstance(event, lifecycle.NotSent | lifecycle.Broken) or died:
         choice.record_failure(state.routing, attempt.server, now)
-    if isinstance(event, life.Broken) and not died:
-        ongoing.alive |= {attempt.server}
+    if isinstance(event, lifecycle.Broken) and not died:
+        ongoing.alive_servers |= {attempt.server}
 
 
-def settle(runtime: Runtime, ongoing: Ongoing) -> None:
+def finish_admission(runtime: Runtime, ongoing: OngoingRequest) -> None:
     """Give back what a request that is over held, and charge what it used."""
     request, now = ongoing.request, runtime.clock.now()
     produced = request.offset - ongoing.call.offset
@@ -109,10 +114,12 @@
     admission_queue.apply_effects(runtime, effects)
 
 
-def learn(runtime: Runtime, ongoing: Ongoing) -> None:
+def record_success(runtime: Runtime, ongoing: OngoingRequest) -> None:
     """Learn from a whole answer."""
     request = ongoing.request
-    retry_budget.record_success(runtime.state.budget, retried=request.attempts > 1)
+    retry_budget.record_success(
+        runtime.state.retry_budget, retried=request.attempts > 1
+    )
     if not ongoing.call.offset:
         cost.record_output_length(
             runtime.state.costs, item=ongoing.item.key, tokens=request.offset
--- a/src/arbutuspulley/entry/admission_queue.py
+++ b/src/arbutuspulley/entry/admission_queue.py
@@ -7,33 +7,33 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.delivery.request import Admitted, Barred, Event
 from arbutuspulley.entry.index import find_target
-from arbutuspulley.entry.state import Ongoing, Runtime
+from arbutuspulley.entry.state import OngoingRequest, Runtime
 
-SUMMARY_PATIENCE_MS = 60 * SECOND_MS
+NON_LIVE_FIRST_TOKEN_TIMEOUT_MS = 60 * SECOND_MS
 """How long a request of a caller that is not live may wait for its first token."""
 
 IDLE_TICK_MS = 500
 """How often admission is ticked while nothing waits."""
 
 
-async def wait_for_turn(runtime: Runtime, ongoing: Ongoing) -> Event:
+async def wait_for_admission(runtime: Runtime, ongoing: OngoingRequest) -> Event:
     """Queue a request.
 
     :return: ``Admitted``, or ``Barred`` if it was refused.
     """
     state, now = runtime.state, runtime.clock.now()
-    ongoing.turn = asyncio.get_running_loop().create_future()
+    ongoing.admission_decision = asyncio.get_running_loop().create_future()
     ticket = _build_ticket(ongoing)
     effects = queue.submit(state.admission, ticket, now=now)
     apply_effects(runtime, effects)
     try:
-        return await ongoing.turn
+        return await ongoing.admission_decision
     except asyncio.CancelledError:
         leave_queue(runtime, ongoing)
         raise
 
 
-def leave_queue(runtime: Runtime, ongoing: Ongoing) -> None:
+def leave_queue(runtime: Runtime, ongoing: OngoingRequest) -> None:
     """Forget a request that was not run, waiting or admitted."""
     effects = queue.cancel(
         runtime.state.admission, ongoing.call.request_id, now=runtime.clock.now()
@@ -45,12 +45,16 @@
     """Wake the requests that admission has decided on."""
     for effect in effects:
         ongoing = runtime.state.ongoing.get(effect.request_id)
-        if ongoing is None or ongoing.turn is None or ongoing.turn.done():
+        if (
+            ongoing is None
+            or ongoing.admission_decision is None
+            or ongoing.admission_decision.done()
+        ):
             continue
         if isinstance(effect, queue.Admit):
-            ongoing.turn.set_result(Admitted())
+            ongoing.admission_decision.set_result(Admitted())
         else:
-            ongoing.turn.set_result(_build_refusal(effect))
+            ongoing.admission_decision.set_result(_build_refusal(effect))
 
 
 async def tick_regularly(runtime: Runtime) -> NoReturn:
@@ -62,18 +66,20 @@
         apply_effects(runtime, queue.tick(admission, now=runtime.clock.now()))
 
 
-def _build_ticket(ongoing: Ongoing) -> queue.Ticket:
+def _build_ticket(ongoing: OngoingRequest) -> queue.Ticket:
     call = ongoing.call
     caller = call.identity.caller
     target = find_target(call.index, call.model)
-    patience_ms = target.first_token_ms if caller.live else SUMMARY_PATIENCE_MS
+    first_token_timeout_ms = (
+        target.first_token_ms if caller.live else NON_LIVE_FIRST_TOKEN_TIMEOUT_MS
+    )
     return queue.Ticket(
         request_id=call.request_id,
         caller=call.identity.name,
         item=ongoing.item.key,
         cost=ongoing.cost,
         arrived_at=call.arrived_at,
-        deadline=call.arrived_at + patience_ms,
+        deadline=call.arrived_at + first_token_timeout_ms,
         weight=caller.weight,
         live=caller.live,
     )
--- a/src/arbutuspulley/entry/answers.py
+++ b/src/arbutuspulley/entry/answers.py
@@ -10,19 +10,19 @@
 from arbutuspulley.results import Code, RequestError, RunState
 
 JSON_TYPE = "application/json"
-EVENTS_TYPE = "text/event-stream; charset=utf-8"
+EVENT_STREAM_TYPE = "text/event-stream; charset=utf-8"
 
-LIBRARY_PATIENCE_MS = 60 * SECOND_MS
+MAX_CLIENT_RETRY_AFTER_MS = 60 * SECOND_MS
 """Longest time told that ordinary client libraries wait for."""
 
 END_EVENT = b"data: [DONE]\n\n"
 """What a whole stream ends with; a stream without it is not complete."""
 
-REQUEST_ID = "X-Arbutus-Request-Id"
-RUN_STATE = "X-Arbutus-Run-State"
-RESULT_CODE = "X-Arbutus-Code"
+REQUEST_ID_HEADER = "X-Arbutus-Request-Id"
+RUN_STATE_HEADER = "X-Arbutus-Run-State"
+RESULT_CODE_HEADER = "X-Arbutus-Code"
 
-_TYPES = {
+_ERROR_TYPES = {
     401: "authentication_error",
     403: "permission_error",
     404: "not_found_error",
@@ -32,7 +32,7 @@
 _REPLACED_KEYS = frozenset({"id", "index", "name", "role", "type"})
 
 
-class Ending(State):
+class Outcome(State):
     """How an answer ended; a stream's is known only at its end."""
 
     code: Code = Code.OK
@@ -48,7 +48,7 @@
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes | Generator[bytes, None, None]
-    ending: Ending
+    outcome: Outcome
 
 
 class ErrorDetail(Message, frozen=True, omit_defaults=False):
@@ -86,7 +86,7 @@
     default = "invalid_request_error" if error.status < 500 else "server_error"
     detail = ErrorDetail(
         message=error.detail,
-        type=_TYPES.get(error.status, default),
+        type=_ERROR_TYPES.get(error.status, default),
         code=error.code.name.lower(),
         arbutus_code=error.code.value,
         run_state=error.run_state,
@@ -100,13 +100,13 @@
     """Return the whole answer for an error."""
     headers = [
         ("Content-Type", JSON_TYPE),
-        (RUN_STATE, error.run_state.value),
-        (RESULT_CODE, str(error.code.value)),
+        (RUN_STATE_HEADER, error.run_state.value),
+        (RESULT_CODE_HEADER, str(error.code.value)),
     ]
     if error.retry_after_ms is not None:
         seconds = -(-error.retry_after_ms // SECOND_MS)
         headers.append(("Retry-After", str(max(1, seconds))))
-    if error.retry_after_ms is None or error.retry_after_ms > LIBRARY_PATIENCE_MS:
+    if error.retry_after_ms is None or error.retry_after_ms > MAX_CLIENT_RETRY_AFTER_MS:
         # Client libraries repeat some statuses on their own account, at once if the
         # time told is longer than they care to wait.
         headers.append(("X-Should-Retry", "false"))
@@ -114,7 +114,7 @@
         status=error.status,
         headers=tuple(headers),
         body=build_error_body(error),
-        ending=Ending(code=error.code, run_state=error.run_state),
+        outcome=Outcome(code=error.code, run_state=error.run_state),
     )
 
 
@@ -125,22 +125,22 @@
     status: int = 200,
     run_state: RunState = RunState.RUN,
     headers: Iterable[tuple[str, str]] = (),
-    ending: Ending | None = None,
+    outcome: Outcome | None = None,
 ) -> Answer:
     """Return an answer that is no error of ours.
 
-    :param ending: told of the end of a stream.
+    :param outcome: told of the end of a stream.
     """
     return Answer(
         status=status,
         headers=(
             ("Content-Type", content_type),
-            (RUN_STATE, run_state.value),
-            (RESULT_CODE, str(Code.OK.value)),
+            (RUN_STATE_HEADER, run_state.value),
+            (RESULT_CODE_HEADER, str(Code.OK.value)),
             *headers,
         ),
         body=body,
-        ending=ending or Ending(run_state=run_state),
+        outcome=outcome or Outcome(run_state=run_state),
     )
 
 
@@ -169,50 +169,52 @@
     """
     event = msgspec.json.decode(data, type=dict[str, Any])
     for choice in event.pop("choices", ()):
-        known = assembly.choices.setdefault(choice.get("index", 0), {})
+        merged = assembly.choices.setdefault(choice.get("index", 0), {})
         message = choice.pop("delta", None)
         if message is not None:
             choice["message"] = message
-        _merge(known, choice)
+        _merge(merged, choice)
     assembly.fields.update(
         (key, value) for key, value in event.items() if value is not None
     )
 
 
-def build_plain(assembly: Assembly) -> bytes:
+def build_plain_body(assembly: Assembly) -> bytes:
     """Return the answer as if it had never been streamed."""
     fields = dict(assembly.fields)
-    kind = str(fields.get("object", "")).removesuffix(".chunk")
+    object_type = str(fields.get("object", "")).removesuffix(".chunk")
     choices = [assembly.choices[index] for index in sorted(assembly.choices)]
-    return msgspec.json.encode({**fields, "object": kind, "choices": choices})
+    return msgspec.json.encode({**fields, "object": object_type, "choices": choices})
 
 
-def _merge(known: dict[str, Any], new: dict[str, Any]) -> None:
+def _merge(merged: dict[str, Any], added: dict[str, Any]) -> None:
     """Add the parts that an event brings to those that came before."""
-    for key, value in new.items():
-        before = known.get(key)
-        if before is None or key in _REPLACED_KEYS:
-            known[key] = value if value is not None else before
-        elif isinstance(before, str) and isinstance(value, str):
-            known[key] = before + value if key != "finish_reason" else value
-        elif isinstance(before, dict) and isinstance(value, dict):
-            _merge(before, value)
-        elif isinstance(before, list) and isinstance(value, list):
-            _merge_lists(before, value)
+    for key, value in added.items():
+        previous = merged.get(key)
+        if previous is None or key in _REPLACED_KEYS:
+            merged[key] = value if value is not None else previous
+        elif isinstance(previous, str) and isinstance(value, str):
+            merged[key] = previous + value if key != "finish_reason" else value
+        elif isinstance(previous, dict) and isinstance(value, dict):
+            _merge(previous, value)
+        elif isinstance(previous, list) and isinstance(value, list):
+            _merge_lists(previous, value)
         elif value is not None:
-            known[key] = value
+            merged[key] = value
 
 
-def _merge_lists(known: list[Any], new: list[Any]) -> None:
+def _merge_lists(merged: list[Any], added: list[Any]) -> None:
     """Add list items; those with an index, as tool calls have, are merged by it."""
-    for item in new:
+    for item in added:
         index = item.get("index") if isinstance(item, dict) else None
-        same = [
-            one
-            for one in known
-            if index is not None and isinstance(one, dict) and one.get("index") == index
+        matches = [
+            existing
+            for existing in merged
+            if index is not None
+            and isinstance(existing, dict)
+            and existing.get("index") == index
         ]
-        if same:
-            _merge(same[0], item)
+        if matches:
+            _merge(matches[0], item)
         else:
-            known.append(item)
+            merged.append(item)
--- a/src/arbutuspulley/entry/background.py
+++ b/src/arbutuspulley/entry/background.py
@@ -9,17 +9,17 @@
 from arbutuspulley.entry.state import Runtime
 from arbutuspulley.events import Event, log_event
 
-RESTART_MS = SECOND_MS
+RESTART_DELAY_MS = SECOND_MS
 """Pause after work that ended by a fault."""
 
 
-_KEPT: set[asyncio.Future] = set()
+_PENDING_TASKS: set[asyncio.Future] = set()
 
 
-def keep(task: asyncio.Future) -> None:
+def keep_reference(task: asyncio.Future) -> None:
     """Keep a task from being collected before it has ended."""
-    _KEPT.add(task)
-    task.add_done_callback(_KEPT.discard)
+    _PENDING_TASKS.add(task)
+    task.add_done_callback(_PENDING_TASKS.discard)
 
 
 async def run_with_restarts(
@@ -40,4 +40,4 @@
                 work=getattr(work, "__name__", ""),
                 error=repr(error),
             )
-        await asyncio.sleep(RESTART_MS / SECOND_MS)
+        await asyncio.sleep(RESTART_DELAY_MS / SECOND_MS)
--- a/src/arbutuspulley/entry/calls.py
+++ b/src/arbutuspulley/entry/calls.py
@@ -36,7 +36,7 @@
     :param model: name of the model or adapter; empty for a plain service.
     :param streamed: whether the caller wants the answer as events.
     :param offset: index of the first event wanted.
-    :param bearing: ``traceparent`` to send with the next hop.
+    :param traceparent: ``traceparent`` to send with the next hop.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
     model: str = ""
     streamed: bool = False
     offset: int = 0
-    bearing: str = ""
+    traceparent: str = ""
 
 
 class _StreamOptions(Message, frozen=True):
@@ -70,10 +70,10 @@
     max_completion_tokens: int | None = None
 
 
-_BODY = msgspec.json.Decoder(_Body)
-_FIELDS = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_BODY_DECODER = msgspec.json.Decoder(_Body)
+_FIELDS_DECODER = msgspec.json.Decoder(dict[str, msgspec.Raw])
 _TRUE = msgspec.Raw(b"true")
-_WITH_USAGE = msgspec.Raw(b'{"include_usage":true}')
+_INCLUDE_USAGE = msgspec.Raw(b'{"include_usage":true}')
 
 
 def build_request_id() -> str:
@@ -89,7 +89,7 @@
     path: str,
     body: bytes,
     headers: Mapping[str, str],
-    bearing: str,
+    traceparent: str,
     now: int,
 ) -> Call:
     """Check a request to a model.
@@ -104,18 +104,18 @@
         index=index,
         identity=identity,
         path=path,
-        body=body if streamed else _ask_for_events(body),
+        body=body if streamed else _enable_streaming(body),
         arrived_at=now,
-        key=read_key(headers),
+        key=read_idempotency_key(headers),
         unrepeatable=is_unrepeatable(headers),
         model=parsed.model,
         streamed=streamed,
         offset=_read_offset(headers) if streamed else 0,
-        bearing=bearing,
+        traceparent=traceparent,
     )
 
 
-def read_key(headers: Mapping[str, str]) -> str:
+def read_idempotency_key(headers: Mapping[str, str]) -> str:
     """Return the idempotency key.
 
     :raises RequestError: ``KEY_REQUIRED`` if an unrepeatable request has none,
@@ -146,7 +146,7 @@
 
 def _parse_body(body: bytes, path: str) -> _Body:
     try:
-        parsed = _BODY.decode(body)
+        parsed = _BODY_DECODER.decode(body)
     except msgspec.ValidationError as error:
         raise build_failure(Code.BAD_PARAMETER, str(error)) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -165,20 +165,20 @@
         "max_tokens": (parsed.max_tokens, MAX_TOKENS),
         "max_completion_tokens": (parsed.max_completion_tokens, MAX_TOKENS),
     }
-    for name, (value, most) in bounds.items():
-        if value is not None and not 1 <= value <= most:
-            detail = f"{name} is not between 1 and {most}"
+    for name, (value, maximum) in bounds.items():
+        if value is not None and not 1 <= value <= maximum:
+            detail = f"{name} is not between 1 and {maximum}"
             raise build_failure(Code.BAD_PARAMETER, detail)
 
 
-def _ask_for_events(body: bytes) -> bytes:
+def _enable_streaming(body: bytes) -> bytes:
     """Return the body of a plain request as one for a stream.
 
     Engines always stream to the entry: only events with offsets can be resumed.
     """
-    fields = _FIELDS.decode(body)
+    fields = _FIELDS_DECODER.decode(body)
     fields["stream"] = _TRUE
-    fields["stream_options"] = _WITH_USAGE
+    fields["stream_options"] = _INCLUDE_USAGE
     return msgspec.json.encode(fields)
 
 
--- a/src/arbutuspulley/entry/claims.py
+++ b/src/arbutuspulley/entry/claims.py
@@ -10,42 +10,42 @@
 from arbutuspulley.data import Value
 from arbutuspulley.delivery.claims import ClaimState
 from arbutuspulley.delivery.failures import build_failure
-from arbutuspulley.entry.background import keep
+from arbutuspulley.entry.background import keep_reference
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.state import REQUEST_LIFE_MS, Runtime
+from arbutuspulley.entry.state import REQUEST_TIMEOUT_MS, Runtime
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError, RunState
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import ClaimReply, ClaimRequest, SettleRequest
 
-CLAIM_TRIES = 2
+MAX_CLAIM_ATTEMPTS = 2
 """A claim whose reply was lost is asked for once more; it keeps its attempt id."""
 
 SETTLE_WAIT_MS = SECOND_MS
 """How long an answer waits for its settlement before it goes out anyway."""
 
-SETTLE_PAUSE_MS = 500
+SETTLE_INITIAL_BACKOFF_MS = 500
 """Pause after the first try to settle; it doubles."""
 
-SETTLE_MOST_PAUSE_MS = 10 * SECOND_MS
+SETTLE_MAX_BACKOFF_MS = 10 * SECOND_MS
 """Longest pause between tries."""
 
-SETTLE_TRIES = 60
+MAX_SETTLE_ATTEMPTS = 60
 """How often a settlement is tried, for about ten minutes of an outage."""
 
-MOST_SETTLEMENTS = 64
+MAX_PENDING_SETTLEMENTS = 64
 """Settlements kept back at once; beyond them an answer is not stored, and a repeat
 of its request is told that the outcome is unknown."""
 
-STORE_RETRY_MS = 2 * SECOND_MS
+STORE_RETRY_AFTER_MS = 2 * SECOND_MS
 """When to come back while claims cannot be made."""
 
-CLAIM_LIFE_MS = REQUEST_LIFE_MS + 30 * SECOND_MS
+MAX_OPEN_CLAIM_MS = REQUEST_TIMEOUT_MS + 30 * SECOND_MS
 """A claim that is seen open for longer than any request lives is unknown."""
 
-_KEPT_MS = 2 * CLAIM_LIFE_MS
+_OPEN_CLAIM_RETENTION_MS = 2 * MAX_OPEN_CLAIM_MS
 
-IN_PROGRESS_RETRY_MS = SECOND_MS
+IN_PROGRESS_RETRY_AFTER_MS = SECOND_MS
 """When to ask again for an answer that is still being made."""
 
 
@@ -63,7 +63,7 @@
     :return: ``None`` if it must be run now, or the answer that it got already.
     :raises RequestError: in all other cases.
     """
-    reply = await _ask(runtime, call)
+    reply = await _request_claim(runtime, call)
     runtime.metrics.claims.labels(reply.state).inc()
     if reply.state == ClaimState.GRANTED:
         return None
@@ -91,11 +91,11 @@
         content_type=answer.content_type if answer else "",
         body=answer.body if answer else b"",
     )
-    if runtime.state.settlements >= MOST_SETTLEMENTS:
+    if runtime.state.pending_settlements >= MAX_PENDING_SETTLEMENTS:
         return
-    runtime.state.settlements += 1
-    task = asyncio.ensure_future(_settle_at_last(runtime, request))
-    keep(task)
+    runtime.state.pending_settlements += 1
+    task = asyncio.ensure_future(_settle_with_retries(runtime, request))
+    keep_reference(task)
     await asyncio.wait({task}, timeout=SETTLE_WAIT_MS / SECOND_MS)
 
 
@@ -107,7 +107,7 @@
 
 
 @contextmanager
-def settling(runtime: Runtime, call: Call) -> Iterator[None]:
+def settle_on_failure(runtime: Runtime, call: Call) -> Iterator[None]:
     """Settle, from a worker, the claim of a request that ends without an answer."""
     try:
         yield
@@ -126,7 +126,7 @@
     return digest.hexdigest()
 
 
-async def _ask(runtime: Runtime, call: Call) -> ClaimReply:
+async def _request_claim(runtime: Runtime, call: Call) -> ClaimReply:
     request = ClaimRequest(
         caller=call.identity.name,
         key=call.key,
@@ -135,7 +135,7 @@
         claimant=runtime.settings.boot_id,
     )
     reply = ClaimReply(state=ClaimState.UNAVAILABLE, uncertain=True)
-    for _ in range(CLAIM_TRIES):
+    for _ in range(MAX_CLAIM_ATTEMPTS):
         try:
             reply = await runtime.controller.claim(request)
             break
@@ -144,7 +144,7 @@
     if reply.uncertain:
         # The row may be there all the same. It is taken back, since the request is
         # certainly not run now; else its key would seem in progress for ever.
-        keep(asyncio.ensure_future(settle(runtime, call, ClaimState.NOT_RUN)))
+        keep_reference(asyncio.ensure_future(settle(runtime, call, ClaimState.NOT_RUN)))
     return reply
 
 
@@ -157,7 +157,7 @@
             Code.IN_PROGRESS,
             "the same request is in progress",
             run_state=RunState.UNKNOWN,
-            retry_after_ms=IN_PROGRESS_RETRY_MS,
+            retry_after_ms=IN_PROGRESS_RETRY_AFTER_MS,
         )
     if reply.state in (ClaimState.IN_PROGRESS, ClaimState.UNKNOWN):
         detail = "the request may have run; its outcome is not known"
@@ -165,7 +165,7 @@
     return build_failure(
         Code.STORE_UNAVAILABLE,
         "the store that keeps unrepeatable requests from running twice is down",
-        retry_after_ms=STORE_RETRY_MS,
+        retry_after_ms=STORE_RETRY_AFTER_MS,
     )
 
 
@@ -177,24 +177,30 @@
     is unknown then, and never run again.
     """
     state, now = runtime.state, runtime.clock.now()
-    name = (call.identity.name, call.key)
-    seen_at = state.open_claims.setdefault(name, now)
-    for old in [one for one, at in state.open_claims.items() if now - at > _KEPT_MS]:
-        del state.open_claims[old]
-    if now - seen_at > CLAIM_LIFE_MS:
+    claim_id = (call.identity.name, call.key)
+    seen_at = state.open_claims.setdefault(claim_id, now)
+    for expired in [
+        claim_id
+        for claim_id, first_seen_at in state.open_claims.items()
+        if now - first_seen_at > _OPEN_CLAIM_RETENTION_MS
+    ]:
+        del state.open_claims[expired]
+    if now - seen_at > MAX_OPEN_CLAIM_MS:
         return False
     entries = state.view.entries if state.view else ()
     alive = {entry.boot_id for entry in entries} | {runtime.settings.boot_id}
     return reply.claimant in alive
 
 
-async def _settle_at_last(runtime: Runtime, request: SettleRequest) -> None:
+async def _settle_with_retries(runtime: Runtime, request: SettleRequest) -> None:
     try:
-        for tried in range(SETTLE_TRIES):
+        for attempt in range(MAX_SETTLE_ATTEMPTS):
             try:
                 await runtime.controller.settle(request)
             except PeerUnavailableError:
-                bound = min(SETTLE_MOST_PAUSE_MS, SETTLE_PAUSE_MS << min(tried, 8))
+                bound = min(
+                    SETTLE_MAX_BACKOFF_MS, SETTLE_INITIAL_BACKOFF_MS << min(attempt, 8)
+                )
                 pause_ms = bound * (0.5 + runtime.chance.random() / 2)
                 await asyncio.sleep(pause_ms / SECOND_MS)
             else:
@@ -207,4 +213,4 @@
             state="given up",
         )
     finally:
-        runtime.state.settlements -= 1
+        runtime.state.pending_settlements -= 1
--- a/src/arbutuspulley/entry/controller_sync.py
+++ b/src/arbutuspulley/entry/controller_sync.py
@@ -11,7 +11,7 @@
 from arbutuspulley.configuration.lookup import list_servers
 from arbutuspulley.delivery import suspects
 from arbutuspulley.entry.admission_queue import apply_effects
-from arbutuspulley.entry.deaths import flush_unrecorded
+from arbutuspulley.entry.deaths import flush_unrecorded_deaths
 from arbutuspulley.entry.index import build_index
 from arbutuspulley.entry.state import EntryState, Runtime
 from arbutuspulley.events import Event, log_event
@@ -25,19 +25,19 @@
     WatchRequest,
 )
 
-REPORT_EVERY_MS = SECOND_MS
+REPORT_INTERVAL_MS = SECOND_MS
 """How often an entry reports demand, usage and load."""
 
-SERVERS_KEPT_MS = 5 * SECOND_MS
+SERVER_RETENTION_MS = 5 * SECOND_MS
 """How long a controller that was just found again may take to hear of all servers."""
 
-SUSPICION_LAG_MS = 10 * SECOND_MS
+SUSPICION_GRACE_MS = 10 * SECOND_MS
 """How long an own suspicion may take to come back in a view."""
 
-RECONNECT_FIRST_MS = 200
+RECONNECT_INITIAL_BACKOFF_MS = 200
 """Longest pause before the first try to reach the controller again; it doubles."""
 
-RECONNECT_MOST_MS = 2 * SECOND_MS
+RECONNECT_MAX_BACKOFF_MS = 2 * SECOND_MS
 """Longest pause between tries."""
 
 
@@ -64,16 +64,18 @@
                 )
         failures += 1
         # Jitter keeps the entries of a site from coming back in step.
-        bound = min(RECONNECT_MOST_MS, RECONNECT_FIRST_MS << min(failures, 8))
+        bound = min(
+            RECONNECT_MAX_BACKOFF_MS, RECONNECT_INITIAL_BACKOFF_MS << min(failures, 8)
+        )
         await asyncio.sleep(bound * (0.5 + runtime.chance.random() / 2) / SECOND_MS)
 
 
 async def report_regularly(runtime: Runtime) -> NoReturn:
     """Tell the controller about every second what callers want and use."""
     while True:
-        await asyncio.sleep(REPORT_EVERY_MS / SECOND_MS)
+        await asyncio.sleep(REPORT_INTERVAL_MS / SECOND_MS)
         if await send_report(runtime):
-            await flush_unrecorded(runtime)
+            await flush_unrecorded_deaths(runtime)
 
 
 async def send_report(runtime: Runtime) -> bool:
@@ -90,23 +92,23 @@
         demand=tuple(
             ItemDemand(
                 item=item,
-                requests=one.requests,
-                tokens=one.tokens,
-                refused=one.refused,
+                requests=item_demand.requests,
+                tokens=item_demand.tokens,
+                refused=item_demand.refused,
             )
-            for item, one in demand.items()
+            for item, item_demand in demand.items()
         ),
         usage=list_usage(state.admission),
     )
     try:
         await runtime.controller.report(report)
     except PeerUnavailableError:
-        for item, one in demand.items():
-            kept = state.demand.setdefault(item, one)
-            if kept is not one:
-                kept.requests += one.requests
-                kept.tokens += one.tokens
-                kept.refused += one.refused
+        for item, item_demand in demand.items():
+            retained = state.demand.setdefault(item, item_demand)
+            if retained is not item_demand:
+                retained.requests += item_demand.requests
+                retained.tokens += item_demand.tokens
+                retained.refused += item_demand.refused
         return False
     return True
 
@@ -144,12 +146,12 @@
         )
         view = msgspec.structs.replace(view, configuration=state.view.configuration)
     if view.configuration.version > state.index.version:
-        _put_in_force(runtime, view)
-    view = _keep_servers(state, view, now)
-    state.view, state.viewed_at = view, now
+        _activate_configuration(runtime, view)
+    view = _retain_servers(state, view, now)
+    state.view, state.view_received_at = view, now
     state.summaries = {summary.server: summary for summary in view.servers}
     apply_reports(state.routing, servers=view.servers, now=now)
-    _take_suspicions(state, view, now)
+    _update_suspicions(state, view, now)
     apply_effects(runtime, apply_view(state.admission, view=view, now=now))
 
 
@@ -172,33 +174,33 @@
     return (own, *others)
 
 
-def _keep_servers(state: EntryState, view: View, now: int) -> View:
+def _retain_servers(state: EntryState, view: View, now: int) -> View:
     since = state.reconnected_at
-    if state.view is None or since is None or now - since >= SERVERS_KEPT_MS:
+    if state.view is None or since is None or now - since >= SERVER_RETENTION_MS:
         return view
-    told = {summary.server for summary in view.servers}
+    listed = {summary.server for summary in view.servers}
     configured = list_servers(view.configuration)
-    kept = tuple(
+    retained = tuple(
         summary
         for summary in state.view.servers
-        if summary.server not in told and summary.server in configured
+        if summary.server not in listed and summary.server in configured
     )
-    return msgspec.structs.replace(view, servers=view.servers + kept)
+    return msgspec.structs.replace(view, servers=view.servers + retained)
 
 
-def _take_suspicions(state: EntryState, view: View, now: int) -> None:
+def _update_suspicions(state: EntryState, view: View, now: int) -> None:
     """Take up what the controller suspects, and drop what it has forgotten."""
     suspects.merge(state.suspects, view.suspicions, now=now)
-    told = {suspicion.fingerprint for suspicion in view.suspicions}
-    unrecorded = {one.fingerprints[0] for one in state.unrecorded.values()}
+    listed = {suspicion.fingerprint for suspicion in view.suspicions}
+    unrecorded = {report.fingerprints[0] for report in state.unrecorded_deaths.values()}
     for fingerprint, seen_at in list(state.suspects.seen_at.items()):
-        known = fingerprint in told or fingerprint in unrecorded
-        if not known and now - seen_at >= SUSPICION_LAG_MS:
+        known = fingerprint in listed or fingerprint in unrecorded
+        if not known and now - seen_at >= SUSPICION_GRACE_MS:
             del state.suspects.suspicions[fingerprint]
             del state.suspects.seen_at[fingerprint]
 
 
-def _put_in_force(runtime: Runtime, view: View) -> None:
+def _activate_configuration(runtime: Runtime, view: View) -> None:
     state = runtime.state
     state.index = build_index(view.configuration, site=runtime.settings.site)
     runtime.metrics.configuration_version.set(state.index.version)
--- a/src/arbutuspulley/entry/deaths.py
+++ b/src/arbutuspulley/entry/deaths.py
@@ -9,13 +9,21 @@
 import logging
 
 from arbutuspulley.delivery import suspects
-from arbutuspulley.entry.state import Attempt, EntryState, Ongoing, Runtime, Trial
+from arbutuspulley.entry.state import (
+    Attempt,
+    EntryState,
+    OngoingRequest,
+    Runtime,
+    Trial,
+)
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import DeathReport, SuspicionsReply
 
 
-async def report_death(runtime: Runtime, ongoing: Ongoing, attempt: Attempt) -> None:
+async def report_death(
+    runtime: Runtime, ongoing: OngoingRequest, attempt: Attempt
+) -> None:
     """Record that a server died under a request, and under all others there.
 
     The first request that notices reports for all; the rest wait for that report.
@@ -23,44 +31,44 @@
     state = runtime.state
     mark = suspects.build_mark(server=attempt.server, boot_id=attempt.boot_id)
     if ongoing.trial is not None:
-        release_server(state, ongoing.trial)
+        release_trial_server(state, ongoing.trial)
         ongoing.trial = None
-    running = state.reports.get(mark)
-    known = state.suspects.suspicions.get(ongoing.fingerprint)
-    if running is None or known is None or mark not in known.deaths:
+    report_task = state.death_reports.get(mark)
+    suspicion = state.suspects.suspicions.get(ongoing.fingerprint)
+    if report_task is None or suspicion is None or mark not in suspicion.deaths:
         others = _list_in_flight(runtime, attempt)
-        running = asyncio.ensure_future(
-            _record(runtime, attempt, (ongoing.fingerprint, *others))
+        report_task = asyncio.ensure_future(
+            _record_death(runtime, attempt, (ongoing.fingerprint, *others))
         )
-        state.reports[mark] = running
-        running.add_done_callback(lambda _: state.reports.pop(mark, None))
-    await asyncio.shield(running)
+        state.death_reports[mark] = report_task
+        report_task.add_done_callback(lambda _: state.death_reports.pop(mark, None))
+    await asyncio.shield(report_task)
 
 
-async def flush_unrecorded(runtime: Runtime) -> None:
+async def flush_unrecorded_deaths(runtime: Runtime) -> None:
     """Report the deaths that the controller has not recorded yet."""
-    for report in list(runtime.state.unrecorded.values()):
-        if not await record_all(runtime, report.fingerprints[0]):
+    for report in list(runtime.state.unrecorded_deaths.values()):
+        if not await record_pending_deaths(runtime, report.fingerprints[0]):
             return
 
 
-async def record_all(runtime: Runtime, fingerprint: str) -> bool:
+async def record_pending_deaths(runtime: Runtime, fingerprint: str) -> bool:
     """Report what the controller has not recorded of one request.
 
     :return: whether all of it is recorded now.
     """
-    unrecorded = runtime.state.unrecorded
-    for report in list(unrecorded.values()):
+    unrecorded_deaths = runtime.state.unrecorded_deaths
+    for report in list(unrecorded_deaths.values()):
         if report.fingerprints != (fingerprint,):
             continue
-        reply = await call_controller(runtime, report)
+        reply = await send_death_report(runtime, report)
         if reply is None or not reply.recorded:
             return False
-        unrecorded.pop(_name(fingerprint, report), None)
+        unrecorded_deaths.pop(_build_key(fingerprint, report), None)
     return True
 
 
-async def call_controller(
+async def send_death_report(
     runtime: Runtime, report: DeathReport
 ) -> SuspicionsReply | None:
     """Report a death or ask for a trial; ``None`` means that no answer came."""
@@ -72,7 +80,7 @@
     return reply
 
 
-def release_server(state: EntryState, trial: Trial) -> None:
+def release_trial_server(state: EntryState, trial: Trial) -> None:
     """Let other suspects of this entry have the server of a trial."""
     if state.trials.get(trial.server) == trial.trial_id:
         del state.trials[trial.server]
@@ -90,7 +98,7 @@
     )
 
 
-async def _record(
+async def _record_death(
     runtime: Runtime, attempt: Attempt, fingerprints: tuple[str, ...]
 ) -> None:
     state, now = runtime.state, runtime.clock.now()
@@ -110,17 +118,17 @@
             boot_id=attempt.boot_id,
             now=now,
         )
-        state.unrecorded[_name(fingerprint, attempt)] = DeathReport(
+        state.unrecorded_deaths[_build_key(fingerprint, attempt)] = DeathReport(
             server=attempt.server, boot_id=attempt.boot_id, fingerprints=(fingerprint,)
         )
     report = DeathReport(
         server=attempt.server, boot_id=attempt.boot_id, fingerprints=unique
     )
-    reply = await call_controller(runtime, report)
+    reply = await send_death_report(runtime, report)
     if reply is not None and reply.recorded:
         for fingerprint in unique:
-            state.unrecorded.pop(_name(fingerprint, attempt), None)
+            state.unrecorded_deaths.pop(_build_key(fingerprint, attempt), None)
 
 
-def _name(fingerprint: str, where: Attempt | DeathReport) -> str:
+def _build_key(fingerprint: str, where: Attempt | DeathReport) -> str:
     return f"{fingerprint} {where.server} {where.boot_id}"
--- a/src/arbutuspulley/entry/dispatch.py
+++ b/src/arbutuspulley/entry/dispatch.py
@@ -6,7 +6,7 @@
 """
 
 from arbutuspulley.admission import cost, retry_budget
-from arbutuspulley.delivery import request as life
+from arbutuspulley.delivery import request as lifecycle
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.delivery.suspects import Judgement, build_fingerprint, judge
 from arbutuspulley.entry import accounting, admission_queue, trials
@@ -14,7 +14,12 @@
 from arbutuspulley.entry.deaths import report_death
 from arbutuspulley.entry.index import find_item
 from arbutuspulley.entry.server_choice import choose_server
-from arbutuspulley.entry.state import REQUEST_LIFE_MS, Attempt, Ongoing, Runtime
+from arbutuspulley.entry.state import (
+    REQUEST_TIMEOUT_MS,
+    Attempt,
+    OngoingRequest,
+    Runtime,
+)
 from arbutuspulley.ports.engines import InferenceRequest
 from arbutuspulley.results import Code
 
@@ -28,21 +33,21 @@
     :raises RequestError: if it is refused.
     """
     ongoing = build_ongoing(runtime, call)
-    accounting.count_demand(runtime, ongoing)
-    _refuse_quarantined(runtime, ongoing)
+    accounting.record_demand(runtime, ongoing)
+    _raise_if_quarantined(runtime, ongoing)
     runtime.state.ongoing[call.request_id] = ongoing
     try:
-        event = await admission_queue.wait_for_turn(runtime, ongoing)
-        attempt = await _perform(runtime, ongoing, event)
+        event = await admission_queue.wait_for_admission(runtime, ongoing)
+        attempt = await _apply_event(runtime, ongoing, event)
     except BaseException:
-        _forget(runtime, ongoing)
+        _remove(runtime, ongoing)
         raise
     assert attempt is not None
     return attempt
 
 
 async def advance_request(
-    runtime: Runtime, request_id: str, event: life.Event, *, died: bool = False
+    runtime: Runtime, request_id: str, event: lifecycle.Event, *, died: bool = False
 ) -> Attempt | None:
     """Move a request on after its attempt ended.
 
@@ -55,31 +60,31 @@
         return None
     try:
         await _end_attempt(runtime, ongoing, event, died)
-        if isinstance(event, life.Broken):
-            event = _bar_if_quarantined(runtime, ongoing, event)
-        attempt = await _perform(runtime, ongoing, event)
+        if isinstance(event, lifecycle.Broken):
+            event = _attach_quarantine(runtime, ongoing, event)
+        attempt = await _apply_event(runtime, ongoing, event)
     except BaseException:
-        _forget(runtime, ongoing)
+        _remove(runtime, ongoing)
         raise
     if attempt is None:
-        _forget(runtime, ongoing)
-    if isinstance(event, life.Ended):
-        accounting.learn(runtime, ongoing)
+        _remove(runtime, ongoing)
+    if isinstance(event, lifecycle.Ended):
+        accounting.record_success(runtime, ongoing)
     return attempt
 
 
-def build_ongoing(runtime: Runtime, call: Call) -> Ongoing:
+def build_ongoing(runtime: Runtime, call: Call) -> OngoingRequest:
     """Return a request that has just arrived.
 
     :raises RequestError: if its model is not known or not allowed.
     """
     item = find_item(call.index, call.identity, call.model)
-    return Ongoing(
+    return OngoingRequest(
         call=call,
         item=item,
-        request=life.RequestState(
+        request=lifecycle.RequestState(
             request_id=call.request_id,
-            deadline=call.arrived_at + REQUEST_LIFE_MS,
+            deadline=call.arrived_at + REQUEST_TIMEOUT_MS,
             repeatable=not call.unrepeatable,
             offset=call.offset,
         ),
@@ -95,62 +100,62 @@
     )
 
 
-def _refuse_quarantined(runtime: Runtime, ongoing: Ongoing) -> None:
-    known = runtime.state.suspects.suspicions.get(ongoing.fingerprint)
-    if judge(known) is not Judgement.QUARANTINED:
+def _raise_if_quarantined(runtime: Runtime, ongoing: OngoingRequest) -> None:
+    suspicion = runtime.state.suspects.suspicions.get(ongoing.fingerprint)
+    if judge(suspicion) is not Judgement.QUARANTINED:
         return
-    barred = trials.bar_quarantined(runtime, ongoing)
+    barred = trials.build_quarantined(runtime, ongoing)
     raise build_failure(
         barred.code, barred.detail, retry_after_ms=barred.retry_after_ms
     )
 
 
-def _bar_if_quarantined(
-    runtime: Runtime, ongoing: Ongoing, event: life.Broken
-) -> life.Broken:
-    known = runtime.state.suspects.suspicions.get(ongoing.fingerprint)
-    if judge(known) is not Judgement.QUARANTINED:
+def _attach_quarantine(
+    runtime: Runtime, ongoing: OngoingRequest, event: lifecycle.Broken
+) -> lifecycle.Broken:
+    suspicion = runtime.state.suspects.suspicions.get(ongoing.fingerprint)
+    if judge(suspicion) is not Judgement.QUARANTINED:
         return event
-    barred = trials.bar_quarantined(runtime, ongoing)
-    return life.Broken(
+    barred = trials.build_quarantined(runtime, ongoing)
+    return lifecycle.Broken(
         server=event.server, next_offset=event.next_offset, barred=barred
     )
 
 
-async def _perform(
-    runtime: Runtime, ongoing: Ongoing, event: life.Event
+async def _apply_event(
+    runtime: Runtime, ongoing: OngoingRequest, event: lifecycle.Event
 ) -> Attempt | None:
     """Do what the request's life says next."""
-    effects = life.advance(
+    effects = lifecycle.advance(
         ongoing.request,
         event,
         now=runtime.clock.now(),
         take_retry=lambda: retry_budget.try_spend_retry(
-            runtime.state.budget, now=runtime.clock.now()
+            runtime.state.retry_budget, now=runtime.clock.now()
         ),
     )
     for effect in effects:
-        if isinstance(effect, life.Fail):
-            accounting.count_refusal(runtime, ongoing, effect.error)
+        if isinstance(effect, lifecycle.Fail):
+            accounting.record_refusal(runtime, ongoing, effect.error)
             raise effect.error
-        if isinstance(effect, life.Dispatch):
+        if isinstance(effect, lifecycle.Dispatch):
             return await _dispatch(runtime, ongoing, effect)
     return None
 
 
 async def _dispatch(
-    runtime: Runtime, ongoing: Ongoing, effect: life.Dispatch
+    runtime: Runtime, ongoing: OngoingRequest, effect: lifecycle.Dispatch
 ) -> Attempt | None:
-    known = runtime.state.suspects.suspicions.get(ongoing.fingerprint)
-    chosen: str | life.Event | None
-    if judge(known) is Judgement.CLEAR:
+    suspicion = runtime.state.suspects.suspicions.get(ongoing.fingerprint)
+    chosen: str | lifecycle.Event | None
+    if judge(suspicion) is Judgement.CLEAR:
         chosen = choose_server(runtime, ongoing, avoid=effect.avoid)
     else:
-        chosen = await trials.arrange_trial(runtime, ongoing, avoid=effect.avoid)
+        chosen = await trials.acquire_trial(runtime, ongoing, avoid=effect.avoid)
     if chosen is None:
-        chosen = _build_lack(ongoing)
+        chosen = _build_no_server(ongoing)
     if not isinstance(chosen, str):
-        return await _perform(runtime, ongoing, chosen)
+        return await _apply_event(runtime, ongoing, chosen)
     summary = runtime.state.summaries[chosen]
     trial = ongoing.trial
     attempt = Attempt(
@@ -159,20 +164,22 @@
         boot_id=trial.boot_id if trial else summary.boot_id,
         request=_build_inference(ongoing, effect),
         deadline=ongoing.request.deadline,
-        trial=trial is not None,
+        is_trial=trial is not None,
     )
     accounting.begin_attempt(runtime, ongoing, attempt)
     return attempt
 
 
-def _build_lack(ongoing: Ongoing) -> life.NoServer:
+def _build_no_server(ongoing: OngoingRequest) -> lifecycle.NoServer:
     """Say that no server is left: none has the model, or those that do failed."""
     if ongoing.request.attempts > 1:
-        return life.NoServer(code=Code.RETRIES_EXHAUSTED)
-    return life.NoServer()
+        return lifecycle.NoServer(code=Code.RETRIES_EXHAUSTED)
+    return lifecycle.NoServer()
 
 
-def _build_inference(ongoing: Ongoing, effect: life.Dispatch) -> InferenceRequest:
+def _build_inference(
+    ongoing: OngoingRequest, effect: lifecycle.Dispatch
+) -> InferenceRequest:
     call = ongoing.call
     return InferenceRequest(
         request_id=call.request_id,
@@ -182,22 +189,22 @@
         body=call.body,
         offset=effect.offset,
         priority=LIVE_PRIORITY if call.identity.caller.live else 0,
-        traceparent=call.bearing,
+        traceparent=call.traceparent,
     )
 
 
 async def _end_attempt(
-    runtime: Runtime, ongoing: Ongoing, event: life.Event, died: bool
+    runtime: Runtime, ongoing: OngoingRequest, event: lifecycle.Event, died: bool
 ) -> None:
     attempt = ongoing.attempt
     if attempt is None:
         return
-    if isinstance(event, life.CallerLeft | life.DeadlinePassed):
+    if isinstance(event, lifecycle.CallerLeft | lifecycle.DeadlinePassed):
         _cancel(runtime, attempt)
     accounting.end_attempt(runtime, ongoing, attempt, event, died=died)
     if died:
         await report_death(runtime, ongoing, attempt)
-    elif isinstance(event, life.Ended):
+    elif isinstance(event, lifecycle.Ended):
         trials.clear_suspicion(runtime, ongoing)
     else:
         trials.end_trial(runtime, ongoing, ran=False)
@@ -209,9 +216,9 @@
     runtime.loop.run_blocking(lambda: cancel(attempt.address, attempt_id))
 
 
-def _forget(runtime: Runtime, ongoing: Ongoing) -> None:
+def _remove(runtime: Runtime, ongoing: OngoingRequest) -> None:
     """Let go of a request that is over, whole or not."""
     if runtime.state.ongoing.pop(ongoing.call.request_id, None) is None:
         return
     trials.end_trial(runtime, ongoing, ran=False)
-    accounting.settle(runtime, ongoing)
+    accounting.finish_admission(runtime, ongoing)
--- a/src/arbutuspulley/entry/draining.py
+++ b/src/arbutuspulley/entry/draining.py
@@ -15,13 +15,13 @@
 from arbutuspulley.results import Code, RequestError
 from arbutuspulley.routing.addresses import rank_entries
 
-LOOK_EVERY_MS = 50
+POLL_INTERVAL_MS = 50
 """How often the end of the work in flight is looked for."""
 
-SETTLE_MOST_MS = 10 * SECOND_MS
+MAX_SETTLE_WAIT_MS = 10 * SECOND_MS
 """How long a stop waits for settlements that the store doesn't take."""
 
-_RETRY_MS = SECOND_MS
+_RETRY_AFTER_MS = SECOND_MS
 
 
 async def drain(runtime: Runtime) -> None:
@@ -38,10 +38,10 @@
     await asyncio.sleep(lifetime_ms / SECOND_MS)
     state.refusing = True
     while state.in_flight:
-        await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
-    give_up_at = runtime.clock.now() + SETTLE_MOST_MS
-    while state.settlements and runtime.clock.now() < give_up_at:
-        await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
+        await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
+    deadline = runtime.clock.now() + MAX_SETTLE_WAIT_MS
+    while state.pending_settlements and runtime.clock.now() < deadline:
+        await asyncio.sleep(POLL_INTERVAL_MS / SECOND_MS)
 
 
 def build_refusal(runtime: Runtime, *, model: str = "") -> RequestError:
@@ -50,7 +50,9 @@
         [entry for entry in list_entries(runtime) if not entry.draining], model=model
     )
     error = build_failure(
-        Code.DRAINING, "this entry is stopping; use another", retry_after_ms=_RETRY_MS
+        Code.DRAINING,
+        "this entry is stopping; use another",
+        retry_after_ms=_RETRY_AFTER_MS,
     )
     error.addresses = tuple(entry.address for entry in others)
     return error
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -1,6 +1,6 @@
 """What callers can ask of an entry, and how it is taken from HTTP.
 
-Each handler takes an :class:`Exchange` and returns an :class:`.answers.Answer` or
+Each handler takes an :class:`HttpRequest` and returns an :class:`.answers.Answer` or
 raises :class:`~arbutuspulley.results.RequestError`.
 """
 
@@ -35,14 +35,14 @@
 )
 
 
-class Exchange(Value, frozen=True):
+class HttpRequest(Value, frozen=True):
     """One HTTP request.
 
     :param target: path and query as they were sent.
     :param headers: by name; case does not matter.
-    :param bearing: ``traceparent`` of this hop.
+    :param traceparent: ``traceparent`` of this hop.
     :param read_body: reads the body; raises ``BODY_TOO_LARGE``.
-    :param has_left: tells whether the caller has closed its connection.
+    :param has_caller_left: tells whether the caller has closed its connection.
     """
 
     request_id: str
@@ -50,8 +50,8 @@
     target: str
     headers: Mapping[str, str]
     read_body: Callable[[], bytes]
-    has_left: Callable[[], bool]
-    bearing: str = ""
+    has_caller_left: Callable[[], bool]
+    traceparent: str = ""
 
     @property
     def path(self) -> str:
@@ -59,7 +59,7 @@
         return self.target.partition("?")[0].rstrip("/")
 
 
-Handler = Callable[[Runtime, Exchange], answers.Answer]
+Handler = Callable[[Runtime, HttpRequest], answers.Answer]
 
 
 class AddressAnswer(Message, frozen=True, omit_defaults=False):
@@ -70,7 +70,7 @@
     lifetime_s: int
 
 
-class ModelEntry(Message, frozen=True, omit_defaults=False):
+class ModelDescription(Message, frozen=True, omit_defaults=False):
     """A model or adapter in the usual protocol's shape."""
 
     id: str
@@ -82,11 +82,11 @@
 class ModelList(Message, frozen=True, omit_defaults=False):
     """All that a caller may use."""
 
-    data: tuple[ModelEntry, ...]
+    data: tuple[ModelDescription, ...]
     object: str = "list"
 
 
-class _Opening(Value, frozen=True):
+class _CallContext(Value, frozen=True):
     """Who calls, and under which configuration."""
 
     index: SiteIndex
@@ -94,12 +94,12 @@
     now: int
 
 
-def answer_health(_runtime: Runtime, _exchange: Exchange) -> answers.Answer:
+def answer_health(_runtime: Runtime, _http_request: HttpRequest) -> answers.Answer:
     """Say that the process answers."""
     return answers.build_success(b'{"status":"ok"}', run_state=RunState.NOT_RUN)
 
 
-def answer_readiness(runtime: Runtime, _exchange: Exchange) -> answers.Answer:
+def answer_readiness(runtime: Runtime, _http_request: HttpRequest) -> answers.Answer:
     """Say whether requests can be served."""
     state = runtime.state
     if runtime.loop.call(lambda: is_ready(state) and not state.refusing):
@@ -109,7 +109,7 @@
     )
 
 
-def answer_metrics(runtime: Runtime, _exchange: Exchange) -> answers.Answer:
+def answer_metrics(runtime: Runtime, _http_request: HttpRequest) -> answers.Answer:
     """Give the metrics in Prometheus' text format."""
     runtime.loop.call(lambda: _update_gauges(runtime))
     return answers.build_success(
@@ -119,90 +119,92 @@
     )
 
 
-def answer_addresses(runtime: Runtime, exchange: Exchange) -> answers.Answer:
+def answer_addresses(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
     """Say which entries to use for a model; needs no key."""
-    query = parse_qs(exchange.target.partition("?")[2])
+    query = parse_qs(http_request.target.partition("?")[2])
     model = query.get("model", [""])[0]
     # The same caller at the same place gets the same order each time it asks.
-    asker = [
-        exchange.headers.get(name, "") for name in ("Authorization", "Remote-Addr")
+    caller_parts = [
+        http_request.headers.get(name, "") for name in ("Authorization", "Remote-Addr")
     ]
-    spread = hash_key("|".join(asker))
-    found = runtime.loop.call(lambda: _find_addresses(runtime, model, spread))
+    spread_key = hash_key("|".join(caller_parts))
+    found = runtime.loop.call(lambda: _find_addresses(runtime, model, spread_key))
     return answers.build_success(msgspec.json.encode(found), run_state=RunState.NOT_RUN)
 
 
-def answer_models(runtime: Runtime, exchange: Exchange) -> answers.Answer:
+def answer_models(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
     """List the models and adapters that a caller may use, or show one."""
-    opening = _open(runtime, exchange)
-    names = [name for name in opening.index.items if may_call(opening.identity, name)]
-    asked = exchange.path.removeprefix("/v1/models").lstrip("/")
+    context = _authenticate(runtime, http_request)
+    names = [name for name in context.index.items if may_call(context.identity, name)]
+    asked = http_request.path.removeprefix("/v1/models").lstrip("/")
     if not asked:
-        body = ModelList(data=tuple(ModelEntry(id=name) for name in sorted(names)))
+        body = ModelList(
+            data=tuple(ModelDescription(id=name) for name in sorted(names))
+        )
         encoded = msgspec.json.encode(body)
     elif asked in names:
-        encoded = msgspec.json.encode(ModelEntry(id=asked))
+        encoded = msgspec.json.encode(ModelDescription(id=asked))
     else:
         raise build_failure(Code.UNKNOWN_MODEL, "there is no such model")
     return answers.build_success(encoded, run_state=RunState.NOT_RUN)
 
 
-def answer_completion(runtime: Runtime, exchange: Exchange) -> answers.Answer:
+def answer_completion(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
     """Run a request to a model."""
-    if exchange.method != "POST" or exchange.path not in _INFERENCE_PATHS:
+    if http_request.method != "POST" or http_request.path not in _INFERENCE_PATHS:
         raise build_failure(Code.NOT_FOUND, "there is nothing to POST to here")
-    opening = _open(runtime, exchange)
+    context = _authenticate(runtime, http_request)
     call = calls.parse_inference(
-        index=opening.index,
-        identity=opening.identity,
-        request_id=exchange.request_id,
-        path=exchange.path,
-        body=exchange.read_body(),
-        headers=exchange.headers,
-        bearing=exchange.bearing,
-        now=opening.now,
+        index=context.index,
+        identity=context.identity,
+        request_id=http_request.request_id,
+        path=http_request.path,
+        body=http_request.read_body(),
+        headers=http_request.headers,
+        traceparent=http_request.traceparent,
+        now=context.now,
     )
-    return answer_inference(runtime, call, has_left=exchange.has_left)
+    return answer_inference(runtime, call, has_caller_left=http_request.has_caller_left)
 
 
-def answer_plain_service(runtime: Runtime, exchange: Exchange) -> answers.Answer:
+def answer_plain_service(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
     """Pass a call on to a plain service."""
-    opening = _open(runtime, exchange)
+    context = _authenticate(runtime, http_request)
     call = Call(
-        request_id=exchange.request_id,
-        index=opening.index,
-        identity=opening.identity,
-        path=f"{exchange.method} {exchange.target}",
-        body=exchange.read_body(),
-        arrived_at=opening.now,
-        key=calls.read_key(exchange.headers),
-        unrepeatable=calls.is_unrepeatable(exchange.headers),
-        bearing=exchange.bearing,
+        request_id=http_request.request_id,
+        index=context.index,
+        identity=context.identity,
+        path=f"{http_request.method} {http_request.target}",
+        body=http_request.read_body(),
+        arrived_at=context.now,
+        key=calls.read_idempotency_key(http_request.headers),
+        unrepeatable=calls.is_unrepeatable(http_request.headers),
+        traceparent=http_request.traceparent,
     )
-    name, _, rest = exchange.target.removeprefix(SERVICES_PATH).partition("/")
+    name, _, rest = http_request.target.removeprefix(SERVICES_PATH).partition("/")
     name, _, query = name.partition("?")
     request = ServiceRequest(
-        method=exchange.method,
+        method=http_request.method,
         path=f"/{rest}" if not query else f"/?{query}",
         headers=tuple(
             (key, value)
-            for key, value in exchange.headers.items()
+            for key, value in http_request.headers.items()
             if key.lower() not in _DROPPED_HEADERS
         ),
         body=call.body,
-        traceparent=call.bearing,
+        traceparent=call.traceparent,
     )
     service = find_service(call, name)
     asked = ServiceCall(call=call, service=service, request=request)
     return answer_service(runtime, asked)
 
 
-def _open(runtime: Runtime, exchange: Exchange) -> _Opening:
-    authorization = exchange.headers.get("Authorization", "")
-    return runtime.loop.call(lambda: _admit_call(runtime, authorization))
+def _authenticate(runtime: Runtime, http_request: HttpRequest) -> _CallContext:
+    authorization = http_request.headers.get("Authorization", "")
+    return runtime.loop.call(lambda: _check_call(runtime, authorization))
 
 
-def _admit_call(runtime: Runtime, authorization: str) -> _Opening:
+def _check_call(runtime: Runtime, authorization: str) -> _CallContext:
     """Check who calls and whether any call is taken now; runs on the loop."""
     state = runtime.state
     if not is_ready(state):
@@ -222,10 +224,10 @@
             "this entry is full; use another",
             retry_after_ms=RETRY_AFTER_MS,
         )
-    return _Opening(index=state.index, identity=identity, now=runtime.clock.now())
+    return _CallContext(index=state.index, identity=identity, now=runtime.clock.now())
 
 
-def _find_addresses(runtime: Runtime, model: str, spread: str) -> AddressAnswer:
+def _find_addresses(runtime: Runtime, model: str, spread_key: str) -> AddressAnswer:
     state = runtime.state
     if not is_ready(state):
         raise build_failure(
@@ -237,21 +239,21 @@
         raise build_failure(Code.UNKNOWN_MODEL, "there is no such model")
     entries = list_entries(runtime)
     item = state.index.items.get(model)
-    width = choose_entry_count(
+    entry_count = choose_entry_count(
         servers=state.view.servers if state.view else (),
         item=item.key if item else "",
         entries=len(entries),
     )
-    told = rank_entries(
+    ranked = rank_entries(
         entries,
         model=model,
         answering_address=runtime.settings.address,
-        spread_key=spread,
-        entry_count=width,
+        spread_key=spread_key,
+        entry_count=entry_count,
     )
     return AddressAnswer(
         model=model,
-        addresses=tuple(entry.address for entry in told),
+        addresses=tuple(entry.address for entry in ranked),
         lifetime_s=state.index.policy.address_lifetime_s,
     )
 
@@ -261,5 +263,5 @@
     metrics.in_flight.set(state.in_flight)
     metrics.waiting.set(len(state.admission.waiting))
     if state.view is not None:
-        age_ms = runtime.clock.now() - state.viewed_at
+        age_ms = runtime.clock.now() - state.view_received_at
         metrics.view_age.set(age_ms / SECOND_MS)
--- a/src/arbutuspulley/entry/inference.py
+++ b/src/arbutuspulley/entry/inference.py
@@ -9,20 +9,25 @@
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.entry import answers, claims
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.claims import settling
-from arbutuspulley.entry.relay import CallerLeftError, HasLeft, deliver, wait
+from arbutuspulley.entry.claims import settle_on_failure
+from arbutuspulley.entry.relay import (
+    CallerLeftError,
+    HasCallerLeft,
+    deliver,
+    wait_for_result,
+)
 from arbutuspulley.entry.state import Runtime
 from arbutuspulley.results import Code, RequestError, RunState
 
-LOOK_EVERY_CHUNKS = 16
+DISCONNECT_CHECK_CHUNKS = 16
 """A plain answer looks whether its caller is still there once in so many chunks."""
 
-_EVENT_END = b"\n\n"
+_EVENT_SEPARATOR = b"\n\n"
 _STREAM_HEADERS = (("Cache-Control", "no-cache"),)
 
 
 def answer_inference(
-    runtime: Runtime, call: Call, *, has_left: HasLeft
+    runtime: Runtime, call: Call, *, has_caller_left: HasCallerLeft
 ) -> answers.Answer:
     """Run a request to a model and return its answer.
 
@@ -30,43 +35,45 @@
     :raises CallerLeftError: if the caller left.
     """
     if call.unrepeatable:
-        return _answer_claimed(runtime, call)
+        return _answer_unrepeatable(runtime, call)
     if not call.streamed:
-        return answers.build_success(_assemble(runtime, call, has_left))
-    events = _build_events(runtime, call, has_left)
+        return answers.build_success(_assemble(runtime, call, has_caller_left))
+    events = _build_events(runtime, call, has_caller_left)
     return _begin_stream(events)
 
 
-def _answer_claimed(runtime: Runtime, call: Call) -> answers.Answer:
+def _answer_unrepeatable(runtime: Runtime, call: Call) -> answers.Answer:
     """Run an unrepeatable request once, to its end, whether its caller stays or not.
 
     A caller that left comes back with the same key and finds the answer.
     """
-    stored = wait(runtime, claims.claim(runtime, call), has_left=_never)
+    stored = wait_for_result(
+        runtime, claims.claim(runtime, call), has_caller_left=_never
+    )
     if stored is not None:
         return _replay(call, stored)
     # Whatever the caller has got of an earlier answer, this is the first run.
     call = msgspec.structs.replace(call, offset=0)
     if call.streamed:
         return _begin_stream(_build_claimed_events(runtime, call))
-    with settling(runtime, call):
+    with settle_on_failure(runtime, call):
         body = _assemble(runtime, call, _never)
     answer = claims.StoredAnswer(status=200, content_type=answers.JSON_TYPE, body=body)
-    _settle(runtime, call, answer)
+    _store_answer(runtime, call, answer)
     return answers.build_success(body)
 
 
-def _assemble(runtime: Runtime, call: Call, has_left: HasLeft) -> bytes:
+def _assemble(runtime: Runtime, call: Call, has_caller_left: HasCallerLeft) -> bytes:
     assembly = answers.Assembly()
-    with closing(deliver(runtime, call, has_left=has_left)) as chunks:
+    with closing(deliver(runtime, call, has_caller_left=has_caller_left)) as chunks:
         for number, chunk in enumerate(chunks):
-            _add(assembly, chunk.data)
-            if number % LOOK_EVERY_CHUNKS == 0 and has_left():
+            _add_event(assembly, chunk.data)
+            if number % DISCONNECT_CHECK_CHUNKS == 0 and has_caller_left():
                 raise CallerLeftError
-    return answers.build_plain(assembly)
+    return answers.build_plain_body(assembly)
 
 
-def _add(assembly: answers.Assembly, data: bytes) -> None:
+def _add_event(assembly: answers.Assembly, data: bytes) -> None:
     try:
         answers.add_event(assembly, data)
     except (msgspec.DecodeError, AttributeError, TypeError):
@@ -77,10 +84,10 @@
 
 
 def _build_events(
-    runtime: Runtime, call: Call, has_left: HasLeft
+    runtime: Runtime, call: Call, has_caller_left: HasCallerLeft
 ) -> Generator[bytes, None, None]:
     prefix = answers.build_event_prefix(call.request_id)
-    with closing(deliver(runtime, call, has_left=has_left)) as chunks:
+    with closing(deliver(runtime, call, has_caller_left=has_caller_left)) as chunks:
         for chunk in chunks:
             yield answers.build_event(prefix, chunk.offset, chunk.data)
     yield answers.END_EVENT
@@ -89,40 +96,40 @@
 def _build_claimed_events(runtime: Runtime, call: Call) -> Generator[bytes, None, None]:
     """Yield events while the caller is there, and run on to the end if it leaves."""
     events: list[bytes] = []
-    is_here = True
-    with settling(runtime, call):
+    is_connected = True
+    with settle_on_failure(runtime, call):
         for event in _build_events(runtime, call, _never):
             if event is answers.END_EVENT:
                 continue
             events.append(event)
-            if not is_here:
+            if not is_connected:
                 continue
             try:
                 yield event
             except GeneratorExit:
-                is_here = False
+                is_connected = False
     answer = claims.StoredAnswer(
-        status=200, content_type=answers.EVENTS_TYPE, body=b"".join(events)
+        status=200, content_type=answers.EVENT_STREAM_TYPE, body=b"".join(events)
     )
-    _settle(runtime, call, answer)
-    if is_here:
+    _store_answer(runtime, call, answer)
+    if is_connected:
         yield answers.END_EVENT
 
 
 def _begin_stream(events: Generator[bytes, None, None]) -> answers.Answer:
     """Wait for the first event, so that a refusal still has its own status."""
     first = next(events)
-    ending = answers.Ending()
+    outcome = answers.Outcome()
     return answers.build_success(
-        _go_on(first, events, ending),
-        content_type=answers.EVENTS_TYPE,
+        _stream_events(first, events, outcome),
+        content_type=answers.EVENT_STREAM_TYPE,
         headers=_STREAM_HEADERS,
-        ending=ending,
+        outcome=outcome,
     )
 
 
-def _go_on(
-    first: bytes, events: Generator[bytes, None, None], ending: answers.Ending
+def _stream_events(
+    first: bytes, events: Generator[bytes, None, None], outcome: answers.Outcome
 ) -> Generator[bytes, None, None]:
     """Yield a stream; one that breaks off ends with an error and no end marker."""
     with closing(events):
@@ -130,19 +137,19 @@
             yield first
             yield from events
         except RequestError as error:
-            ending.code, ending.run_state = error.code, error.run_state
+            outcome.code, outcome.run_state = error.code, error.run_state
             yield answers.build_error_event(error)
         except BaseException:
-            ending.code, ending.run_state = Code.ANSWER_INCOMPLETE, RunState.UNKNOWN
+            outcome.code, outcome.run_state = Code.ANSWER_INCOMPLETE, RunState.UNKNOWN
             raise
 
 
 def _replay(call: Call, stored: claims.StoredAnswer) -> answers.Answer:
     """Give the answer that an earlier run of the request got."""
-    if stored.content_type != answers.EVENTS_TYPE:
+    if stored.content_type != answers.EVENT_STREAM_TYPE:
         return answers.build_success(stored.body, status=stored.status)
-    events = stored.body.split(_EVENT_END)[call.offset : -1]
-    rest = b"".join(event + _EVENT_END for event in events)
+    events = stored.body.split(_EVENT_SEPARATOR)[call.offset : -1]
+    rest = b"".join(event + _EVENT_SEPARATOR for event in events)
     return answers.build_success(
         rest + answers.END_EVENT,
         content_type=stored.content_type,
@@ -150,9 +157,9 @@
     )
 
 
-def _settle(runtime: Runtime, call: Call, answer: claims.StoredAnswer) -> None:
+def _store_answer(runtime: Runtime, call: Call, answer: claims.StoredAnswer) -> None:
     settled = claims.settle(runtime, call, ClaimState.ANSWERED, answer)
-    wait(runtime, settled, has_left=_never)
+    wait_for_result(runtime, settled, has_caller_left=_never)
 
 
 def _never() -> bool:
--- a/src/arbutuspulley/entry/relay.py
+++ b/src/arbutuspulley/entry/relay.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.delivery import request as life
+from arbutuspulley.delivery import request as lifecycle
 from arbutuspulley.delivery.cursor import Cursor, Verdict, accept, begin_attempt
 from arbutuspulley.entry import accounting, dispatch
 from arbutuspulley.entry.calls import Call
@@ -27,18 +27,18 @@
 )
 from arbutuspulley.tracing import open_span
 
-LOOK_EVERY_MS = 250
+DISCONNECT_POLL_MS = 250
 """How often a waiting worker looks whether its caller is still there."""
 
-SETTLED_MS = SECOND_MS
+CRASH_WATCH_MS = SECOND_MS
 """How long after a suspect broke off its server must have lived to be believed."""
 
-ASK_AGAIN_MS = 100
+CRASH_POLL_MS = 100
 """How often it is asked meanwhile."""
 
 _Result = TypeVar("_Result")
 
-HasLeft = Callable[[], bool]
+HasCallerLeft = Callable[[], bool]
 """Tells whether the caller has closed its connection."""
 
 
@@ -47,7 +47,7 @@
 
 
 def deliver(
-    runtime: Runtime, call: Call, *, has_left: HasLeft
+    runtime: Runtime, call: Call, *, has_caller_left: HasCallerLeft
 ) -> Generator[Chunk, None, None]:
     """Run a request and yield the chunks of its answer, each once and in order.
 
@@ -56,17 +56,19 @@
     :raises RequestError: if the answer does not become whole.
     :raises CallerLeftError: if the caller left while nothing could be sent.
     """
-    attempt: Attempt | None = wait(
-        runtime, dispatch.open_request(runtime, call), has_left=has_left
+    attempt: Attempt | None = wait_for_result(
+        runtime, dispatch.open_request(runtime, call), has_caller_left=has_caller_left
     )
     cursor = Cursor(attempt_id="", offset=call.offset)
     try:
         while attempt is not None:
-            event, died = yield from _relay(runtime, attempt, cursor)
+            event, died = yield from _run_attempt(runtime, attempt, cursor)
             advanced = dispatch.advance_request(
                 runtime, call.request_id, event, died=died
             )
-            attempt = wait(runtime, advanced, has_left=has_left)
+            attempt = wait_for_result(
+                runtime, advanced, has_caller_left=has_caller_left
+            )
     except BaseException:
         # Whatever ends this worker's part, its place must not stay taken.
         _abandon(runtime, call, cursor)
@@ -75,11 +77,11 @@
         _count_dropped(runtime, call, cursor)
 
 
-def wait(
+def wait_for_result(
     runtime: Runtime,
     coroutine: Coroutine[Any, Any, _Result],
     *,
-    has_left: HasLeft,
+    has_caller_left: HasCallerLeft,
 ) -> _Result:
     """Wait for a coroutine on the loop, unless the caller leaves.
 
@@ -88,18 +90,18 @@
     future = runtime.loop.submit(coroutine)
     while True:
         try:
-            return future.result(LOOK_EVERY_MS / SECOND_MS)
+            return future.result(DISCONNECT_POLL_MS / SECOND_MS)
         except concurrent.futures.TimeoutError:
             if future.done():
                 return future.result()
-            if has_left():
+            if has_caller_left():
                 future.cancel()
                 raise CallerLeftError from None
 
 
-def _relay(
+def _run_attempt(
     runtime: Runtime, attempt: Attempt, cursor: Cursor
-) -> Generator[Chunk, None, tuple[life.Event, bool]]:
+) -> Generator[Chunk, None, tuple[lifecycle.Event, bool]]:
     """Make one attempt.
 
     :return: how it ended, and whether the server died.
@@ -111,58 +113,58 @@
         parent=request.traceparent,
         server=attempt.server,
         offset=request.offset,
-    ) as bearing:
-        request = msgspec.structs.replace(request, traceparent=bearing)
+    ) as traceparent:
+        request = msgspec.structs.replace(request, traceparent=traceparent)
         try:
             chunks = runtime.engines.infer(attempt.address, request)
         except NotSentError:
-            return life.NotSent(server=attempt.server), False
+            return lifecycle.NotSent(server=attempt.server), False
         except RefusedError as error:
             return _build_refused(attempt, error), False
         except BrokenError:
-            return _judge_break(runtime, attempt, cursor)
+            return _classify_break(runtime, attempt, cursor)
         with closing(chunks):
-            event = yield from _pass_on(runtime, attempt, cursor, chunks)
+            event = yield from _forward_chunks(runtime, attempt, cursor, chunks)
     if event is None:
-        return _judge_break(runtime, attempt, cursor)
+        return _classify_break(runtime, attempt, cursor)
     return event, False
 
 
-def _pass_on(
+def _forward_chunks(
     runtime: Runtime,
     attempt: Attempt,
     cursor: Cursor,
     chunks: Generator[Chunk, None, None],
-) -> Generator[Chunk, None, life.Event | None]:
+) -> Generator[Chunk, None, lifecycle.Event | None]:
     """Yield the chunks that are in their place.
 
     :return: ``None`` if the attempt broke off.
     """
-    begun = cursor.offset
+    start_offset = cursor.offset
     now, deadline = runtime.clock.now, attempt.deadline
     try:
         for chunk in chunks:
             verdict = accept(cursor, chunk)
             if verdict is Verdict.DELIVER:
-                if chunk.offset == begun:
-                    _note_first(runtime, attempt)
+                if chunk.offset == start_offset:
+                    _record_first_event(runtime, attempt)
                 yield chunk
             elif verdict is Verdict.END:
-                return life.Ended(next_offset=cursor.offset)
+                return lifecycle.Ended(next_offset=cursor.offset)
             elif verdict is Verdict.GAP:
                 return None
             if now() > deadline:
-                return life.DeadlinePassed()
+                return lifecycle.DeadlinePassed()
     except BrokenError:
         return None
     except GeneratorExit:
-        if attempt.trial:
-            _end_without_caller(runtime, attempt, cursor, chunks)
+        if attempt.is_trial:
+            _finish_trial_without_caller(runtime, attempt, cursor, chunks)
         raise
     return None
 
 
-def _end_without_caller(
+def _finish_trial_without_caller(
     runtime: Runtime,
     attempt: Attempt,
     cursor: Cursor,
@@ -173,41 +175,41 @@
     Cancelled, it would show nothing, and an impatient caller of a poison request
     would have it tried on one server after the other.
     """
-    event = _run_out(_pass_on(runtime, attempt, cursor, chunks))
+    event = _exhaust(_forward_chunks(runtime, attempt, cursor, chunks))
     died = False
     if event is None:
-        event, died = _judge_break(runtime, attempt, cursor)
+        event, died = _classify_break(runtime, attempt, cursor)
     request_id = attempt.request.request_id
     ended = dispatch.advance_request(runtime, request_id, event, died=died)
     runtime.loop.spawn(ended)
 
 
-def _run_out(
-    passing: Generator[Chunk, None, life.Event | None],
-) -> life.Event | None:
+def _exhaust(
+    forwarding: Generator[Chunk, None, lifecycle.Event | None],
+) -> lifecycle.Event | None:
     while True:
         try:
-            next(passing)
+            next(forwarding)
         except StopIteration as stop:
             return stop.value
 
 
-def _judge_break(
+def _classify_break(
     runtime: Runtime, attempt: Attempt, cursor: Cursor
-) -> tuple[life.Event, bool]:
+) -> tuple[lifecycle.Event, bool]:
     """Tell whether only a connection broke, or the server died.
 
     A request that a server died under becomes a suspect; one whose connection was
     cut does not. The server's own boot id tells one from the other.
     """
     died = _has_died(runtime, attempt)
-    settled_at = runtime.clock.now() + SETTLED_MS if attempt.trial else 0
+    watch_until = runtime.clock.now() + CRASH_WATCH_MS if attempt.is_trial else 0
     # A suspect kills its server a little after the connection is gone: asked only
     # once, a server that is about to die would clear it.
-    while not died and runtime.clock.now() < settled_at:
-        time.sleep(ASK_AGAIN_MS / SECOND_MS)
+    while not died and runtime.clock.now() < watch_until:
+        time.sleep(CRASH_POLL_MS / SECOND_MS)
         died = _has_died(runtime, attempt)
-    event = life.Broken(server=attempt.server, next_offset=cursor.offset)
+    event = lifecycle.Broken(server=attempt.server, next_offset=cursor.offset)
     return event, died
 
 
@@ -219,8 +221,8 @@
     return bool(attempt.boot_id) and report.boot_id != attempt.boot_id
 
 
-def _build_refused(attempt: Attempt, error: RefusedError) -> life.Refused:
-    return life.Refused(
+def _build_refused(attempt: Attempt, error: RefusedError) -> lifecycle.Refused:
+    return lifecycle.Refused(
         server=attempt.server,
         detail=error.detail,
         retry_after_ms=error.retry_after_ms,
@@ -229,13 +231,13 @@
     )
 
 
-def _note_first(runtime: Runtime, attempt: Attempt) -> None:
+def _record_first_event(runtime: Runtime, attempt: Attempt) -> None:
     request_id = attempt.request.request_id
-    runtime.loop.post(lambda: accounting.note_first_event(runtime, request_id))
+    runtime.loop.post(lambda: accounting.record_first_event(runtime, request_id))
 
 
 def _abandon(runtime: Runtime, call: Call, cursor: Cursor) -> None:
-    event = life.CallerLeft(next_offset=cursor.offset)
+    event = lifecycle.CallerLeft(next_offset=cursor.offset)
     left = dispatch.advance_request(runtime, call.request_id, event)
     runtime.loop.spawn(left)
 
--- a/src/arbutuspulley/entry/server.py
+++ b/src/arbutuspulley/entry/server.py
@@ -20,7 +20,7 @@
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.entry import answers, handlers
 from arbutuspulley.entry.calls import build_request_id
-from arbutuspulley.entry.handlers import Exchange, Handler
+from arbutuspulley.entry.handlers import Handler, HttpRequest
 from arbutuspulley.entry.relay import CallerLeftError
 from arbutuspulley.entry.state import Runtime
 from arbutuspulley.events import Event, log_event
@@ -46,7 +46,7 @@
 SPARE_THREADS = 10
 """Threads beyond the requests handled at once, for refusals and health checks."""
 
-_QUIET_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
+_UNLOGGED_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
 
 
 def build_server(*, runtime: Runtime, host: str, port: int, threads: int) -> WebServer:
@@ -84,7 +84,7 @@
             chat=SimpleNamespace(completions=completion),
         ),
     )
-    return build_application(root, show_error=_show_error)
+    return build_application(root, show_error=_render_error)
 
 
 def _expose(runtime: Runtime, handler: Handler, *, counted: bool) -> Callable[..., Any]:
@@ -95,26 +95,32 @@
 
     @cherrypy.expose
     def handle(*_path: str, **_query: str) -> Any:
-        exchange = _build_exchange(runtime)
+        http_request = _build_http_request(runtime)
         attach = cherrypy.serving.request.hooks.attach
-        begun_at = runtime.clock.now()
+        started_at = runtime.clock.now()
         if counted:
-            _count(runtime, 1)
-            attach("on_end_request", lambda: _count(runtime, -1))
-        answer = _answer(runtime, exchange, handler)
-        attach("on_end_request", lambda: _end(runtime, exchange, answer, begun_at))
-        return _write(runtime, exchange, answer)
+            _change_in_flight(runtime, 1)
+            attach("on_end_request", lambda: _change_in_flight(runtime, -1))
+        answer = _answer(runtime, http_request, handler)
+        attach(
+            "on_end_request", lambda: _finish(runtime, http_request, answer, started_at)
+        )
+        return _build_response(runtime, http_request, answer)
 
     return handle
 
 
-def _answer(runtime: Runtime, exchange: Exchange, handler: Handler) -> answers.Answer:
-    parent = exchange.headers.get("Traceparent", "")
+def _answer(
+    runtime: Runtime, http_request: HttpRequest, handler: Handler
+) -> answers.Answer:
+    parent = http_request.headers.get("Traceparent", "")
     try:
         with open_span(
-            "entry.request", parent=parent, request=exchange.request_id
-        ) as bearing:
-            return handler(runtime, msgspec.structs.replace(exchange, bearing=bearing))
+            "entry.request", parent=parent, request=http_request.request_id
+        ) as traceparent:
+            return handler(
+                runtime, msgspec.structs.replace(http_request, traceparent=traceparent)
+            )
     except RequestError as error:
         return answers.build_error(error)
     except CallerLeftError:
@@ -129,7 +135,7 @@
         log_event(
             Event.INTERNAL_ERROR,
             level=logging.ERROR,
-            request=exchange.request_id,
+            request=http_request.request_id,
             error=repr(error),
         )
         return answers.build_error(
@@ -139,12 +145,14 @@
         )
 
 
-def _write(runtime: Runtime, exchange: Exchange, answer: answers.Answer) -> Any:
+def _build_response(
+    runtime: Runtime, http_request: HttpRequest, answer: answers.Answer
+) -> Any:
     response = cherrypy.serving.response
     response.status = answer.status
     for name, value in answer.headers:
         response.headers[name] = value
-    response.headers[answers.REQUEST_ID] = exchange.request_id
+    response.headers[answers.REQUEST_ID_HEADER] = http_request.request_id
     if runtime.state.draining:
         response.headers["Connection"] = "close"
     if isinstance(answer.body, bytes):
@@ -153,63 +161,65 @@
     return answer.body
 
 
-def _end(
-    runtime: Runtime, exchange: Exchange, answer: answers.Answer, begun_at: int
+def _finish(
+    runtime: Runtime, http_request: HttpRequest, answer: answers.Answer, started_at: int
 ) -> None:
     """Close a stream, whose caller may have left, and take note of the end."""
     if not isinstance(answer.body, bytes):
         try:
             answer.body.close()
         except RequestError as error:
-            answer.ending.code, answer.ending.run_state = error.code, error.run_state
-    ending, elapsed_ms = answer.ending, runtime.clock.now() - begun_at
-    labels = (str(ending.code.value), ending.run_state.value)
+            answer.outcome.code, answer.outcome.run_state = error.code, error.run_state
+    outcome, elapsed_ms = answer.outcome, runtime.clock.now() - started_at
+    labels = (str(outcome.code.value), outcome.run_state.value)
     runtime.metrics.answers.labels(*labels).inc()
-    if exchange.path in _QUIET_PATHS:
+    if http_request.path in _UNLOGGED_PATHS:
         return
     runtime.metrics.duration.observe(elapsed_ms / SECOND_MS)
     log_event(
-        Event.REQUEST_ENDED if ending.code is Code.OK else Event.REQUEST_REFUSED,
-        request=exchange.request_id,
-        path=exchange.path,
-        code=ending.code.value,
-        run_state=ending.run_state.value,
+        Event.REQUEST_ENDED if outcome.code is Code.OK else Event.REQUEST_REFUSED,
+        request=http_request.request_id,
+        path=http_request.path,
+        code=outcome.code.value,
+        run_state=outcome.run_state.value,
         elapsed_ms=elapsed_ms,
     )
 
 
-def _build_exchange(runtime: Runtime) -> Exchange:
+def _build_http_request(runtime: Runtime) -> HttpRequest:
     request = cherrypy.serving.request
     connection = get_connection()
     target = request.request_line.split(" ")[1]
     if not target.startswith("/"):
         parts = urlsplit(target)
         target = urlunsplit(("", "", parts.path or "/", parts.query, ""))
-    return Exchange(
+    return HttpRequest(
         request_id=build_request_id(),
         method=request.method,
         target=target,
         headers=request.headers,
         read_body=lambda: _read_body(runtime.settings.max_body_bytes),
-        has_left=lambda: _has_left(connection),
+        has_caller_left=lambda: _has_caller_left(connection),
     )
 
 
-def _read_body(most: int) -> bytes:
+def _read_body(max_bytes: int) -> bytes:
     request = cherrypy.serving.request
     declared = request.headers.get("Content-Length", "")
-    too_large = build_failure(Code.BODY_TOO_LARGE, f"the body is over {most} bytes")
-    if declared.isdigit() and int(declared) > most:
+    too_large = build_failure(
+        Code.BODY_TOO_LARGE, f"the body is over {max_bytes} bytes"
+    )
+    if declared.isdigit() and int(declared) > max_bytes:
         raise too_large
     if not declared and "Transfer-Encoding" not in request.headers:
         return b""
-    body: bytes = request.rfile.read(int(declared) if declared else most + 1)
-    if len(body) > most:
+    body: bytes = request.rfile.read(int(declared) if declared else max_bytes + 1)
+    if len(body) > max_bytes:
         raise too_large
     return body
 
 
-def _has_left(connection: socket.socket) -> bool:
+def _has_caller_left(connection: socket.socket) -> bool:
     """Tell whether the peer has closed, without taking any byte from it.
 
     The socket has a timeout, with which ``recv`` waits even if told not to; so it is
@@ -223,7 +233,7 @@
         return True
 
 
-def _count(runtime: Runtime, change: int) -> None:
+def _change_in_flight(runtime: Runtime, change: int) -> None:
     def add() -> None:
         runtime.state.in_flight += change
 
@@ -231,15 +241,15 @@
         runtime.loop.post(add)
 
 
-def _show_error(*, status: str, message: str, **_unused: str) -> str:
+def _render_error(*, status: str, message: str, **_unused: str) -> str:
     """Show CherryPy's own errors in the usual protocol's shape."""
     response = cherrypy.serving.response
     number = int(status.split(" ")[0])
     code = Code.INTERNAL if number >= 500 else Code.NOT_FOUND
     run_state = RunState.UNKNOWN if number >= 500 else RunState.NOT_RUN
-    shown = "an internal error" if number >= 500 else message
-    error = RequestError(code=code, detail=shown, status=number, run_state=run_state)
+    detail = "an internal error" if number >= 500 else message
+    error = RequestError(code=code, detail=detail, status=number, run_state=run_state)
     for name, value in answers.build_error(error).headers:
         response.headers[name] = value
-    response.headers[answers.REQUEST_ID] = build_request_id()
+    response.headers[answers.REQUEST_ID_HEADER] = build_request_id()
     return answers.build_error_body(error).decode()
--- a/src/arbutuspulley/entry/server_choice.py
+++ b/src/arbutuspulley/entry/server_choice.py
@@ -13,17 +13,17 @@
 import xxhash
 
 from arbutuspulley.admission import queue
-from arbutuspulley.entry.state import Ongoing, Runtime
+from arbutuspulley.entry.state import OngoingRequest, Runtime
 from arbutuspulley.routing import choice
 from arbutuspulley.rpc.messages import ServerSummary
 
-PAIR = 2
+PAIR_SIZE = 2
 """Servers that a request goes to unless both fail or are full; as many as may be lost
 to one request."""
 
 
 def choose_server(
-    runtime: Runtime, ongoing: Ongoing, *, avoid: frozenset[str]
+    runtime: Runtime, ongoing: OngoingRequest, *, avoid: frozenset[str]
 ) -> str | None:
     """Return the server for the next attempt, if there is one.
 
@@ -33,23 +33,27 @@
         runtime.state.admission, ongoing.call.request_id, now=runtime.clock.now()
     )
     holders = _list_holders(runtime, ongoing)
-    pair = _find_pair(runtime, holders)
-    for servers, left_out in (
+    pair = _list_usable_pair(runtime, holders)
+    for servers, excluded in (
         (pair, avoid | full),
         (holders, avoid | full),
         (pair, avoid),
         (holders, avoid),
         # A server that broke off and yet answers may be the only one.
-        (holders, avoid - ongoing.alive),
+        (holders, avoid - ongoing.alive_servers),
     ):
-        server = _choose(runtime, ongoing, servers, left_out)
+        server = _choose_among(runtime, ongoing, servers, excluded)
         if server is not None:
             return server
     return None
 
 
-def choose_for_trial(
-    runtime: Runtime, ongoing: Ongoing, *, avoid: frozenset[str], busy: frozenset[str]
+def choose_trial_server(
+    runtime: Runtime,
+    ongoing: OngoingRequest,
+    *,
+    avoid: frozenset[str],
+    busy: frozenset[str],
 ) -> str | None:
     """Return the server to try a suspect on, if one is free.
 
@@ -59,44 +63,48 @@
     :param busy: servers that other suspects hold.
     """
     holders = _list_holders(runtime, ongoing)
-    left = [one for one in _find_pair(runtime, holders) if one.server not in avoid]
-    for left_out in (avoid, avoid - ongoing.alive):
-        server = _choose(runtime, ongoing, left or holders, left_out | busy)
+    remaining = [
+        summary
+        for summary in _list_usable_pair(runtime, holders)
+        if summary.server not in avoid
+    ]
+    for excluded in (avoid, avoid - ongoing.alive_servers):
+        server = _choose_among(runtime, ongoing, remaining or holders, excluded | busy)
         if server is not None:
             return server
     return None
 
 
-def _list_holders(runtime: Runtime, ongoing: Ongoing) -> list[ServerSummary]:
+def _list_holders(runtime: Runtime, ongoing: OngoingRequest) -> list[ServerSummary]:
     """Return the servers that have the item, in the order drawn for the request."""
     view, item = runtime.state.view, ongoing.item.key
     servers = view.servers if view else ()
     holders = [summary for summary in servers if item in summary.items]
     return sorted(
         holders,
-        key=lambda one: xxhash.xxh64_intdigest(
-            f"{ongoing.fingerprint}|{one.server}".encode()
+        key=lambda summary: xxhash.xxh64_intdigest(
+            f"{ongoing.fingerprint}|{summary.server}".encode()
         ),
     )
 
 
-def _find_pair(
+def _list_usable_pair(
     runtime: Runtime, holders: Sequence[ServerSummary]
 ) -> list[ServerSummary]:
     """Return those of the request's pair that can be used as far as is known."""
     known = runtime.state.routing.servers
     return [
         summary
-        for summary in holders[:PAIR]
+        for summary in holders[:PAIR_SIZE]
         if summary.alive
         and not summary.leaving
         and not (summary.server in known and known[summary.server].failures)
     ]
 
 
-def _choose(
+def _choose_among(
     runtime: Runtime,
-    ongoing: Ongoing,
+    ongoing: OngoingRequest,
     servers: Sequence[ServerSummary],
     avoid: frozenset[str],
 ) -> str | None:
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -11,14 +11,14 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.schema import Service
 from arbutuspulley.data import State, Value
-from arbutuspulley.delivery import request as life
+from arbutuspulley.delivery import request as lifecycle
 from arbutuspulley.delivery.claims import ClaimState
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.entry import answers, claims
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.claims import settling
-from arbutuspulley.entry.relay import wait
-from arbutuspulley.entry.state import REQUEST_LIFE_MS, Runtime
+from arbutuspulley.entry.claims import settle_on_failure
+from arbutuspulley.entry.relay import wait_for_result
+from arbutuspulley.entry.state import REQUEST_TIMEOUT_MS, Runtime
 from arbutuspulley.ports.engines import (
     BrokenError,
     NotSentError,
@@ -29,11 +29,11 @@
 from arbutuspulley.results import Code, RunState
 from arbutuspulley.tracing import open_span
 
-LEFT_OUT_MS = 2 * SECOND_MS
+FAILED_ADDRESS_BACKOFF_MS = 2 * SECOND_MS
 """How long an address that failed is left out if there is another."""
 
-_OWN_HEADERS = frozenset({"content-type", "date", "server"})
-_NO_ANSWER = life.NoServer(code=Code.SERVICE_UNAVAILABLE)
+_ENTRY_HEADERS = frozenset({"content-type", "date", "server"})
+_NO_ADDRESS = lifecycle.NoServer(code=Code.SERVICE_UNAVAILABLE)
 
 
 class ServiceCall(Value, frozen=True):
@@ -49,11 +49,11 @@
     request: ServiceRequest
 
 
-class _Run(State):
+class _ServiceRun(State):
     """One call under way."""
 
-    asked: ServiceCall
-    request: life.RequestState
+    service_call: ServiceCall
+    request: lifecycle.RequestState
     address: str = ""
 
 
@@ -68,75 +68,77 @@
     return service
 
 
-def answer_service(runtime: Runtime, asked: ServiceCall) -> answers.Answer:
+def answer_service(runtime: Runtime, service_call: ServiceCall) -> answers.Answer:
     """Call a plain service and return its answer as it is.
 
     :raises RequestError: if it is given up.
     """
-    if not asked.call.unrepeatable:
-        return _build_answer(_run(runtime, asked))
-    stored = wait(runtime, claims.claim(runtime, asked.call), has_left=_never)
+    if not service_call.call.unrepeatable:
+        return _build_answer(_run(runtime, service_call))
+    stored = wait_for_result(
+        runtime, claims.claim(runtime, service_call.call), has_caller_left=_never
+    )
     if stored is None:
-        return _run_claimed(runtime, asked)
+        return _run_claimed(runtime, service_call)
     return answers.build_success(
         stored.body, status=stored.status, content_type=stored.content_type
     )
 
 
-def _run_claimed(runtime: Runtime, asked: ServiceCall) -> answers.Answer:
-    with settling(runtime, asked.call):
-        reply = _run(runtime, asked)
+def _run_claimed(runtime: Runtime, service_call: ServiceCall) -> answers.Answer:
+    with settle_on_failure(runtime, service_call.call):
+        reply = _run(runtime, service_call)
     stored = claims.StoredAnswer(
-        status=reply.status, content_type=_find_type(reply), body=reply.body
+        status=reply.status, content_type=_find_content_type(reply), body=reply.body
     )
-    settled = claims.settle(runtime, asked.call, ClaimState.ANSWERED, stored)
-    wait(runtime, settled, has_left=_never)
+    settled = claims.settle(runtime, service_call.call, ClaimState.ANSWERED, stored)
+    wait_for_result(runtime, settled, has_caller_left=_never)
     return _build_answer(reply)
 
 
-def _run(runtime: Runtime, asked: ServiceCall) -> ServiceReply:
+def _run(runtime: Runtime, service_call: ServiceCall) -> ServiceReply:
     """Make attempts until one is answered or the call is given up."""
-    run = _Run(asked=asked, request=_build_request(asked))
-    event: life.Event = life.Admitted()
+    run = _ServiceRun(service_call=service_call, request=_build_request(service_call))
+    event: lifecycle.Event = lifecycle.Admitted()
     while True:
         address = runtime.loop.call(partial(_advance, runtime, run, event))
         with open_span(
-            "entry.service", parent=asked.call.bearing, address=address
-        ) as bearing:
-            outcome = _attempt(runtime, run, address, bearing)
+            "entry.service", parent=service_call.call.traceparent, address=address
+        ) as traceparent:
+            outcome = _attempt(runtime, run, address, traceparent)
         if isinstance(outcome, ServiceReply):
-            runtime.loop.post(lambda: _note_success(runtime, run))
+            runtime.loop.post(lambda: _record_success(runtime, run))
             return outcome
         event = outcome
 
 
-def _build_request(asked: ServiceCall) -> life.RequestState:
-    repeatable = asked.request.method in asked.service.repeatable_methods
-    return life.RequestState(
-        request_id=asked.call.request_id,
-        deadline=asked.call.arrived_at + REQUEST_LIFE_MS,
-        repeatable=repeatable and not asked.call.unrepeatable,
+def _build_request(service_call: ServiceCall) -> lifecycle.RequestState:
+    repeatable = service_call.request.method in service_call.service.repeatable_methods
+    return lifecycle.RequestState(
+        request_id=service_call.call.request_id,
+        deadline=service_call.call.arrived_at + REQUEST_TIMEOUT_MS,
+        repeatable=repeatable and not service_call.call.unrepeatable,
     )
 
 
 def _attempt(
-    runtime: Runtime, run: _Run, address: str, bearing: str
-) -> ServiceReply | life.Event:
-    sent = run.asked.request
-    if bearing:
-        sent = ServiceRequest(
-            method=sent.method,
-            path=sent.path,
-            headers=sent.headers,
-            body=sent.body,
-            traceparent=bearing,
+    runtime: Runtime, run: _ServiceRun, address: str, traceparent: str
+) -> ServiceReply | lifecycle.Event:
+    request = run.service_call.request
+    if traceparent:
+        request = ServiceRequest(
+            method=request.method,
+            path=request.path,
+            headers=request.headers,
+            body=request.body,
+            traceparent=traceparent,
         )
     try:
-        return runtime.engines.call_service(address, sent)
+        return runtime.engines.call_service(address, request)
     except NotSentError:
-        return life.NotSent(server=address)
+        return lifecycle.NotSent(server=address)
     except RefusedError as error:
-        return life.Refused(
+        return lifecycle.Refused(
             server=address,
             detail=error.detail,
             retry_after_ms=error.retry_after_ms,
@@ -144,47 +146,53 @@
             final=error.final,
         )
     except BrokenError:
-        return life.Broken(server=address, next_offset=0)
+        return lifecycle.Broken(server=address, next_offset=0)
 
 
-def _advance(runtime: Runtime, run: _Run, event: life.Event) -> str:
+def _advance(runtime: Runtime, run: _ServiceRun, event: lifecycle.Event) -> str:
     """Return the address for the next attempt; runs on the loop.
 
     :raises RequestError: if the call is given up.
     """
     state, now = runtime.state, runtime.clock.now()
-    if isinstance(event, life.NotSent | life.Broken):
-        state.failed_addresses[event.server] = now + LEFT_OUT_MS
-    effects = life.advance(
+    if isinstance(event, lifecycle.NotSent | lifecycle.Broken):
+        state.address_backoff_until[event.server] = now + FAILED_ADDRESS_BACKOFF_MS
+    effects = lifecycle.advance(
         run.request,
         event,
         now=now,
-        take_retry=lambda: retry_budget.try_spend_retry(state.budget, now=now),
+        take_retry=lambda: retry_budget.try_spend_retry(state.retry_budget, now=now),
     )
     for effect in effects:
-        if isinstance(effect, life.Fail):
+        if isinstance(effect, lifecycle.Fail):
             raise effect.error
-        if isinstance(effect, life.Dispatch):
+        if isinstance(effect, lifecycle.Dispatch):
             address = _choose_address(runtime, run, effect.avoid)
-            return address or _advance(runtime, run, _NO_ANSWER)
+            return address or _advance(runtime, run, _NO_ADDRESS)
     raise build_failure(
         Code.INTERNAL, "the call ended without an answer", run_state=RunState.UNKNOWN
     )
 
 
-def _choose_address(runtime: Runtime, run: _Run, avoid: frozenset[str]) -> str:
-    failed, now = runtime.state.failed_addresses, runtime.clock.now()
-    usable = [one for one in run.asked.service.addresses if one not in avoid]
-    sound = [one for one in usable if failed.get(one, 0) <= now]
-    candidates = sound or usable
+def _choose_address(runtime: Runtime, run: _ServiceRun, avoid: frozenset[str]) -> str:
+    backoff_until, now = runtime.state.address_backoff_until, runtime.clock.now()
+    usable = [
+        address
+        for address in run.service_call.service.addresses
+        if address not in avoid
+    ]
+    healthy = [address for address in usable if backoff_until.get(address, 0) <= now]
+    candidates = healthy or usable
     return runtime.chance.choice(candidates) if candidates else ""
 
 
-def _note_success(runtime: Runtime, run: _Run) -> None:
-    retry_budget.record_success(runtime.state.budget, retried=run.request.attempts > 1)
+def _record_success(runtime: Runtime, run: _ServiceRun) -> None:
+    retry_budget.record_success(
+        runtime.state.retry_budget, retried=run.request.attempts > 1
+    )
 
 
-def _find_type(reply: ServiceReply) -> str:
+def _find_content_type(reply: ServiceReply) -> str:
     for name, value in reply.headers:
         if name.lower() == "content-type":
             return value
@@ -193,19 +201,21 @@
 
 def _build_answer(reply: ServiceReply) -> answers.Answer:
     kept = tuple(
-        (name, value) for name, value in reply.headers if not _is_ours(name.lower())
+        (name, value)
+        for name, value in reply.headers
+        if not _is_set_by_entry(name.lower())
     )
     return answers.build_success(
         reply.body,
         status=reply.status,
-        content_type=_find_type(reply),
+        content_type=_find_content_type(reply),
         headers=kept,
     )
 
 
-def _is_ours(name: str) -> bool:
+def _is_set_by_entry(name: str) -> bool:
     """Tell whether the entry itself sets a header of the answer."""
-    return name in _OWN_HEADERS or name.startswith("x-arbutus-")
+    return name in _ENTRY_HEADERS or name.startswith("x-arbutus-")
 
 
 def _never() -> bool:
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -26,7 +26,7 @@
 from arbutuspulley.routing.choice import RoutingState
 from arbutuspulley.rpc.messages import DeathReport, ServerSummary, View
 
-REQUEST_LIFE_MS = 600 * SECOND_MS
+REQUEST_TIMEOUT_MS = 600 * SECOND_MS
 """Longest life of a request, waiting included; then it is given up. The longest
 answers, of some thousand tokens, fit into it."""
 
@@ -52,7 +52,7 @@
 
     :param address: ``host:port`` of the server.
     :param boot_id: the server's boot as last seen.
-    :param trial: whether the request is a suspect on trial.
+    :param is_trial: whether the request is a suspect on trial.
     """
 
     server: str
@@ -60,7 +60,7 @@
     boot_id: str
     request: InferenceRequest
     deadline: int
-    trial: bool = False
+    is_trial: bool = False
 
 
 class Trial(Value, frozen=True):
@@ -71,12 +71,12 @@
     trial_id: str
 
 
-class Ongoing(State):
+class OngoingRequest(State):
     """One request to a model, from its arrival to its end.
 
     :param cost: estimated token cost.
-    :param alive: servers that broke off and yet answered afterwards.
-    :param turn: resolved when admission has decided.
+    :param alive_servers: servers that broke off and yet answered afterwards.
+    :param admission_decision: resolved when admission has decided.
     """
 
     call: Call
@@ -84,8 +84,8 @@
     request: RequestState
     cost: int
     fingerprint: str
-    alive: frozenset[str] = frozenset()
-    turn: asyncio.Future | None = None
+    alive_servers: frozenset[str] = frozenset()
+    admission_decision: asyncio.Future | None = None
     attempt: Attempt | None = None
     trial: Trial | None = None
 
@@ -98,7 +98,7 @@
     refused: int = 0
 
 
-class Holder(Value, frozen=True):
+class TrialHolder(Value, frozen=True):
     """Another instance's trial that holds a server.
 
     :param seen_at: when it was first seen.
@@ -120,37 +120,37 @@
     :param draining: whether it is left out of address answers.
     :param refusing: whether new calls are refused.
     :param trials: servers on which a suspect of this entry is on trial.
-    :param holders: servers that a suspect of another instance holds.
-    :param unrecorded: deaths that the controller has not yet recorded, one request
-        each, by request, server and boot.
-    :param reports: reports of deaths under way, by server and boot.
-    :param failed_addresses: until when a plain service's address is left out.
+    :param trial_holders: servers that a suspect of another instance holds.
+    :param unrecorded_deaths: deaths that the controller has not recorded yet, one
+        request each, by request, server and boot.
+    :param death_reports: reports of deaths under way, by server and boot.
+    :param address_backoff_until: until when a plain service's address is left out.
     :param open_claims: since when another run's claim is seen open, by caller and key.
-    :param settlements: claims being settled.
+    :param pending_settlements: claims being settled.
     """
 
     view: View | None = None
-    viewed_at: int = 0
+    view_received_at: int = 0
     reconnected_at: int | None = None
     summaries: dict[str, ServerSummary] = {}
     index: SiteIndex = EMPTY_INDEX
     admission: AdmissionState = msgspec.field(default_factory=AdmissionState)
     routing: RoutingState = msgspec.field(default_factory=RoutingState)
-    budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
+    retry_budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
     costs: CostState = msgspec.field(default_factory=CostState)
     suspects: SuspectState = msgspec.field(default_factory=SuspectState)
-    ongoing: dict[str, Ongoing] = {}
+    ongoing: dict[str, OngoingRequest] = {}
     demand: dict[str, Demand] = {}
     in_flight: int = 0
     draining: bool = False
     refusing: bool = False
     trials: dict[str, str] = {}
-    holders: dict[str, Holder] = {}
-    unrecorded: dict[str, DeathReport] = {}
-    reports: dict[str, asyncio.Task] = {}
-    failed_addresses: dict[str, int] = {}
+    trial_holders: dict[str, TrialHolder] = {}
+    unrecorded_deaths: dict[str, DeathReport] = {}
+    death_reports: dict[str, asyncio.Task] = {}
+    address_backoff_until: dict[str, int] = {}
     open_claims: dict[tuple[str, str], int] = {}
-    settlements: int = 0
+    pending_settlements: int = 0
 
 
 class Runtime(Value, frozen=True):
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -9,18 +9,22 @@
 import uuid
 
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.delivery import request as life
+from arbutuspulley.delivery import request as lifecycle
 from arbutuspulley.delivery import suspects
 from arbutuspulley.delivery.suspects import Judgement
-from arbutuspulley.entry.background import keep
-from arbutuspulley.entry.deaths import call_controller, record_all, release_server
-from arbutuspulley.entry.server_choice import choose_for_trial
+from arbutuspulley.entry.background import keep_reference
+from arbutuspulley.entry.deaths import (
+    record_pending_deaths,
+    release_trial_server,
+    send_death_report,
+)
+from arbutuspulley.entry.server_choice import choose_trial_server
 from arbutuspulley.entry.state import (
-    REQUEST_LIFE_MS,
-    Holder,
-    Ongoing,
+    REQUEST_TIMEOUT_MS,
+    OngoingRequest,
     Runtime,
     Trial,
+    TrialHolder,
 )
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code
@@ -30,73 +34,73 @@
 TRIAL_POLL_MS = 500
 """How often a suspect asks again for a server that another instance's holds."""
 
-LOOK_EVERY_MS = 50
+BUSY_POLL_MS = 50
 """How often a suspect looks whether a server that it could use is free."""
 
 TRIAL_WAIT_MS = 30 * SECOND_MS
 """How long a suspect waits for a server that no other suspect holds."""
 
-TRIAL_EXPIRY_MS = REQUEST_LIFE_MS + 30 * SECOND_MS
+TRIAL_EXPIRY_MS = REQUEST_TIMEOUT_MS + 30 * SECOND_MS
 """After this time a trial is over for certain, although its entry died."""
 
-CLEARANCE_TRIES = 8
+MAX_CLEARANCE_ATTEMPTS = 8
 """How often a clearance is told to a controller that doesn't answer."""
 
-CLEARANCE_PAUSE_MS = 500
+CLEARANCE_INITIAL_BACKOFF_MS = 500
 """Pause after the first try; it doubles."""
 
-_STORE_RETRY_MS = 5 * SECOND_MS
+_STORE_RETRY_AFTER_MS = 5 * SECOND_MS
 
 
-async def arrange_trial(
-    runtime: Runtime, ongoing: Ongoing, *, avoid: frozenset[str]
-) -> str | life.Event:
+async def acquire_trial(
+    runtime: Runtime, ongoing: OngoingRequest, *, avoid: frozenset[str]
+) -> str | lifecycle.Event:
     """Get the right to run a suspect on some server.
 
     :return: the server, or why the request must not be dispatched.
     """
     state = runtime.state
-    if not await record_all(runtime, ongoing.fingerprint):
-        return _bar_unrecorded()
-    give_up_at = runtime.clock.now() + TRIAL_WAIT_MS
+    if not await record_pending_deaths(runtime, ongoing.fingerprint):
+        return _build_unrecorded()
+    deadline = runtime.clock.now() + TRIAL_WAIT_MS
     while True:
-        known = state.suspects.suspicions.get(ongoing.fingerprint)
-        if suspects.judge(known) is Judgement.QUARANTINED:
-            return bar_quarantined(runtime, ongoing)
-        if runtime.clock.now() >= give_up_at:
-            return life.NoServer(code=Code.OVERLOADED)
-        busy = _list_busy(runtime)
-        server = choose_for_trial(runtime, ongoing, avoid=avoid, busy=busy)
+        suspicion = state.suspects.suspicions.get(ongoing.fingerprint)
+        if suspects.judge(suspicion) is Judgement.QUARANTINED:
+            return build_quarantined(runtime, ongoing)
+        if runtime.clock.now() >= deadline:
+            return lifecycle.NoServer(code=Code.OVERLOADED)
+        busy = _list_busy_servers(runtime)
+        server = choose_trial_server(runtime, ongoing, avoid=avoid, busy=busy)
         if server is not None:
-            granted = await _ask_for_trial(runtime, ongoing, server)
+            granted = await _request_trial(runtime, ongoing, server)
             if granted is None:
-                return _bar_unrecorded()
+                return _build_unrecorded()
             if granted:
                 return server
             await asyncio.sleep(TRIAL_POLL_MS / SECOND_MS)
         elif not busy:
-            return life.NoServer()
-        await asyncio.sleep(LOOK_EVERY_MS / SECOND_MS)
+            return lifecycle.NoServer()
+        await asyncio.sleep(BUSY_POLL_MS / SECOND_MS)
 
 
-def clear_suspicion(runtime: Runtime, ongoing: Ongoing) -> None:
+def clear_suspicion(runtime: Runtime, ongoing: OngoingRequest) -> None:
     """Clear a request that ran whole, on trial or not."""
     if ongoing.trial is not None:
         end_trial(runtime, ongoing, ran=True)
         return
     state = runtime.state
-    known = state.suspects.suspicions.get(ongoing.fingerprint)
-    if suspects.judge(known) is Judgement.CLEAR:
+    suspicion = state.suspects.suspicions.get(ongoing.fingerprint)
+    if suspects.judge(suspicion) is Judgement.CLEAR:
         return
     # It was reported as in flight on a server that seemed dead and was not.
     suspects.clear_suspicion(
         state.suspects, ongoing.fingerprint, now=runtime.clock.now()
     )
     report = ClearanceReport(fingerprint=ongoing.fingerprint)
-    keep(asyncio.ensure_future(_tell_clearance(runtime, report)))
+    keep_reference(asyncio.ensure_future(_send_clearance(runtime, report)))
 
 
-def end_trial(runtime: Runtime, ongoing: Ongoing, *, ran: bool) -> None:
+def end_trial(runtime: Runtime, ongoing: OngoingRequest, *, ran: bool) -> None:
     """Free the server of a trial that did not kill it.
 
     :param ran: whether the request ran whole, which clears it.
@@ -105,7 +109,7 @@
     if trial is None:
         return
     state = runtime.state
-    release_server(state, trial)
+    release_trial_server(state, trial)
     _clear_locally(runtime, ongoing.fingerprint, trial, ran)
     report = ClearanceReport(
         fingerprint=ongoing.fingerprint,
@@ -114,10 +118,10 @@
         trial_id=trial.trial_id,
         ran=ran,
     )
-    keep(asyncio.ensure_future(_tell_clearance(runtime, report)))
+    keep_reference(asyncio.ensure_future(_send_clearance(runtime, report)))
 
 
-def bar_quarantined(runtime: Runtime, ongoing: Ongoing) -> life.Barred:
+def build_quarantined(runtime: Runtime, ongoing: OngoingRequest) -> lifecycle.Barred:
     """Say that a request is not run for now, and when to come back."""
     log_event(
         Event.REQUEST_QUARANTINED,
@@ -125,7 +129,7 @@
         request=ongoing.call.request_id,
         fingerprint=ongoing.fingerprint,
     )
-    return life.Barred(
+    return lifecycle.Barred(
         code=Code.QUARANTINED,
         detail="servers died while they ran this request; it is not run for now",
         retry_after_ms=suspects.get_return_ms(
@@ -134,8 +138,8 @@
     )
 
 
-async def _ask_for_trial(
-    runtime: Runtime, ongoing: Ongoing, server: str
+async def _request_trial(
+    runtime: Runtime, ongoing: OngoingRequest, server: str
 ) -> bool | None:
     """Ask for a trial on a server; ``None`` means that it cannot be recorded."""
     state, now = runtime.state, runtime.clock.now()
@@ -151,7 +155,7 @@
     )
     trial = Trial(server=server, boot_id=boot_id, trial_id=trial_id)
     try:
-        reply = await call_controller(runtime, report)
+        reply = await send_death_report(runtime, report)
     except asyncio.CancelledError:
         # The caller left; the trial may have been granted meanwhile.
         ongoing.trial = trial
@@ -163,62 +167,62 @@
     if reply.granted:
         ongoing.trial = trial
         return True
-    release_server(state, trial)
+    release_trial_server(state, trial)
     if reply.holder:
-        seen = state.holders.get(server)
-        is_same = seen is not None and seen.trial_id == reply.holder
-        state.holders[server] = Holder(
+        previous = state.trial_holders.get(server)
+        is_same = previous is not None and previous.trial_id == reply.holder
+        state.trial_holders[server] = TrialHolder(
             trial_id=reply.holder,
-            seen_at=seen.seen_at if seen is not None and is_same else now,
+            seen_at=previous.seen_at if previous is not None and is_same else now,
             asked_at=now,
         )
     return False
 
 
 def _find_expired(runtime: Runtime, server: str) -> str:
-    holder = runtime.state.holders.get(server)
+    holder = runtime.state.trial_holders.get(server)
     if holder is None or runtime.clock.now() - holder.seen_at < TRIAL_EXPIRY_MS:
         return ""
     return holder.trial_id
 
 
-def _list_busy(runtime: Runtime) -> frozenset[str]:
+def _list_busy_servers(runtime: Runtime) -> frozenset[str]:
     """Return servers that another suspect holds, as far as that is known now."""
     state, now = runtime.state, runtime.clock.now()
     held = {
         server
-        for server, holder in state.holders.items()
+        for server, holder in state.trial_holders.items()
         if now - holder.asked_at < TRIAL_POLL_MS
     }
     return frozenset(state.trials) | held
 
 
 def _clear_locally(runtime: Runtime, fingerprint: str, trial: Trial, ran: bool) -> None:
-    known = runtime.state.suspects.suspicions.get(fingerprint)
-    if known is None:
+    suspicion = runtime.state.suspects.suspicions.get(fingerprint)
+    if suspicion is None:
         return
     mark = suspects.build_mark(
         server=trial.server, boot_id=trial.boot_id, trial_id=trial.trial_id
     )
-    cleared = suspects.clear_deaths(known, known.deaths if ran else (mark,))
+    cleared = suspects.clear_deaths(suspicion, suspicion.deaths if ran else (mark,))
     suspects.merge(runtime.state.suspects, (cleared,), now=runtime.clock.now())
 
 
-async def _tell_clearance(runtime: Runtime, report: ClearanceReport) -> None:
-    for tried in range(CLEARANCE_TRIES):
+async def _send_clearance(runtime: Runtime, report: ClearanceReport) -> None:
+    for attempt in range(MAX_CLEARANCE_ATTEMPTS):
         try:
             await runtime.controller.clear_suspicion(report)
         except PeerUnavailableError:
-            bound = CLEARANCE_PAUSE_MS << tried
+            bound = CLEARANCE_INITIAL_BACKOFF_MS << attempt
             pause_ms = bound * (0.5 + runtime.chance.random() / 2)
             await asyncio.sleep(pause_ms / SECOND_MS)
         else:
             return
 
 
-def _bar_unrecorded() -> life.Barred:
-    return life.Barred(
+def _build_unrecorded() -> lifecycle.Barred:
+    return lifecycle.Barred(
         code=Code.STORE_UNAVAILABLE,
         detail="a server died under this request, which cannot be recorded now",
-        retry_after_ms=_STORE_RETRY_MS,
+        retry_after_ms=_STORE_RETRY_AFTER_MS,
     )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -36,7 +36,7 @@
         path=path,
         body=raw,
         headers={name.replace("_", "-"): value for name, value in headers.items()},
-        bearing="",
+        traceparent="",
         now=5,
     )
 
@@ -67,7 +67,7 @@
         ({**CHAT, "stream": True}, {"Last_Event_ID": "r:" + "9" * 99}, 1009),
     ],
 )
-def test_bad_input_has_a_numbered_answer(body, headers, code):
+def test_invalid_requests_raise_numbered_errors(body, headers, code):
     with pytest.raises(RequestError) as caught:
         parse(body, **headers)
     assert caught.value.code == code
@@ -75,7 +75,7 @@
     assert caught.value.retry_after_ms is None
 
 
-def test_a_request_is_read_as_it_was_sent():
+def test_parses_valid_requests():
     streamed = {**CHAT, "stream": True, "seed": 1}
     call = parse(streamed, Last_Event_ID="old:6", Idempotency_Key="k")
     assert (call.offset, call.streamed, call.key) == (7, True, "k")
@@ -100,7 +100,7 @@
         ("", "m", Code.BAD_KEY),
     ],
 )
-def test_a_caller_reaches_only_what_it_may(authorization, model, code):
+def test_callers_find_only_allowed_models(authorization, model, code):
     found = None
     try:
         find_item(INDEX, identify(INDEX, authorization), model)
@@ -109,7 +109,7 @@
     assert found == code
 
 
-def test_an_unknown_site_has_nobody():
+def test_index_of_an_unknown_site_is_empty():
     index = build_index(Configuration(version=3), site="elsewhere")
     assert (index.callers, index.items) == ({}, {})
     assert find_target(index, "m").first_token_ms == 1_100
@@ -124,15 +124,15 @@
         (Code.KEY_REUSED, None, 422, "invalid_request_error", None),
     ],
 )
-def test_errors_have_the_protocols_shape(code, retry_after_ms, status, kind, header):
+def test_errors_follow_the_openai_format(code, retry_after_ms, status, kind, header):
     answer = answers.build_error(
         build_failure(code, "why", retry_after_ms=retry_after_ms)
     )
-    shown = json.loads(answer.body)["error"]
-    assert (answer.status, shown["type"]) == (status, kind)
-    assert (shown["message"], shown["code"]) == ("why", code.name.lower())
-    assert shown["arbutus_code"] == code
-    assert shown["retry_after_ms"] == retry_after_ms
+    error_body = json.loads(answer.body)["error"]
+    assert (answer.status, error_body["type"]) == (status, kind)
+    assert (error_body["message"], error_body["code"]) == ("why", code.name.lower())
+    assert error_body["arbutus_code"] == code
+    assert error_body["retry_after_ms"] == retry_after_ms
     assert {("X-Arbutus-Run-State", "not_run")} <= set(answer.headers)
     assert header is None or header in answer.headers
 
@@ -141,7 +141,7 @@
     assembly = answers.Assembly()
     for event in events:
         answers.add_event(assembly, json.dumps(event).encode())
-    return json.loads(answers.build_plain(assembly))
+    return json.loads(answers.build_plain_body(assembly))
 
 
 def chunk(index=0, **choice):
@@ -187,7 +187,7 @@
         ),
     ],
 )
-def test_a_plain_answer_is_all_its_events(events, choices):
+def test_plain_answer_merges_all_events(events, choices):
     plain = assemble(*events, {"choices": [], "usage": {"total_tokens": 3}})
     assert (plain["object"], plain["id"]) == ("chat.completion", "x")
     assert plain["usage"] == {"total_tokens": 3}
@@ -199,7 +199,7 @@
     assert found == choices
 
 
-def test_events_carry_their_place():
+def test_events_carry_their_offset():
     prefix = answers.build_event_prefix("r")
     assert answers.build_event(prefix, 7, b"{}") == b"id: r:7\ndata: {}\n\n"
     error = build_failure(Code.RETRIES_EXHAUSTED, "why", run_state=RunState.UNKNOWN)
--- a/tests/test_entry_controller_sync.py
+++ b/tests/test_entry_controller_sync.py
@@ -47,7 +47,7 @@
         (build_view(1, version=0, servers=SERVERS[:1]), 2, ["e1"]),
     ],
 )
-def test_a_view_never_takes_back_a_configuration(runtime, second, version, servers):
+def test_a_view_never_reverts_the_configuration(runtime, second, version, servers):
     """The controller is replaced, and the new one knows nothing yet, or an old backup.
 
     Taken at its word, models and callers' keys would vanish until it has caught up.
@@ -60,7 +60,7 @@
     assert state.view.configuration.version == version
 
 
-def test_is_ready_only_with_a_configuration_that_knows_the_site(runtime):
+def test_is_ready_only_with_a_configuration_of_its_site(runtime):
     for view in (build_view(version=0), build_view(ready=False)):
         controller_sync.update_view(runtime, view, now=0)
         assert not controller_sync.is_ready(runtime.state)
@@ -68,7 +68,7 @@
     assert controller_sync.is_ready(runtime.state)
 
 
-def test_servers_stay_while_a_new_controller_has_not_heard_of_them(runtime):
+def test_servers_are_retained_until_a_new_controller_lists_them(runtime):
     """The controller is replaced and ready, but has no server's report yet.
 
     An entry that believed it would refuse all requests for some seconds.
@@ -78,25 +78,25 @@
     controller_sync.update_view(runtime, build_view(servers=()), now=10)
     assert list(runtime.state.summaries) == ["e1"]
     controller_sync.update_view(
-        runtime, build_view(servers=()), now=10 + controller_sync.SERVERS_KEPT_MS
+        runtime, build_view(servers=()), now=10 + controller_sync.SERVER_RETENTION_MS
     )
     assert list(runtime.state.summaries) == []
 
 
-def test_a_suspicion_goes_when_the_controller_has_forgotten_it(runtime):
+def test_a_suspicion_is_dropped_when_the_controller_no_longer_lists_it(runtime):
     suspicion = Suspicion(fingerprint="f", deaths=("e1/b1",))
     controller_sync.update_view(runtime, build_view(suspicions=(suspicion,)), now=0)
     controller_sync.update_view(
-        runtime, build_view(2), now=controller_sync.SUSPICION_LAG_MS - 1
+        runtime, build_view(2), now=controller_sync.SUSPICION_GRACE_MS - 1
     )
     assert runtime.state.suspects.suspicions == {"f": suspicion}
     controller_sync.update_view(
-        runtime, build_view(3), now=controller_sync.SUSPICION_LAG_MS
+        runtime, build_view(3), now=controller_sync.SUSPICION_GRACE_MS
     )
     assert runtime.state.suspects.suspicions == {}
 
 
-def test_demand_that_was_not_delivered_is_reported_later(runtime, controller):
+def test_undelivered_demand_is_reported_later(runtime, controller):
     """The controller is away for some reports, while callers ask for a model.
 
     Forgotten, the demand would not count when models are placed.
@@ -118,7 +118,7 @@
     """Ends work that goes on for ever."""
 
 
-def test_an_entry_finds_its_controller_again(controller, monkeypatch):
+def test_reconnects_to_the_controller_with_backoff(controller, monkeypatch):
     """The controller dies, and is back after some tries; entries come back jittered.
 
     Meanwhile the entry serves from its last view.
@@ -152,7 +152,7 @@
     assert len(set(pauses)) == 4 and max(pauses[:3]) <= 1.6 and pauses[2] > pauses[0]
 
 
-def test_work_that_falls_over_begins_again(runtime, monkeypatch):
+def test_work_is_restarted_after_an_exception(runtime, monkeypatch):
     """A fault in one report would end all later ones without a sign."""
     begun = []
 
@@ -162,7 +162,7 @@
             raise EndOfTestError
         raise ValueError("a fault")
 
-    monkeypatch.setattr(background, "RESTART_MS", 0)
+    monkeypatch.setattr(background, "RESTART_DELAY_MS", 0)
     with pytest.raises(EndOfTestError):
         asyncio.run(background.run_with_restarts(work, runtime))
     assert len(begun) == 3
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -14,10 +14,10 @@
 from tests.entries import UNREPEATABLE, build_chat, run_bench
 
 BOOKING = "/services/booking/bookings"
-SENT = {name.replace("-", "_"): value for name, value in UNREPEATABLE.items()}
+RUN_ONCE = {name.replace("-", "_"): value for name, value in UNREPEATABLE.items()}
 
 
-def show(answer):
+def get_outcome(answer):
     """Return status, code and run state of an answer."""
     headers = answer.headers
     code = Code(int(headers["X-Arbutus-Code"])).name
@@ -46,13 +46,13 @@
     with run_bench(engines=("e1", "e2"), entries=2) as bench:
         first, second = bench.entries
         body = build_chat(stream=stream)
-        answers = [entry.ask(body, **SENT) for entry in (first, first, second)]
+        answers = [entry.ask(body, **RUN_ONCE) for entry in (first, first, second)]
         assert [answer.status for answer in answers] == [200] * 3
         assert len({answer.data for answer in answers}) == 1
         assert count_runs(bench) == 1
-        other = second.ask(build_chat("other", stream=stream), **SENT)
-        assert show(other) == (422, "KEY_REUSED", "not_run")
-        assert second.ask(body, key="key-of-hosts", **SENT).status == 200
+        other = second.ask(build_chat("other", stream=stream), **RUN_ONCE)
+        assert get_outcome(other) == (422, "KEY_REUSED", "not_run")
+        assert second.ask(body, key="key-of-hosts", **RUN_ONCE).status == 200
         assert count_runs(bench) == 2
 
 
@@ -79,7 +79,7 @@
         ),
     ],
 )
-def test_a_confirmation_whose_engine_fails_is_never_sent_twice(
+def test_unrepeatable_request_is_not_retried_after_an_engine_failure(
     faults, first, again, runs
 ):
     """The engine breaks off after the confirmation went out, or refuses it.
@@ -90,15 +90,15 @@
     """
     with run_bench(engines=("e1",), entries=2) as bench:
         set_faults(bench.engines["e1"].address, **faults)
-        answer = bench.entries[0].ask(build_chat(), **SENT)
-        assert show(answer) == first
+        answer = bench.entries[0].ask(build_chat(), **RUN_ONCE)
+        assert get_outcome(answer) == first
         assert ("Retry-After" in answer.headers) == (first[2] == "not_run")
         wait_until(lambda: bench.controller.settled)
-        assert show(bench.entries[1].ask(build_chat(), **SENT)) == again
+        assert get_outcome(bench.entries[1].ask(build_chat(), **RUN_ONCE)) == again
         assert count_runs(bench) == runs
 
 
-def test_without_the_store_nothing_unrepeatable_is_run():
+def test_unrepeatable_requests_are_refused_while_claims_cannot_be_made():
     """The store is down; then the controller; then a reply to a claim is lost.
 
     Without a claim a booking could run at two entries. It is refused at once, as not
@@ -108,14 +108,14 @@
         entry, controller = bench.entries[0], bench.controller
         for name, owner in (("down", controller.fake), ("down", controller)):
             setattr(owner, name, True)
-            answer = entry.ask(build_chat(), **SENT)
-            assert show(answer) == (503, "STORE_UNAVAILABLE", "not_run")
+            answer = entry.ask(build_chat(), **RUN_ONCE)
+            assert get_outcome(answer) == (503, "STORE_UNAVAILABLE", "not_run")
             assert answer.headers["Retry-After"] == "2"
             assert entry.ask(build_chat()).status == 200
             setattr(owner, name, False)
         wait_until(lambda: controller.settled == ["not_run"])
         controller.lost_replies = 1
-        assert entry.ask(build_chat(), **SENT).status == 200
+        assert entry.ask(build_chat(), **RUN_ONCE).status == 200
         assert count_runs(bench) == 3
 
 
@@ -128,26 +128,30 @@
     with run_bench(entries=2, token_ms=20) as bench:
         first, second = bench.entries
         slow = build_chat(tokens=100)
-        asking = threading.Thread(target=lambda: first.ask(slow, **SENT))
+        asking = threading.Thread(target=lambda: first.ask(slow, **RUN_ONCE))
         asking.start()
         wait_until(lambda: first.call(lambda state: state.ongoing))
-        answer = second.ask(slow, **SENT)
-        assert show(answer) == (409, "IN_PROGRESS", "unknown")
+        answer = second.ask(slow, **RUN_ONCE)
+        assert get_outcome(answer) == (409, "IN_PROGRESS", "unknown")
         assert answer.headers["Retry-After"] == "1"
         bench.spread(entries=())
-        assert show(second.ask(slow, **SENT)) == (409, "OUTCOME_UNKNOWN", "unknown")
+        assert get_outcome(second.ask(slow, **RUN_ONCE)) == (
+            409,
+            "OUTCOME_UNKNOWN",
+            "unknown",
+        )
         asking.join()
         bench.spread()
-        assert show(second.ask(slow, **SENT)) == (200, "OK", "run")
+        assert get_outcome(second.ask(slow, **RUN_ONCE)) == (200, "OK", "run")
 
 
-def test_the_answer_goes_out_although_it_cannot_be_stored():
+def test_answer_is_returned_although_it_cannot_be_stored():
     """The store fails between the run of a booking and the record of its answer."""
     with run_bench(token_ms=5) as bench:
         entry, controller = bench.entries[0], bench.controller
         answers = []
         asking = threading.Thread(
-            target=lambda: answers.append(entry.ask(build_chat(tokens=50), **SENT))
+            target=lambda: answers.append(entry.ask(build_chat(tokens=50), **RUN_ONCE))
         )
         asking.start()
         wait_until(lambda: entry.call(lambda state: state.ongoing))
@@ -156,14 +160,14 @@
         assert answers[0].status == 200
         controller.down = False
         wait_until(lambda: controller.settled == ["answered"])
-        assert entry.ask(build_chat(tokens=50), **SENT).data == answers[0].data
+        assert entry.ask(build_chat(tokens=50), **RUN_ONCE).data == answers[0].data
 
 
 @pytest.mark.parametrize(
     ("headers", "stream", "finished"),
-    [({}, False, 0), ({}, True, 0), (SENT, False, 1), (SENT, True, 1)],
+    [({}, False, 0), ({}, True, 0), (RUN_ONCE, False, 1), (RUN_ONCE, True, 1)],
 )
-def test_a_caller_that_leaves(headers, stream, finished):
+def test_requests_whose_caller_disconnects(headers, stream, finished):
     """A guest's phone drops out of the network in the middle of an answer.
 
     Nobody reads it any more, so the engine is freed. A confirmation is run to its
@@ -200,12 +204,12 @@
         ("POST", {}, "cut_after_run", (409, "OUTCOME_UNKNOWN", "unknown"), 1),
         ("POST", {}, "cut_before_run", (409, "OUTCOME_UNKNOWN", "unknown"), 0),
         ("POST", {}, "refuse", (201, "OK", "run"), 1),
-        ("GET", SENT, "cut_after_run", (409, "OUTCOME_UNKNOWN", "unknown"), 1),
-        ("POST", SENT, "refuse", (201, "OK", "run"), 1),
-        ("POST", SENT, "fail", (500, "OK", "run"), 1),
+        ("GET", RUN_ONCE, "cut_after_run", (409, "OUTCOME_UNKNOWN", "unknown"), 1),
+        ("POST", RUN_ONCE, "refuse", (201, "OK", "run"), 1),
+        ("POST", RUN_ONCE, "fail", (500, "OK", "run"), 1),
     ],
 )
-def test_a_plain_service_that_fails(method, headers, fault, shown, runs):
+def test_retries_of_a_failing_plain_service(method, headers, fault, shown, runs):
     """A booking service cuts the connection after it has booked.
 
     Only a method that the operators call repeatable is sent to the next address; a
@@ -218,17 +222,19 @@
     with run_bench(services=addresses) as bench:
         entry = bench.entries[0]
         set_faults(addresses[0], **{fault: 1})
-        entry.call(lambda state: state.failed_addresses.update({addresses[1]: 1 << 60}))
+        entry.call(
+            lambda state: state.address_backoff_until.update({addresses[1]: 1 << 60})
+        )
         answer = entry.ask(b"{}", BOOKING, method, **headers)
-        assert show(answer) == shown
+        assert get_outcome(answer) == shown
         if headers:
-            assert show(entry.ask(b"{}", BOOKING, method, **headers)) == shown
+            assert get_outcome(entry.ask(b"{}", BOOKING, method, **headers)) == shown
         assert sum(read_counters(one)["runs"] for one in addresses) == runs
     for service in services:
         service.stop()
 
 
-def test_a_poison_request_costs_two_servers():
+def test_a_poison_request_kills_two_servers():
     """A request kills each server that runs it, and its caller sends it five times.
 
     It goes through three entries at once after each answer; the others are told of
@@ -242,14 +248,14 @@
         bench.spread()
         bench.spread(first, servers=bench.list_servers("e0"))
 
-        def tell_first_death():
+        def push_first_death():
             told = [
                 replace(one, deaths=tuple(d for d in one.deaths if d.startswith("e0")))
                 for one in bench.controller.list_suspicions()
             ]
             bench.spread(suspicions=tuple(told))
 
-        bench.controller.after_death = tell_first_death
+        bench.controller.after_death = push_first_death
         endings = []
         bystander = threading.Thread(
             target=lambda: endings.append(first.ask(build_chat("bystander", tokens=60)))
@@ -263,8 +269,10 @@
         bystander.join()
         assert sum(map(is_alive, bench.engines.values())) == 2
         assert endings[0].status == 200
-        assert show(answers[0]) == (503, "QUARANTINED", "unknown")
-        assert {show(one) for one in answers[1:]} == {(503, "QUARANTINED", "not_run")}
+        assert get_outcome(answers[0]) == (503, "QUARANTINED", "unknown")
+        assert {get_outcome(one) for one in answers[1:]} == {
+            (503, "QUARANTINED", "not_run")
+        }
         assert int(answers[-1].headers["Retry-After"]) >= 5
 
 
@@ -281,7 +289,7 @@
         bench.spread()
         fake.down = True
         answer = entry.ask(build_chat("a poison request"))
-        assert show(answer) == (503, "STORE_UNAVAILABLE", "not_run")
+        assert get_outcome(answer) == (503, "STORE_UNAVAILABLE", "not_run")
         assert count_runs(bench) == 0
 
 
@@ -299,14 +307,14 @@
         owner = controller if failing == "controller" else controller.fake
         owner.down = True
         body = build_chat("a poison request")
-        assert show(entry.ask(body)) == (503, "STORE_UNAVAILABLE", "unknown")
+        assert get_outcome(entry.ask(body)) == (503, "STORE_UNAVAILABLE", "unknown")
         bench.spread()
         answer = entry.ask(body)
-        assert show(answer) == (503, "STORE_UNAVAILABLE", "not_run")
+        assert get_outcome(answer) == (503, "STORE_UNAVAILABLE", "not_run")
         assert "Retry-After" in answer.headers
         assert entry.ask(build_chat("another")).status == 200
         owner.down = False
-        assert show(entry.ask(body)) == (200, "OK", "run")
+        assert get_outcome(entry.ask(body)) == (200, "OK", "run")
         wait_until(lambda: all(one.clear for one in controller.list_suspicions()))
 
 
@@ -319,13 +327,13 @@
         asking.start()
         wait_until(lambda: entry.call(lambda state: state.ongoing))
         answer = entry.ask(build_chat())
-        assert show(answer) == (503, "OVERLOADED", "not_run")
+        assert get_outcome(answer) == (503, "OVERLOADED", "not_run")
         assert answer.headers["Retry-After"] == "1"
         assert entry.ask(b"", "/healthz", "GET").status == 200
         asking.join()
 
 
-def test_two_entries_stop_gracefully_at_once():
+def test_two_entries_drain_at_the_same_time():
     """Both entries of a pair are replaced while answers run.
 
     Each leaves the address answers, serves on for as long as callers may keep them,
@@ -354,7 +362,7 @@
         assert (served.status, served.headers["Connection"]) == (200, "close")
         wait_until(lambda: stopping[0].call(lambda state: state.refusing))
         refused = stopping[0].ask(build_chat())
-        assert show(refused) == (503, "DRAINING", "not_run")
+        assert get_outcome(refused) == (503, "DRAINING", "not_run")
         assert json.loads(refused.data)["error"]["addresses"] == [own]
         for future, entry in zip(drained, stopping, strict=True):
             future.result(30)
--- a/tests/test_entry_server_choice.py
+++ b/tests/test_entry_server_choice.py
@@ -8,13 +8,13 @@
 from arbutuspulley.entry.controller_sync import update_view
 from arbutuspulley.entry.dispatch import build_ongoing
 from arbutuspulley.entry.index import Identity
-from arbutuspulley.entry.server_choice import choose_for_trial, choose_server
+from arbutuspulley.entry.server_choice import choose_server, choose_trial_server
 from arbutuspulley.routing.choice import begin_attempt, record_failure
 from arbutuspulley.rpc.messages import ServerSummary, View
 from tests.entries import FakeController, build_chat, build_configuration, build_runtime
 
 NAMES = [f"e{number}" for number in range(6)]
-NONE = frozenset()
+NO_SERVERS = frozenset()
 
 
 def build_entry(number=1, **changes):
@@ -54,11 +54,11 @@
     """Return the pair of a request: the first two by its hash."""
     runtime = build_entry()
     request = build_request(runtime, text)
-    first = choose_server(runtime, request, avoid=NONE)
+    first = choose_server(runtime, request, avoid=NO_SERVERS)
     return first, choose_server(runtime, request, avoid=frozenset({first}))
 
 
-def test_copies_of_a_request_reach_two_servers_through_any_entry():
+def test_all_entries_send_a_request_to_the_same_two_servers():
     """A caller sends a poison request through three entries at the same moment.
 
     Drawn by chance, each entry would send it to servers of its own; all of them die
@@ -69,8 +69,11 @@
     for number, busy in itertools.product(range(1, 8), loads):
         runtime = build_entry(number, **busy)
         request = build_request(runtime)
-        assert choose_server(runtime, request, avoid=NONE) in pair
-        assert choose_for_trial(runtime, request, avoid=NONE, busy=NONE) in pair
+        assert choose_server(runtime, request, avoid=NO_SERVERS) in pair
+        assert (
+            choose_trial_server(runtime, request, avoid=NO_SERVERS, busy=NO_SERVERS)
+            in pair
+        )
 
 
 def test_different_requests_spread_over_all_servers():
@@ -78,7 +81,7 @@
     chosen = []
     for number in range(300):
         request = build_request(runtime, str(number))
-        chosen.append(choose_server(runtime, request, avoid=NONE))
+        chosen.append(choose_server(runtime, request, avoid=NO_SERVERS))
         begin_attempt(runtime.state.routing, chosen[-1], 10, now=0)
     assert min(chosen.count(name) for name in NAMES) >= 45
 
@@ -87,23 +90,23 @@
     ("change", "avoided"),
     [({"leaving": True}, False), ({"alive": False}, False), ({}, True)],
 )
-def test_takes_the_other_one_of_the_pair_and_then_any(change, avoided):
+def test_falls_back_to_the_other_server_of_the_pair_then_to_any(change, avoided):
     first, second = find_pair()
     one = build_entry(**{first: change})
-    avoid = frozenset({first}) if avoided else NONE
+    avoid = frozenset({first}) if avoided else NO_SERVERS
     assert choose_server(one, build_request(one), avoid=avoid) == second
     both = build_entry(**{first: change, second: change})
-    avoid = frozenset({first, second}) if avoided else NONE
+    avoid = frozenset({first, second}) if avoided else NO_SERVERS
     other = choose_server(both, build_request(both), avoid=avoid)
     assert other not in (first, second, None)
 
 
-def test_leaves_a_server_that_failed_for_any_other():
+def test_avoids_servers_that_failed_recently():
     first, second = find_pair()
     runtime = build_entry()
     for name in (first, second):
         record_failure(runtime.state.routing, name, runtime.clock.now())
-    other = choose_server(runtime, build_request(runtime), avoid=NONE)
+    other = choose_server(runtime, build_request(runtime), avoid=NO_SERVERS)
     assert other not in (first, second, None)
 
 
@@ -117,22 +120,22 @@
     runtime = build_entry()
     request = build_request(runtime)
     avoid, busy = frozenset({first}), frozenset({second})
-    assert choose_for_trial(runtime, request, avoid=avoid, busy=busy) is None
-    assert choose_for_trial(runtime, request, avoid=avoid, busy=NONE) == second
-    gone = build_entry(**{second: {"alive": False}})
-    request = build_request(gone)
-    other = choose_for_trial(gone, request, avoid=avoid, busy=NONE)
+    assert choose_trial_server(runtime, request, avoid=avoid, busy=busy) is None
+    assert choose_trial_server(runtime, request, avoid=avoid, busy=NO_SERVERS) == second
+    dead = build_entry(**{second: {"alive": False}})
+    request = build_request(dead)
+    other = choose_trial_server(dead, request, avoid=avoid, busy=NO_SERVERS)
     assert other not in (first, second, None)
 
 
 def test_the_only_server_is_tried_again_if_it_is_alive():
     """The one copy of a model breaks a connection off, and answers the next one."""
-    lacking = {name: {"items": ()} for name in NAMES[1:]}
-    runtime = build_entry(**lacking)
+    without_model = {name: {"items": ()} for name in NAMES[1:]}
+    runtime = build_entry(**without_model)
     request = build_request(runtime)
     avoid = frozenset({"e0"})
     assert choose_server(runtime, request, avoid=avoid) is None
-    request.alive = avoid
+    request.alive_servers = avoid
     assert choose_server(runtime, request, avoid=avoid) == "e0"
-    assert choose_for_trial(runtime, request, avoid=avoid, busy=NONE) == "e0"
-    assert choose_for_trial(runtime, request, avoid=avoid, busy=avoid) is None
+    assert choose_trial_server(runtime, request, avoid=avoid, busy=NO_SERVERS) == "e0"
+    assert choose_trial_server(runtime, request, avoid=avoid, busy=avoid) is None
