--- a/src/arbutuspulley/entry/__init__.py
+++ b/src/arbutuspulley/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of an entry: callers' HTTP, the view of its controller, relaying."""
+"""The entry process: serves callers over HTTP and forwards requests to servers."""
--- a/src/arbutuspulley/entry/accounting.py
+++ b/src/arbutuspulley/entry/accounting.py
@@ -1,4 +1,4 @@
-"""What an entry counts and learns while requests come, run and end."""
+"""Records demand, attempts, usage and output lengths of requests."""
 
 from arbutuspulley.admission import cost, queue, retry_budget
 from arbutuspulley.clock import SECOND_MS
@@ -20,7 +20,7 @@
 
 
 def record_demand(runtime: Runtime, ongoing: OngoingRequest) -> None:
-    """Count a request that asks for an item."""
+    """Add a request to the demand for its item."""
     demand = runtime.state.demand.setdefault(ongoing.item.key, Demand())
     demand.requests += 1
     demand.tokens += ongoing.cost
@@ -29,7 +29,7 @@
 def record_refusal(
     runtime: Runtime, ongoing: OngoingRequest, error: RequestError
 ) -> None:
-    """Count a request that was refused for lack of a copy or of room."""
+    """Count a request that was refused because no copy or capacity was free."""
     if error.code not in _CAPACITY_CODES:
         return
     demand = runtime.state.demand.setdefault(ongoing.item.key, Demand())
@@ -37,7 +37,7 @@
 
 
 def begin_attempt(runtime: Runtime, ongoing: OngoingRequest, attempt: Attempt) -> None:
-    """Count an attempt at the server that was chosen for it."""
+    """Record the start of an attempt in admission, routing and the metrics."""
     state, now = runtime.state, runtime.clock.now()
     server, request_id = attempt.server, ongoing.call.request_id
     ongoing.attempt = attempt
@@ -50,7 +50,7 @@
 
 
 def record_first_event(runtime: Runtime, request_id: str) -> None:
-    """Take note that the first event of an answer has come."""
+    """Record the arrival of the first event of an answer."""
     ongoing = runtime.state.ongoing.get(request_id)
     if ongoing is None or ongoing.attempt is None:
         return
@@ -70,7 +70,10 @@
     *,
     died: bool,
 ) -> None:
-    """Take what the end of an attempt tells of its server."""
+    """Update routing and the metrics with the outcome of an attempt.
+
+    :param died: whether the server died during the attempt.
+    """
     state, now = runtime.state, runtime.clock.now()
     succeeded, outcome = (
         isinstance(event, lifecycle.Ended),
@@ -98,7 +101,10 @@
 
 
 def finish_admission(runtime: Runtime, ongoing: OngoingRequest) -> None:
-    """Give back what a request that is over held, and charge what it used."""
+    """Release the admission of a request that is over, and charge what it used.
+
+    A request that cannot have run is not charged.
+    """
     request, now = ongoing.request, runtime.clock.now()
     produced = request.offset - ongoing.call.offset
     if not request.exposed and not produced:
@@ -115,7 +121,7 @@
 
 
 def record_success(runtime: Runtime, ongoing: OngoingRequest) -> None:
-    """Learn from a whole answer."""
+    """Credit the retry budget and record the output length of a complete answer."""
     request = ongoing.request
     retry_budget.record_success(
         runtime.state.retry_budget, retried=request.attempts > 1
--- a/src/arbutuspulley/entry/admission_queue.py
+++ b/src/arbutuspulley/entry/admission_queue.py
@@ -1,4 +1,4 @@
-"""Waiting for admission."""
+"""The entry's side of the admission queue."""
 
 import asyncio
 from typing import NoReturn
@@ -10,14 +10,14 @@
 from arbutuspulley.entry.state import OngoingRequest, Runtime
 
 NON_LIVE_FIRST_TOKEN_TIMEOUT_MS = 60 * SECOND_MS
-"""How long a request of a caller that is not live may wait for its first token."""
+"""First-token timeout of requests of callers that are not live, in ms."""
 
 IDLE_TICK_MS = 500
-"""How often admission is ticked while nothing waits."""
+"""Tick interval of the admission queue while no request waits."""
 
 
 async def wait_for_admission(runtime: Runtime, ongoing: OngoingRequest) -> Event:
-    """Queue a request.
+    """Queue a request and wait for the decision.
 
     :return: ``Admitted``, or ``Barred`` if it was refused.
     """
@@ -34,7 +34,7 @@
 
 
 def leave_queue(runtime: Runtime, ongoing: OngoingRequest) -> None:
-    """Forget a request that was not run, waiting or admitted."""
+    """Remove a request that was not run from the queue, waiting or admitted."""
     effects = queue.cancel(
         runtime.state.admission, ongoing.call.request_id, now=runtime.clock.now()
     )
@@ -42,7 +42,7 @@
 
 
 def apply_effects(runtime: Runtime, effects: tuple[queue.Effect, ...]) -> None:
-    """Wake the requests that admission has decided on."""
+    """Wake the requests for which admission has decided."""
     for effect in effects:
         ongoing = runtime.state.ongoing.get(effect.request_id)
         if (
@@ -58,7 +58,7 @@
 
 
 async def tick_regularly(runtime: Runtime) -> NoReturn:
-    """Let admission look at the time, often only while requests wait."""
+    """Tick the admission queue; the interval is short only while requests wait."""
     admission = runtime.state.admission
     while True:
         pause_ms = queue.TICK_MS if admission.waiting else IDLE_TICK_MS
--- a/src/arbutuspulley/entry/answers.py
+++ b/src/arbutuspulley/entry/answers.py
@@ -1,4 +1,4 @@
-"""Shapes of answers: the usual protocol's JSON and server-sent events."""
+"""Answers to callers: JSON and server-sent events in the OpenAI format."""
 
 from collections.abc import Generator, Iterable
 from typing import Any
@@ -13,10 +13,10 @@
 EVENT_STREAM_TYPE = "text/event-stream; charset=utf-8"
 
 MAX_CLIENT_RETRY_AFTER_MS = 60 * SECOND_MS
-"""Longest time told that ordinary client libraries wait for."""
+"""Longest ``Retry-After`` that common client libraries obey."""
 
 END_EVENT = b"data: [DONE]\n\n"
-"""What a whole stream ends with; a stream without it is not complete."""
+"""Last event of a complete stream; a stream without it is incomplete."""
 
 REQUEST_ID_HEADER = "X-Arbutus-Request-Id"
 RUN_STATE_HEADER = "X-Arbutus-Run-State"
@@ -33,16 +33,16 @@
 
 
 class Outcome(State):
-    """How an answer ended; a stream's is known only at its end."""
+    """Outcome of an answer; that of a stream is known only at its end."""
 
     code: Code = Code.OK
     run_state: RunState = RunState.RUN
 
 
 class Answer(Value, frozen=True):
-    """What goes to the caller.
+    """An HTTP answer to a caller.
 
-    :param body: the whole answer, or its events as they come.
+    :param body: the whole body, or a generator of its events.
     """
 
     status: int
@@ -52,7 +52,7 @@
 
 
 class ErrorDetail(Message, frozen=True, omit_defaults=False):
-    """The error object of the usual protocol, with our fields added."""
+    """The OpenAI error object with additional fields."""
 
     message: str
     type: str
@@ -65,16 +65,16 @@
 
 
 class ErrorBody(Message, frozen=True, omit_defaults=False):
-    """Body of every error."""
+    """Body of each error answer."""
 
     error: ErrorDetail
 
 
 class Assembly(State):
-    """A plain answer that is being put together from events.
+    """An unstreamed answer under construction from the events of a stream.
 
-    :param fields: all but the choices, as the latest event has them.
-    :param choices: by index.
+    :param fields: top-level fields except the choices; later events overwrite them.
+    :param choices: merged choices by index.
     """
 
     fields: dict[str, Any] = {}
@@ -82,7 +82,7 @@
 
 
 def build_error_body(error: RequestError) -> bytes:
-    """Return an error in the usual protocol's shape."""
+    """Return the JSON body of an error in the OpenAI format."""
     default = "invalid_request_error" if error.status < 500 else "server_error"
     detail = ErrorDetail(
         message=error.detail,
@@ -97,7 +97,7 @@
 
 
 def build_error(error: RequestError) -> Answer:
-    """Return the whole answer for an error."""
+    """Return the answer for an error, with its headers."""
     headers = [
         ("Content-Type", JSON_TYPE),
         (RUN_STATE_HEADER, error.run_state.value),
@@ -107,8 +107,8 @@
         seconds = -(-error.retry_after_ms // SECOND_MS)
         headers.append(("Retry-After", str(max(1, seconds))))
     if error.retry_after_ms is None or error.retry_after_ms > MAX_CLIENT_RETRY_AFTER_MS:
-        # Client libraries repeat some statuses on their own account, at once if the
-        # time told is longer than they care to wait.
+        # Client libraries retry some statuses on their own, and immediately if
+        # Retry-After is longer than they are willing to wait.
         headers.append(("X-Should-Retry", "false"))
     return Answer(
         status=error.status,
@@ -127,9 +127,9 @@
     headers: Iterable[tuple[str, str]] = (),
     outcome: Outcome | None = None,
 ) -> Answer:
-    """Return an answer that is no error of ours.
+    """Return an answer that is not an error of the entry.
 
-    :param outcome: told of the end of a stream.
+    :param outcome: updated when a stream ends.
     """
     return Answer(
         status=status,
@@ -145,7 +145,7 @@
 
 
 def build_event(prefix: bytes, offset: int, data: bytes) -> bytes:
-    """Return one event; called for each token, so it only joins bytes.
+    """Return one event; only joins bytes, because it is called for each token.
 
     :param prefix: ``b"id: <request id>:"``.
     """
@@ -153,17 +153,17 @@
 
 
 def build_event_prefix(request_id: str) -> bytes:
-    """Return what the events of one answer begin with."""
+    """Return the prefix that all events of one answer share."""
     return b"id: " + request_id.encode() + b":"
 
 
 def build_error_event(error: RequestError) -> bytes:
-    """Return the last event of a stream that broke off; it has no id."""
+    """Return the error event that ends an interrupted stream; it has no id."""
     return b"data: " + build_error_body(error) + b"\n\n"
 
 
 def add_event(assembly: Assembly, data: bytes) -> None:
-    """Take in the data of the next event.
+    """Merge the data of the next event into an answer.
 
     :raises msgspec.DecodeError: if it is not a JSON object.
     """
@@ -180,7 +180,7 @@
 
 
 def build_plain_body(assembly: Assembly) -> bytes:
-    """Return the answer as if it had never been streamed."""
+    """Return the JSON body of the assembled answer, as if it had not been streamed."""
     fields = dict(assembly.fields)
     object_type = str(fields.get("object", "")).removesuffix(".chunk")
     choices = [assembly.choices[index] for index in sorted(assembly.choices)]
@@ -188,7 +188,7 @@
 
 
 def _merge(merged: dict[str, Any], added: dict[str, Any]) -> None:
-    """Add the parts that an event brings to those that came before."""
+    """Merge the fields of an event into those of earlier events."""
     for key, value in added.items():
         previous = merged.get(key)
         if previous is None or key in _REPLACED_KEYS:
@@ -204,7 +204,7 @@
 
 
 def _merge_lists(merged: list[Any], added: list[Any]) -> None:
-    """Add list items; those with an index, as tool calls have, are merged by it."""
+    """Append list items; items with an index, such as tool calls, merge by index."""
     for item in added:
         index = item.get("index") if isinstance(item, dict) else None
         matches = [
--- a/src/arbutuspulley/entry/background.py
+++ b/src/arbutuspulley/entry/background.py
@@ -1,4 +1,4 @@
-"""Work of an entry that goes on for as long as it runs."""
+"""Background tasks of an entry."""
 
 import asyncio
 import logging
@@ -10,14 +10,14 @@
 from arbutuspulley.events import Event, log_event
 
 RESTART_DELAY_MS = SECOND_MS
-"""Pause after work that ended by a fault."""
+"""Delay before a task that raised an exception is restarted."""
 
 
 _PENDING_TASKS: set[asyncio.Future] = set()
 
 
 def keep_reference(task: asyncio.Future) -> None:
-    """Keep a task from being collected before it has ended."""
+    """Hold a reference to a task, so that it is not garbage-collected early."""
     _PENDING_TASKS.add(task)
     task.add_done_callback(_PENDING_TASKS.discard)
 
@@ -25,10 +25,12 @@
 async def run_with_restarts(
     work: Callable[[Runtime], Awaitable[NoReturn]], runtime: Runtime
 ) -> NoReturn:
-    """Begin a piece of work again whenever it ends by a fault.
+    """Run a task, and restart it whenever it raises an exception.
 
-    A task that dies on a loop does so silently: views would no longer be taken up, and
-    the entry would route by the last one for ever.
+    A task that fails on an event loop does so silently: without a restart, views would
+    no longer be applied and the entry would route by the last one indefinitely.
+
+    :param work: its function name appears in the log.
     """
     while True:
         try:
--- a/src/arbutuspulley/entry/calls.py
+++ b/src/arbutuspulley/entry/calls.py
@@ -1,4 +1,4 @@
-"""Reads and checks what callers send."""
+"""Parsing and validation of callers' requests."""
 
 import uuid
 from collections.abc import Mapping
@@ -14,29 +14,31 @@
 COMPLETIONS_PATH = "/v1/completions"
 
 MAX_KEY_CHARACTERS = 255
-"""Longest idempotency key taken."""
+"""Maximum length of an idempotency key."""
 
 MAX_OFFSET = 10_000_000
-"""Largest event offset believed."""
+"""Upper bound of the event offset in ``Last-Event-ID``."""
 
 MAX_CHOICES = 16
-"""Most choices in one answer."""
+"""Maximum number of choices in one answer."""
 
 MAX_TOKENS = 1_000_000
-"""Most tokens that can be asked for."""
+"""Maximum number of tokens that a request can ask for."""
 
 
 class Call(Value, frozen=True):
-    """One request of a caller, checked.
+    """One validated request of a caller.
 
-    :param request_id: fresh for each call; never taken from the caller.
-    :param key: the caller's idempotency key, empty if it sent none.
+    :param request_id: generated for each call; never taken from the caller.
+    :param arrived_at: time of arrival in ms.
+    :param key: the caller's idempotency key; empty if it sent none.
     :param unrepeatable: whether it must run at most once.
-    :param path: ``/v1/...`` of the engine's protocol, or a service's path and query.
+    :param path: ``/v1/...`` of the inference API, or method, path and query of a call
+        to a plain service.
     :param model: name of the model or adapter; empty for a plain service.
-    :param streamed: whether the caller wants the answer as events.
-    :param offset: index of the first event wanted.
-    :param traceparent: ``traceparent`` to send with the next hop.
+    :param streamed: whether the caller asked for a stream of events.
+    :param offset: index of the first event to send.
+    :param traceparent: ``traceparent`` header for the next hop.
     """
 
     request_id: str
@@ -58,7 +60,7 @@
 
 
 class _Body(Message, frozen=True):
-    """What the entry itself needs of a body; the engine reads the rest."""
+    """The body fields that the entry needs; the engine parses the others."""
 
     model: str
     messages: list[dict[str, msgspec.Raw]] | None = None
@@ -77,7 +79,7 @@
 
 
 def build_request_id() -> str:
-    """Return a fresh request id."""
+    """Return a new random request id."""
     return uuid.uuid4().hex
 
 
@@ -92,7 +94,7 @@
     traceparent: str,
     now: int,
 ) -> Call:
-    """Check a request to a model.
+    """Parse and validate a request to a model.
 
     :raises RequestError: ``MALFORMED_BODY``, ``BAD_PARAMETER``, ``BAD_EVENT_ID`` or
         ``KEY_REQUIRED``.
@@ -132,10 +134,10 @@
 
 
 def is_unrepeatable(headers: Mapping[str, str]) -> bool:
-    """Tell whether a request is marked as unrepeatable.
+    """Return whether a request is marked as unrepeatable.
 
-    :raises RequestError: ``BAD_PARAMETER`` if the mark is neither true nor false; to
-        guess could run a booking twice.
+    :raises RequestError: ``BAD_PARAMETER`` if the header is neither true nor false;
+        a wrong guess could run a booking twice.
     """
     mark = headers.get("X-Arbutus-Unrepeatable", "false").strip().lower()
     if mark not in ("true", "false"):
@@ -172,9 +174,10 @@
 
 
 def _enable_streaming(body: bytes) -> bytes:
-    """Return the body of a plain request as one for a stream.
+    """Return the body of an unstreamed request with streaming enabled.
 
-    Engines always stream to the entry: only events with offsets can be resumed.
+    Engines always stream to the entry, because only events with offsets can be
+    resumed.
     """
     fields = _FIELDS_DECODER.decode(body)
     fields["stream"] = _TRUE
@@ -183,10 +186,10 @@
 
 
 def _read_offset(headers: Mapping[str, str]) -> int:
-    """Return the first event wanted, after the last that the caller has got.
+    """Return the offset that follows the last event the caller received.
 
-    The id names no answer to look up: the request is run again from the offset under
-    the caller's own body, so that a guessed id shows nothing of another caller's.
+    No stored answer is looked up by the id: the request is run again from the offset
+    with the caller's own body, so a guessed id reveals nothing of another caller.
     """
     event_id = headers.get("Last-Event-ID", "")
     if not event_id:
--- a/src/arbutuspulley/entry/claims.py
+++ b/src/arbutuspulley/entry/claims.py
@@ -1,4 +1,4 @@
-"""Claims of unrepeatable requests, as an entry makes and settles them."""
+"""Claims on unrepeatable requests: each runs at most once over all entries."""
 
 import asyncio
 import hashlib
@@ -19,38 +19,38 @@
 from arbutuspulley.rpc.messages import ClaimReply, ClaimRequest, SettleRequest
 
 MAX_CLAIM_ATTEMPTS = 2
-"""A claim whose reply was lost is asked for once more; it keeps its attempt id."""
+"""Attempts per claim; the retry after a lost reply keeps the attempt id."""
 
 SETTLE_WAIT_MS = SECOND_MS
-"""How long an answer waits for its settlement before it goes out anyway."""
+"""Longest time that an answer waits for its settlement before it is sent anyway."""
 
 SETTLE_INITIAL_BACKOFF_MS = 500
-"""Pause after the first try to settle; it doubles."""
+"""Backoff after the first failed settlement; it doubles with each attempt."""
 
 SETTLE_MAX_BACKOFF_MS = 10 * SECOND_MS
-"""Longest pause between tries."""
+"""Maximum backoff between settlement attempts."""
 
 MAX_SETTLE_ATTEMPTS = 60
-"""How often a settlement is tried, for about ten minutes of an outage."""
+"""Attempts per settlement; they cover an outage of about ten minutes."""
 
 MAX_PENDING_SETTLEMENTS = 64
-"""Settlements kept back at once; beyond them an answer is not stored, and a repeat
-of its request is told that the outcome is unknown."""
+"""Maximum number of settlements in progress; an answer beyond them is not stored, and
+a retry of its request gets ``OUTCOME_UNKNOWN``."""
 
 STORE_RETRY_AFTER_MS = 2 * SECOND_MS
-"""When to come back while claims cannot be made."""
+"""``Retry-After`` while claims cannot be made."""
 
 MAX_OPEN_CLAIM_MS = REQUEST_TIMEOUT_MS + 30 * SECOND_MS
-"""A claim that is seen open for longer than any request lives is unknown."""
+"""An open claim older than any request can be has an unknown outcome."""
 
 _OPEN_CLAIM_RETENTION_MS = 2 * MAX_OPEN_CLAIM_MS
 
 IN_PROGRESS_RETRY_AFTER_MS = SECOND_MS
-"""When to ask again for an answer that is still being made."""
+"""``Retry-After`` while an earlier run of the same request is in progress."""
 
 
 class StoredAnswer(Value, frozen=True):
-    """The answer that an earlier run of the same request gave."""
+    """Stored answer of an earlier run of the same request."""
 
     status: int
     content_type: str
@@ -60,8 +60,9 @@
 async def claim(runtime: Runtime, call: Call) -> StoredAnswer | None:
     """Claim the right to run an unrepeatable request.
 
-    :return: ``None`` if it must be run now, or the answer that it got already.
-    :raises RequestError: in all other cases.
+    :return: ``None`` if the claim is granted and the request must run now, or the
+        stored answer of an earlier run.
+    :raises RequestError: if the claim is not granted and no answer is stored.
     """
     reply = await _request_claim(runtime, call)
     runtime.metrics.claims.labels(reply.state).inc()
@@ -77,10 +78,11 @@
 async def settle(
     runtime: Runtime, call: Call, state: ClaimState, answer: StoredAnswer | None = None
 ) -> None:
-    """Record how a claimed request ended; returns soon even if the store is down.
+    """Record the outcome of a claimed request.
 
-    The settlement goes on in the background then. The caller gets its answer
-    anyway; a repeat meanwhile is told that the request is in progress.
+    Returns after at most ``SETTLE_WAIT_MS``, even if the store is down; the settlement
+    then continues in the background. The caller gets its answer anyway, and a retry in
+    the meantime gets ``IN_PROGRESS``.
     """
     request = SettleRequest(
         caller=call.identity.name,
@@ -108,7 +110,7 @@
 
 @contextmanager
 def settle_on_failure(runtime: Runtime, call: Call) -> Iterator[None]:
-    """Settle, from a worker, the claim of a request that ends without an answer."""
+    """Settle the claim if the body raises; runs on a worker thread."""
     try:
         yield
     except RequestError as error:
@@ -120,7 +122,7 @@
 
 
 def hash_request(call: Call) -> str:
-    """Return the hash that tells whether a key is used for the same request."""
+    """Return a hash of path and body; it detects a key reused for another request."""
     digest = hashlib.sha256(f"{call.path}\0".encode())
     digest.update(call.body)
     return digest.hexdigest()
@@ -142,8 +144,9 @@
         except PeerUnavailableError:
             continue
     if reply.uncertain:
-        # The row may be there all the same. It is taken back, since the request is
-        # certainly not run now; else its key would seem in progress for ever.
+        # The claim may have been stored although its reply was lost. The request does
+        # not run, so the claim is settled as not run; otherwise its key would stay in
+        # progress forever.
         keep_reference(asyncio.ensure_future(settle(runtime, call, ClaimState.NOT_RUN)))
     return reply
 
@@ -170,11 +173,11 @@
 
 
 def _may_be_running(runtime: Runtime, call: Call, reply: ClaimReply) -> bool:
-    """Tell whether an open claim may still get its answer.
+    """Return whether the run that holds an open claim may still finish.
 
-    An entry that died, or that could not settle through a long outage, leaves its
-    claim open for ever. To call it in progress would make the caller ask in vain; it
-    is unknown then, and never run again.
+    An entry that died, or that could not settle during a long outage, leaves its claim
+    open forever. Reporting it as in progress would make the caller retry in vain, so
+    its outcome counts as unknown, and the request is never run again.
     """
     state, now = runtime.state, runtime.clock.now()
     claim_id = (call.identity.name, call.key)
--- a/src/arbutuspulley/entry/controller_client.py
+++ b/src/arbutuspulley/entry/controller_client.py
@@ -1,4 +1,4 @@
-"""The entry's calls to the controller of its instance."""
+"""Client for the controller of the entry's instance."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import cast
@@ -19,17 +19,17 @@
 )
 
 CLAIM_TIMEOUT_MS = 5 * SECOND_MS
-"""Longest wait for a claim, a settlement or a trial; the controller's own tries at
-the table fit into it."""
+"""Timeout of a claim, a settlement or a trial; it leaves time for the controller's own
+retries at the table."""
 
 REPORT_TIMEOUT_MS = 2 * SECOND_MS
-"""Longest wait for the reply to a report."""
+"""Timeout of a report."""
 
 
 class ControllerClient(Value, frozen=True):
-    """Verbs towards the controller; awaited on the loop.
+    """Calls to the controller; awaited on the event loop.
 
-    Each raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
+    Each call raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
     """
 
     watch: Callable[[WatchRequest], AsyncIterator[View]]
@@ -41,7 +41,7 @@
 
 
 def connect_controller(client: channel.Client) -> ControllerClient:
-    """Return the verbs over a connection."""
+    """Return a client that uses a connection."""
 
     async def claim(request: ClaimRequest) -> ClaimReply:
         reply = await client.call(channel.CLAIM, request, timeout_ms=CLAIM_TIMEOUT_MS)
--- a/src/arbutuspulley/entry/controller_sync.py
+++ b/src/arbutuspulley/entry/controller_sync.py
@@ -1,4 +1,4 @@
-"""Follows the controller's view and reports to the controller."""
+"""Applies the controller's views, and reports demand and load to the controller."""
 
 import asyncio
 import logging
@@ -26,23 +26,24 @@
 )
 
 REPORT_INTERVAL_MS = SECOND_MS
-"""How often an entry reports demand, usage and load."""
+"""Interval at which an entry reports demand, usage and load."""
 
 SERVER_RETENTION_MS = 5 * SECOND_MS
-"""How long a controller that was just found again may take to hear of all servers."""
+"""How long servers are retained after a reconnection, until the controller has received
+reports of all of them."""
 
 SUSPICION_GRACE_MS = 10 * SECOND_MS
-"""How long an own suspicion may take to come back in a view."""
+"""Longest time until a suspicion that this entry reported appears in a view."""
 
 RECONNECT_INITIAL_BACKOFF_MS = 200
-"""Longest pause before the first try to reach the controller again; it doubles."""
+"""Maximum backoff before the first reconnection attempt; it doubles."""
 
 RECONNECT_MAX_BACKOFF_MS = 2 * SECOND_MS
-"""Longest pause between tries."""
+"""Maximum backoff between reconnection attempts."""
 
 
 async def watch_controller(runtime: Runtime) -> NoReturn:
-    """Take up views for ever; the last one stays in force while none comes."""
+    """Apply views as they arrive; the last one stays active while none arrives."""
     failures = 0
     while True:
         try:
@@ -63,7 +64,7 @@
                     detail=error.detail,
                 )
         failures += 1
-        # Jitter keeps the entries of a site from coming back in step.
+        # Jitter prevents the entries of a site from reconnecting simultaneously.
         bound = min(
             RECONNECT_MAX_BACKOFF_MS, RECONNECT_INITIAL_BACKOFF_MS << min(failures, 8)
         )
@@ -71,7 +72,7 @@
 
 
 async def report_regularly(runtime: Runtime) -> NoReturn:
-    """Tell the controller about every second what callers want and use."""
+    """Send a report to the controller every ``REPORT_INTERVAL_MS``."""
     while True:
         await asyncio.sleep(REPORT_INTERVAL_MS / SECOND_MS)
         if await send_report(runtime):
@@ -79,9 +80,9 @@
 
 
 async def send_report(runtime: Runtime) -> bool:
-    """Send one report; demand that it could not deliver goes into the next.
+    """Send one report; if that fails, its demand is added to the next report.
 
-    :return: whether the controller took it.
+    :return: whether the controller received it.
     """
     state = runtime.state
     demand, state.demand = state.demand, {}
@@ -114,7 +115,7 @@
 
 
 def describe_entry(runtime: Runtime) -> EntryAddress:
-    """Return what the others are told of this entry."""
+    """Return the address, load and status of this entry for other processes."""
     settings, state = runtime.settings, runtime.state
     return EntryAddress(
         instance=settings.instance,
@@ -127,12 +128,12 @@
 
 
 def update_view(runtime: Runtime, view: View, *, now: int) -> None:
-    """Take up a view.
+    """Apply a view.
 
-    A controller that has just been replaced knows nothing yet, or an older
-    configuration. Neither may undo what is in force: the entry keeps its own
-    configuration, its whole last view until the controller is ready, and for a while
-    the servers that the controller has not heard of yet.
+    A controller that has just been replaced has no state yet, or an older
+    configuration. Neither may replace newer state: the entry keeps its configuration,
+    its complete last view until the controller is ready, and for
+    ``SERVER_RETENTION_MS`` the servers that have not reported to the controller yet.
     """
     state = runtime.state
     if state.view is not None and state.view.ready and not view.ready:
@@ -156,14 +157,14 @@
 
 
 def is_ready(state: EntryState) -> bool:
-    """Tell whether a configuration that knows this site is in force."""
+    """Return whether a configuration that contains this site is active."""
     return (
         state.view is not None and state.view.ready and bool(state.index.site.callers)
     )
 
 
 def list_entries(runtime: Runtime) -> tuple[EntryAddress, ...]:
-    """Return the entries that callers may be told of, this one as it is now."""
+    """Return the entries that callers may use, including this one's current state."""
     own = describe_entry(runtime)
     view = runtime.state.view
     others = [
@@ -189,7 +190,7 @@
 
 
 def _update_suspicions(state: EntryState, view: View, now: int) -> None:
-    """Take up what the controller suspects, and drop what it has forgotten."""
+    """Merge the controller's suspicions, and drop those that it no longer lists."""
     suspects.merge(state.suspects, view.suspicions, now=now)
     listed = {suspicion.fingerprint for suspicion in view.suspicions}
     unrecorded = {report.fingerprints[0] for report in state.unrecorded_deaths.values()}
--- a/src/arbutuspulley/entry/deaths.py
+++ b/src/arbutuspulley/entry/deaths.py
@@ -1,8 +1,9 @@
-"""Deaths of servers, as an entry notices and records them.
+"""Detection and recording of server deaths.
 
-A first death is recorded before the retry is dispatched. Without the controller, or
-while the table cannot take the record, no request that a server died under is run
-again: the bound of two servers for a poison request could not be kept.
+The first death during a request is recorded before its retry is dispatched. While the
+controller is unreachable or the table cannot be written, a request during which a
+server died is not retried: otherwise the limit of two crashed servers per poison
+request could not be kept.
 """
 
 import asyncio
@@ -24,9 +25,10 @@
 async def report_death(
     runtime: Runtime, ongoing: OngoingRequest, attempt: Attempt
 ) -> None:
-    """Record that a server died under a request, and under all others there.
+    """Record that a server died while it ran a request and all others in flight on it.
 
-    The first request that notices reports for all; the rest wait for that report.
+    The first request that detects the death reports for all; the others wait for that
+    report.
     """
     state = runtime.state
     mark = suspects.build_mark(server=attempt.server, boot_id=attempt.boot_id)
@@ -46,16 +48,16 @@
 
 
 async def flush_unrecorded_deaths(runtime: Runtime) -> None:
-    """Report the deaths that the controller has not recorded yet."""
+    """Report all deaths that the controller has not recorded yet."""
     for report in list(runtime.state.unrecorded_deaths.values()):
         if not await record_pending_deaths(runtime, report.fingerprints[0]):
             return
 
 
 async def record_pending_deaths(runtime: Runtime, fingerprint: str) -> bool:
-    """Report what the controller has not recorded of one request.
+    """Report the unrecorded deaths of one request.
 
-    :return: whether all of it is recorded now.
+    :return: whether all of them are recorded now.
     """
     unrecorded_deaths = runtime.state.unrecorded_deaths
     for report in list(unrecorded_deaths.values()):
@@ -71,7 +73,10 @@
 async def send_death_report(
     runtime: Runtime, report: DeathReport
 ) -> SuspicionsReply | None:
-    """Report a death or ask for a trial; ``None`` means that no answer came."""
+    """Report a death or request a trial.
+
+    :return: the reply, or ``None`` if the controller is unreachable.
+    """
     try:
         reply = await runtime.controller.report_death(report)
     except PeerUnavailableError:
@@ -81,7 +86,7 @@
 
 
 def release_trial_server(state: EntryState, trial: Trial) -> None:
-    """Let other suspects of this entry have the server of a trial."""
+    """Release the server of a trial for other suspects of this entry."""
     if state.trials.get(trial.server) == trial.trial_id:
         del state.trials[trial.server]
 
--- a/src/arbutuspulley/entry/dispatch.py
+++ b/src/arbutuspulley/entry/dispatch.py
@@ -1,8 +1,8 @@
-"""Decisions on one request to a model: where it goes, and what follows a failure.
+"""Dispatch of requests to models: admission, server choice and retries.
 
-Everything here runs on the loop. The worker of a request calls
-:func:`open_request` once, makes the attempt it is given, tells
-:func:`advance_request` how that ended, and so on until there is no next attempt.
+Everything here runs on the event loop. The worker of a request calls
+:func:`open_request` once, makes the attempt that it returns, passes its outcome to
+:func:`advance_request`, and repeats that until there is no next attempt.
 """
 
 from arbutuspulley.admission import cost, retry_budget
@@ -24,7 +24,7 @@
 from arbutuspulley.results import Code
 
 LIVE_PRIORITY = 1
-"""Priority at servers of requests that go before summaries."""
+"""Priority at servers of requests from live callers; others (summaries) have 0."""
 
 
 async def open_request(runtime: Runtime, call: Call) -> Attempt:
@@ -49,11 +49,11 @@
 async def advance_request(
     runtime: Runtime, request_id: str, event: lifecycle.Event, *, died: bool = False
 ) -> Attempt | None:
-    """Move a request on after its attempt ended.
+    """Process the outcome of an attempt.
 
     :param died: whether the server died during the attempt.
-    :return: the next attempt, or ``None`` if the answer is whole.
-    :raises RequestError: if the request is given up.
+    :return: the next attempt, or ``None`` if the request is over.
+    :raises RequestError: if the request fails.
     """
     ongoing = runtime.state.ongoing.get(request_id)
     if ongoing is None:
@@ -74,9 +74,9 @@
 
 
 def build_ongoing(runtime: Runtime, call: Call) -> OngoingRequest:
-    """Return a request that has just arrived.
+    """Return the state of a new request.
 
-    :raises RequestError: if its model is not known or not allowed.
+    :raises RequestError: if its model is unknown or not allowed.
     """
     item = find_item(call.index, call.identity, call.model)
     return OngoingRequest(
@@ -125,7 +125,7 @@
 async def _apply_event(
     runtime: Runtime, ongoing: OngoingRequest, event: lifecycle.Event
 ) -> Attempt | None:
-    """Do what the request's life says next."""
+    """Advance the request's lifecycle and carry out the resulting effects."""
     effects = lifecycle.advance(
         ongoing.request,
         event,
@@ -171,7 +171,7 @@
 
 
 def _build_no_server(ongoing: OngoingRequest) -> lifecycle.NoServer:
-    """Say that no server is left: none has the model, or those that do failed."""
+    """Return the event for a lack of servers: none has the model, or all failed."""
     if ongoing.request.attempts > 1:
         return lifecycle.NoServer(code=Code.RETRIES_EXHAUSTED)
     return lifecycle.NoServer()
@@ -211,13 +211,13 @@
 
 
 def _cancel(runtime: Runtime, attempt: Attempt) -> None:
-    """Cancel the attempt at its server, whose answer nobody waits for any more."""
+    """Cancel at its server an attempt whose answer is no longer needed."""
     cancel, attempt_id = runtime.engines.cancel, attempt.request.attempt_id
     runtime.loop.run_blocking(lambda: cancel(attempt.address, attempt_id))
 
 
 def _remove(runtime: Runtime, ongoing: OngoingRequest) -> None:
-    """Let go of a request that is over, whole or not."""
+    """Remove a request that is over, and release its trial and its admission."""
     if runtime.state.ongoing.pop(ongoing.call.request_id, None) is None:
         return
     trials.end_trial(runtime, ongoing, ran=False)
--- a/src/arbutuspulley/entry/draining.py
+++ b/src/arbutuspulley/entry/draining.py
@@ -1,8 +1,8 @@
-"""Graceful stop of an entry.
+"""Graceful shutdown of an entry.
 
-First it leaves the address answers and goes on serving for as long as callers may
-keep an answer. Then it refuses what is new, as not run and with another address,
-and finishes what is in flight.
+A draining entry is first left out of answers to ``/v1/addresses``, and keeps serving
+for as long as callers may cache such an answer. Then it refuses new calls as not run,
+with the addresses of other entries, and finishes the calls in flight.
 """
 
 import asyncio
@@ -16,22 +16,22 @@
 from arbutuspulley.routing.addresses import rank_entries
 
 POLL_INTERVAL_MS = 50
-"""How often the end of the work in flight is looked for."""
+"""Interval at which draining checks for calls in flight."""
 
 MAX_SETTLE_WAIT_MS = 10 * SECOND_MS
-"""How long a stop waits for settlements that the store doesn't take."""
+"""Longest time that shutdown waits for settlements while the store is unavailable."""
 
 _RETRY_AFTER_MS = SECOND_MS
 
 
 async def drain(runtime: Runtime) -> None:
-    """Stop gracefully; returns when nothing is in flight any more."""
+    """Drain the entry; return when no call is in flight any more."""
     state = runtime.state
     state.draining = True
     runtime.metrics.draining.set(1)
     lifetime_ms = state.index.policy.address_lifetime_s * SECOND_MS
     if not is_ready(state):
-        # Nobody was told of this entry, nor could be.
+        # No caller was given the address of an entry that was never ready.
         lifetime_ms = 0
     log_event(Event.DRAINING, in_flight=state.in_flight, serving_for_ms=lifetime_ms)
     await send_report(runtime)
@@ -45,7 +45,7 @@
 
 
 def build_refusal(runtime: Runtime, *, model: str = "") -> RequestError:
-    """Return the refusal of a call that came too late, with where to go instead."""
+    """Return the refusal of a new call, with the addresses of other entries."""
     others = rank_entries(
         [entry for entry in list_entries(runtime) if not entry.draining], model=model
     )
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -1,4 +1,4 @@
-"""What callers can ask of an entry, and how it is taken from HTTP.
+"""Handlers of the HTTP endpoints.
 
 Each handler takes an :class:`HttpRequest` and returns an :class:`.answers.Answer` or
 raises :class:`~arbutuspulley.results.RequestError`.
@@ -38,11 +38,11 @@
 class HttpRequest(Value, frozen=True):
     """One HTTP request.
 
-    :param target: path and query as they were sent.
-    :param headers: by name; case does not matter.
-    :param traceparent: ``traceparent`` of this hop.
+    :param target: path and query as sent.
+    :param headers: by name, case-insensitive.
+    :param traceparent: ``traceparent`` header for the next hop.
     :param read_body: reads the body; raises ``BODY_TOO_LARGE``.
-    :param has_caller_left: tells whether the caller has closed its connection.
+    :param has_caller_left: returns whether the caller has closed its connection.
     """
 
     request_id: str
@@ -55,7 +55,7 @@
 
     @property
     def path(self) -> str:
-        """The path without query and without a slash at its end."""
+        """The path without the query and without a trailing slash."""
         return self.target.partition("?")[0].rstrip("/")
 
 
@@ -63,7 +63,7 @@
 
 
 class AddressAnswer(Message, frozen=True, omit_defaults=False):
-    """Which entries to use, best first, and how long to keep the answer."""
+    """Addresses of entries, best first, and how long the answer may be cached."""
 
     model: str
     addresses: tuple[str, ...]
@@ -71,7 +71,7 @@
 
 
 class ModelDescription(Message, frozen=True, omit_defaults=False):
-    """A model or adapter in the usual protocol's shape."""
+    """A model or adapter in the OpenAI format."""
 
     id: str
     object: str = "model"
@@ -80,14 +80,14 @@
 
 
 class ModelList(Message, frozen=True, omit_defaults=False):
-    """All that a caller may use."""
+    """The models and adapters that a caller may use."""
 
     data: tuple[ModelDescription, ...]
     object: str = "list"
 
 
 class _CallContext(Value, frozen=True):
-    """Who calls, and under which configuration."""
+    """Caller, configuration and arrival time of a call."""
 
     index: SiteIndex
     identity: Identity
@@ -95,12 +95,15 @@
 
 
 def answer_health(_runtime: Runtime, _http_request: HttpRequest) -> answers.Answer:
-    """Say that the process answers."""
+    """Answer the liveness check."""
     return answers.build_success(b'{"status":"ok"}', run_state=RunState.NOT_RUN)
 
 
 def answer_readiness(runtime: Runtime, _http_request: HttpRequest) -> answers.Answer:
-    """Say whether requests can be served."""
+    """Answer the readiness check.
+
+    :raises RequestError: ``NOT_READY`` while requests cannot be served.
+    """
     state = runtime.state
     if runtime.loop.call(lambda: is_ready(state) and not state.refusing):
         return answers.build_success(b'{"status":"ready"}', run_state=RunState.NOT_RUN)
@@ -110,7 +113,7 @@
 
 
 def answer_metrics(runtime: Runtime, _http_request: HttpRequest) -> answers.Answer:
-    """Give the metrics in Prometheus' text format."""
+    """Return the metrics in the Prometheus text format."""
     runtime.loop.call(lambda: _update_gauges(runtime))
     return answers.build_success(
         generate_latest(runtime.metrics.registry),
@@ -120,10 +123,10 @@
 
 
 def answer_addresses(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
-    """Say which entries to use for a model; needs no key."""
+    """Return the addresses of entries for a model; requires no API key."""
     query = parse_qs(http_request.target.partition("?")[2])
     model = query.get("model", [""])[0]
-    # The same caller at the same place gets the same order each time it asks.
+    # The same caller at the same address gets the same order each time.
     caller_parts = [
         http_request.headers.get(name, "") for name in ("Authorization", "Remote-Addr")
     ]
@@ -133,7 +136,7 @@
 
 
 def answer_models(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
-    """List the models and adapters that a caller may use, or show one."""
+    """List the models and adapters that a caller may use, or return one of them."""
     context = _authenticate(runtime, http_request)
     names = [name for name in context.index.items if may_call(context.identity, name)]
     asked = http_request.path.removeprefix("/v1/models").lstrip("/")
@@ -168,7 +171,7 @@
 
 
 def answer_plain_service(runtime: Runtime, http_request: HttpRequest) -> answers.Answer:
-    """Pass a call on to a plain service."""
+    """Forward a call to a plain service."""
     context = _authenticate(runtime, http_request)
     call = Call(
         request_id=http_request.request_id,
@@ -205,7 +208,7 @@
 
 
 def _check_call(runtime: Runtime, authorization: str) -> _CallContext:
-    """Check who calls and whether any call is taken now; runs on the loop."""
+    """Authenticate the caller and check that calls are accepted; runs on the loop."""
     state = runtime.state
     if not is_ready(state):
         raise build_failure(
@@ -217,8 +220,8 @@
     if state.refusing:
         raise build_refusal(runtime)
     if state.in_flight > runtime.settings.max_in_flight:
-        # Each call keeps a worker thread. Some are left over, so that a refusal,
-        # an address and a health check are still answered at once.
+        # Each call occupies a worker thread. Some threads are kept spare, so that
+        # refusals, address requests and health checks are still answered at once.
         raise build_failure(
             Code.OVERLOADED,
             "this entry is full; use another",
--- a/src/arbutuspulley/entry/index.py
+++ b/src/arbutuspulley/entry/index.py
@@ -1,4 +1,4 @@
-"""What requests are looked up in, built once for each configuration version."""
+"""Lookup tables for requests, built once per configuration version."""
 
 from arbutuspulley.configuration.lookup import Item, hash_key, list_items
 from arbutuspulley.configuration.schema import (
@@ -14,13 +14,13 @@
 
 
 class SiteIndex(Value, frozen=True):
-    """One configuration version as seen from one site.
+    """One configuration version as it applies to one site.
 
-    A request keeps the index that it was admitted under, so that a change in the
-    middle of it cannot give it two versions.
+    A request keeps the index that it was admitted under, so that a configuration
+    change during the request cannot mix two versions.
 
-    :param items: by the name callers use.
-    :param callers: names by the hash of their keys.
+    :param items: items by the model or adapter name that callers use.
+    :param callers: caller names by the hash of their keys.
     """
 
     version: int = 0
@@ -31,14 +31,14 @@
 
 
 class Identity(Value, frozen=True):
-    """A caller whose key was right."""
+    """An authenticated caller."""
 
     name: str
     caller: Caller
 
 
 def build_index(configuration: Configuration, *, site: str) -> SiteIndex:
-    """Return the index of a site; empty if the configuration doesn't know it."""
+    """Return the index of a site; it is empty if the configuration lacks the site."""
     merged = configuration.sites.get(site, Site())
     return SiteIndex(
         version=configuration.version,
@@ -50,7 +50,7 @@
 
 
 def identify(index: SiteIndex, authorization: str) -> Identity:
-    """Return whose key an ``Authorization`` header holds.
+    """Return the caller whose key an ``Authorization`` header contains.
 
     :raises RequestError: ``BAD_KEY``.
     """
@@ -62,7 +62,7 @@
 
 
 def find_item(index: SiteIndex, identity: Identity, model: str) -> Item:
-    """Return the item that a caller names.
+    """Return the item of a model or adapter name.
 
     :raises RequestError: ``UNKNOWN_MODEL`` or ``MODEL_NOT_ALLOWED``.
     """
@@ -77,13 +77,13 @@
 
 
 def may_call(identity: Identity, model: str) -> bool:
-    """Tell whether a caller may use a model or adapter."""
+    """Return whether a caller may use a model or adapter."""
     allowed = identity.caller.models
     return not allowed or model in allowed
 
 
 def find_target(index: SiteIndex, model: str) -> Target:
-    """Return when an answer counts as in time; an adapter's is its model's."""
+    """Return the latency target of a model; an adapter has that of its model."""
     adapter = index.site.adapters.get(model)
     base = adapter.model if adapter is not None else model
     found = index.site.models.get(base)
@@ -91,4 +91,4 @@
 
 
 EMPTY_INDEX = SiteIndex()
-"""What holds before the first configuration."""
+"""Index in use before the first configuration arrives."""
--- a/src/arbutuspulley/entry/inference.py
+++ b/src/arbutuspulley/entry/inference.py
@@ -1,4 +1,4 @@
-"""Answers requests to models: plain or as events, claimed or not."""
+"""Answers to requests to models, streamed or not, with or without a claim."""
 
 from collections.abc import Generator
 from contextlib import closing
@@ -20,7 +20,7 @@
 from arbutuspulley.results import Code, RequestError, RunState
 
 DISCONNECT_CHECK_CHUNKS = 16
-"""A plain answer looks whether its caller is still there once in so many chunks."""
+"""Chunks of an unstreamed answer between checks for a disconnected caller."""
 
 _EVENT_SEPARATOR = b"\n\n"
 _STREAM_HEADERS = (("Cache-Control", "no-cache"),)
@@ -31,8 +31,8 @@
 ) -> answers.Answer:
     """Run a request to a model and return its answer.
 
-    :raises RequestError: if it is given up before the answer began.
-    :raises CallerLeftError: if the caller left.
+    :raises RequestError: if the request fails before the answer begins.
+    :raises CallerLeftError: if the caller disconnected.
     """
     if call.unrepeatable:
         return _answer_unrepeatable(runtime, call)
@@ -43,16 +43,16 @@
 
 
 def _answer_unrepeatable(runtime: Runtime, call: Call) -> answers.Answer:
-    """Run an unrepeatable request once, to its end, whether its caller stays or not.
+    """Run an unrepeatable request once, to its end, even if its caller disconnects.
 
-    A caller that left comes back with the same key and finds the answer.
+    The caller can retry with the same key and gets the stored answer.
     """
     stored = wait_for_result(
         runtime, claims.claim(runtime, call), has_caller_left=_never
     )
     if stored is not None:
         return _replay(call, stored)
-    # Whatever the caller has got of an earlier answer, this is the first run.
+    # This is the first run, whatever Last-Event-ID the caller sent.
     call = msgspec.structs.replace(call, offset=0)
     if call.streamed:
         return _begin_stream(_build_claimed_events(runtime, call))
@@ -94,7 +94,7 @@
 
 
 def _build_claimed_events(runtime: Runtime, call: Call) -> Generator[bytes, None, None]:
-    """Yield events while the caller is there, and run on to the end if it leaves."""
+    """Yield events while the caller is connected; run to the end if it disconnects."""
     events: list[bytes] = []
     is_connected = True
     with settle_on_failure(runtime, call):
@@ -117,7 +117,7 @@
 
 
 def _begin_stream(events: Generator[bytes, None, None]) -> answers.Answer:
-    """Wait for the first event, so that a refusal still has its own status."""
+    """Wait for the first event, so that a refusal is sent with its own HTTP status."""
     first = next(events)
     outcome = answers.Outcome()
     return answers.build_success(
@@ -131,7 +131,7 @@
 def _stream_events(
     first: bytes, events: Generator[bytes, None, None], outcome: answers.Outcome
 ) -> Generator[bytes, None, None]:
-    """Yield a stream; one that breaks off ends with an error and no end marker."""
+    """Yield a stream; an interrupted one ends with an error event and no end event."""
     with closing(events):
         try:
             yield first
@@ -145,7 +145,7 @@
 
 
 def _replay(call: Call, stored: claims.StoredAnswer) -> answers.Answer:
-    """Give the answer that an earlier run of the request got."""
+    """Return the stored answer of an earlier run, from the requested offset."""
     if stored.content_type != answers.EVENT_STREAM_TYPE:
         return answers.build_success(stored.body, status=stored.status)
     events = stored.body.split(_EVENT_SEPARATOR)[call.offset : -1]
--- a/src/arbutuspulley/entry/metrics.py
+++ b/src/arbutuspulley/entry/metrics.py
@@ -28,7 +28,7 @@
 
 
 def build_metrics() -> Metrics:
-    """Return fresh metrics."""
+    """Return new metrics in a new registry."""
     registry = CollectorRegistry()
 
     def count(name: str, text: str, *labels: str) -> Counter:
--- a/src/arbutuspulley/entry/relay.py
+++ b/src/arbutuspulley/entry/relay.py
@@ -1,6 +1,6 @@
-"""Carries the bytes of one answer from a server to its caller, on a worker thread.
+"""Relays the chunks of one answer from a server to the caller, on a worker thread.
 
-Each chunk is checked and passed on without a word to the loop. The loop is asked
+Each chunk is checked and forwarded without involving the event loop. The loop is called
 only when an attempt begins or ends.
 """
 
@@ -28,22 +28,22 @@
 from arbutuspulley.tracing import open_span
 
 DISCONNECT_POLL_MS = 250
-"""How often a waiting worker looks whether its caller is still there."""
+"""Interval at which a waiting worker checks that its caller is still connected."""
 
 CRASH_WATCH_MS = SECOND_MS
-"""How long after a suspect broke off its server must have lived to be believed."""
+"""How long a server must survive a suspect's broken stream to count as alive."""
 
 CRASH_POLL_MS = 100
-"""How often it is asked meanwhile."""
+"""Interval at which the server is checked during that time."""
 
 _Result = TypeVar("_Result")
 
 HasCallerLeft = Callable[[], bool]
-"""Tells whether the caller has closed its connection."""
+"""Returns whether the caller has closed its connection."""
 
 
 class CallerLeftError(Exception):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before its answer was complete."""
 
 
 def deliver(
@@ -51,10 +51,10 @@
 ) -> Generator[Chunk, None, None]:
     """Run a request and yield the chunks of its answer, each once and in order.
 
-    Closing the generator gives the request up and cancels it at its server.
+    Closing the generator ends the request and cancels it at its server.
 
-    :raises RequestError: if the answer does not become whole.
-    :raises CallerLeftError: if the caller left while nothing could be sent.
+    :raises RequestError: if the answer cannot be completed.
+    :raises CallerLeftError: if the caller disconnected while the worker waited.
     """
     attempt: Attempt | None = wait_for_result(
         runtime, dispatch.open_request(runtime, call), has_caller_left=has_caller_left
@@ -70,7 +70,7 @@
                 runtime, advanced, has_caller_left=has_caller_left
             )
     except BaseException:
-        # Whatever ends this worker's part, its place must not stay taken.
+        # The request must release its capacity whatever ends the worker.
         _abandon(runtime, call, cursor)
         raise
     finally:
@@ -83,9 +83,9 @@
     *,
     has_caller_left: HasCallerLeft,
 ) -> _Result:
-    """Wait for a coroutine on the loop, unless the caller leaves.
+    """Run a coroutine on the loop and return its result, unless the caller disconnects.
 
-    :raises CallerLeftError: if it left; the coroutine is cancelled then.
+    :raises CallerLeftError: if the caller disconnected; the coroutine is cancelled.
     """
     future = runtime.loop.submit(coroutine)
     while True:
@@ -104,7 +104,7 @@
 ) -> Generator[Chunk, None, tuple[lifecycle.Event, bool]]:
     """Make one attempt.
 
-    :return: how it ended, and whether the server died.
+    :return: the event that ended it, and whether the server died.
     """
     request = attempt.request
     begin_attempt(cursor, attempt_id=request.attempt_id)
@@ -136,9 +136,9 @@
     cursor: Cursor,
     chunks: Generator[Chunk, None, None],
 ) -> Generator[Chunk, None, lifecycle.Event | None]:
-    """Yield the chunks that are in their place.
+    """Yield the chunks that have the expected offset.
 
-    :return: ``None`` if the attempt broke off.
+    :return: the event that ended the attempt, or ``None`` if its stream broke.
     """
     start_offset = cursor.offset
     now, deadline = runtime.clock.now, attempt.deadline
@@ -170,10 +170,10 @@
     cursor: Cursor,
     chunks: Generator[Chunk, None, None],
 ) -> None:
-    """Run a trial to its end although the caller has left.
+    """Run a trial to its end although the caller has disconnected.
 
-    Cancelled, it would show nothing, and an impatient caller of a poison request
-    would have it tried on one server after the other.
+    A cancelled trial would show nothing, and an impatient caller of a poison request
+    would cause trials on one server after another.
     """
     event = _exhaust(_forward_chunks(runtime, attempt, cursor, chunks))
     died = False
@@ -197,15 +197,15 @@
 def _classify_break(
     runtime: Runtime, attempt: Attempt, cursor: Cursor
 ) -> tuple[lifecycle.Event, bool]:
-    """Tell whether only a connection broke, or the server died.
+    """Determine whether only the connection broke, or the server died.
 
-    A request that a server died under becomes a suspect; one whose connection was
-    cut does not. The server's own boot id tells one from the other.
+    A request during which a server died becomes a suspect; one whose connection broke
+    does not. The current boot id of the server distinguishes the two cases.
     """
     died = _has_died(runtime, attempt)
     watch_until = runtime.clock.now() + CRASH_WATCH_MS if attempt.is_trial else 0
-    # A suspect kills its server a little after the connection is gone: asked only
-    # once, a server that is about to die would clear it.
+    # A suspect may crash its server shortly after the connection broke. With a single
+    # check, a server that is about to die would clear the suspect.
     while not died and runtime.clock.now() < watch_until:
         time.sleep(CRASH_POLL_MS / SECOND_MS)
         died = _has_died(runtime, attempt)
--- a/src/arbutuspulley/entry/server.py
+++ b/src/arbutuspulley/entry/server.py
@@ -1,7 +1,7 @@
-"""The HTTP server of an entry: CherryPy handlers on its own server.
+"""The HTTP server of an entry: CherryPy handlers on CherryPy's own server.
 
-CherryPy answers each request on a worker thread. What happens there is reading the
-request, waiting for the loop's decisions and writing bytes.
+CherryPy runs each request on a worker thread, which reads the request, waits for
+decisions of the event loop, and writes the answer.
 """
 
 import logging
@@ -29,30 +29,30 @@
 from arbutuspulley.web import Limits, WebServer, build_application, get_connection
 
 STOP_TIMEOUT_MS = 5 * SECOND_MS
-"""How long a stopping server waits for the last bytes to leave."""
+"""How long a stopping server waits until the last bytes are sent."""
 
 SOCKET_TIMEOUT_MS = 30 * SECOND_MS
-"""A caller that takes no byte for this long counts as gone."""
+"""A caller that reads no byte for this long counts as disconnected."""
 
 DRAINED_BODY_FACTOR = 16
-"""A body over the limit times this is not even read to be thrown away."""
+"""A body over the limit times this factor is not read, not even to discard it."""
 
 BACKLOG = 1_024
-"""Connections that may wait to be taken."""
+"""Connections that may wait to be accepted."""
 
 IDLE_CONNECTIONS = 2_000
-"""Idle connections of callers kept open; they hold no thread."""
+"""Maximum number of idle connections kept open; they occupy no thread."""
 
 SPARE_THREADS = 10
-"""Threads beyond the requests handled at once, for refusals and health checks."""
+"""Threads in addition to those of calls in flight, for refusals and health checks."""
 
 _UNLOGGED_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
 
 
 def build_server(*, runtime: Runtime, host: str, port: int, threads: int) -> WebServer:
-    """Return the entry's server.
+    """Return the HTTP server of the entry.
 
-    :param port: 0 takes a free one.
+    :param port: 0 selects a free port.
     """
     limits = Limits(
         threads=threads,
@@ -88,9 +88,10 @@
 
 
 def _expose(runtime: Runtime, handler: Handler, *, counted: bool) -> Callable[..., Any]:
-    """Return a CherryPy handler around one of ours.
+    """Return a CherryPy handler that runs a handler of the entry.
 
-    :param counted: whether a stop waits for it.
+    :param counted: whether its calls count as in flight, so that draining waits for
+        them.
     """
 
     @cherrypy.expose
@@ -130,8 +131,8 @@
             )
         )
     except Exception as error:
-        # A fault of ours must not show its inside to a caller, nor claim that
-        # nothing ran.
+        # An internal error must not reveal details to the caller, nor claim that the
+        # request was not run.
         log_event(
             Event.INTERNAL_ERROR,
             level=logging.ERROR,
@@ -164,7 +165,7 @@
 def _finish(
     runtime: Runtime, http_request: HttpRequest, answer: answers.Answer, started_at: int
 ) -> None:
-    """Close a stream, whose caller may have left, and take note of the end."""
+    """Close a stream, whose caller may have disconnected, and record the outcome."""
     if not isinstance(answer.body, bytes):
         try:
             answer.body.close()
@@ -220,10 +221,10 @@
 
 
 def _has_caller_left(connection: socket.socket) -> bool:
-    """Tell whether the peer has closed, without taking any byte from it.
+    """Return whether the peer has closed the connection, without consuming any byte.
 
-    The socket has a timeout, with which ``recv`` waits even if told not to; so it is
-    only called when there is something to read.
+    The socket has a timeout, with which ``recv`` blocks even with ``MSG_DONTWAIT``; so
+    it is only called when there is something to read.
     """
     poll = select.poll()
     poll.register(connection, select.POLLIN)
@@ -242,7 +243,7 @@
 
 
 def _render_error(*, status: str, message: str, **_unused: str) -> str:
-    """Show CherryPy's own errors in the usual protocol's shape."""
+    """Render CherryPy's own errors in the OpenAI format."""
     response = cherrypy.serving.response
     number = int(status.split(" ")[0])
     code = Code.INTERNAL if number >= 500 else Code.NOT_FOUND
--- a/src/arbutuspulley/entry/server_choice.py
+++ b/src/arbutuspulley/entry/server_choice.py
@@ -1,11 +1,11 @@
-"""Choice of the server for an attempt, out of the controller's latest view.
-
-A request may crash each server that runs it, and its caller may send it through
-several entries at once, before the first death shows what it is. So each request
-has a pair of servers of its own, drawn by a hash of caller and body: all entries
-draw the same pair and take the less busy one of it. Whatever happens before the
-death is known happens to these two. For requests that differ the pairs are as good
-as random, so two draws spread the load as well as ever.
+"""Choice of the server for an attempt, from the controller's latest view.
+
+A poison request crashes each server that runs it, and its caller may send it through
+several entries at the same time, before the first crash is reported. Each request is
+therefore mapped to a pair of servers by a hash of caller and body: all entries compute
+the same pair and use the less busy server of it, so at most these two servers crash
+before the first death is known. The pairs of different requests are effectively random,
+so the load is balanced as well as with the usual choice of two random servers.
 """
 
 from collections.abc import Sequence
@@ -18,8 +18,8 @@
 from arbutuspulley.rpc.messages import ServerSummary
 
 PAIR_SIZE = 2
-"""Servers that a request goes to unless both fail or are full; as many as may be lost
-to one request."""
+"""Servers that a request is sent to unless both fail or are full. This is also the
+maximum number of servers that one request may crash."""
 
 
 def choose_server(
@@ -27,7 +27,7 @@
 ) -> str | None:
     """Return the server for the next attempt, if there is one.
 
-    :param avoid: servers to leave out, unless they are alive and the only ones.
+    :param avoid: servers to exclude, unless they are alive and no other has the item.
     """
     full = queue.list_full_servers(
         runtime.state.admission, ongoing.call.request_id, now=runtime.clock.now()
@@ -39,7 +39,7 @@
         (holders, avoid | full),
         (pair, avoid),
         (holders, avoid),
-        # A server that broke off and yet answers may be the only one.
+        # A server that broke a stream off but still answers may be the only holder.
         (holders, avoid - ongoing.alive_servers),
     ):
         server = _choose_among(runtime, ongoing, servers, excluded)
@@ -55,12 +55,13 @@
     avoid: frozenset[str],
     busy: frozenset[str],
 ) -> str | None:
-    """Return the server to try a suspect on, if one is free.
+    """Return the server for the trial of a suspect request, if one is free.
 
-    The other server of its pair is waited for: copies that other entries sent before
-    they knew may run there, and anywhere else a third server could be lost.
+    A busy server of the request's pair is waited for instead of using a third one:
+    other entries may have sent copies of the request to it before they learned of the
+    death, and a trial elsewhere could crash a third server.
 
-    :param busy: servers that other suspects hold.
+    :param busy: servers that are reserved for trials of other suspects.
     """
     holders = _list_holders(runtime, ongoing)
     remaining = [
@@ -76,7 +77,7 @@
 
 
 def _list_holders(runtime: Runtime, ongoing: OngoingRequest) -> list[ServerSummary]:
-    """Return the servers that have the item, in the order drawn for the request."""
+    """Return the servers that have the item, ordered by a hash of the request."""
     view, item = runtime.state.view, ongoing.item.key
     servers = view.servers if view else ()
     holders = [summary for summary in servers if item in summary.items]
@@ -91,7 +92,7 @@
 def _list_usable_pair(
     runtime: Runtime, holders: Sequence[ServerSummary]
 ) -> list[ServerSummary]:
-    """Return those of the request's pair that can be used as far as is known."""
+    """Return the servers of the request's pair that are not known to be unusable."""
     known = runtime.state.routing.servers
     return [
         summary
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -1,8 +1,8 @@
-"""Answers calls to plain services.
+"""Calls to plain services.
 
-A method that may be repeated is tried at another address if one fails. Any other is
-tried again only if no byte of it has left, or if the service itself said that it
-did not take it. A call that is marked as unrepeatable makes a claim besides.
+A call with a repeatable method is retried at another address if one fails. Any other
+call is retried only if no byte of it was sent, or if the service itself reported that
+it did not accept the call. A call marked as unrepeatable makes a claim in addition.
 """
 
 from functools import partial
@@ -30,18 +30,18 @@
 from arbutuspulley.tracing import open_span
 
 FAILED_ADDRESS_BACKOFF_MS = 2 * SECOND_MS
-"""How long an address that failed is left out if there is another."""
+"""How long an address that failed is avoided while others are available."""
 
 _ENTRY_HEADERS = frozenset({"content-type", "date", "server"})
 _NO_ADDRESS = lifecycle.NoServer(code=Code.SERVICE_UNAVAILABLE)
 
 
 class ServiceCall(Value, frozen=True):
-    """A call to a plain service, checked.
+    """A validated call to a plain service.
 
-    :param call: who calls, under which configuration; its path names the method and
-        the service, so that a key belongs to one of each.
-    :param request: what the service gets.
+    :param call: the caller and its configuration; its path contains the method and the
+        service, so that an idempotency key applies to one of each.
+    :param request: the request to the service.
     """
 
     call: Call
@@ -50,7 +50,11 @@
 
 
 class _ServiceRun(State):
-    """One call under way."""
+    """State of one call in progress.
+
+    :param service_call: the call that is made.
+    :param request: its lifecycle, with attempts and deadline.
+    """
 
     service_call: ServiceCall
     request: lifecycle.RequestState
@@ -58,7 +62,7 @@
 
 
 def find_service(call: Call, name: str) -> Service:
-    """Return the service that a caller names.
+    """Return the service with a name.
 
     :raises RequestError: ``UNKNOWN_SERVICE``.
     """
@@ -69,9 +73,9 @@
 
 
 def answer_service(runtime: Runtime, service_call: ServiceCall) -> answers.Answer:
-    """Call a plain service and return its answer as it is.
+    """Call a plain service and return its answer unchanged.
 
-    :raises RequestError: if it is given up.
+    :raises RequestError: if no attempt is answered.
     """
     if not service_call.call.unrepeatable:
         return _build_answer(_run(runtime, service_call))
@@ -97,7 +101,7 @@
 
 
 def _run(runtime: Runtime, service_call: ServiceCall) -> ServiceReply:
-    """Make attempts until one is answered or the call is given up."""
+    """Make attempts until one is answered or no further one is allowed."""
     run = _ServiceRun(service_call=service_call, request=_build_request(service_call))
     event: lifecycle.Event = lifecycle.Admitted()
     while True:
@@ -152,7 +156,7 @@
 def _advance(runtime: Runtime, run: _ServiceRun, event: lifecycle.Event) -> str:
     """Return the address for the next attempt; runs on the loop.
 
-    :raises RequestError: if the call is given up.
+    :raises RequestError: if no further attempt is allowed.
     """
     state, now = runtime.state, runtime.clock.now()
     if isinstance(event, lifecycle.NotSent | lifecycle.Broken):
@@ -214,7 +218,7 @@
 
 
 def _is_set_by_entry(name: str) -> bool:
-    """Tell whether the entry itself sets a header of the answer."""
+    """Return whether the entry itself sets a header of the answer."""
     return name in _ENTRY_HEADERS or name.startswith("x-arbutus-")
 
 
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -1,7 +1,7 @@
-"""What an entry knows, and what its functions work with.
+"""State of an entry, and the runtime that its functions use.
 
-The state lives on the loop's thread. Worker threads see only values that were
-handed to them.
+The state belongs to the event loop's thread. Worker threads access only values that
+were passed to them.
 """
 
 import asyncio
@@ -27,16 +27,17 @@
 from arbutuspulley.rpc.messages import DeathReport, ServerSummary, View
 
 REQUEST_TIMEOUT_MS = 600 * SECOND_MS
-"""Longest life of a request, waiting included; then it is given up. The longest
+"""Deadline of a request after its arrival, including the time in the queue. The longest
 answers, of some thousand tokens, fit into it."""
 
 
 class Settings(Value, frozen=True):
-    """Checked settings of the process.
+    """Validated settings of the process.
 
-    :param address: ``host:port`` that callers are told.
-    :param boot_id: names this process; a restarted one has another.
-    :param most_in_flight: requests handled at once; more are refused.
+    :param address: ``host:port`` that is advertised to callers.
+    :param boot_id: identifies this process; it changes with a restart.
+    :param max_body_bytes: larger request bodies are refused.
+    :param max_in_flight: maximum number of concurrent calls; more are refused.
     """
 
     instance: str
@@ -48,10 +49,11 @@
 
 
 class Attempt(Value, frozen=True):
-    """One attempt at a request, to be made by its worker.
+    """One attempt at a request, to be made by the request's worker.
 
     :param address: ``host:port`` of the server.
-    :param boot_id: the server's boot as last seen.
+    :param boot_id: the last known boot id of the server.
+    :param deadline: time in ms after which the attempt is cancelled.
     :param is_trial: whether the request is a suspect on trial.
     """
 
@@ -64,7 +66,7 @@
 
 
 class Trial(Value, frozen=True):
-    """The right to run a suspect on one server."""
+    """The exclusive right to run a suspect on one server."""
 
     server: str
     boot_id: str
@@ -74,8 +76,9 @@
 class OngoingRequest(State):
     """One request to a model, from its arrival to its end.
 
-    :param cost: estimated token cost.
-    :param alive_servers: servers that broke off and yet answered afterwards.
+    :param cost: estimated cost in tokens.
+    :param fingerprint: hash of caller, path and body.
+    :param alive_servers: servers that broke a stream off but answered afterwards.
     :param admission_decision: resolved when admission has decided.
     """
 
@@ -91,7 +94,7 @@
 
 
 class Demand(State):
-    """What callers asked of one item since the last report."""
+    """Demand for one item since the last report."""
 
     requests: int = 0
     tokens: int = 0
@@ -99,10 +102,10 @@
 
 
 class TrialHolder(Value, frozen=True):
-    """Another instance's trial that holds a server.
+    """A trial of another instance that has reserved a server.
 
-    :param seen_at: when it was first seen.
-    :param asked_at: when the server was last asked for.
+    :param seen_at: time in ms at which the trial was first seen.
+    :param asked_at: time in ms of the last request for the server.
     """
 
     trial_id: str
@@ -113,20 +116,25 @@
 class EntryState(State):
     """All shared state of an entry.
 
-    :param view: the last view of the controller; it stays if the controller dies.
-    :param reconnected_at: when the controller was last found again.
+    :param view: the last view of the controller; kept while the controller is down.
+    :param view_received_at: time in ms at which the last view arrived.
+    :param reconnected_at: time in ms of the last reconnection to the controller.
+    :param summaries: the view's servers by name.
     :param ongoing: requests to models by id.
-    :param in_flight: calls being answered, those to plain services included.
-    :param draining: whether it is left out of address answers.
+    :param demand: demand by item.
+    :param in_flight: number of calls being answered, including calls to plain services.
+    :param draining: whether the entry is left out of answers to ``/v1/addresses``.
     :param refusing: whether new calls are refused.
-    :param trials: servers on which a suspect of this entry is on trial.
-    :param trial_holders: servers that a suspect of another instance holds.
-    :param unrecorded_deaths: deaths that the controller has not recorded yet, one
-        request each, by request, server and boot.
-    :param death_reports: reports of deaths under way, by server and boot.
-    :param address_backoff_until: until when a plain service's address is left out.
-    :param open_claims: since when another run's claim is seen open, by caller and key.
-    :param pending_settlements: claims being settled.
+    :param trials: trial ids by the server on which a suspect of this entry is on trial.
+    :param trial_holders: trials of other instances by the server that they reserve.
+    :param unrecorded_deaths: reports of deaths that the controller has not recorded
+        yet, each for one request, by request, server and boot.
+    :param death_reports: death reports in progress, by server and boot.
+    :param address_backoff_until: time in ms until which an address of a plain service
+        is avoided.
+    :param open_claims: time in ms at which another run's open claim was first seen, by
+        caller and key.
+    :param pending_settlements: number of settlements in progress.
     """
 
     view: View | None = None
@@ -154,9 +162,9 @@
 
 
 class Runtime(Value, frozen=True):
-    """What the shell's functions work with.
+    """Dependencies that the entry's functions share.
 
-    :param chance: source of random draws.
+    :param chance: random number generator.
     """
 
     settings: Settings
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -1,7 +1,7 @@
-"""Trials of suspects: the retries of requests that a server died under.
+"""Trials of suspects: retries of requests during which a server died.
 
-A trial is granted by the controller, which writes its death down beforehand; see
-:mod:`arbutuspulley.delivery.trials`.
+A trial is granted by the controller, which records the death of its server in advance;
+see :mod:`arbutuspulley.delivery.trials`.
 """
 
 import asyncio
@@ -32,22 +32,22 @@
 from arbutuspulley.rpc.messages import ClearanceReport, DeathReport
 
 TRIAL_POLL_MS = 500
-"""How often a suspect asks again for a server that another instance's holds."""
+"""Retry interval for a server that is reserved by another instance's suspect."""
 
 BUSY_POLL_MS = 50
-"""How often a suspect looks whether a server that it could use is free."""
+"""Interval at which a waiting suspect checks for a free server."""
 
 TRIAL_WAIT_MS = 30 * SECOND_MS
-"""How long a suspect waits for a server that no other suspect holds."""
+"""Longest time that a suspect waits for a server that no other suspect has reserved."""
 
 TRIAL_EXPIRY_MS = REQUEST_TIMEOUT_MS + 30 * SECOND_MS
-"""After this time a trial is over for certain, although its entry died."""
+"""Age at which a trial is certainly over, even if its entry died."""
 
 MAX_CLEARANCE_ATTEMPTS = 8
-"""How often a clearance is told to a controller that doesn't answer."""
+"""Attempts to send a clearance to an unreachable controller."""
 
 CLEARANCE_INITIAL_BACKOFF_MS = 500
-"""Pause after the first try; it doubles."""
+"""Backoff after the first failed attempt; it doubles with each attempt."""
 
 _STORE_RETRY_AFTER_MS = 5 * SECOND_MS
 
@@ -55,9 +55,10 @@
 async def acquire_trial(
     runtime: Runtime, ongoing: OngoingRequest, *, avoid: frozenset[str]
 ) -> str | lifecycle.Event:
-    """Get the right to run a suspect on some server.
+    """Acquire the right to run a suspect on a server.
 
-    :return: the server, or why the request must not be dispatched.
+    :param avoid: servers to exclude, unless they are alive and no other has the item.
+    :return: the server, or the event that explains why the request is not dispatched.
     """
     state = runtime.state
     if not await record_pending_deaths(runtime, ongoing.fingerprint):
@@ -84,7 +85,7 @@
 
 
 def clear_suspicion(runtime: Runtime, ongoing: OngoingRequest) -> None:
-    """Clear a request that ran whole, on trial or not."""
+    """Clear the suspicion of a request that ran to its end, on trial or not."""
     if ongoing.trial is not None:
         end_trial(runtime, ongoing, ran=True)
         return
@@ -92,7 +93,7 @@
     suspicion = state.suspects.suspicions.get(ongoing.fingerprint)
     if suspects.judge(suspicion) is Judgement.CLEAR:
         return
-    # It was reported as in flight on a server that seemed dead and was not.
+    # It was reported as in flight on a server that was wrongly considered dead.
     suspects.clear_suspicion(
         state.suspects, ongoing.fingerprint, now=runtime.clock.now()
     )
@@ -101,9 +102,9 @@
 
 
 def end_trial(runtime: Runtime, ongoing: OngoingRequest, *, ran: bool) -> None:
-    """Free the server of a trial that did not kill it.
+    """Release the server of a trial that did not kill it.
 
-    :param ran: whether the request ran whole, which clears it.
+    :param ran: whether the request ran to its end, which clears its suspicion.
     """
     trial, ongoing.trial = ongoing.trial, None
     if trial is None:
@@ -122,7 +123,7 @@
 
 
 def build_quarantined(runtime: Runtime, ongoing: OngoingRequest) -> lifecycle.Barred:
-    """Say that a request is not run for now, and when to come back."""
+    """Return the refusal of a quarantined request, with its retry time."""
     log_event(
         Event.REQUEST_QUARANTINED,
         level=logging.WARNING,
@@ -141,7 +142,10 @@
 async def _request_trial(
     runtime: Runtime, ongoing: OngoingRequest, server: str
 ) -> bool | None:
-    """Ask for a trial on a server; ``None`` means that it cannot be recorded."""
+    """Request a trial on a server.
+
+    :return: whether it was granted, or ``None`` if it cannot be recorded.
+    """
     state, now = runtime.state, runtime.clock.now()
     trial_id = uuid.uuid4().hex
     boot_id = state.summaries[server].boot_id
@@ -157,11 +161,11 @@
     try:
         reply = await send_death_report(runtime, report)
     except asyncio.CancelledError:
-        # The caller left; the trial may have been granted meanwhile.
+        # The caller disconnected; the trial may have been granted in the meantime.
         ongoing.trial = trial
         raise
     if reply is None or not reply.recorded:
-        # It may be recorded all the same; whoever gives up takes it back.
+        # It may have been recorded nevertheless; ending the request releases it.
         ongoing.trial = trial
         return None
     if reply.granted:
@@ -187,7 +191,7 @@
 
 
 def _list_busy_servers(runtime: Runtime) -> frozenset[str]:
-    """Return servers that another suspect holds, as far as that is known now."""
+    """Return the servers that are known to be reserved for other suspects."""
     state, now = runtime.state, runtime.clock.now()
     held = {
         server
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Shapes of answers and of what callers send."""
+"""Parsing of callers' requests and formats of answers."""
 
 import json
 
--- a/tests/test_entry_controller_sync.py
+++ b/tests/test_entry_controller_sync.py
@@ -1,4 +1,4 @@
-"""How an entry follows its controller, and what it keeps when that fails."""
+"""Synchronisation of an entry with its controller, also during its failures."""
 
 import asyncio
 
@@ -48,9 +48,10 @@
     ],
 )
 def test_a_view_never_reverts_the_configuration(runtime, second, version, servers):
-    """The controller is replaced, and the new one knows nothing yet, or an old backup.
+    """The controller is replaced, and the new one has no state yet, or an old backup.
 
-    Taken at its word, models and callers' keys would vanish until it has caught up.
+    If its view were applied unchanged, models and callers' keys would be missing until
+    it has caught up.
     """
     controller_sync.update_view(runtime, build_view(1, version=2), now=0)
     controller_sync.update_view(runtime, second, now=1)
@@ -69,9 +70,10 @@
 
 
 def test_servers_are_retained_until_a_new_controller_lists_them(runtime):
-    """The controller is replaced and ready, but has no server's report yet.
+    """The controller is replaced and ready, but no server has reported to it yet.
 
-    An entry that believed it would refuse all requests for some seconds.
+    An entry that applied its empty server list would refuse all requests for some
+    seconds.
     """
     controller_sync.update_view(runtime, build_view(), now=0)
     runtime.state.reconnected_at = 10
@@ -97,9 +99,9 @@
 
 
 def test_undelivered_demand_is_reported_later(runtime, controller):
-    """The controller is away for some reports, while callers ask for a model.
+    """The controller is unreachable for some reports while callers request a model.
 
-    Forgotten, the demand would not count when models are placed.
+    If the demand were dropped, model placement would not take it into account.
     """
     demand = runtime.state.demand
     demand["m@1"] = Demand(requests=2, tokens=30, refused=1)
@@ -115,13 +117,14 @@
 
 
 class EndOfTestError(BaseException):
-    """Ends work that goes on for ever."""
+    """Stops a task that runs forever."""
 
 
 def test_reconnects_to_the_controller_with_backoff(controller, monkeypatch):
-    """The controller dies, and is back after some tries; entries come back jittered.
+    """The controller dies and is reachable again after some attempts.
 
-    Meanwhile the entry serves from its last view.
+    The pauses between attempts grow and are jittered. In the meantime the entry serves
+    from its last view.
     """
     outcomes = [[build_view(1)], [], [], [build_view(2, version=2)]]
     pauses = []
@@ -153,7 +156,7 @@
 
 
 def test_work_is_restarted_after_an_exception(runtime, monkeypatch):
-    """A fault in one report would end all later ones without a sign."""
+    """Without a restart, an exception in one report would silently stop the others."""
     begun = []
 
     async def work(_runtime):
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -1,4 +1,4 @@
-"""What an entry promises while engines, services, the store and callers fail."""
+"""An entry during failures of engines, services, the store and callers."""
 
 import json
 import threading
@@ -25,7 +25,7 @@
 
 
 def count_runs(bench):
-    """Return how often any prompt was begun, over all engines."""
+    """Return how many runs were begun, over all engines that are alive."""
     alive = [one for one in bench.engines.values() if is_alive(one)]
     counters = [read_counters(one.address) for one in alive]
     return sum(sum(one["begun_by_prompt"].values()) for one in counters)
@@ -38,10 +38,10 @@
 
 @pytest.mark.parametrize("stream", [False, True])
 def test_an_unrepeatable_request_runs_once(stream):
-    """A volunteer sends a confirmation again because no answer seemed to come.
+    """A volunteer retries a confirmation because no answer seemed to arrive.
 
-    Through the same entry or another one, the guest must get one confirmation, and
-    the volunteer the answer of the first run.
+    Whether the retry goes through the same entry or another one, the guest must get
+    one confirmation, and the volunteer the answer of the first run.
     """
     with run_bench(engines=("e1", "e2"), entries=2) as bench:
         first, second = bench.entries
@@ -82,11 +82,11 @@
 def test_unrepeatable_request_is_not_retried_after_an_engine_failure(
     faults, first, again, runs
 ):
-    """The engine breaks off after the confirmation went out, or refuses it.
+    """The engine breaks off after a confirmation was sent to it, or refuses it.
 
-    In the first case it may have run: it is not sent to another engine, now or when
-    the caller comes back through another entry. In the second it certainly did not,
-    and the key is given back.
+    In the first case the request may have run: it is not sent to another engine, now
+    or when the caller retries through another entry. In the second case it certainly
+    did not run, and its key can be used again.
     """
     with run_bench(engines=("e1",), entries=2) as bench:
         set_faults(bench.engines["e1"].address, **faults)
@@ -101,8 +101,8 @@
 def test_unrepeatable_requests_are_refused_while_claims_cannot_be_made():
     """The store is down; then the controller; then a reply to a claim is lost.
 
-    Without a claim a booking could run at two entries. It is refused at once, as not
-    run, and all other requests are served on.
+    Without a claim, a booking could run through two entries. It is refused immediately
+    as not run, and all other requests are still served.
     """
     with run_bench() as bench:
         entry, controller = bench.entries[0], bench.controller
@@ -120,10 +120,10 @@
 
 
 def test_an_open_claim_is_in_progress_only_while_its_entry_lives():
-    """A caller asks again while its booking still runs, and after its entry died.
+    """A caller retries while its booking still runs, and after the entry died.
 
-    First it must wait; then nobody can tell how the booking ended, and asking for
-    ever would be in vain.
+    First it must wait. Then the outcome of the booking is unknown, and further retries
+    would be in vain.
     """
     with run_bench(entries=2, token_ms=20) as bench:
         first, second = bench.entries
@@ -146,7 +146,7 @@
 
 
 def test_answer_is_returned_although_it_cannot_be_stored():
-    """The store fails between the run of a booking and the record of its answer."""
+    """The store fails after a booking ran and before its answer is stored."""
     with run_bench(token_ms=5) as bench:
         entry, controller = bench.entries[0], bench.controller
         answers = []
@@ -168,10 +168,10 @@
     [({}, False, 0), ({}, True, 0), (RUN_ONCE, False, 1), (RUN_ONCE, True, 1)],
 )
 def test_requests_whose_caller_disconnects(headers, stream, finished):
-    """A guest's phone drops out of the network in the middle of an answer.
+    """A guest's phone loses its network connection in the middle of an answer.
 
-    Nobody reads it any more, so the engine is freed. A confirmation is run to its
-    end: the guest comes back with the same key and finds it.
+    The answer is no longer read, so the engine is freed. A confirmation runs to its
+    end, and a retry with the same key gets the stored answer.
     """
     with run_bench(token_ms=10) as bench:
         entry, engine = bench.entries[0], bench.engines["e1"]
@@ -210,10 +210,11 @@
     ],
 )
 def test_retries_of_a_failing_plain_service(method, headers, fault, shown, runs):
-    """A booking service cuts the connection after it has booked.
+    """A booking service closes the connection after it has booked.
 
-    Only a method that the operators call repeatable is sent to the next address; a
-    booking is not, or two families would come. What the service refused is.
+    Only calls with a method that the configuration lists as repeatable are sent to the
+    next address. A booking is not, or two families would be booked; a call that the
+    service refused is.
     """
     services = [build_service(name=name) for name in ("b1", "b2")]
     for service in services:
@@ -237,9 +238,9 @@
 def test_a_poison_request_kills_two_servers():
     """A request kills each server that runs it, and its caller sends it five times.
 
-    It goes through three entries at once after each answer; the others are told of
-    the first death before its answer goes out, and of no other. Two servers are lost;
-    a bystander that ran on the first one gets its whole answer.
+    The caller uses three entries in turn, without a pause after an answer. The other
+    entries learn of the first death before its answer is sent, and of no other death.
+    Two servers die; another request that ran on the first one gets its full answer.
     """
     with run_bench(engines=(), entries=3) as bench:
         first = bench.entries[0]
@@ -277,9 +278,9 @@
 
 
 def test_a_known_suspect_is_not_run_while_the_store_is_down():
-    """A death is recorded, then the store fails, and the caller sends again.
+    """A death is recorded, then the store fails, and the caller retries.
 
-    No trial can be written down, so other entries could try the request as well.
+    No trial can be recorded, so other entries could run the request as well.
     """
     with run_bench(engines=("e1",)) as bench:
         entry, fake = bench.entries[0], bench.controller.fake
@@ -295,10 +296,11 @@
 
 @pytest.mark.parametrize("failing", ["controller", "store"])
 def test_a_suspect_is_not_retried_unless_its_death_is_recorded(failing):
-    """A server dies while the store, or the controller, is out.
+    """A server dies while the store, or the controller, is unavailable.
 
-    The death reaches no other instance, so a retry could cost each of them a server.
-    The request ends at once with when to come back, and runs once that is over.
+    No other instance learns of the death, so a retry could kill a server of each of
+    them. The request ends immediately with a ``Retry-After``, and runs when the outage
+    is over.
     """
     with run_bench(engines=("e1",)) as bench:
         entry, controller = bench.entries[0], bench.controller
@@ -319,7 +321,7 @@
 
 
 def test_a_full_entry_refuses_at_once():
-    """Each call keeps a worker thread; when all are taken nobody would be answered."""
+    """Each call occupies a worker thread; with none free, no caller gets an answer."""
     with run_bench(token_ms=20) as bench:
         entry = bench.add_entry(max_in_flight=1)
         bench.spread()
@@ -334,10 +336,11 @@
 
 
 def test_two_entries_drain_at_the_same_time():
-    """Both entries of a pair are replaced while answers run.
+    """Two of three entries are replaced while they stream answers.
 
-    Each leaves the address answers, serves on for as long as callers may keep them,
-    then refuses what is new as not run, and cuts off no answer.
+    Each is left out of answers to ``/v1/addresses``, keeps serving for as long as
+    callers may cache those, then refuses new calls as not run, and interrupts no
+    answer.
     """
     with run_bench(entries=3, token_ms=20) as bench:
         stopping, staying = bench.entries[:2], bench.entries[2]
--- a/tests/test_entry_server_choice.py
+++ b/tests/test_entry_server_choice.py
@@ -1,4 +1,4 @@
-"""Which server a request goes to, and which ones it can never reach."""
+"""Choice of servers for requests and for trials."""
 
 import itertools
 
@@ -18,7 +18,7 @@
 
 
 def build_entry(number=1, **changes):
-    """Return an entry whose view has all servers, some of them changed."""
+    """Return a runtime whose view has all servers, some with changed fields."""
     servers = []
     for port, name in enumerate(NAMES, start=1):
         fields = {"items": ("m@1",), "slots": 4, **changes.get(name, {})}
@@ -51,7 +51,7 @@
 
 
 def find_pair(text="hello"):
-    """Return the pair of a request: the first two by its hash."""
+    """Return the pair of a request: its first two servers by hash."""
     runtime = build_entry()
     request = build_request(runtime, text)
     first = choose_server(runtime, request, avoid=NO_SERVERS)
@@ -59,10 +59,10 @@
 
 
 def test_all_entries_send_a_request_to_the_same_two_servers():
-    """A caller sends a poison request through three entries at the same moment.
+    """A caller sends a poison request through three entries at the same time.
 
-    Drawn by chance, each entry would send it to servers of its own; all of them die
-    before the first death is known anywhere.
+    If each entry chose servers at random, all of the chosen servers would crash before
+    the first death is known anywhere.
     """
     pair = set(find_pair())
     loads = ({}, {"e0": {"running": 3}}, {"e3": {"running": 9, "waiting": 9}})
@@ -111,10 +111,10 @@
 
 
 def test_a_trial_waits_for_the_other_server_of_its_pair():
-    """A suspect lost one of its pair, and another suspect holds the other.
+    """One server of a suspect's pair died; the other is reserved by another suspect.
 
-    Copies that were sent before the death was known may run there. Tried on a third
-    server, the request could cost three.
+    Copies that were sent before the death was known may run there. With a trial on a
+    third server, the request could crash three servers.
     """
     first, second = find_pair()
     runtime = build_entry()
@@ -129,7 +129,7 @@
 
 
 def test_the_only_server_is_tried_again_if_it_is_alive():
-    """The one copy of a model breaks a connection off, and answers the next one."""
+    """The only copy of a model breaks one connection and answers the next one."""
     without_model = {name: {"items": ()} for name in NAMES[1:]}
     runtime = build_entry(**without_model)
     request = build_request(runtime)
