--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -250,11 +250,11 @@
         bench.spread(first, servers=bench.list_servers("e0"))
 
         def push_first_death():
-            told = [
+            first_deaths = [
                 replace(one, deaths=tuple(d for d in one.deaths if d.startswith("e0")))
                 for one in bench.controller.list_suspicions()
             ]
-            bench.spread(suspicions=tuple(told))
+            bench.spread(suspicions=tuple(first_deaths))
 
         bench.controller.after_death = push_first_death
         endings = []
@@ -358,9 +358,9 @@
         for entry in stopping:
             wait_until(lambda one=entry: one.call(lambda state: state.draining))
         bench.spread()
-        told = staying.ask(b"", "/v1/addresses?model=m", "GET").json()
+        listed = staying.ask(b"", "/v1/addresses?model=m", "GET").json()
         own = staying.runtime.settings.address
-        assert (told["addresses"], told["lifetime_s"]) == ([own], 1)
+        assert (listed["addresses"], listed["lifetime_s"]) == ([own], 1)
         served = stopping[0].ask(build_chat())
         assert (served.status, served.headers["Connection"]) == (200, "close")
         wait_until(lambda: stopping[0].call(lambda state: state.refusing))
