--- a/src/arbutuspulley/entry/deaths.py
+++ b/src/arbutuspulley/entry/deaths.py
@@ -38,9 +38,9 @@
     report_task = state.death_reports.get(mark)
     suspicion = state.suspects.suspicions.get(ongoing.fingerprint)
     if report_task is None or suspicion is None or mark not in suspicion.deaths:
-        others = _list_in_flight(runtime, attempt)
+        fingerprints = _list_in_flight_fingerprints(runtime, attempt)
         report_task = asyncio.ensure_future(
-            _record_death(runtime, attempt, (ongoing.fingerprint, *others))
+            _record_death(runtime, attempt, (ongoing.fingerprint, *fingerprints))
         )
         state.death_reports[mark] = report_task
         report_task.add_done_callback(lambda _: state.death_reports.pop(mark, None))
@@ -91,7 +91,7 @@
         del state.trials[trial.server]
 
 
-def _list_in_flight(runtime: Runtime, attempt: Attempt) -> tuple[str, ...]:
+def _list_in_flight_fingerprints(runtime: Runtime, attempt: Attempt) -> tuple[str, ...]:
     return tuple(
         {
             other.fingerprint
@@ -135,5 +135,5 @@
             state.unrecorded_deaths.pop(_build_key(fingerprint, attempt), None)
 
 
-def _build_key(fingerprint: str, where: Attempt | DeathReport) -> str:
-    return f"{fingerprint} {where.server} {where.boot_id}"
+def _build_key(fingerprint: str, source: Attempt | DeathReport) -> str:
+    return f"{fingerprint} {source.server} {source.boot_id}"
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -139,14 +139,14 @@
     """List the models and adapters that a caller may use, or return one of them."""
     context = _authenticate(runtime, http_request)
     names = [name for name in context.index.items if may_call(context.identity, name)]
-    asked = http_request.path.removeprefix("/v1/models").lstrip("/")
-    if not asked:
+    model = http_request.path.removeprefix("/v1/models").lstrip("/")
+    if not model:
         body = ModelList(
             data=tuple(ModelDescription(id=name) for name in sorted(names))
         )
         encoded = msgspec.json.encode(body)
-    elif asked in names:
-        encoded = msgspec.json.encode(ModelDescription(id=asked))
+    elif model in names:
+        encoded = msgspec.json.encode(ModelDescription(id=model))
     else:
         raise build_failure(Code.UNKNOWN_MODEL, "there is no such model")
     return answers.build_success(encoded, run_state=RunState.NOT_RUN)
@@ -198,8 +198,8 @@
         traceparent=call.traceparent,
     )
     service = find_service(call, name)
-    asked = ServiceCall(call=call, service=service, request=request)
-    return answer_service(runtime, asked)
+    service_call = ServiceCall(call=call, service=service, request=request)
+    return answer_service(runtime, service_call)
 
 
 def _authenticate(runtime: Runtime, http_request: HttpRequest) -> _CallContext:
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -204,7 +204,7 @@
 
 
 def _build_answer(reply: ServiceReply) -> answers.Answer:
-    kept = tuple(
+    headers = tuple(
         (name, value)
         for name, value in reply.headers
         if not _is_set_by_entry(name.lower())
@@ -213,7 +213,7 @@
         reply.body,
         status=reply.status,
         content_type=_find_content_type(reply),
-        headers=kept,
+        headers=headers,
     )
 
 
