--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounting.py
@@ -1,15 +1,15 @@
-"""What an entry counts and learns while requests come, run and end."""
+"""Records demand, attempts, usage and output lengths of requests."""
 
 from arbutuspulley.admission import cost, queue, retry_budget
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.delivery import request as life
-from arbutuspulley.entry import turns
-from arbutuspulley.entry.state import Attempt, Demand, Ongoing, Runtime
+from arbutuspulley.delivery import request as lifecycle
+from arbutuspulley.entry import admission_queue
+from arbutuspulley.entry.state import Attempt, Demand, OngoingRequest, Runtime
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError
 from arbutuspulley.routing import choice
 
-_LACKING = frozenset(
+_CAPACITY_CODES = frozenset(
     {
         Code.MODEL_NOT_LOADED,
         Code.OVERLOADED,
@@ -19,23 +19,25 @@
 )
 
 
-def count_demand(runtime: Runtime, ongoing: Ongoing) -> None:
-    """Count a request that asks for an item."""
+def record_demand(runtime: Runtime, ongoing: OngoingRequest) -> None:
+    """Add a request to the demand for its item."""
     demand = runtime.state.demand.setdefault(ongoing.item.key, Demand())
     demand.requests += 1
     demand.tokens += ongoing.cost
 
 
-def count_refusal(runtime: Runtime, ongoing: Ongoing, error: RequestError) -> None:
-    """Count a request that was refused for lack of a copy or of room."""
-    if error.code not in _LACKING:
+def record_refusal(
+    runtime: Runtime, ongoing: OngoingRequest, error: RequestError
+) -> None:
+    """Count a request that was refused because no copy or capacity was free."""
+    if error.code not in _CAPACITY_CODES:
         return
     demand = runtime.state.demand.setdefault(ongoing.item.key, Demand())
     demand.refused += 1
 
 
-def begin_attempt(runtime: Runtime, ongoing: Ongoing, attempt: Attempt) -> None:
-    """Count an attempt at the server that was chosen for it."""
+def begin_attempt(runtime: Runtime, ongoing: OngoingRequest, attempt: Attempt) -> None:
+    """Record the start of an attempt in admission, routing and the metrics."""
     state, now = runtime.state, runtime.clock.now()
     server, request_id = attempt.server, ongoing.call.request_id
     ongoing.attempt = attempt
@@ -47,8 +49,8 @@
         log_event(Event.STREAM_RESUMED, request=request_id, offset=offset)
 
 
-def note_first_event(runtime: Runtime, request_id: str) -> None:
-    """Take note that the first event of an answer has come."""
+def record_first_event(runtime: Runtime, request_id: str) -> None:
+    """Record the arrival of the first event of an answer."""
     ongoing = runtime.state.ongoing.get(request_id)
     if ongoing is None or ongoing.attempt is None:
         return
@@ -62,15 +64,21 @@
 
 def end_attempt(
     runtime: Runtime,
-    ongoing: Ongoing,
+    ongoing: OngoingRequest,
     attempt: Attempt,
-    event: life.Event,
+    event: lifecycle.Event,
     *,
     died: bool,
 ) -> None:
-    """Take what the end of an attempt tells of its server."""
+    """Update routing and the metrics with the outcome of an attempt.
+
+    :param died: whether the server died during the attempt.
+    """
     state, now = runtime.state, runtime.clock.now()
-    succeeded, outcome = isinstance(event, life.Ended), type(event).__name__.lower()
+    succeeded, outcome = (
+        isinstance(event, lifecycle.Ended),
+        type(event).__name__.lower(),
+    )
     ongoing.attempt = None
     choice.end_attempt(
         state.routing, attempt.server, ongoing.cost, now=now, succeeded=succeeded
@@ -84,20 +92,23 @@
             outcome=outcome,
             died=died,
         )
-    if isinstance(event, life.Refused) and event.leaving:
+    if isinstance(event, lifecycle.Refused) and event.leaving:
         choice.record_leaving(state.routing, attempt.server, now)
-    elif isinstance(event, life.NotSent | life.Broken) or died:
+    elif isinstance(event, lifecycle.NotSent | lifecycle.Broken) or died:
         choice.record_failure(state.routing, attempt.server, now)
-    if isinstance(event, life.Broken) and not died:
-        ongoing.alive |= {attempt.server}
+    if isinstance(event, lifecycle.Broken) and not died:
+        ongoing.alive_servers |= {attempt.server}
 
 
-def settle(runtime: Runtime, ongoing: Ongoing) -> None:
-    """Give back what a request that is over held, and charge what it used."""
+def finish_admission(runtime: Runtime, ongoing: OngoingRequest) -> None:
+    """Release the admission of a request that is over, and charge what it used.
+
+    A request that cannot have run is not charged.
+    """
     request, now = ongoing.request, runtime.clock.now()
     produced = request.offset - ongoing.call.offset
     if not request.exposed and not produced:
-        turns.leave_queue(runtime, ongoing)
+        admission_queue.leave_queue(runtime, ongoing)
         return
     used = cost.compute_cost(
         prompt_bytes=len(ongoing.call.body),
@@ -106,13 +117,15 @@
     )
     admission = runtime.state.admission
     effects = queue.finish(admission, request.request_id, tokens=used, now=now)
-    turns.apply_effects(runtime, effects)
+    admission_queue.apply_effects(runtime, effects)
 
 
-def learn(runtime: Runtime, ongoing: Ongoing) -> None:
-    """Learn from a whole answer."""
+def record_success(runtime: Runtime, ongoing: OngoingRequest) -> None:
+    """Credit the retry budget and record the output length of a complete answer."""
     request = ongoing.request
-    retry_budget.record_success(runtime.state.budget, retried=request.attempts > 1)
+    retry_budget.record_success(
+        runtime.state.retry_budget, retried=request.attempts > 1
+    )
     if not ongoing.call.offset:
         cost.record_output_length(
             runtime.state.costs, item=ongoing.item.key, tokens=request.offset
--- a/src/arbutuspulley/entry/background.py
+++ b/src/arbutuspulley/entry/background.py
@@ -1,4 +1,4 @@
-"""Work of an entry that goes on for as long as it runs."""
+"""Background tasks of an entry."""
 
 import asyncio
 import logging
@@ -9,26 +9,28 @@
 from arbutuspulley.entry.state import Runtime
 from arbutuspulley.events import Event, log_event
 
-RESTART_MS = SECOND_MS
-"""Pause after work that ended by a fault."""
+RESTART_DELAY_MS = SECOND_MS
+"""Delay before a task that raised an exception is restarted."""
 
 
-_KEPT: set[asyncio.Future] = set()
+_PENDING_TASKS: set[asyncio.Future] = set()
 
 
-def keep(task: asyncio.Future) -> None:
-    """Keep a task from being collected before it has ended."""
-    _KEPT.add(task)
-    task.add_done_callback(_KEPT.discard)
+def keep_reference(task: asyncio.Future) -> None:
+    """Hold a reference to a task, so that it is not garbage-collected early."""
+    _PENDING_TASKS.add(task)
+    task.add_done_callback(_PENDING_TASKS.discard)
 
 
-async def keep_working(
+async def run_with_restarts(
     work: Callable[[Runtime], Awaitable[NoReturn]], runtime: Runtime
 ) -> NoReturn:
-    """Begin a piece of work again whenever it ends by a fault.
+    """Run a task, and restart it whenever it raises an exception.
 
-    A task that dies on a loop does so silently: views would no longer be taken up, and
-    the entry would route by the last one for ever.
+    A task that fails on an event loop does so silently: without a restart, views would
+    no longer be applied and the entry would route by the last one indefinitely.
+
+    :param work: its function name appears in the log.
     """
     while True:
         try:
@@ -40,4 +42,4 @@
                 work=getattr(work, "__name__", ""),
                 error=repr(error),
             )
-        await asyncio.sleep(RESTART_MS / SECOND_MS)
+        await asyncio.sleep(RESTART_DELAY_MS / SECOND_MS)
--- a/src/arbutuspulley/entry/calls.py
+++ b/src/arbutuspulley/entry/calls.py
@@ -1,4 +1,4 @@
-"""Reads and checks what callers send."""
+"""Parsing and validation of callers' requests."""
 
 import uuid
 from collections.abc import Mapping
@@ -14,29 +14,31 @@
 COMPLETIONS_PATH = "/v1/completions"
 
 MAX_KEY_CHARACTERS = 255
-"""Longest idempotency key taken."""
+"""Maximum length of an idempotency key."""
 
 MAX_OFFSET = 10_000_000
-"""Largest event offset believed."""
+"""Upper bound of the event offset in ``Last-Event-ID``."""
 
 MAX_CHOICES = 16
-"""Most choices in one answer."""
+"""Maximum number of choices in one answer."""
 
 MAX_TOKENS = 1_000_000
-"""Most tokens that can be asked for."""
+"""Maximum number of tokens that a request can ask for."""
 
 
 class Call(Value, frozen=True):
-    """One request of a caller, checked.
+    """One validated request of a caller.
 
-    :param request_id: fresh for each call; never taken from the caller.
-    :param key: the caller's idempotency key, empty if it sent none.
+    :param request_id: generated for each call; never taken from the caller.
+    :param arrived_at: time of arrival in ms.
+    :param key: the caller's idempotency key; empty if it sent none.
     :param unrepeatable: whether it must run at most once.
-    :param path: ``/v1/...`` of the engine's protocol, or a service's path and query.
+    :param path: ``/v1/...`` of the inference API, or method, path and query of a call
+        to a plain service.
     :param model: name of the model or adapter; empty for a plain service.
-    :param streamed: whether the caller wants the answer as events.
-    :param offset: index of the first event wanted.
-    :param bearing: ``traceparent`` to send with the next hop.
+    :param streamed: whether the caller asked for a stream of events.
+    :param offset: index of the first event to send.
+    :param traceparent: ``traceparent`` header for the next hop.
     """
 
     request_id: str
@@ -50,7 +52,7 @@
     model: str = ""
     streamed: bool = False
     offset: int = 0
-    bearing: str = ""
+    traceparent: str = ""
 
 
 class _StreamOptions(Message, frozen=True):
@@ -58,7 +60,7 @@
 
 
 class _Body(Message, frozen=True):
-    """What the entry itself needs of a body; the engine reads the rest."""
+    """The body fields that the entry needs; the engine parses the others."""
 
     model: str
     messages: list[dict[str, msgspec.Raw]] | None = None
@@ -70,14 +72,14 @@
     max_completion_tokens: int | None = None
 
 
-_BODY = msgspec.json.Decoder(_Body)
-_FIELDS = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_BODY_DECODER = msgspec.json.Decoder(_Body)
+_FIELDS_DECODER = msgspec.json.Decoder(dict[str, msgspec.Raw])
 _TRUE = msgspec.Raw(b"true")
-_WITH_USAGE = msgspec.Raw(b'{"include_usage":true}')
+_INCLUDE_USAGE = msgspec.Raw(b'{"include_usage":true}')
 
 
 def build_request_id() -> str:
-    """Return a fresh request id."""
+    """Return a new random request id."""
     return uuid.uuid4().hex
 
 
@@ -89,10 +91,10 @@
     path: str,
     body: bytes,
     headers: Mapping[str, str],
-    bearing: str,
+    traceparent: str,
     now: int,
 ) -> Call:
-    """Check a request to a model.
+    """Parse and validate a request to a model.
 
     :raises RequestError: ``MALFORMED_BODY``, ``BAD_PARAMETER``, ``BAD_EVENT_ID`` or
         ``KEY_REQUIRED``.
@@ -104,18 +106,18 @@
         index=index,
         identity=identity,
         path=path,
-        body=body if streamed else _ask_for_events(body),
+        body=body if streamed else _enable_streaming(body),
         arrived_at=now,
-        key=read_key(headers),
+        key=read_idempotency_key(headers),
         unrepeatable=is_unrepeatable(headers),
         model=parsed.model,
         streamed=streamed,
         offset=_read_offset(headers) if streamed else 0,
-        bearing=bearing,
+        traceparent=traceparent,
     )
 
 
-def read_key(headers: Mapping[str, str]) -> str:
+def read_idempotency_key(headers: Mapping[str, str]) -> str:
     """Return the idempotency key.
 
     :raises RequestError: ``KEY_REQUIRED`` if an unrepeatable request has none,
@@ -132,10 +134,10 @@
 
 
 def is_unrepeatable(headers: Mapping[str, str]) -> bool:
-    """Tell whether a request is marked as unrepeatable.
+    """Return whether a request is marked as unrepeatable.
 
-    :raises RequestError: ``BAD_PARAMETER`` if the mark is neither true nor false; to
-        guess could run a booking twice.
+    :raises RequestError: ``BAD_PARAMETER`` if the header is neither true nor false;
+        a wrong guess could run a booking twice.
     """
     mark = headers.get("X-Arbutus-Unrepeatable", "false").strip().lower()
     if mark not in ("true", "false"):
@@ -146,7 +148,7 @@
 
 def _parse_body(body: bytes, path: str) -> _Body:
     try:
-        parsed = _BODY.decode(body)
+        parsed = _BODY_DECODER.decode(body)
     except msgspec.ValidationError as error:
         raise build_failure(Code.BAD_PARAMETER, str(error)) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -165,28 +167,29 @@
         "max_tokens": (parsed.max_tokens, MAX_TOKENS),
         "max_completion_tokens": (parsed.max_completion_tokens, MAX_TOKENS),
     }
-    for name, (value, most) in bounds.items():
-        if value is not None and not 1 <= value <= most:
-            detail = f"{name} is not between 1 and {most}"
+    for name, (value, maximum) in bounds.items():
+        if value is not None and not 1 <= value <= maximum:
+            detail = f"{name} is not between 1 and {maximum}"
             raise build_failure(Code.BAD_PARAMETER, detail)
 
 
-def _ask_for_events(body: bytes) -> bytes:
-    """Return the body of a plain request as one for a stream.
+def _enable_streaming(body: bytes) -> bytes:
+    """Return the body of an unstreamed request with streaming enabled.
 
-    Engines always stream to the entry: only events with offsets can be resumed.
+    Engines always stream to the entry, because only events with offsets can be
+    resumed.
     """
-    fields = _FIELDS.decode(body)
+    fields = _FIELDS_DECODER.decode(body)
     fields["stream"] = _TRUE
-    fields["stream_options"] = _WITH_USAGE
+    fields["stream_options"] = _INCLUDE_USAGE
     return msgspec.json.encode(fields)
 
 
 def _read_offset(headers: Mapping[str, str]) -> int:
-    """Return the first event wanted, after the last that the caller has got.
+    """Return the offset that follows the last event the caller received.
 
-    The id names no answer to look up: the request is run again from the offset under
-    the caller's own body, so that a guessed id shows nothing of another caller's.
+    No stored answer is looked up by the id: the request is run again from the offset
+    with the caller's own body, so a guessed id reveals nothing of another caller.
     """
     event_id = headers.get("Last-Event-ID", "")
     if not event_id:
--- a/src/arbutuspulley/entry/claiming.py
+++ b/src/arbutuspulley/entry/claims.py
@@ -1,4 +1,4 @@
-"""Claims of unrepeatable requests, as an entry makes and settles them."""
+"""Claims on unrepeatable requests: each runs at most once over all entries."""
 
 import asyncio
 import hashlib
@@ -10,47 +10,47 @@
 from arbutuspulley.data import Value
 from arbutuspulley.delivery.claims import ClaimState
 from arbutuspulley.delivery.failures import build_failure
-from arbutuspulley.entry.background import keep
+from arbutuspulley.entry.background import keep_reference
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.state import REQUEST_LIFE_MS, Runtime
+from arbutuspulley.entry.state import REQUEST_TIMEOUT_MS, Runtime
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.results import Code, RequestError, RunState
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import ClaimReply, ClaimRequest, SettleRequest
 
-CLAIM_TRIES = 2
-"""A claim whose reply was lost is asked for once more; it keeps its attempt id."""
+MAX_CLAIM_ATTEMPTS = 2
+"""Attempts per claim; the retry after a lost reply keeps the attempt id."""
 
 SETTLE_WAIT_MS = SECOND_MS
-"""How long an answer waits for its settlement before it goes out anyway."""
+"""Longest time that an answer waits for its settlement before it is sent anyway."""
 
-SETTLE_PAUSE_MS = 500
-"""Pause after the first try to settle; it doubles."""
+SETTLE_INITIAL_BACKOFF_MS = 500
+"""Backoff after the first failed settlement; it doubles with each attempt."""
 
-SETTLE_MOST_PAUSE_MS = 10 * SECOND_MS
-"""Longest pause between tries."""
+SETTLE_MAX_BACKOFF_MS = 10 * SECOND_MS
+"""Maximum backoff between settlement attempts."""
 
-SETTLE_TRIES = 60
-"""How often a settlement is tried, for about ten minutes of an outage."""
+MAX_SETTLE_ATTEMPTS = 60
+"""Attempts per settlement; they cover an outage of about ten minutes."""
 
-MOST_SETTLEMENTS = 64
-"""Settlements kept back at once; beyond them an answer is not stored, and a repeat
-of its request is told that the outcome is unknown."""
+MAX_PENDING_SETTLEMENTS = 64
+"""Maximum number of settlements in progress; an answer beyond them is not stored, and
+a retry of its request gets ``OUTCOME_UNKNOWN``."""
 
-STORE_RETRY_MS = 2 * SECOND_MS
-"""When to come back while claims cannot be made."""
+STORE_RETRY_AFTER_MS = 2 * SECOND_MS
+"""``Retry-After`` while claims cannot be made."""
 
-CLAIM_LIFE_MS = REQUEST_LIFE_MS + 30 * SECOND_MS
-"""A claim that is seen open for longer than any request lives is unknown."""
+MAX_OPEN_CLAIM_MS = REQUEST_TIMEOUT_MS + 30 * SECOND_MS
+"""An open claim older than any request can be has an unknown outcome."""
 
-_KEPT_MS = 2 * CLAIM_LIFE_MS
+_OPEN_CLAIM_RETENTION_MS = 2 * MAX_OPEN_CLAIM_MS
 
-IN_PROGRESS_RETRY_MS = SECOND_MS
-"""When to ask again for an answer that is still being made."""
+IN_PROGRESS_RETRY_AFTER_MS = SECOND_MS
+"""``Retry-After`` while an earlier run of the same request is in progress."""
 
 
 class StoredAnswer(Value, frozen=True):
-    """The answer that an earlier run of the same request gave."""
+    """Stored answer of an earlier run of the same request."""
 
     status: int
     content_type: str
@@ -60,10 +60,11 @@
 async def claim(runtime: Runtime, call: Call) -> StoredAnswer | None:
     """Claim the right to run an unrepeatable request.
 
-    :return: ``None`` if it must be run now, or the answer that it got already.
-    :raises RequestError: in all other cases.
+    :return: ``None`` if the claim is granted and the request must run now, or the
+        stored answer of an earlier run.
+    :raises RequestError: if the claim is not granted and no answer is stored.
     """
-    reply = await _ask(runtime, call)
+    reply = await _request_claim(runtime, call)
     runtime.metrics.claims.labels(reply.state).inc()
     if reply.state == ClaimState.GRANTED:
         return None
@@ -77,10 +78,11 @@
 async def settle(
     runtime: Runtime, call: Call, state: ClaimState, answer: StoredAnswer | None = None
 ) -> None:
-    """Record how a claimed request ended; returns soon even if the store is down.
+    """Record the outcome of a claimed request.
 
-    The settlement goes on in the background then. The caller gets its answer
-    anyway; a repeat meanwhile is told that the request is in progress.
+    Returns after at most ``SETTLE_WAIT_MS``, even if the store is down; the settlement
+    then continues in the background. The caller gets its answer anyway, and a retry in
+    the meantime gets ``IN_PROGRESS``.
     """
     request = SettleRequest(
         caller=call.identity.name,
@@ -91,11 +93,11 @@
         content_type=answer.content_type if answer else "",
         body=answer.body if answer else b"",
     )
-    if runtime.state.settlements >= MOST_SETTLEMENTS:
+    if runtime.state.pending_settlements >= MAX_PENDING_SETTLEMENTS:
         return
-    runtime.state.settlements += 1
-    task = asyncio.ensure_future(_settle_at_last(runtime, request))
-    keep(task)
+    runtime.state.pending_settlements += 1
+    task = asyncio.ensure_future(_settle_with_retries(runtime, request))
+    keep_reference(task)
     await asyncio.wait({task}, timeout=SETTLE_WAIT_MS / SECOND_MS)
 
 
@@ -107,8 +109,8 @@
 
 
 @contextmanager
-def settling(runtime: Runtime, call: Call) -> Iterator[None]:
-    """Settle, from a worker, the claim of a request that ends without an answer."""
+def settle_on_failure(runtime: Runtime, call: Call) -> Iterator[None]:
+    """Settle the claim if the body raises; runs on a worker thread."""
     try:
         yield
     except RequestError as error:
@@ -120,13 +122,13 @@
 
 
 def hash_request(call: Call) -> str:
-    """Return the hash that tells whether a key is used for the same request."""
+    """Return a hash of path and body; it detects a key reused for another request."""
     digest = hashlib.sha256(f"{call.path}\0".encode())
     digest.update(call.body)
     return digest.hexdigest()
 
 
-async def _ask(runtime: Runtime, call: Call) -> ClaimReply:
+async def _request_claim(runtime: Runtime, call: Call) -> ClaimReply:
     request = ClaimRequest(
         caller=call.identity.name,
         key=call.key,
@@ -135,16 +137,17 @@
         claimant=runtime.settings.boot_id,
     )
     reply = ClaimReply(state=ClaimState.UNAVAILABLE, uncertain=True)
-    for _ in range(CLAIM_TRIES):
+    for _ in range(MAX_CLAIM_ATTEMPTS):
         try:
             reply = await runtime.controller.claim(request)
             break
         except PeerUnavailableError:
             continue
     if reply.uncertain:
-        # The row may be there all the same. It is taken back, since the request is
-        # certainly not run now; else its key would seem in progress for ever.
-        keep(asyncio.ensure_future(settle(runtime, call, ClaimState.NOT_RUN)))
+        # The claim may have been stored although its reply was lost. The request does
+        # not run, so the claim is settled as not run; otherwise its key would stay in
+        # progress forever.
+        keep_reference(asyncio.ensure_future(settle(runtime, call, ClaimState.NOT_RUN)))
     return reply
 
 
@@ -157,7 +160,7 @@
             Code.IN_PROGRESS,
             "the same request is in progress",
             run_state=RunState.UNKNOWN,
-            retry_after_ms=IN_PROGRESS_RETRY_MS,
+            retry_after_ms=IN_PROGRESS_RETRY_AFTER_MS,
         )
     if reply.state in (ClaimState.IN_PROGRESS, ClaimState.UNKNOWN):
         detail = "the request may have run; its outcome is not known"
@@ -165,36 +168,42 @@
     return build_failure(
         Code.STORE_UNAVAILABLE,
         "the store that keeps unrepeatable requests from running twice is down",
-        retry_after_ms=STORE_RETRY_MS,
+        retry_after_ms=STORE_RETRY_AFTER_MS,
     )
 
 
 def _may_be_running(runtime: Runtime, call: Call, reply: ClaimReply) -> bool:
-    """Tell whether an open claim may still get its answer.
+    """Return whether the run that holds an open claim may still finish.
 
-    An entry that died, or that could not settle through a long outage, leaves its
-    claim open for ever. To call it in progress would make the caller ask in vain; it
-    is unknown then, and never run again.
+    An entry that died, or that could not settle during a long outage, leaves its claim
+    open forever. Reporting it as in progress would make the caller retry in vain, so
+    its outcome counts as unknown, and the request is never run again.
     """
     state, now = runtime.state, runtime.clock.now()
-    name = (call.identity.name, call.key)
-    seen_at = state.open_claims.setdefault(name, now)
-    for old in [one for one, at in state.open_claims.items() if now - at > _KEPT_MS]:
-        del state.open_claims[old]
-    if now - seen_at > CLAIM_LIFE_MS:
+    claim_id = (call.identity.name, call.key)
+    seen_at = state.open_claims.setdefault(claim_id, now)
+    for expired in [
+        claim_id
+        for claim_id, first_seen_at in state.open_claims.items()
+        if now - first_seen_at > _OPEN_CLAIM_RETENTION_MS
+    ]:
+        del state.open_claims[expired]
+    if now - seen_at > MAX_OPEN_CLAIM_MS:
         return False
     entries = state.view.entries if state.view else ()
     alive = {entry.boot_id for entry in entries} | {runtime.settings.boot_id}
     return reply.claimant in alive
 
 
-async def _settle_at_last(runtime: Runtime, request: SettleRequest) -> None:
+async def _settle_with_retries(runtime: Runtime, request: SettleRequest) -> None:
     try:
-        for tried in range(SETTLE_TRIES):
+        for attempt in range(MAX_SETTLE_ATTEMPTS):
             try:
                 await runtime.controller.settle(request)
             except PeerUnavailableError:
-                bound = min(SETTLE_MOST_PAUSE_MS, SETTLE_PAUSE_MS << min(tried, 8))
+                bound = min(
+                    SETTLE_MAX_BACKOFF_MS, SETTLE_INITIAL_BACKOFF_MS << min(attempt, 8)
+                )
                 pause_ms = bound * (0.5 + runtime.chance.random() / 2)
                 await asyncio.sleep(pause_ms / SECOND_MS)
             else:
@@ -207,4 +216,4 @@
             state="given up",
         )
     finally:
-        runtime.state.settlements -= 1
+        runtime.state.pending_settlements -= 1
--- a/src/arbutuspulley/entry/deaths.py
+++ b/src/arbutuspulley/entry/deaths.py
@@ -1,69 +1,82 @@
-"""Deaths of servers, as an entry notices and records them.
+"""Detection and recording of server deaths.
 
-A first death is recorded before the retry is dispatched. Without the controller, or
-while the table cannot take the record, no request that a server died under is run
-again: the bound of two servers for a poison request could not be kept.
+The first death during a request is recorded before its retry is dispatched. While the
+controller is unreachable or the table cannot be written, a request during which a
+server died is not retried: otherwise the limit of two crashed servers per poison
+request could not be kept.
 """
 
 import asyncio
 import logging
 
 from arbutuspulley.delivery import suspects
-from arbutuspulley.entry.state import Attempt, EntryState, Ongoing, Runtime, Trial
+from arbutuspulley.entry.state import (
+    Attempt,
+    EntryState,
+    OngoingRequest,
+    Runtime,
+    Trial,
+)
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import DeathReport, SuspicionsReply
 
 
-async def report_death(runtime: Runtime, ongoing: Ongoing, attempt: Attempt) -> None:
-    """Record that a server died under a request, and under all others there.
+async def report_death(
+    runtime: Runtime, ongoing: OngoingRequest, attempt: Attempt
+) -> None:
+    """Record that a server died while it ran a request and all others in flight on it.
 
-    The first request that notices reports for all; the rest wait for that report.
+    The first request that detects the death reports for all; the others wait for that
+    report.
     """
     state = runtime.state
     mark = suspects.build_mark(server=attempt.server, boot_id=attempt.boot_id)
     if ongoing.trial is not None:
-        release_server(state, ongoing.trial)
+        release_trial_server(state, ongoing.trial)
         ongoing.trial = None
-    running = state.reports.get(mark)
-    known = state.suspects.suspicions.get(ongoing.fingerprint)
-    if running is None or known is None or mark not in known.deaths:
-        others = _list_in_flight(runtime, attempt)
-        running = asyncio.ensure_future(
-            _record(runtime, attempt, (ongoing.fingerprint, *others))
+    report_task = state.death_reports.get(mark)
+    suspicion = state.suspects.suspicions.get(ongoing.fingerprint)
+    if report_task is None or suspicion is None or mark not in suspicion.deaths:
+        fingerprints = _list_in_flight_fingerprints(runtime, attempt)
+        report_task = asyncio.ensure_future(
+            _record_death(runtime, attempt, (ongoing.fingerprint, *fingerprints))
         )
-        state.reports[mark] = running
-        running.add_done_callback(lambda _: state.reports.pop(mark, None))
-    await asyncio.shield(running)
+        state.death_reports[mark] = report_task
+        report_task.add_done_callback(lambda _: state.death_reports.pop(mark, None))
+    await asyncio.shield(report_task)
 
 
-async def flush_unrecorded(runtime: Runtime) -> None:
-    """Report the deaths that the controller has not recorded yet."""
-    for report in list(runtime.state.unrecorded.values()):
-        if not await record_all(runtime, report.fingerprints[0]):
+async def flush_unrecorded_deaths(runtime: Runtime) -> None:
+    """Report all deaths that the controller has not recorded yet."""
+    for report in list(runtime.state.unrecorded_deaths.values()):
+        if not await record_pending_deaths(runtime, report.fingerprints[0]):
             return
 
 
-async def record_all(runtime: Runtime, fingerprint: str) -> bool:
-    """Report what the controller has not recorded of one request.
+async def record_pending_deaths(runtime: Runtime, fingerprint: str) -> bool:
+    """Report the unrecorded deaths of one request.
 
-    :return: whether all of it is recorded now.
+    :return: whether all of them are recorded now.
     """
-    unrecorded = runtime.state.unrecorded
-    for report in list(unrecorded.values()):
+    unrecorded_deaths = runtime.state.unrecorded_deaths
+    for report in list(unrecorded_deaths.values()):
         if report.fingerprints != (fingerprint,):
             continue
-        reply = await call_controller(runtime, report)
+        reply = await send_death_report(runtime, report)
         if reply is None or not reply.recorded:
             return False
-        unrecorded.pop(_name(fingerprint, report), None)
+        unrecorded_deaths.pop(_build_key(fingerprint, report), None)
     return True
 
 
-async def call_controller(
+async def send_death_report(
     runtime: Runtime, report: DeathReport
 ) -> SuspicionsReply | None:
-    """Report a death or ask for a trial; ``None`` means that no answer came."""
+    """Report a death or request a trial.
+
+    :return: the reply, or ``None`` if the controller is unreachable.
+    """
     try:
         reply = await runtime.controller.report_death(report)
     except PeerUnavailableError:
@@ -72,13 +85,13 @@
     return reply
 
 
-def release_server(state: EntryState, trial: Trial) -> None:
-    """Let other suspects of this entry have the server of a trial."""
+def release_trial_server(state: EntryState, trial: Trial) -> None:
+    """Release the server of a trial for other suspects of this entry."""
     if state.trials.get(trial.server) == trial.trial_id:
         del state.trials[trial.server]
 
 
-def _list_in_flight(runtime: Runtime, attempt: Attempt) -> tuple[str, ...]:
+def _list_in_flight_fingerprints(runtime: Runtime, attempt: Attempt) -> tuple[str, ...]:
     return tuple(
         {
             other.fingerprint
@@ -90,7 +103,7 @@
     )
 
 
-async def _record(
+async def _record_death(
     runtime: Runtime, attempt: Attempt, fingerprints: tuple[str, ...]
 ) -> None:
     state, now = runtime.state, runtime.clock.now()
@@ -110,17 +123,17 @@
             boot_id=attempt.boot_id,
             now=now,
         )
-        state.unrecorded[_name(fingerprint, attempt)] = DeathReport(
+        state.unrecorded_deaths[_build_key(fingerprint, attempt)] = DeathReport(
             server=attempt.server, boot_id=attempt.boot_id, fingerprints=(fingerprint,)
         )
     report = DeathReport(
         server=attempt.server, boot_id=attempt.boot_id, fingerprints=unique
     )
-    reply = await call_controller(runtime, report)
+    reply = await send_death_report(runtime, report)
     if reply is not None and reply.recorded:
         for fingerprint in unique:
-            state.unrecorded.pop(_name(fingerprint, attempt), None)
+            state.unrecorded_deaths.pop(_build_key(fingerprint, attempt), None)
 
 
-def _name(fingerprint: str, where: Attempt | DeathReport) -> str:
-    return f"{fingerprint} {where.server} {where.boot_id}"
+def _build_key(fingerprint: str, source: Attempt | DeathReport) -> str:
+    return f"{fingerprint} {source.server} {source.boot_id}"
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -1,7 +1,7 @@
-"""What an entry knows, and what its functions work with.
+"""State of an entry, and the runtime that its functions use.
 
-The state lives on the loop's thread. Worker threads see only values that were
-handed to them.
+The state belongs to the event loop's thread. Worker threads access only values that
+were passed to them.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from arbutuspulley.delivery.request import RequestState
 from arbutuspulley.delivery.suspects import SuspectState
 from arbutuspulley.entry.calls import Call
-from arbutuspulley.entry.controllers import Controller
+from arbutuspulley.entry.controller_client import ControllerClient
 from arbutuspulley.entry.index import EMPTY_INDEX, SiteIndex
 from arbutuspulley.entry.metrics import Metrics
 from arbutuspulley.loop import LoopThread
@@ -26,17 +26,18 @@
 from arbutuspulley.routing.choice import RoutingState
 from arbutuspulley.rpc.messages import DeathReport, ServerSummary, View
 
-REQUEST_LIFE_MS = 600 * SECOND_MS
-"""Longest life of a request, waiting included; then it is given up. The longest
+REQUEST_TIMEOUT_MS = 600 * SECOND_MS
+"""Deadline of a request after its arrival, including the time in the queue. The longest
 answers, of some thousand tokens, fit into it."""
 
 
 class Settings(Value, frozen=True):
-    """Checked settings of the process.
+    """Validated settings of the process.
 
-    :param address: ``host:port`` that callers are told.
-    :param boot_id: names this process; a restarted one has another.
-    :param most_in_flight: requests handled at once; more are refused.
+    :param address: ``host:port`` that is advertised to callers.
+    :param boot_id: identifies this process; it changes with a restart.
+    :param max_body_bytes: larger request bodies are refused.
+    :param max_in_flight: maximum number of concurrent calls; more are refused.
     """
 
     instance: str
@@ -44,15 +45,16 @@
     address: str
     boot_id: str
     max_body_bytes: int = 1024 * 1024
-    most_in_flight: int = 90
+    max_in_flight: int = 90
 
 
 class Attempt(Value, frozen=True):
-    """One attempt at a request, to be made by its worker.
+    """One attempt at a request, to be made by the request's worker.
 
     :param address: ``host:port`` of the server.
-    :param boot_id: the server's boot as last seen.
-    :param trial: whether the request is a suspect on trial.
+    :param boot_id: the last known boot id of the server.
+    :param deadline: time in ms after which the attempt is cancelled.
+    :param is_trial: whether the request is a suspect on trial.
     """
 
     server: str
@@ -60,23 +62,24 @@
     boot_id: str
     request: InferenceRequest
     deadline: int
-    trial: bool = False
+    is_trial: bool = False
 
 
 class Trial(Value, frozen=True):
-    """The right to run a suspect on one server."""
+    """The exclusive right to run a suspect on one server."""
 
     server: str
     boot_id: str
     trial_id: str
 
 
-class Ongoing(State):
+class OngoingRequest(State):
     """One request to a model, from its arrival to its end.
 
-    :param cost: estimated token cost.
-    :param alive: servers that broke off and yet answered afterwards.
-    :param turn: resolved when admission has decided.
+    :param cost: estimated cost in tokens.
+    :param fingerprint: hash of caller, path and body.
+    :param alive_servers: servers that broke a stream off but answered afterwards.
+    :param admission_decision: resolved when admission has decided.
     """
 
     call: Call
@@ -84,25 +87,25 @@
     request: RequestState
     cost: int
     fingerprint: str
-    alive: frozenset[str] = frozenset()
-    turn: asyncio.Future | None = None
+    alive_servers: frozenset[str] = frozenset()
+    admission_decision: asyncio.Future | None = None
     attempt: Attempt | None = None
     trial: Trial | None = None
 
 
 class Demand(State):
-    """What callers asked of one item since the last report."""
+    """Demand for one item since the last report."""
 
     requests: int = 0
     tokens: int = 0
     refused: int = 0
 
 
-class Holder(Value, frozen=True):
-    """Another instance's trial that holds a server.
+class TrialHolder(Value, frozen=True):
+    """A trial of another instance that has reserved a server.
 
-    :param seen_at: when it was first seen.
-    :param asked_at: when the server was last asked for.
+    :param seen_at: time in ms at which the trial was first seen.
+    :param asked_at: time in ms of the last request for the server.
     """
 
     trial_id: str
@@ -113,50 +116,55 @@
 class EntryState(State):
     """All shared state of an entry.
 
-    :param view: the last view of the controller; it stays if the controller dies.
-    :param reconnected_at: when the controller was last found again.
+    :param view: the last view of the controller; kept while the controller is down.
+    :param view_received_at: time in ms at which the last view arrived.
+    :param reconnected_at: time in ms of the last reconnection to the controller.
+    :param summaries: the view's servers by name.
     :param ongoing: requests to models by id.
-    :param in_flight: calls being answered, those to plain services included.
-    :param draining: whether it is left out of address answers.
+    :param demand: demand by item.
+    :param in_flight: number of calls being answered, including calls to plain services.
+    :param draining: whether the entry is left out of answers to ``/v1/addresses``.
     :param refusing: whether new calls are refused.
-    :param trials: servers on which a suspect of this entry is on trial.
-    :param holders: servers that a suspect of another instance holds.
-    :param unrecorded: deaths that the controller has not yet recorded, one request
-        each, by request, server and boot.
-    :param reports: reports of deaths under way, by server and boot.
-    :param failed_addresses: until when a plain service's address is left out.
-    :param open_claims: since when another run's claim is seen open, by caller and key.
-    :param settlements: claims being settled.
+    :param trials: trial ids by the server on which a suspect of this entry is on trial.
+    :param trial_holders: trials of other instances by the server that they reserve.
+    :param unrecorded_deaths: reports of deaths that the controller has not recorded
+        yet, each for one request, by request, server and boot.
+    :param death_reports: death reports in progress, by server and boot.
+    :param address_backoff_until: time in ms until which an address of a plain service
+        is avoided.
+    :param open_claims: time in ms at which another run's open claim was first seen, by
+        caller and key.
+    :param pending_settlements: number of settlements in progress.
     """
 
     view: View | None = None
-    viewed_at: int = 0
+    view_received_at: int = 0
     reconnected_at: int | None = None
     summaries: dict[str, ServerSummary] = {}
     index: SiteIndex = EMPTY_INDEX
     admission: AdmissionState = msgspec.field(default_factory=AdmissionState)
     routing: RoutingState = msgspec.field(default_factory=RoutingState)
-    budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
+    retry_budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
     costs: CostState = msgspec.field(default_factory=CostState)
     suspects: SuspectState = msgspec.field(default_factory=SuspectState)
-    ongoing: dict[str, Ongoing] = {}
+    ongoing: dict[str, OngoingRequest] = {}
     demand: dict[str, Demand] = {}
     in_flight: int = 0
     draining: bool = False
     refusing: bool = False
     trials: dict[str, str] = {}
-    holders: dict[str, Holder] = {}
-    unrecorded: dict[str, DeathReport] = {}
-    reports: dict[str, asyncio.Task] = {}
-    failed_addresses: dict[str, int] = {}
+    trial_holders: dict[str, TrialHolder] = {}
+    unrecorded_deaths: dict[str, DeathReport] = {}
+    death_reports: dict[str, asyncio.Task] = {}
+    address_backoff_until: dict[str, int] = {}
     open_claims: dict[tuple[str, str], int] = {}
-    settlements: int = 0
+    pending_settlements: int = 0
 
 
 class Runtime(Value, frozen=True):
-    """What the shell's functions work with.
+    """Dependencies that the entry's functions share.
 
-    :param chance: source of random draws.
+    :param chance: random number generator.
     """
 
     settings: Settings
@@ -164,6 +172,6 @@
     loop: LoopThread
     clock: Clock
     engines: Engines
-    controller: Controller
+    controller: ControllerClient
     metrics: Metrics
     chance: random.Random
--- a/tests/test_entry_views.py
+++ b/tests/test_entry_controller_sync.py
@@ -1,4 +1,4 @@
-"""How an entry follows its controller, and what it keeps when that fails."""
+"""Synchronisation of an entry with its controller, also during its failures."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from arbutuspulley.clock import Clock
 from arbutuspulley.configuration.schema import EMPTY
-from arbutuspulley.entry import background, views
+from arbutuspulley.entry import background, controller_sync
 from arbutuspulley.entry.state import Demand
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import ServerSummary, Suspicion, View
@@ -47,61 +47,69 @@
         (build_view(1, version=0, servers=SERVERS[:1]), 2, ["e1"]),
     ],
 )
-def test_a_view_never_takes_back_a_configuration(runtime, second, version, servers):
-    """The controller is replaced, and the new one knows nothing yet, or an old backup.
+def test_a_view_never_reverts_the_configuration(runtime, second, version, servers):
+    """The controller is replaced, and the new one has no state yet, or an old backup.
 
-    Taken at its word, models and callers' keys would vanish until it has caught up.
+    If its view were applied unchanged, models and callers' keys would be missing until
+    it has caught up.
     """
-    views.take_view(runtime, build_view(1, version=2), now=0)
-    views.take_view(runtime, second, now=1)
+    controller_sync.update_view(runtime, build_view(1, version=2), now=0)
+    controller_sync.update_view(runtime, second, now=1)
     state = runtime.state
-    assert (state.index.version, views.is_ready(state)) == (version, True)
+    assert (state.index.version, controller_sync.is_ready(state)) == (version, True)
     assert sorted(state.summaries) == servers
     assert state.view.configuration.version == version
 
 
-def test_is_ready_only_with_a_configuration_that_knows_the_site(runtime):
+def test_is_ready_only_with_a_configuration_of_its_site(runtime):
     for view in (build_view(version=0), build_view(ready=False)):
-        views.take_view(runtime, view, now=0)
-        assert not views.is_ready(runtime.state)
-    views.take_view(runtime, build_view(), now=0)
-    assert views.is_ready(runtime.state)
+        controller_sync.update_view(runtime, view, now=0)
+        assert not controller_sync.is_ready(runtime.state)
+    controller_sync.update_view(runtime, build_view(), now=0)
+    assert controller_sync.is_ready(runtime.state)
 
 
-def test_servers_stay_while_a_new_controller_has_not_heard_of_them(runtime):
-    """The controller is replaced and ready, but has no server's report yet.
+def test_servers_are_retained_until_a_new_controller_lists_them(runtime):
+    """The controller is replaced and ready, but no server has reported to it yet.
 
-    An entry that believed it would refuse all requests for some seconds.
+    An entry that applied its empty server list would refuse all requests for some
+    seconds.
     """
-    views.take_view(runtime, build_view(), now=0)
+    controller_sync.update_view(runtime, build_view(), now=0)
     runtime.state.reconnected_at = 10
-    views.take_view(runtime, build_view(servers=()), now=10)
+    controller_sync.update_view(runtime, build_view(servers=()), now=10)
     assert list(runtime.state.summaries) == ["e1"]
-    views.take_view(runtime, build_view(servers=()), now=10 + views.SERVERS_KEPT_MS)
+    controller_sync.update_view(
+        runtime, build_view(servers=()), now=10 + controller_sync.SERVER_RETENTION_MS
+    )
     assert list(runtime.state.summaries) == []
 
 
-def test_a_suspicion_goes_when_the_controller_has_forgotten_it(runtime):
+def test_a_suspicion_is_dropped_when_the_controller_no_longer_lists_it(runtime):
     suspicion = Suspicion(fingerprint="f", deaths=("e1/b1",))
-    views.take_view(runtime, build_view(suspicions=(suspicion,)), now=0)
-    views.take_view(runtime, build_view(2), now=views.SUSPICION_LAG_MS - 1)
+    controller_sync.update_view(runtime, build_view(suspicions=(suspicion,)), now=0)
+    controller_sync.update_view(
+        runtime, build_view(2), now=controller_sync.SUSPICION_GRACE_MS - 1
+    )
     assert runtime.state.suspects.suspicions == {"f": suspicion}
-    views.take_view(runtime, build_view(3), now=views.SUSPICION_LAG_MS)
+    controller_sync.update_view(
+        runtime, build_view(3), now=controller_sync.SUSPICION_GRACE_MS
+    )
     assert runtime.state.suspects.suspicions == {}
 
 
-def test_demand_that_was_not_delivered_is_reported_later(runtime, controller):
-    """The controller is away for some reports, while callers ask for a model.
+def test_undelivered_demand_is_reported_later(runtime, controller):
+    """The controller is unreachable for some reports while callers request a model.
 
-    Forgotten, the demand would not count when models are placed.
+    If the demand were dropped, model placement would not take it into account.
     """
     demand = runtime.state.demand
     demand["m@1"] = Demand(requests=2, tokens=30, refused=1)
     controller.down = True
-    assert not asyncio.run(views.send_report(runtime))
+    assert not asyncio.run(controller_sync.send_report(runtime))
     runtime.state.demand["m@1"].requests += 1
     controller.down = False
-    assert asyncio.run(views.send_report(runtime))
+    assert asyncio.run(controller_sync.send_report(runtime))
     (report,) = controller.reports
     (item,) = report.demand
     assert (item.requests, item.tokens, item.refused) == (3, 30, 1)
@@ -109,13 +117,14 @@
 
 
 class EndOfTestError(BaseException):
-    """Ends work that goes on for ever."""
+    """Stops a task that runs forever."""
 
 
-def test_an_entry_finds_its_controller_again(controller, monkeypatch):
-    """The controller dies, and is back after some tries; entries come back jittered.
+def test_reconnects_to_the_controller_with_backoff(controller, monkeypatch):
+    """The controller dies and is reachable again after some attempts.
 
-    Meanwhile the entry serves from its last view.
+    The pauses between attempts grow and are jittered. In the meantime the entry serves
+    from its last view.
     """
     outcomes = [[build_view(1)], [], [], [build_view(2, version=2)]]
     pauses = []
@@ -129,7 +138,7 @@
 
     async def pause(seconds):
         pauses.append(seconds)
-        assert views.is_ready(runtime.state)
+        assert controller_sync.is_ready(runtime.state)
 
     port = type(controller.port)(
         **{name: getattr(controller.port, name) for name in ("report", "claim")},
@@ -141,13 +150,13 @@
     runtime = build_runtime(port, clock=Clock(read=lambda: 0))
     monkeypatch.setattr(asyncio, "sleep", pause)
     with pytest.raises(EndOfTestError):
-        asyncio.run(views.watch_controller(runtime))
+        asyncio.run(controller_sync.watch_controller(runtime))
     assert (runtime.state.index.version, runtime.state.reconnected_at) == (2, 0)
     assert len(set(pauses)) == 4 and max(pauses[:3]) <= 1.6 and pauses[2] > pauses[0]
 
 
-def test_work_that_falls_over_begins_again(runtime, monkeypatch):
-    """A fault in one report would end all later ones without a sign."""
+def test_work_is_restarted_after_an_exception(runtime, monkeypatch):
+    """Without a restart, an exception in one report would silently stop the others."""
     begun = []
 
     async def work(_runtime):
@@ -156,7 +165,7 @@
             raise EndOfTestError
         raise ValueError("a fault")
 
-    monkeypatch.setattr(background, "RESTART_MS", 0)
+    monkeypatch.setattr(background, "RESTART_DELAY_MS", 0)
     with pytest.raises(EndOfTestError):
-        asyncio.run(background.keep_working(work, runtime))
+        asyncio.run(background.run_with_restarts(work, runtime))
     assert len(begun) == 3
