--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -19,7 +19,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.schema import WeightStore
 from arbutuspulley.data import Value
-from arbutuspulley.placement.missing import rank_demand
+from arbutuspulley.placement.missing_copies import rank_demand
 from arbutuspulley.placement.slots import measure_hold_ms
 
 SEEDS = range(200)
--- a/src/arbutuspulley/placement/room.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -22,7 +22,7 @@
     measure_room,
     rank_place,
 )
-from arbutuspulley.placement.missing import list_candidates, measure_shortage
+from arbutuspulley.placement.missing_copies import list_candidates, measure_shortage
 from arbutuspulley.placement.records import EntryState, LedgerEntry
 
 
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -12,6 +12,7 @@
 from arbutuspulley.configuration.lookup import Item
 from arbutuspulley.data import State, Value
 from arbutuspulley.placement.actions import Load, Unload
+from arbutuspulley.placement.eviction import is_removable
 from arbutuspulley.placement.layout import (
     Layout,
     Place,
@@ -20,7 +21,6 @@
     measure_room,
     rank_place,
 )
-from arbutuspulley.placement.room import is_removable
 
 HALF_LIFE_MS = 30_000
 """Time after which a change of demand counts by half."""
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -13,6 +13,7 @@
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.data import State, Value
 from arbutuspulley.placement.actions import Action, Blocked, Load, Unload
+from arbutuspulley.placement.eviction import make_room
 from arbutuspulley.placement.fit import find_homes
 from arbutuspulley.placement.layout import (
     Layout,
@@ -20,7 +21,7 @@
     build_layout,
     copy_layout,
 )
-from arbutuspulley.placement.missing import (
+from arbutuspulley.placement.missing_copies import (
     Missing,
     Planned,
     Prefer,
@@ -36,8 +37,7 @@
 )
 from arbutuspulley.placement.moves import DemandState, propose_move, smooth_demand
 from arbutuspulley.placement.records import EntryState, ServerLedger
-from arbutuspulley.placement.retire import list_unneeded
-from arbutuspulley.placement.room import make_room
+from arbutuspulley.placement.retirement import list_unneeded
 from arbutuspulley.rpc.messages import ServerSummary
 
 __all__ = ["Action", "Blocked", "Load", "PlannerInputs", "PlannerState", "Unload"]
