--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -20,7 +20,7 @@
 from arbutuspulley.configuration.schema import WeightStore
 from arbutuspulley.data import Value
 from arbutuspulley.placement.missing_copies import rank_demand
-from arbutuspulley.placement.slots import measure_hold_ms
+from arbutuspulley.placement.slots import compute_min_hold_ms
 
 SEEDS = range(200)
 
@@ -127,7 +127,7 @@
 
 def run(workload: Workload, lost: list[Lost], sequence: Sequence) -> Outcome:
     """Load all in one sequence over the store's slots."""
-    hold_s = measure_hold_ms(workload.store) / SECOND_MS
+    hold_s = compute_min_hold_ms(workload.store) / SECOND_MS
     free_at = [0.0] * workload.store.loads_at_once
     waits: dict[int, float] = {}
     for model in sorted(lost, key=sequence):
--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -30,12 +30,17 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.placement import moves
 from arbutuspulley.placement.actions import Action, Load, Unload
-from arbutuspulley.placement.layout import Layout, build_layout, is_there, measure_room
+from arbutuspulley.placement.layout import (
+    Layout,
+    build_layout,
+    is_present,
+    measure_free_mib,
+)
 from arbutuspulley.placement.ledger import (
     DoesNotFitError,
     OutdatedPlanError,
-    intend_load,
-    intend_unload,
+    add_load_intent,
+    add_unload_intent,
     reconcile,
 )
 from arbutuspulley.placement.planner import PlannerInputs, PlannerState, plan
@@ -202,23 +207,23 @@
     loads = moves.measure_loads(layout, run.demand)
     late = [
         name
-        for name, place in layout.places.items()
+        for name, place in layout.servers.items()
         if loads[name] > moves.measure_capacity(place)
     ]
     if not late:
         return ()
     worst = max(late, key=lambda name: loads[name])
-    entries = layout.places[worst].entries
+    entries = layout.servers[worst].entries
     hottest = max(
         entries,
         key=lambda key: run.demand.get(key, 0.0) / max(1, len(layout.holding[key])),
     )
     item = layout.items[hottest]
     for name in sorted(loads, key=lambda name: loads[name]):
-        place = layout.places[name]
-        if is_there(place, hottest):
+        place = layout.servers[name]
+        if is_present(place, hottest):
             continue
-        if measure_room(layout, place) >= item.memory_mib:
+        if measure_free_mib(layout, place) >= item.memory_mib:
             return (Load(server=name, item=item),)
         spare = [
             key
@@ -262,10 +267,10 @@
         if isinstance(action, Load):
             server = list_servers(run.configuration)[action.server]
             key = action.item.key
-            known = intend_load(known, server=server, item=action.item)
+            known = add_load_intent(known, server=server, item=action.item)
         else:
             key = action.item
-            known = intend_unload(known, item=key)
+            known = add_unload_intent(known, item=key)
     except (DoesNotFitError, OutdatedPlanError):
         return False
     run.ledgers[action.server] = known
@@ -297,11 +302,11 @@
 
 def _count_late(run: Run) -> None:
     layout = _see(run)
-    loads = dict.fromkeys(layout.places, 0.0)
+    loads = dict.fromkeys(layout.servers, 0.0)
     for key, names in layout.answering.items():
         for name in names:
             loads[name] += run.demand.get(key, 0.0) / len(names)
-    for name, place in layout.places.items():
+    for name, place in layout.servers.items():
         run.late += max(0.0, loads[name] - moves.measure_capacity(place))
     run.asked += sum(run.demand.values())
 
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -92,7 +92,7 @@
     if state is None or server is None or not is_free(controller, work, name):
         return False
     try:
-        current = ledgers.intend_load(
+        current = ledgers.add_load_intent(
             work.current[name], server=server, item=action.item, report=state.report
         )
     except (DoesNotFitError, OutdatedPlanError) as error:
@@ -136,14 +136,14 @@
     if state is None or not is_free(controller, work, name):
         return False
     try:
-        current = ledgers.intend_unload(work.current[name], item=action.item)
+        current = ledgers.add_unload_intent(work.current[name], item=action.item)
         transaction = build_unload_intent(
             token=uuid.uuid4().hex,
             group=controller.settings.group,
             row=build_row(controller, work, current),
             copies=get_copies(controller, action.item),
             answering=answering,
-            least=action.least,
+            min_copies=action.min_copies,
         )
     except (OutdatedPlanError, LastCopyError) as error:
         log_event(Event.PLACEMENT_BLOCKED, level=logging.DEBUG, detail=error.detail)
@@ -248,7 +248,7 @@
     current = work.current.get(server)
     if reply.outcome is OrderOutcome.ACCEPTED:
         if current is not None:
-            work.current[server] = ledgers.note_accepted(current, order)
+            work.current[server] = ledgers.record_accepted(current, order)
         return
     log_event(
         Event.ORDER_REFUSED,
@@ -265,7 +265,7 @@
 def _note_refused(work: Ledgers, server: str, order: Order) -> None:
     current = work.current.get(server)
     if current is not None:
-        work.current[server] = ledgers.note_refused(current, order)
+        work.current[server] = ledgers.record_refused(current, order)
 
 
 def _count(controller: Controller, order: Order, outcome: str) -> None:
--- a/src/arbutuspulley/placement/actions.py
+++ b/src/arbutuspulley/placement/actions.py
@@ -7,7 +7,7 @@
 class Load(Value, frozen=True):
     """Load an item into a server's memory.
 
-    :param item: what to load, as :func:`.ledger.intend_load` takes it.
+    :param item: what to load, as :func:`.ledger.add_load_intent` takes it.
     """
 
     server: str
@@ -18,14 +18,14 @@
     """Unload an item from a server.
 
     :param item: its key.
-    :param least: copies that must answer elsewhere, as
+    :param min_copies: copies that must answer elsewhere, as
         :func:`.transactions.build_unload_intent` takes it.
     :param successor: the item that replaces it and must answer; empty if none.
     """
 
     server: str
     item: str
-    least: int = 1
+    min_copies: int = 1
     successor: str = ""
 
 
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -11,15 +11,15 @@
 from arbutuspulley.placement.actions import Action, Blocked, Load, Unload
 from arbutuspulley.placement.layout import (
     Layout,
-    Place,
+    ServerLayout,
     add_planned,
     copy_layout,
     find_name,
-    is_there,
+    is_present,
     list_missing_adapters,
     measure_bundle,
     measure_extra,
-    measure_room,
+    measure_free_mib,
     rank_place,
 )
 from arbutuspulley.placement.missing_copies import list_candidates, measure_shortage
@@ -70,11 +70,11 @@
         key=lambda way: (way.cost_mib, len(way.steps), rank_place(item.key, way.place)),
     )
     _count_loads(layout, best.steps)
-    add_planned(layout, layout.places[best.place], item)
+    add_planned(layout, layout.servers[best.place], item)
     return best.steps
 
 
-def is_removable(layout: Layout, place: Place, entry: LedgerEntry) -> bool:
+def is_removable(layout: Layout, place: ServerLayout, entry: LedgerEntry) -> bool:
     """Tell whether enough other copies of a configured item answer."""
     item = layout.items.get(entry.item)
     if item is None or entry.state is not EntryState.LOADED:
@@ -85,7 +85,7 @@
     return len(others - {place.name}) >= item.copies
 
 
-def _clear(layout: Layout, place: Place, item: Item) -> Clearing | None:
+def _clear(layout: Layout, place: ServerLayout, item: Item) -> Clearing | None:
     """Return the cheapest way found to make room for an item at one place.
 
     What there is enough of goes first. Relocations are added one by one, each against
@@ -97,7 +97,7 @@
     while short > 0:
         units = [
             unit
-            for unit in _list_units(trial, trial.places[place.name], item)
+            for unit in _list_units(trial, trial.servers[place.name], item)
             if not _overlaps(place, unit, chosen)
         ]
         unit = _choose_unit(units, short)
@@ -106,7 +106,7 @@
         chosen.append(unit)
         short -= unit.freed_mib
         for part in unit.moved:
-            add_planned(trial, trial.places[unit.target], part)
+            add_planned(trial, trial.servers[unit.target], part)
     return Clearing(
         place=place.name,
         cost_mib=sum(unit.cost_mib for unit in chosen),
@@ -123,7 +123,7 @@
     return max(free or units, key=lambda unit: (unit.freed_mib, unit.key), default=None)
 
 
-def _measure_pending(layout: Layout, place: Place) -> int:
+def _measure_pending(layout: Layout, place: ServerLayout) -> int:
     """Return the MiB that unloads under way, or soon due, will free."""
     return sum(
         _measure_freed(place, entry)
@@ -140,14 +140,14 @@
     return find_name(entry.item) not in names
 
 
-def _measure_freed(place: Place, entry: LedgerEntry) -> int:
+def _measure_freed(place: ServerLayout, entry: LedgerEntry) -> int:
     """Return what unloading frees: nothing if a load may still arrive late."""
     if not place.checks_orders and entry.late_loads > 0:
         return 0
     return entry.memory_mib
 
 
-def _list_units(layout: Layout, place: Place, item: Item) -> Iterator[Unit]:
+def _list_units(layout: Layout, place: ServerLayout, item: Item) -> Iterator[Unit]:
     for key in sorted(place.entries):
         entry = place.entries[key]
         wanted = layout.items.get(key)
@@ -160,13 +160,13 @@
             yield unit
 
 
-def _overlaps(place: Place, unit: Unit, chosen: list[Unit]) -> bool:
+def _overlaps(place: ServerLayout, unit: Unit, chosen: list[Unit]) -> bool:
     keys = {known.key for known in chosen}
     bases = {place.entries[key].base for key in keys}
     return bool(keys & {unit.key, place.entries[unit.key].base}) or unit.key in bases
 
 
-def _build_unit(layout: Layout, place: Place, item: Item) -> Unit | None:
+def _build_unit(layout: Layout, place: ServerLayout, item: Item) -> Unit | None:
     """Return what it takes to take an item, and adapters with it, off a place."""
     adapters = {adapter.key for adapter in layout.adapters.get(item.key, ())}
     if adapters & place.planned or list_missing_adapters(layout, place, item.key):
@@ -203,44 +203,47 @@
     )
 
 
-def _is_spare(layout: Layout, place: Place, item: Item) -> bool:
+def _is_spare(layout: Layout, place: ServerLayout, item: Item) -> bool:
     """Tell whether enough other copies answer, or are being loaded."""
     return len(layout.holding[item.key] - {place.name}) >= item.copies
 
 
 def _build_unloads(
-    layout: Layout, place: Place, parts: list[Item]
+    layout: Layout, place: ServerLayout, parts: list[Item]
 ) -> tuple[Action, ...]:
     """Return the unloads that can be ordered now; adapters go before their model."""
     adapters = parts[1:]
     ready = [part for part in adapters or parts if _can_unload(layout, place, part)]
     return tuple(
-        Unload(server=place.name, item=part.key, least=part.copies) for part in ready
+        Unload(server=place.name, item=part.key, min_copies=part.copies)
+        for part in ready
     )
 
 
-def _can_unload(layout: Layout, place: Place, item: Item) -> bool:
+def _can_unload(layout: Layout, place: ServerLayout, item: Item) -> bool:
     return is_removable(layout, place, place.entries[item.key])
 
 
-def _find_target(layout: Layout, source: Place, parts: list[Item]) -> Place | None:
+def _find_target(
+    layout: Layout, source: ServerLayout, parts: list[Item]
+) -> ServerLayout | None:
     """Return the place with the least room that takes all parts."""
     fitting = [
         place
-        for place in layout.places.values()
+        for place in layout.servers.values()
         if place is not source and _takes(layout, place, parts)
     ]
     return min(
         fitting,
         key=lambda place: (
-            measure_room(layout, place),
+            measure_free_mib(layout, place),
             rank_place(parts[0].key, place.name),
         ),
         default=None,
     )
 
 
-def _is_base_coming(layout: Layout, source: Place, item: Item) -> bool:
+def _is_base_coming(layout: Layout, source: ServerLayout, item: Item) -> bool:
     """Tell whether an adapter's model is being loaded elsewhere: then wait for it."""
     if not item.base_key:
         return False
@@ -248,25 +251,25 @@
     return bool(elsewhere - layout.answering[item.base_key])
 
 
-def _takes(layout: Layout, place: Place, parts: list[Item]) -> bool:
-    if any(is_there(place, part.key) for part in parts):
+def _takes(layout: Layout, place: ServerLayout, parts: list[Item]) -> bool:
+    if any(is_present(place, part.key) for part in parts):
         return False
     first = parts[0]
     if first.base_key and place.name not in layout.answering.get(first.base_key, ()):
         return False
     needed = sum(measure_extra(place, part) for part in parts)
-    return needed <= measure_room(layout, place)
+    return needed <= measure_free_mib(layout, place)
 
 
 def _count_loads(layout: Layout, steps: tuple[Action, ...]) -> None:
     for step in steps:
         if isinstance(step, Load):
-            add_planned(layout, layout.places[step.server], step.item)
+            add_planned(layout, layout.servers[step.server], step.item)
 
 
 def _explain(layout: Layout, item: Item) -> Blocked:
     rooms = {
-        place.name: measure_room(layout, place)
+        place.name: measure_free_mib(layout, place)
         for place in list_candidates(layout, item)
     }
     if not rooms:
@@ -274,7 +277,7 @@
         detail = f"no server may take another copy of {item.key}{base}"
         return Blocked(item=item.key, detail=detail)
     roomiest = max(sorted(rooms), key=lambda name: rooms[name])
-    needed = measure_bundle(layout, layout.places[roomiest], item)
+    needed = measure_bundle(layout, layout.servers[roomiest], item)
     beside = " with its adapters" if needed > item.memory_mib else ""
     detail = (
         f"{item.key}{beside} needs {needed} MiB; the most room is"
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -8,7 +8,7 @@
 from arbutuspulley.configuration.lookup import Item, list_configured_items
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.data import State
-from arbutuspulley.placement.ledger import measure_reserved, occupied_mib
+from arbutuspulley.placement.ledger import measure_occupied_mib, measure_reserved
 from arbutuspulley.placement.records import (
     EntryState,
     LedgerEntry,
@@ -19,7 +19,7 @@
 _COMING = (EntryState.LOADED, EntryState.LOADING)
 
 
-class Place(State):
+class ServerLayout(State):
     """One server that may take loads.
 
     :param capacity_mib: its memory.
@@ -45,7 +45,7 @@
 class Layout(State):
     """Places, wanted items and where they are.
 
-    :param places: servers that answer and are not leaving, by name.
+    :param servers: servers that answer and are not leaving, by name.
     :param items: configured items by key.
     :param adapters: for each model's item, its adapters, sorted by key.
     :param answering: servers where an item answers with the base it now needs.
@@ -56,7 +56,7 @@
         replaced yet.
     """
 
-    places: dict[str, Place]
+    servers: dict[str, ServerLayout]
     items: dict[str, Item]
     adapters: dict[str, tuple[Item, ...]]
     answering: dict[str, set[str]]
@@ -79,7 +79,7 @@
     """
     items = list_configured_items(configuration)
     layout = Layout(
-        places=_build_places(configuration, ledgers, usable),
+        servers=_build_places(configuration, ledgers, usable),
         items=items,
         adapters=_group_adapters(items),
         answering={key: set() for key in items},
@@ -87,20 +87,20 @@
         reliable={},
         held=_count_held(ledgers, waited_for),
     )
-    for place in layout.places.values():
+    for place in layout.servers.values():
         for entry in place.entries.values():
             _index_entry(layout, place, entry)
     return layout
 
 
-def is_there(place: Place, key: str) -> bool:
+def is_present(place: ServerLayout, key: str) -> bool:
     """Tell whether an item is at a place in any state, so that it can't be loaded."""
     entry = place.entries.get(key)
     present = entry is not None and entry.state is not EntryState.ABSENT
     return present or key in place.planned
 
 
-def measure_room(layout: Layout, place: Place) -> int:
+def measure_free_mib(layout: Layout, place: ServerLayout) -> int:
     """Return the free MiB at a place, less what adapters of its models still need."""
     if place.pledged_mib is None:
         place.pledged_mib = sum(
@@ -111,7 +111,9 @@
     return place.capacity_mib - place.occupied_mib - place.pledged_mib
 
 
-def list_missing_adapters(layout: Layout, place: Place, model: str) -> list[Item]:
+def list_missing_adapters(
+    layout: Layout, place: ServerLayout, model: str
+) -> list[Item]:
     """Return the adapters that a model at this place is to be joined by."""
     adapters = layout.adapters.get(model, ())
     if not adapters or place.name not in layout.holding[model]:
@@ -119,34 +121,34 @@
     return [
         adapter
         for adapter in adapters
-        if not is_there(place, adapter.key)
+        if not is_present(place, adapter.key)
         and len(layout.holding[adapter.key]) < adapter.copies
     ]
 
 
-def measure_extra(place: Place, item: Item) -> int:
+def measure_extra(place: ServerLayout, item: Item) -> int:
     """Return the MiB that loading an item would add to what is occupied."""
     entry = place.entries.get(item.key)
     reserved = measure_reserved(entry) if entry is not None else 0
     return max(0, item.memory_mib - reserved)
 
 
-def add_planned(layout: Layout, place: Place, item: Item) -> None:
+def add_planned(layout: Layout, place: ServerLayout, item: Item) -> None:
     """Count an item as loaded at a place for the rest of the plan."""
     place.occupied_mib += measure_extra(place, item)
     place.planned.add(item.key)
     place.pledged_mib = None
     layout.holding[item.key].add(place.name)
     for name in layout.holding.get(item.base_key, ()):
-        layout.places[name].pledged_mib = None
+        layout.servers[name].pledged_mib = None
 
 
-def measure_bundle(layout: Layout, place: Place, item: Item) -> int:
+def measure_bundle(layout: Layout, place: ServerLayout, item: Item) -> int:
     """Return the MiB that an item and those of its adapters add at a place."""
     adapters = sum(
         measure_extra(place, adapter)
         for adapter in layout.adapters.get(item.key, ())
-        if not is_there(place, adapter.key)
+        if not is_present(place, adapter.key)
         and len(layout.holding[adapter.key]) < adapter.copies
     )
     return measure_extra(place, item) + adapters
@@ -155,9 +157,9 @@
 def copy_layout(layout: Layout) -> Layout:
     """Return a copy to try planned loads on."""
     return Layout(
-        places={
+        servers={
             name: msgspec.structs.replace(place, planned=set(place.planned))
-            for name, place in layout.places.items()
+            for name, place in layout.servers.items()
         },
         items=layout.items,
         adapters=layout.adapters,
@@ -186,24 +188,24 @@
     configuration: Configuration,
     ledgers: Mapping[str, ServerLedger],
     usable: Collection[str],
-) -> dict[str, Place]:
-    places: dict[str, Place] = {}
+) -> dict[str, ServerLayout]:
+    servers: dict[str, ServerLayout] = {}
     for site_name, site in configuration.sites.items():
         for name, server in site.servers.items():
             ledger = ledgers.get(name)
             if name not in usable or ledger is None or not ledger.boot_id:
                 continue
-            places[name] = Place(
+            servers[name] = ServerLayout(
                 name=name,
                 site=site_name,
                 slots=server.slots,
                 capacity_mib=server.memory_mib,
                 checks_orders=server.checks_orders,
-                occupied_mib=occupied_mib(ledger),
+                occupied_mib=measure_occupied_mib(ledger),
                 entries={entry.item: entry for entry in ledger.entries},
                 planned=set(),
             )
-    return dict(sorted(places.items()))
+    return dict(sorted(servers.items()))
 
 
 def _group_adapters(items: Mapping[str, Item]) -> dict[str, tuple[Item, ...]]:
@@ -227,7 +229,7 @@
     return held
 
 
-def _index_entry(layout: Layout, place: Place, entry: LedgerEntry) -> None:
+def _index_entry(layout: Layout, place: ServerLayout, entry: LedgerEntry) -> None:
     if is_reliable(entry):
         layout.reliable.setdefault(entry.item, set()).add(place.name)
     item = layout.items.get(entry.item)
--- a/src/arbutuspulley/placement/ledger.py
+++ b/src/arbutuspulley/placement/ledger.py
@@ -114,7 +114,7 @@
     return entry.memory_mib
 
 
-def occupied_mib(ledger: ServerLedger, report: Report | None = None) -> int:
+def measure_occupied_mib(ledger: ServerLedger, report: Report | None = None) -> int:
     """Return the MiB to count as occupied, the larger of ledger and report."""
     sizes = {entry.item: measure_reserved(entry) for entry in ledger.entries}
     if report is None:
@@ -133,7 +133,7 @@
     return min(server.memory_mib, report.memory_total_mib)
 
 
-def intend_load(
+def add_load_intent(
     ledger: ServerLedger, *, server: Server, item: Item, report: Report | None = None
 ) -> ServerLedger:
     """Return the ledger with a load intended; commit it before the order is sent.
@@ -166,7 +166,7 @@
     return _count_order(replace_entry(ledger, item.key, entry))
 
 
-def intend_unload(ledger: ServerLedger, *, item: str) -> ServerLedger:
+def add_unload_intent(ledger: ServerLedger, *, item: str) -> ServerLedger:
     """Return the ledger with an unload intended; commit it before the order is sent.
 
     An item that is still loading is never unloaded: its load order could arrive after
@@ -208,7 +208,7 @@
     )
 
 
-def note_accepted(ledger: ServerLedger, order: Order) -> ServerLedger:
+def record_accepted(ledger: ServerLedger, order: Order) -> ServerLedger:
     """Return the ledger after the server took an order: it can't arrive later."""
     entry = find_entry(ledger, order.item)
     if entry is None or not _is_for(entry, order):
@@ -217,7 +217,7 @@
     return replace_entry(ledger, order.item, _replace(entry, accepted=accepted))
 
 
-def note_refused(ledger: ServerLedger, order: Order) -> ServerLedger:
+def record_refused(ledger: ServerLedger, order: Order) -> ServerLedger:
     """Return the ledger after an order certainly had no effect and never will have.
 
     This is so if the server refused it (``REFUSED``) or no byte of it left. It is not
@@ -288,7 +288,7 @@
     report: Report | None,
 ) -> None:
     reserved = measure_reserved(known) if known else 0
-    occupied = occupied_mib(ledger, report)
+    occupied = measure_occupied_mib(ledger, report)
     capacity = measure_capacity(server, report)
     extra = max(0, item.memory_mib - reserved)
     missing = occupied + extra - capacity
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -8,14 +8,14 @@
 from arbutuspulley.data import Value
 from arbutuspulley.placement.layout import (
     Layout,
-    Place,
+    ServerLayout,
     add_planned,
     find_name,
-    is_there,
+    is_present,
     list_missing_adapters,
     measure_bundle,
     measure_extra,
-    measure_room,
+    measure_free_mib,
     rank_place,
 )
 
@@ -68,7 +68,7 @@
     server: str
 
 
-Prefer = Callable[[Layout, Place, Item], tuple[int, ...]]
+Prefer = Callable[[Layout, ServerLayout, Item], tuple[int, ...]]
 """Ranks a place for an item; the lowest is taken."""
 
 
@@ -89,7 +89,7 @@
     return missing
 
 
-def find_place(layout: Layout, copy: Missing, prefer: Prefer) -> Place | None:
+def find_place(layout: Layout, copy: Missing, prefer: Prefer) -> ServerLayout | None:
     """Return the preferred place where a copy fits, or ``None``.
 
     The first place in sequence of preference that also has room for the item's
@@ -99,7 +99,7 @@
     item = copy.item
     candidates = list_candidates(layout, item)
     candidates.sort(key=lambda place: prefer(layout, place, item))
-    best: Place | None = None
+    best: ServerLayout | None = None
     worst_taken = Grade.CRAMPED if copy.priority is Priority.LOST else Grade.MIXED
     best_grade = worst_taken + 1
     for place in candidates:
@@ -113,26 +113,26 @@
     return best
 
 
-def list_candidates(layout: Layout, item: Item) -> list[Place]:
+def list_candidates(layout: Layout, item: Item) -> list[ServerLayout]:
     """Return the places that may hold an item, whether or not it fits now."""
-    names: Iterable[str] = layout.places
+    names: Iterable[str] = layout.servers
     if item.base_key:
         names = sorted(layout.answering.get(item.base_key, ()))
-    places = [layout.places[name] for name in names]
+    servers = [layout.servers[name] for name in names]
     return [
         place
-        for place in places
-        if not is_there(place, item.key) and not _is_tied(layout, place, item)
+        for place in servers
+        if not is_present(place, item.key) and not _is_tied(layout, place, item)
     ]
 
 
-def measure_shortage(layout: Layout, place: Place, item: Item) -> int:
+def measure_shortage(layout: Layout, place: ServerLayout, item: Item) -> int:
     """Return how many MiB an item and its adapters lack; 0 or less if they fit."""
     needed = measure_bundle(layout, place, item)
     return _measure_shortage(layout, place, item, needed)
 
 
-def prefer_spread(layout: Layout, place: Place, item: Item) -> tuple[int, ...]:
+def prefer_spread(layout: Layout, place: ServerLayout, item: Item) -> tuple[int, ...]:
     """Prefer other sites than those that have a copy."""
     return (_count_in_site(layout, place, item), rank_place(item.key, place.name))
 
@@ -143,9 +143,9 @@
     :param homes: places by item, see :func:`.fit.find_homes`.
     """
 
-    def prefer(layout: Layout, place: Place, item: Item) -> tuple[int, ...]:
+    def prefer(layout: Layout, place: ServerLayout, item: Item) -> tuple[int, ...]:
         away = place.name not in homes.get(item.key, ())
-        room = measure_room(layout, place)
+        room = measure_free_mib(layout, place)
         return (int(away), room, rank_place(item.key, place.name))
 
     return prefer
@@ -157,9 +157,9 @@
     If a model has one copy and adapters, it must be another place than its own, as an
     adapter cannot be loaded twice on one server.
     """
-    places = sorted(
-        layout.places.values(),
-        key=lambda place: -measure_room(layout, place),
+    servers = sorted(
+        layout.servers.values(),
+        key=lambda place: -measure_free_mib(layout, place),
     )[: _MOST_OWN_PLACES + 1]
     for item in layout.items.values():
         if item.base_key:
@@ -167,7 +167,9 @@
         alone = item.copies == 1 and item.key in layout.adapters
         own = layout.holding[item.key] if alone else ()
         rooms = [
-            measure_room(layout, place) for place in places if place.name not in own
+            measure_free_mib(layout, place)
+            for place in servers
+            if place.name not in own
         ]
         if max(rooms, default=0) < _measure_size(layout, item):
             return False
@@ -224,14 +226,14 @@
     return -math.floor(math.log2(demand / size)), size
 
 
-def _is_tied(layout: Layout, place: Place, item: Item) -> bool:
+def _is_tied(layout: Layout, place: ServerLayout, item: Item) -> bool:
     """Tell whether a model's adapters could never follow it to a place.
 
     They are there for its former version, and nowhere else, so they cannot be unloaded
     there to be loaded again for this one.
     """
     return any(
-        is_there(place, adapter.key)
+        is_present(place, adapter.key)
         and not layout.reliable.get(adapter.key, set()) - {place.name}
         for adapter in layout.adapters.get(item.key, ())
     )
@@ -257,11 +259,13 @@
     return item.memory_mib + sum(adapter.memory_mib for adapter in adapters)
 
 
-def _measure_shortage(layout: Layout, place: Place, item: Item, needed: int) -> int:
+def _measure_shortage(
+    layout: Layout, place: ServerLayout, item: Item, needed: int
+) -> int:
     return needed - _measure_room_for(layout, place, item)
 
 
-def _measure_room_for(layout: Layout, place: Place, item: Item) -> int:
+def _measure_room_for(layout: Layout, place: ServerLayout, item: Item) -> int:
     """Return the room at a place for an item.
 
     An adapter may use what its model's adapters are due there, also where that is more
@@ -271,20 +275,20 @@
         measure_extra(place, adapter)
         for adapter in list_missing_adapters(layout, place, item.base_key)
     )
-    return measure_room(layout, place) + due
+    return measure_free_mib(layout, place) + due
 
 
-def _grade_place(layout: Layout, place: Place, item: Item) -> Grade:
-    if measure_bundle(layout, place, item) > measure_room(layout, place):
+def _grade_place(layout: Layout, place: ServerLayout, item: Item) -> Grade:
+    if measure_bundle(layout, place, item) > measure_free_mib(layout, place):
         return Grade.CRAMPED if not item.base_key else Grade.GOOD
     adapters = layout.adapters.get(item.key, ())
-    if any(is_there(place, adapter.key) for adapter in adapters):
+    if any(is_present(place, adapter.key) for adapter in adapters):
         return Grade.MIXED
     return Grade.GOOD
 
 
-def _count_in_site(layout: Layout, place: Place, item: Item) -> int:
+def _count_in_site(layout: Layout, place: ServerLayout, item: Item) -> int:
     holders = layout.holding[item.key]
     if not holders:
         return 0
-    return sum(layout.places[name].site == place.site for name in holders)
+    return sum(layout.servers[name].site == place.site for name in holders)
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -15,10 +15,10 @@
 from arbutuspulley.placement.eviction import is_removable
 from arbutuspulley.placement.layout import (
     Layout,
-    Place,
-    is_there,
+    ServerLayout,
+    is_present,
     measure_extra,
-    measure_room,
+    measure_free_mib,
     rank_place,
 )
 
@@ -113,14 +113,14 @@
 
 def measure_loads(layout: Layout, demand: Mapping[str, float]) -> dict[str, float]:
     """Return the tokens a second that each server gets, copies sharing evenly."""
-    loads = dict.fromkeys(layout.places, 0.0)
+    loads = dict.fromkeys(layout.servers, 0.0)
     for key, holders in layout.holding.items():
         for name in holders:
             loads[name] += demand.get(key, 0.0) / len(holders)
     return loads
 
 
-def measure_capacity(place: Place) -> float:
+def measure_capacity(place: ServerLayout) -> float:
     """Return the tokens a second that a server yields within the target."""
     return place.slots * SLOT_TOKENS_PER_S
 
@@ -132,13 +132,13 @@
     moves_weight: float,
 ) -> list[Move]:
     """Return all moves worth their cost, the best one first."""
-    late = {name for name in loads if _measure_late(layout.places[name], loads[name])}
+    late = {name for name in loads if _measure_late(layout.servers[name], loads[name])}
     moves = [
         _weigh(layout, item, place, demand, loads, moves_weight)
         for key, item in layout.items.items()
         if demand.get(key, 0.0) > 0 and late & layout.holding[key]
-        for place in layout.places.values()
-        if not is_there(place, key)
+        for place in layout.servers.values()
+        if not is_present(place, key)
     ]
     return sorted(
         (move for move in moves if move.surplus > 0),
@@ -153,7 +153,7 @@
 def _weigh(
     layout: Layout,
     item: Item,
-    place: Place,
+    place: ServerLayout,
     demand: Mapping[str, float],
     loads: Mapping[str, float],
     moves_weight: float,
@@ -162,8 +162,8 @@
     before = demand[item.key] / len(holders)
     after = demand[item.key] / (len(holders) + 1)
     gain = sum(
-        _measure_late(layout.places[name], loads[name])
-        - _measure_late(layout.places[name], loads[name] - before + after)
+        _measure_late(layout.servers[name], loads[name])
+        - _measure_late(layout.servers[name], loads[name] - before + after)
         for name in holders
     )
     gain += _measure_late(place, loads[place.name])
@@ -174,17 +174,17 @@
     return Move(item=item, server=place.name, gain=gain, surplus=gain - price - stall)
 
 
-def _count_steps(layout: Layout, item: Item, place: Place) -> int:
+def _count_steps(layout: Layout, item: Item, place: ServerLayout) -> int:
     """Return how many loads and unloads a move takes."""
     steps = 1
     needed = measure_extra(place, item)
-    if item.base_key and not is_there(place, item.base_key):
+    if item.base_key and not is_present(place, item.base_key):
         steps += 1
         needed += measure_extra(place, layout.items[item.base_key])
-    return steps + int(needed > measure_room(layout, place))
+    return steps + int(needed > measure_free_mib(layout, place))
 
 
-def _measure_late(place: Place, load: float) -> float:
+def _measure_late(place: ServerLayout, load: float) -> float:
     return max(0.0, load - BUSY_SHARE * measure_capacity(place))
 
 
@@ -196,27 +196,29 @@
     layout: Layout, move: Move, loads: Mapping[str, float], demand: Mapping[str, float]
 ) -> tuple[Load | Unload, ...]:
     """Return the next step of a move: its model first, or room for it."""
-    place = layout.places[move.server]
+    place = layout.servers[move.server]
     item = move.item
     if item.base_key and place.name not in layout.answering.get(item.base_key, ()):
-        if is_there(place, item.base_key):
+        if is_present(place, item.base_key):
             return ()
         item = layout.items[item.base_key]
-    short = measure_extra(place, item) - measure_room(layout, place)
+    short = measure_extra(place, item) - measure_free_mib(layout, place)
     if short <= 0:
         return (Load(server=place.name, item=item),)
     for loss, spare in sorted(_list_spares(layout, place, loads, demand)):
         entry = place.entries[spare]
         if entry.memory_mib >= short and loss < move.surplus / 2:
             return (
-                Unload(server=place.name, item=spare, least=layout.items[spare].copies),
+                Unload(
+                    server=place.name, item=spare, min_copies=layout.items[spare].copies
+                ),
             )
     return ()
 
 
 def _list_spares(
     layout: Layout,
-    place: Place,
+    place: ServerLayout,
     loads: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> Iterator[tuple[float, str]]:
@@ -233,7 +235,7 @@
 
 def _measure_loss(
     layout: Layout,
-    place: Place,
+    place: ServerLayout,
     key: str,
     loads: Mapping[str, float],
     demand: Mapping[str, float],
@@ -242,7 +244,7 @@
     share = demand.get(key, 0.0) / len(layout.holding[key])
     more = share / len(others)
     return sum(
-        _measure_late(layout.places[name], loads[name] + more)
-        - _measure_late(layout.places[name], loads[name])
+        _measure_late(layout.servers[name], loads[name] + more)
+        - _measure_late(layout.servers[name], loads[name])
         for name in others
     )
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -243,7 +243,7 @@
         if not item.base_key or not short or list_candidates(layout, item):
             continue
         for name in sorted(layout.answering.get(item.base_key, ())):
-            entry = layout.places[name].entries.get(key)
+            entry = layout.servers[name].entries.get(key)
             if entry is None or entry.state is not EntryState.LOADED:
                 continue
             if entry.base != item.base_key and layout.reliable[key] - {name}:
@@ -262,6 +262,6 @@
     for group in groups:
         for action in group:
             if isinstance(action, Unload):
-                server = action.server if action.least == 0 else ""
+                server = action.server if action.min_copies == 0 else ""
                 merged.setdefault((action.item, server), action)
     return list(merged.values())
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -4,7 +4,7 @@
 
 from arbutuspulley.configuration.lookup import Item
 from arbutuspulley.placement.actions import Unload
-from arbutuspulley.placement.layout import Layout, Place, find_name, rank_place
+from arbutuspulley.placement.layout import Layout, ServerLayout, find_name, rank_place
 from arbutuspulley.placement.records import EntryState, LedgerEntry
 
 
@@ -17,7 +17,7 @@
     names = {item.name: item for item in layout.items.values()}
     former = _group_former(layout, names)
     unloads = [
-        Unload(server=place.name, item=entry.item, least=0)
+        Unload(server=place.name, item=entry.item, min_copies=0)
         for place, entry in _list_loaded(layout)
         if find_name(entry.item) not in names
     ]
@@ -26,8 +26,8 @@
     return [unload for unload in unloads if not _is_base_in_use(layout, unload)]
 
 
-def _list_loaded(layout: Layout) -> Iterator[tuple[Place, LedgerEntry]]:
-    for place in layout.places.values():
+def _list_loaded(layout: Layout) -> Iterator[tuple[ServerLayout, LedgerEntry]]:
+    for place in layout.servers.values():
         for key in sorted(place.entries):
             if place.entries[key].state is EntryState.LOADED:
                 yield place, place.entries[key]
@@ -35,13 +35,13 @@
 
 def _group_former(
     layout: Layout, names: dict[str, Item]
-) -> dict[str, list[tuple[Place, LedgerEntry]]]:
+) -> dict[str, list[tuple[ServerLayout, LedgerEntry]]]:
     """Return the loaded former versions of each configured name.
 
     An adapter that was loaded for its model's former version is one too, although its
     own version may be the same.
     """
-    former: dict[str, list[tuple[Place, LedgerEntry]]] = {}
+    former: dict[str, list[tuple[ServerLayout, LedgerEntry]]] = {}
     for place, entry in _list_loaded(layout):
         item = names.get(find_name(entry.item))
         if item is None:
@@ -52,7 +52,7 @@
 
 
 def _retire_former(
-    layout: Layout, item: Item, former: list[tuple[Place, LedgerEntry]]
+    layout: Layout, item: Item, former: list[tuple[ServerLayout, LedgerEntry]]
 ) -> list[Unload]:
     answering = len(layout.answering[item.key])
     if answering == 0:
@@ -73,7 +73,7 @@
 
 
 def _retire_copy(
-    layout: Layout, item: Item, place: Place, entry: LedgerEntry
+    layout: Layout, item: Item, place: ServerLayout, entry: LedgerEntry
 ) -> list[Unload] | None:
     """Return the next steps to retire one copy, or ``None`` if it must stay.
 
@@ -98,25 +98,25 @@
     ]
 
 
-def _is_spare(layout: Layout, place: Place, entry: LedgerEntry) -> bool:
+def _is_spare(layout: Layout, place: ServerLayout, entry: LedgerEntry) -> bool:
     if entry.state is EntryState.UNLOADING:
         return True
     others = layout.reliable.get(entry.item, set()) - {place.name}
     return entry.state is EntryState.LOADED and bool(others)
 
 
-def _build_unload(item: Item, place: Place, entry: LedgerEntry) -> Unload:
+def _build_unload(item: Item, place: ServerLayout, entry: LedgerEntry) -> Unload:
     same = entry.item == item.key
     return Unload(
         server=place.name,
         item=entry.item,
-        least=int(same),
+        min_copies=int(same),
         successor="" if same else item.key,
     )
 
 
 def _is_base_in_use(layout: Layout, unload: Unload) -> bool:
-    entries = layout.places[unload.server].entries.values()
+    entries = layout.servers[unload.server].entries.values()
     return any(
         entry.base == unload.item and entry.state is not EntryState.ABSENT
         for entry in entries
--- a/src/arbutuspulley/placement/slots.py
+++ b/src/arbutuspulley/placement/slots.py
@@ -1,9 +1,10 @@
 """The weight store's queue, shared through rows of the table.
 
 There are as many slots as loads that the store serves at full speed. A load needs a
-slot; its holder keeps it until the load has ended and for :func:`measure_hold_ms` at
-least. Two loads on one slot therefore begin at least that long apart, which bounds
-the rate of all instances together without synchronised clocks.
+slot; its holder keeps it until the load has ended and for
+:func:`compute_min_hold_ms` at least. Two loads on one slot therefore begin at least
+that long apart, which bounds the rate of all instances together without synchronised
+clocks.
 """
 
 from collections.abc import Collection, Mapping
@@ -22,11 +23,11 @@
 MINUTE_MS = 60_000
 """Milliseconds in a minute."""
 
-PATIENCE_MS = 3_000
+TURN_TIMEOUT_MS = 3_000
 """How long a free slot is left to the load whose turn it is."""
 
 
-def measure_hold_ms(store: WeightStore) -> int:
+def compute_min_hold_ms(store: WeightStore) -> int:
     """Return how long a slot is kept at least, in milliseconds, rounded up."""
     return -(-store.loads_at_once * MINUTE_MS // store.loads_per_minute)
 
@@ -46,7 +47,7 @@
 
     All instances rank the planned loads alike, and the load of rank ``n`` takes the
     ``n``-th free slot, so that instances rarely want the same one. If the owner whose
-    turn it is does not act, others take the slot after :data:`PATIENCE_MS`.
+    turn it is does not act, others take the slot after :data:`TURN_TIMEOUT_MS`.
 
     :param slots: the slots as this instance last read them, by number; slots without
         a row are free.
@@ -65,7 +66,7 @@
     ]
     if rank < len(free):
         return free[rank]
-    left = [slot for slot in free if now - slot.changed_at >= PATIENCE_MS]
+    left = [slot for slot in free if now - slot.changed_at >= TURN_TIMEOUT_MS]
     if not left:
         return None
     return left[xxhash.xxh64_intdigest(instance.encode()) % len(left)]
@@ -86,7 +87,7 @@
     :param alive: whether that server answers.
     :param sent_at: when the load order was sent, on the holder's clock.
     """
-    if now - sent_at < measure_hold_ms(store):
+    if now - sent_at < compute_min_hold_ms(store):
         return False
     return not _is_loading(record, ledger=ledger, alive=alive)
 
@@ -115,7 +116,7 @@
         return True
     if record.session in sessions:
         return False
-    if now - slot.changed_at < measure_hold_ms(store):
+    if now - slot.changed_at < compute_min_hold_ms(store):
         return False
     server = record.server
     return not _is_loading(record, ledger=ledgers.get(server), alive=server in alive)
--- a/src/arbutuspulley/placement/transactions.py
+++ b/src/arbutuspulley/placement/transactions.py
@@ -69,7 +69,7 @@
 ) -> Transaction:
     """Take a slot of the weight store and commit the intent of a load together.
 
-    :param row: the ledger that :func:`.ledger.intend_load` returned.
+    :param row: the ledger that :func:`.ledger.add_load_intent` returned.
     :param slot: the free slot as it was read.
     :param holder: what the slot will hold.
     """
@@ -89,7 +89,7 @@
     row: LedgerRow,
     copies: CopiesRow,
     answering: Collection[str],
-    least: int = 1,
+    min_copies: int = 1,
     successor: CopiesRow | None = None,
 ) -> Transaction:
     """Commit the intent of an unload, and take the server out of the copies.
@@ -98,18 +98,18 @@
     one of the last two copies both depend on the same revision of it, so only one can
     commit; the other reads again and finds itself the last.
 
-    :param row: the ledger that :func:`.ledger.intend_unload` returned.
+    :param row: the ledger that :func:`.ledger.add_unload_intent` returned.
     :param answering: servers known to be alive and not leaving; a copy elsewhere does
         not count.
-    :param least: copies that must be left; 0 for an item that no site configures, or
-        that has a successor.
+    :param min_copies: copies that must be left; 0 for an item that no site configures,
+        or that has a successor.
     :param successor: copies of the version that replaces the item; one must answer.
     :raises LastCopyError: if fewer would be left, or the successor does not answer.
     """
     server = row.ledger.server
     others = [name for name in copies.record.servers if name != server]
     left = [name for name in others if name in answering]
-    if len(left) < least:
+    if len(left) < min_copies:
         raise LastCopyError(
             detail=f"{copies.record.item} would be left with {len(left)} copies"
         )
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,13 +10,13 @@
     RESEND_AFTER_REPORTS,
     DoesNotFitError,
     OutdatedPlanError,
+    add_load_intent,
+    add_unload_intent,
     build_order,
-    intend_load,
-    intend_unload,
-    note_accepted,
-    note_refused,
-    occupied_mib,
+    measure_occupied_mib,
     reconcile,
+    record_accepted,
+    record_refused,
     take_over,
 )
 from arbutuspulley.placement.records import (
@@ -48,7 +48,7 @@
 
 
 def load(known=START, item=A, server=TRUSTING):
-    known = intend_load(known, server=server, item=item)
+    known = add_load_intent(known, server=server, item=item)
     return known, build_order(known, find_entry(known, item.key))
 
 
@@ -60,7 +60,7 @@
 
 def show(known, key="a@1"):
     entry = find_entry(known, key)
-    return entry and (entry.state.value, occupied_mib(known))
+    return entry and (entry.state.value, measure_occupied_mib(known))
 
 
 LOADING = ("loading", 60)
@@ -112,7 +112,7 @@
     """
     known, _ = load()
     known = run(known, build_report("a@1", sequence=2))
-    known = intend_unload(known, item="a@1")
+    known = add_unload_intent(known, item="a@1")
     assert show(run(known, *reports)) == expected
 
 
@@ -126,7 +126,7 @@
     outcome = reconcile(known, server=TRUSTING, report=build_report(sequence=LATER))
     assert [order.number for order in outcome.resend] == [2]
     known = run(outcome.ledger, build_report("a@1", sequence=LATER + 1))
-    known = intend_unload(known, item="a@1")
+    known = add_unload_intent(known, item="a@1")
     known = run(known, build_report(sequence=LATER + 2))
     assert show(known) == RESERVED
     with pytest.raises(DoesNotFitError, match="20 MiB too little"):
@@ -134,23 +134,23 @@
     again, _ = load(known)
     assert show(again) == LOADING
     known = run(known, build_report("a@1", sequence=LATER + 3))
-    known = run(intend_unload(known, item="a@1"), build_report(sequence=LATER + 4))
+    known = run(add_unload_intent(known, item="a@1"), build_report(sequence=LATER + 4))
     assert known.entries == ()
 
 
 @pytest.mark.parametrize(
     ("answer", "expected"),
-    [(note_accepted, None), (note_refused, None), (None, RESERVED)],
+    [(record_accepted, None), (record_refused, None), (None, RESERVED)],
 )
 def test_reply_to_the_resent_order_rules_out_that_it_is_late(answer, expected):
     known, first = load()
-    known = note_accepted(known, first)
+    known = record_accepted(known, first)
     outcome = reconcile(known, server=TRUSTING, report=build_report(sequence=LATER))
     known = outcome.ledger
     if answer is not None:
         known = answer(known, outcome.resend[0])
     known = run(known, build_report("a@1", sequence=LATER + 1))
-    known = intend_unload(known, item="a@1")
+    known = add_unload_intent(known, item="a@1")
     assert show(run(known, build_report(sequence=LATER + 2))) == expected
 
 
@@ -161,7 +161,7 @@
     arrives here, the last copy is gone, and callers of the model are refused.
     """
     known = run(load()[0], build_report("a@1"))
-    known = intend_unload(known, item="a@1")
+    known = add_unload_intent(known, item="a@1")
     overdue = build_report("a@1", sequence=LATER + 1)
     known = run(known, overdue, build_report(sequence=LATER + 2))
     assert show(known) == ("absent", 0)
@@ -193,7 +193,7 @@
 )
 def test_larger_of_ledger_and_report_counts(items, fields, expected):
     known, _ = load()
-    assert occupied_mib(known, build_report(*items, **fields)) == expected
+    assert measure_occupied_mib(known, build_report(*items, **fields)) == expected
 
 
 def test_report_that_shows_more_wins_at_once():
@@ -241,15 +241,15 @@
         ((LOADED_ENTRY,), lambda known: load(known), OutdatedPlanError),
         ((LOADED_ENTRY,), lambda known: load(known, B), DoesNotFitError),
         ((), lambda known: load(replace(known, boot_id="")), OutdatedPlanError),
-        ((), lambda known: intend_unload(known, item="a@1"), OutdatedPlanError),
+        ((), lambda known: add_unload_intent(known, item="a@1"), OutdatedPlanError),
         (
             (replace(LOADED_ENTRY, state=EntryState.LOADING),),
-            lambda known: intend_unload(known, item="a@1"),
+            lambda known: add_unload_intent(known, item="a@1"),
             OutdatedPlanError,
         ),
         (
             (LOADED_ENTRY, replace(LOADED_ENTRY, item="x@1", base="a@1")),
-            lambda known: intend_unload(known, item="a@1"),
+            lambda known: add_unload_intent(known, item="a@1"),
             OutdatedPlanError,
         ),
     ],
@@ -262,7 +262,7 @@
 def test_reported_memory_limits_what_fits():
     report = build_report(memory_total_mib=50)
     with pytest.raises(DoesNotFitError, match="10 MiB too little"):
-        intend_load(START, server=TRUSTING, item=A, report=report)
+        add_load_intent(START, server=TRUSTING, item=A, report=report)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -202,7 +202,7 @@
             self.orders.append((owner, order))
 
     def load(self, owner, item):
-        current = ledger.intend_load(
+        current = ledger.add_load_intent(
             owner.ledger, server=self.describe(owner.server), item=ITEMS[item]
         )
         slot = SlotRow(number=0, revision=self.rows.get("g/load-slot/0", (b"", 0))[1])
@@ -211,14 +211,14 @@
         return current if done else None
 
     def unload(self, owner, item):
-        current = ledger.intend_unload(owner.ledger, item=item)
+        current = ledger.add_unload_intent(owner.ledger, item=item)
         done = self.commit(
             owner,
             current,
             transactions.build_unload_intent,
             copies=owner.copies[item],
             answering=self.names,
-            least=len(self.names) - 1,
+            min_copies=len(self.names) - 1,
         )
         return current if done else None
 
@@ -233,9 +233,9 @@
         if before and not self.restarts:
             assert self.list_answering(sent.item), "the last copy was unloaded"
         if reply and outcome is OrderOutcome.ACCEPTED:
-            owner.ledger = ledger.note_accepted(owner.ledger, sent)
+            owner.ledger = ledger.record_accepted(owner.ledger, sent)
         elif reply and outcome is OrderOutcome.REFUSED:
-            owner.ledger = ledger.note_refused(owner.ledger, sent)
+            owner.ledger = ledger.record_refused(owner.ledger, sent)
 
     def work(self, server, fail):
         self.engines[self.name(server)].work(fail=fail)
@@ -313,7 +313,7 @@
             possible = sum(SIZES[item] for item in on_the_way | engine.items.keys())
             assert possible <= CAPACITY_MIB, f"{name} may come to hold {possible}"
             if self.read_ledger(name)[0].boot_id == f"{name}-{engine.boot}":
-                counted = ledger.occupied_mib(self.read_ledger(name)[0])
+                counted = ledger.measure_occupied_mib(self.read_ledger(name)[0])
                 assert counted >= possible
 
     def end_faults(self):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -14,9 +14,9 @@
 )
 from arbutuspulley.placement.actions import Blocked, Load, Unload
 from arbutuspulley.placement.ledger import (
-    intend_load,
-    intend_unload,
-    occupied_mib,
+    add_load_intent,
+    add_unload_intent,
+    measure_occupied_mib,
     reconcile,
 )
 from arbutuspulley.placement.planner import (
@@ -136,11 +136,11 @@
                 for site in self.configuration.sites.values()
                 if name in site.servers
             ]
-            known = intend_load(self.ledgers[name], server=server, item=action.item)
-            assert occupied_mib(known) <= server.memory_mib
+            known = add_load_intent(self.ledgers[name], server=server, item=action.item)
+            assert measure_occupied_mib(known) <= server.memory_mib
             self.due[name, action.item.key] = self.now + self.engine_ms
         else:
-            known = intend_unload(self.ledgers[name], item=action.item)
+            known = add_unload_intent(self.ledgers[name], item=action.item)
             self.due[name, action.item] = self.now + self.engine_ms
         self.ledgers[name] = known
         self.done.append(action)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -10,10 +10,10 @@
     SlotRecord,
 )
 from arbutuspulley.placement.slots import (
-    PATIENCE_MS,
+    TURN_TIMEOUT_MS,
     can_release,
     choose_slot,
-    measure_hold_ms,
+    compute_min_hold_ms,
 )
 from arbutuspulley.placement.transactions import SlotRow
 
@@ -39,7 +39,7 @@
 )
 def test_hold_bounds_the_rate_of_all_slots(per_minute, at_once, hold_ms):
     store = WeightStore(loads_per_minute=per_minute, loads_at_once=at_once)
-    assert measure_hold_ms(store) == hold_ms
+    assert compute_min_hold_ms(store) == hold_ms
 
 
 def choose(first, second=None, *, rank=0, sessions=("other",), **rest):
@@ -66,7 +66,7 @@
     [
         (build_slot(0, 0), {}, 0),
         (build_slot(0, 0), {"rank": 1}, None),
-        (build_slot(0, PATIENCE_MS), {"rank": 1}, 0),
+        (build_slot(0, TURN_TIMEOUT_MS), {"rank": 1}, 0),
         (build_slot(0, 99_000, HELD), {}, None),
         (build_slot(0, HOLD_MS, HELD), {"sessions": ()}, 0),
         (build_slot(0, HOLD_MS - 1, HELD), {"sessions": ()}, None),
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -65,7 +65,7 @@
                 **COMMON,
                 copies=build_copies("s0"),
                 answering={"s1"},
-                least=0,
+                min_copies=0,
                 successor=build_copies("s1", item="a@2", revision=8),
             ),
             {**OWN, "g/copies/a@1": 7, "g/copies/a@2": 8},
@@ -102,9 +102,13 @@
     [
         (("s0",), {"s0", "s1"}, {}),
         (("s0", "s1"), {"s0"}, {}),
-        (("s0", "s1"), {"s0", "s1"}, {"least": 2}),
-        (("s0",), {"s1"}, {"least": 0, "successor": build_copies(item="a@2")}),
-        (("s0",), {"s2"}, {"least": 0, "successor": build_copies("s1", item="a@2")}),
+        (("s0", "s1"), {"s0", "s1"}, {"min_copies": 2}),
+        (("s0",), {"s1"}, {"min_copies": 0, "successor": build_copies(item="a@2")}),
+        (
+            ("s0",),
+            {"s2"},
+            {"min_copies": 0, "successor": build_copies("s1", item="a@2")},
+        ),
     ],
     ids=["alone", "other-is-down", "too-few", "no-successor", "successor-is-down"],
 )
