--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -188,7 +188,7 @@
         return SuspicionsReply()
     now = controller.clock.now()
     noted = tuple(
-        suspects.note_death(
+        suspects.record_death(
             controller.suspects,
             fingerprint=fingerprint,
             server=report.server,
--- a/src/arbutuspulley/controller/suspecting.py
+++ b/src/arbutuspulley/controller/suspecting.py
@@ -8,7 +8,7 @@
 from arbutuspulley.controller.state import Controller
 from arbutuspulley.data import State
 from arbutuspulley.delivery import suspects
-from arbutuspulley.delivery.trials import forget_suspicion, read_suspicions
+from arbutuspulley.delivery.trials import delete_suspicion, read_suspicions
 from arbutuspulley.membership.ownership import choose_poller
 from arbutuspulley.rpc.channel import TELL_SUSPICIONS, Client, PeerUnavailableError
 from arbutuspulley.rpc.messages import Suspicion, SuspicionsReply
@@ -37,7 +37,7 @@
     now = controller.clock.now()
     suspects.merge(controller.suspects, page.suspicions, now=now)
     known = dict(controller.suspects.suspicions)
-    for fingerprint in suspects.forget_old(controller.suspects, now=now):
+    for fingerprint in suspects.evict_expired(controller.suspects, now=now):
         await _forget_row(controller, known[fingerprint])
 
 
@@ -77,5 +77,5 @@
     table = controller.platform.table
     await ask(
         controller,
-        lambda: forget_suspicion(table, suspicion.fingerprint, seen=suspicion),
+        lambda: delete_suspicion(table, suspicion.fingerprint, seen=suspicion),
     )
--- a/src/arbutuspulley/delivery/failures.py
+++ b/src/arbutuspulley/delivery/failures.py
@@ -2,7 +2,7 @@
 
 from arbutuspulley.results import Code, RequestError, RunState
 
-RETRY_AFTER_MS = 1_000
+DEFAULT_RETRY_AFTER_MS = 1_000
 """When to come back if nothing better is known."""
 
 _UNAVAILABLE = 503
--- a/src/arbutuspulley/delivery/request.py
+++ b/src/arbutuspulley/delivery/request.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from arbutuspulley.data import State, Value
-from arbutuspulley.delivery.failures import RETRY_AFTER_MS, build_failure
+from arbutuspulley.delivery.failures import DEFAULT_RETRY_AFTER_MS, build_failure
 from arbutuspulley.results import Code, RequestError, RunState
 
 MAX_ATTEMPTS = 8
@@ -32,7 +32,7 @@
     :param repeatable: whether it may be sent again after bytes have left.
     :param deadline: when it is given up, in milliseconds of the shell's clock.
     :param offset: index of the next token that the caller needs.
-    :param exposed: whether a server may have admitted any attempt so far.
+    :param may_have_run: whether a server may have admitted any attempt so far.
     :param avoid: servers that a next attempt should not go to.
     :param retry_after_ms: what servers that refused it said last.
     """
@@ -44,7 +44,7 @@
     phase: Phase = Phase.WAITING
     attempts: int = 0
     attempt_id: str = ""
-    exposed: bool = False
+    may_have_run: bool = False
     avoid: frozenset[str] = frozenset()
     retry_after_ms: int | None = None
 
@@ -60,7 +60,7 @@
     """
 
     code: Code = Code.MODEL_NOT_LOADED
-    retry_after_ms: int = RETRY_AFTER_MS
+    retry_after_ms: int = DEFAULT_RETRY_AFTER_MS
 
 
 class Barred(Value, frozen=True):
@@ -162,17 +162,17 @@
 Effect = Dispatch | Cancel | Finish | Fail
 """What is to be done."""
 
-TakeRetry = Callable[[], bool]
+TrySpendRetry = Callable[[], bool]
 """Takes one retry from the budget, or returns false; see ``admission.retry_budget``."""
 
 
 def advance(
-    state: RequestState, event: Event, *, now: int, take_retry: TakeRetry
+    state: RequestState, event: Event, *, now: int, try_spend_retry: TrySpendRetry
 ) -> tuple[Effect, ...]:
     """Move a request on.
 
     :param now: the time in milliseconds.
-    :param take_retry: called once if, and only if, a retry is about to be made.
+    :param try_spend_retry: called once if, and only if, a retry is about to be made.
     :return: what to do, in order; nothing if the request has already ended.
     """
     if state.phase is Phase.ENDED:
@@ -194,15 +194,15 @@
         return _fail(state, event.code, event.detail, event.retry_after_ms)
     if isinstance(event, NotSent):
         state.avoid |= {event.server}
-        return _retry(state, take_retry)
+        return _retry(state, try_spend_retry)
     if isinstance(event, Refused):
-        return _take_refusal(state, event, take_retry)
-    return _take_break(state, event, take_retry)
+        return _take_refusal(state, event, try_spend_retry)
+    return _take_break(state, event, try_spend_retry)
 
 
 def get_run_state(state: RequestState) -> RunState:
     """Return what can be promised of a request that has no whole answer."""
-    return RunState.UNKNOWN if state.exposed else RunState.NOT_RUN
+    return RunState.UNKNOWN if state.may_have_run else RunState.NOT_RUN
 
 
 def _dispatch(state: RequestState) -> tuple[Effect, ...]:
@@ -215,7 +215,7 @@
 
 
 def _take_refusal(
-    state: RequestState, event: Refused, take_retry: TakeRetry
+    state: RequestState, event: Refused, try_spend_retry: TrySpendRetry
 ) -> tuple[Effect, ...]:
     state.avoid |= {event.server}
     if event.final:
@@ -226,13 +226,13 @@
         # A leaving server is no failure, and it is avoided from now on: moving
         # on cannot add to an overload, so it costs no retry of the budget.
         return _dispatch(state)
-    return _retry(state, take_retry)
+    return _retry(state, try_spend_retry)
 
 
 def _take_break(
-    state: RequestState, event: Broken, take_retry: TakeRetry
+    state: RequestState, event: Broken, try_spend_retry: TrySpendRetry
 ) -> tuple[Effect, ...]:
-    state.exposed = True
+    state.may_have_run = True
     state.offset = max(state.offset, event.next_offset)
     state.avoid |= {event.server}
     if not state.repeatable:
@@ -240,11 +240,11 @@
     if event.barred is not None:
         barred = event.barred
         return _fail(state, barred.code, barred.detail, barred.retry_after_ms)
-    return _retry(state, take_retry)
+    return _retry(state, try_spend_retry)
 
 
-def _retry(state: RequestState, take_retry: TakeRetry) -> tuple[Effect, ...]:
-    if state.attempts >= MAX_ATTEMPTS or not take_retry():
+def _retry(state: RequestState, try_spend_retry: TrySpendRetry) -> tuple[Effect, ...]:
+    if state.attempts >= MAX_ATTEMPTS or not try_spend_retry():
         detail = "servers failed and no retry is left"
         return _fail(state, Code.RETRIES_EXHAUSTED, detail)
     return _dispatch(state)
@@ -254,8 +254,8 @@
     running = state.phase is Phase.RUNNING and isinstance(event, DeadlinePassed)
     cancels = (Cancel(attempt_id=state.attempt_id),) if running else ()
     if running or isinstance(event, Broken):
-        state.exposed = True
-    if not state.exposed:
+        state.may_have_run = True
+    if not state.may_have_run:
         detail = "no server could begin it in time"
         return (*cancels, *_fail(state, Code.DEADLINE_OUT_OF_REACH, detail))
     if not state.repeatable:
@@ -279,7 +279,7 @@
     state: RequestState, code: Code, detail: str, retry_after_ms: int | None = 0
 ) -> tuple[Effect, ...]:
     if retry_after_ms == 0:
-        retry_after_ms = state.retry_after_ms or RETRY_AFTER_MS
+        retry_after_ms = state.retry_after_ms or DEFAULT_RETRY_AFTER_MS
     state.phase = Phase.ENDED
     error = build_failure(
         code, detail, run_state=get_run_state(state), retry_after_ms=retry_after_ms
@@ -289,7 +289,7 @@
 
 def _leave(state: RequestState, event: CallerLeft) -> tuple[Effect, ...]:
     was_running = state.phase is Phase.RUNNING
-    state.exposed = state.exposed or was_running
+    state.may_have_run = state.may_have_run or was_running
     state.offset = max(state.offset, event.next_offset)
     state.phase = Phase.ENDED
     return (Cancel(attempt_id=state.attempt_id),) if was_running else ()
--- a/src/arbutuspulley/delivery/stream.py
+++ b/src/arbutuspulley/delivery/stream.py
@@ -10,7 +10,7 @@
 _ID = b"id:"
 
 
-class EventCutter(State):
+class EventBuffer(State):
     """State of one stream.
 
     :param rest: bytes of an event that has not ended.
@@ -21,7 +21,7 @@
     last_id: str = ""
 
 
-def cut_events(cutter: EventCutter, chunk: bytes) -> bytes:
+def take_complete_events(cutter: EventBuffer, chunk: bytes) -> bytes:
     """Take bytes as they came and return those that end whole events."""
     data = cutter.rest + chunk
     end = data.rfind(_END)
@@ -35,7 +35,7 @@
 
 
 def count_events(events: bytes) -> int:
-    """Count whole events, as :func:`cut_events` returns them."""
+    """Count whole events, as :func:`take_complete_events` returns them."""
     return events.count(_END)
 
 
--- a/src/arbutuspulley/delivery/suspects.py
+++ b/src/arbutuspulley/delivery/suspects.py
@@ -42,11 +42,11 @@
 class SuspectState(State):
     """The suspicions that one process knows.
 
-    :param seen_at: when each was last changed, in milliseconds of its own clock.
+    :param changed_at: when each was last changed, in milliseconds of its own clock.
     """
 
     suspicions: dict[str, Suspicion] = {}
-    seen_at: dict[str, int] = {}
+    changed_at: dict[str, int] = {}
 
 
 def build_fingerprint(*, caller: str, path: str, body: bytes) -> str:
@@ -66,21 +66,21 @@
     suspicion: Suspicion | None,
     *,
     ignoring: str = "",
-    most_deaths: int = DEATHS_TO_QUARANTINE,
+    max_deaths: int = DEATHS_TO_QUARANTINE,
 ) -> Judgement:
     """Say what may be done with a request.
 
     :param ignoring: the mark of the asker's own trial.
-    :param most_deaths: after so many it is no longer run.
+    :param max_deaths: after so many it is no longer run.
     """
     if suspicion is None:
         return Judgement.CLEAR
     marks = set(suspicion.deaths) - set(suspicion.cleared) - {ignoring}
     certain = {mark for mark in marks if _TRIAL_MARK not in mark}
-    if len(certain) >= most_deaths:
+    if len(certain) >= max_deaths:
         return Judgement.QUARANTINED
     deaths = {mark.partition(_TRIAL_MARK)[0] for mark in marks}
-    if len(deaths) >= most_deaths:
+    if len(deaths) >= max_deaths:
         return Judgement.ON_TRIAL
     return Judgement.SUSPECT if deaths else Judgement.CLEAR
 
@@ -119,7 +119,7 @@
     return len(set(suspicion.deaths) - set(suspicion.cleared))
 
 
-def note_death(
+def record_death(
     state: SuspectState, *, fingerprint: str, server: str, boot_id: str, now: int
 ) -> Suspicion:
     """Write down that a server died while a request was in flight there."""
@@ -143,10 +143,10 @@
         merged = merge_suspicions(known, suspicion)
         if merged != known:
             state.suspicions[suspicion.fingerprint] = merged
-            state.seen_at[suspicion.fingerprint] = now
+            state.changed_at[suspicion.fingerprint] = now
 
 
-def forget_old(state: SuspectState, *, now: int) -> tuple[str, ...]:
+def evict_expired(state: SuspectState, *, now: int) -> tuple[str, ...]:
     """Drop what has had no news for its time.
 
     :return: the fingerprints dropped, so that their rows can be deleted.
@@ -154,17 +154,17 @@
     old = tuple(
         fingerprint
         for fingerprint in state.suspicions
-        if get_return_ms(state, fingerprint, now=now) <= 0
+        if get_time_to_expiry_ms(state, fingerprint, now=now) <= 0
     )
     for fingerprint in old:
         del state.suspicions[fingerprint]
-        del state.seen_at[fingerprint]
+        del state.changed_at[fingerprint]
     return old
 
 
-def get_return_ms(state: SuspectState, fingerprint: str, *, now: int) -> int:
+def get_time_to_expiry_ms(state: SuspectState, fingerprint: str, *, now: int) -> int:
     """Return after how long a suspicion is dropped if there is no news."""
     judgement = judge(state.suspicions[fingerprint])
     is_quarantined = judgement is Judgement.QUARANTINED
     life_ms = QUARANTINE_MS if is_quarantined else SUSPICION_MS
-    return state.seen_at[fingerprint] + life_ms - now
+    return state.changed_at[fingerprint] + life_ms - now
--- a/src/arbutuspulley/delivery/trials.py
+++ b/src/arbutuspulley/delivery/trials.py
@@ -61,12 +61,12 @@
 class SuspicionsPage(Value, frozen=True):
     """Suspicions that changed.
 
-    :param gone: fingerprints whose rows were deleted.
+    :param deleted: fingerprints whose rows were deleted.
     :param revision: pass it as ``after`` to go on from here.
     """
 
     suspicions: tuple[Suspicion, ...]
-    gone: tuple[str, ...]
+    deleted: tuple[str, ...]
     revision: int
 
 
@@ -134,14 +134,14 @@
         suspicions=tuple(
             msgspec.json.decode(row.value, type=Suspicion) for row in live
         ),
-        gone=tuple(
+        deleted=tuple(
             row.key.removeprefix(SUSPECT_PREFIX) for row in page.rows if row.deleted
         ),
         revision=page.revision,
     )
 
 
-def forget_suspicion(table: Table, fingerprint: str, *, seen: Suspicion) -> None:
+def delete_suspicion(table: Table, fingerprint: str, *, seen: Suspicion) -> None:
     """Delete the row of a suspicion if it is still as it was seen."""
     row = table.read(SUSPECT_PREFIX + fingerprint)
     if row is not None and _decode_suspicion(row) == seen:
--- a/src/arbutuspulley/entry/accounts.py
+++ b/src/arbutuspulley/entry/accounts.py
@@ -96,7 +96,7 @@
     """Give back what a request that is over held, and charge what it used."""
     request, now = ongoing.request, runtime.clock.now()
     produced = request.offset - ongoing.call.offset
-    if not request.exposed and not produced:
+    if not request.may_have_run and not produced:
         turns.leave_queue(runtime, ongoing)
         return
     used = cost.compute_cost(
--- a/src/arbutuspulley/entry/deaths.py
+++ b/src/arbutuspulley/entry/deaths.py
@@ -103,7 +103,7 @@
         suspects=len(unique),
     )
     for fingerprint in unique:
-        suspects.note_death(
+        suspects.record_death(
             state.suspects,
             fingerprint=fingerprint,
             server=attempt.server,
--- a/src/arbutuspulley/entry/dispatch.py
+++ b/src/arbutuspulley/entry/dispatch.py
@@ -125,7 +125,7 @@
         ongoing.request,
         event,
         now=runtime.clock.now(),
-        take_retry=lambda: retry_budget.try_spend_retry(
+        try_spend_retry=lambda: retry_budget.try_spend_retry(
             runtime.state.budget, now=runtime.clock.now()
         ),
     )
--- a/src/arbutuspulley/entry/handlers.py
+++ b/src/arbutuspulley/entry/handlers.py
@@ -13,7 +13,7 @@
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.configuration.lookup import hash_key
 from arbutuspulley.data import Message, Value
-from arbutuspulley.delivery.failures import RETRY_AFTER_MS, build_failure
+from arbutuspulley.delivery.failures import DEFAULT_RETRY_AFTER_MS, build_failure
 from arbutuspulley.entry import answers, calls
 from arbutuspulley.entry.calls import Call
 from arbutuspulley.entry.draining import build_refusal
@@ -105,7 +105,7 @@
     if runtime.loop.call(lambda: is_ready(state) and not state.refusing):
         return answers.build_success(b'{"status":"ready"}', run_state=RunState.NOT_RUN)
     raise build_failure(
-        Code.NOT_READY, "not serving requests", retry_after_ms=RETRY_AFTER_MS
+        Code.NOT_READY, "not serving requests", retry_after_ms=DEFAULT_RETRY_AFTER_MS
     )
 
 
@@ -209,7 +209,7 @@
         raise build_failure(
             Code.NOT_READY,
             "no configuration is in force here yet",
-            retry_after_ms=RETRY_AFTER_MS,
+            retry_after_ms=DEFAULT_RETRY_AFTER_MS,
         )
     identity = identify(state.index, authorization)
     if state.refusing:
@@ -220,7 +220,7 @@
         raise build_failure(
             Code.OVERLOADED,
             "this entry is full; use another",
-            retry_after_ms=RETRY_AFTER_MS,
+            retry_after_ms=DEFAULT_RETRY_AFTER_MS,
         )
     return _Opening(index=state.index, identity=identity, now=runtime.clock.now())
 
@@ -231,7 +231,7 @@
         raise build_failure(
             Code.NOT_READY,
             "no configuration is in force here yet",
-            retry_after_ms=RETRY_AFTER_MS,
+            retry_after_ms=DEFAULT_RETRY_AFTER_MS,
         )
     if model and model not in state.index.items:
         raise build_failure(Code.UNKNOWN_MODEL, "there is no such model")
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -159,7 +159,7 @@
         run.request,
         event,
         now=now,
-        take_retry=lambda: retry_budget.try_spend_retry(state.budget, now=now),
+        try_spend_retry=lambda: retry_budget.try_spend_retry(state.budget, now=now),
     )
     for effect in effects:
         if isinstance(effect, life.Fail):
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -128,7 +128,7 @@
     return life.Barred(
         code=Code.QUARANTINED,
         detail="servers died while they ran this request; it is not run for now",
-        retry_after_ms=suspects.get_return_ms(
+        retry_after_ms=suspects.get_time_to_expiry_ms(
             runtime.state.suspects, ongoing.fingerprint, now=runtime.clock.now()
         ),
     )
--- a/src/arbutuspulley/entry/views.py
+++ b/src/arbutuspulley/entry/views.py
@@ -191,11 +191,11 @@
     suspects.merge(state.suspects, view.suspicions, now=now)
     told = {suspicion.fingerprint for suspicion in view.suspicions}
     unrecorded = {one.fingerprints[0] for one in state.unrecorded.values()}
-    for fingerprint, seen_at in list(state.suspects.seen_at.items()):
+    for fingerprint, seen_at in list(state.suspects.changed_at.items()):
         known = fingerprint in told or fingerprint in unrecorded
         if not known and now - seen_at >= SUSPICION_LAG_MS:
             del state.suspects.suspicions[fingerprint]
-            del state.suspects.seen_at[fingerprint]
+            del state.suspects.changed_at[fingerprint]
 
 
 def _put_in_force(runtime: Runtime, view: View) -> None:
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -7,7 +7,11 @@
 
 from arbutuspulley.admission.service_retry_budget import record_request, try_spend_retry
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.delivery.stream import EventCutter, count_events, cut_events
+from arbutuspulley.delivery.stream import (
+    EventBuffer,
+    count_events,
+    take_complete_events,
+)
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.access import Access
 from arbutuspulley.node.acquisition import Acquisition, NoServerError, RetryError
@@ -101,7 +105,7 @@
         self._request = request
         self._client = client
         self._answer: web.StreamResponse | None = None
-        self._cutter = EventCutter()
+        self._cutter = EventBuffer()
         left = route.timeout_ms
         if request.wait_ms is not None:
             left = min(left, request.wait_ms)
@@ -296,7 +300,7 @@
                 raise BrokenError(f"{type(error).__name__}: {error}") from error
             if not chunk:
                 break
-            events = cut_events(self._cutter, chunk)
+            events = take_complete_events(self._cutter, chunk)
             if not events:
                 continue
             self._note_events(entry, events)
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -12,11 +12,11 @@
     build_fingerprint,
     clear_suspicion,
     count_deaths,
-    forget_old,
-    get_return_ms,
+    evict_expired,
+    get_time_to_expiry_ms,
     judge,
     merge,
-    note_death,
+    record_death,
 )
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
@@ -49,7 +49,7 @@
         self._state = state
         self._link = link
         self._forget_at = 0
-        self._suspects = SuspectState(suspicions={}, seen_at={})
+        self._suspects = SuspectState(suspicions={}, changed_at={})
         link.on_suspicions = self.take
 
     def count_known(self, request: InboundRequest) -> int:
@@ -59,11 +59,11 @@
     def get_refusal(self, request: InboundRequest) -> int | None:
         """Return when a request may come back, in ms, if it must not be run."""
         suspicion = self._find(request)
-        judgement = judge(suspicion, most_deaths=MOST_DEATHS)
+        judgement = judge(suspicion, max_deaths=MOST_DEATHS)
         if suspicion is None or judgement is not Judgement.QUARANTINED:
             return None
         now = self._state.clock.now()
-        return get_return_ms(self._suspects, suspicion.fingerprint, now=now)
+        return get_time_to_expiry_ms(self._suspects, suspicion.fingerprint, now=now)
 
     def note_break(
         self, request: InboundRequest, *, incarnation: str, known: int
@@ -80,7 +80,7 @@
         self._forget_old(now)
         if len(self._suspects.suspicions) >= MOST_KEPT:
             return
-        suspicion = note_death(
+        suspicion = record_death(
             self._suspects,
             fingerprint=_get_fingerprint(request),
             server=incarnation,
@@ -113,7 +113,7 @@
     def _forget_old(self, now: int) -> None:
         if now >= self._forget_at:
             self._forget_at = now + FORGET_EVERY_MS
-            forget_old(self._suspects, now=now)
+            evict_expired(self._suspects, now=now)
 
     def _find(self, request: InboundRequest) -> Suspicion | None:
         if not self._suspects.suspicions:
--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -41,7 +41,7 @@
     shown = []
     for event in events:
         effects = life.advance(
-            state, event, now=now, take_retry=lambda: bool(left and left.pop())
+            state, event, now=now, try_spend_retry=lambda: bool(left and left.pop())
         )
         shown += [show(effect) for effect in effects]
     return shown, len(left)
@@ -155,7 +155,7 @@
     for event in (ADMITTED, *events):
         was_ended = state.phase is life.Phase.ENDED
         effects = life.advance(
-            state, event, now=0, take_retry=lambda: state.attempts <= retries
+            state, event, now=0, try_spend_retry=lambda: state.attempts <= retries
         )
         assert not (was_ended and effects)
         broke = broke or (not was_ended and isinstance(event, life.Broken))
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from arbutuspulley.delivery.stream import EventCutter, cut_events
+from arbutuspulley.delivery.stream import EventBuffer, take_complete_events
 
 
 @pytest.mark.parametrize(
@@ -17,7 +17,7 @@
     ],
 )
 def test_only_whole_events_are_passed_on(chunks, expected, last_id, rest):
-    cutter = EventCutter()
-    assert b"".join(cut_events(cutter, chunk) for chunk in chunks) == expected
+    cutter = EventBuffer()
+    assert b"".join(take_complete_events(cutter, chunk) for chunk in chunks) == expected
     assert cutter.last_id == last_id
     assert cutter.rest == rest
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -89,14 +89,16 @@
 
 def test_forgets_a_suspicion_without_news():
     state = suspects.SuspectState()
-    suspects.note_death(state, fingerprint="f", server="s1", boot_id=BOOT, now=0)
+    suspects.record_death(state, fingerprint="f", server="s1", boot_id=BOOT, now=0)
     suspects.merge(state, tuple(state.suspicions.values()), now=5_000)
-    assert suspects.forget_old(state, now=suspects.SUSPICION_MS - 1) == ()
-    suspects.note_death(state, fingerprint="f", server="s2", boot_id=BOOT, now=1)
-    assert suspects.forget_old(state, now=suspects.QUARANTINE_MS) == ()
-    assert suspects.get_return_ms(state, "f", now=0) == suspects.QUARANTINE_MS + 1
-    assert suspects.forget_old(state, now=suspects.QUARANTINE_MS + 1) == ("f",)
-    assert (state.suspicions, state.seen_at) == ({}, {})
+    assert suspects.evict_expired(state, now=suspects.SUSPICION_MS - 1) == ()
+    suspects.record_death(state, fingerprint="f", server="s2", boot_id=BOOT, now=1)
+    assert suspects.evict_expired(state, now=suspects.QUARANTINE_MS) == ()
+    assert (
+        suspects.get_time_to_expiry_ms(state, "f", now=0) == suspects.QUARANTINE_MS + 1
+    )
+    assert suspects.evict_expired(state, now=suspects.QUARANTINE_MS + 1) == ("f",)
+    assert (state.suspicions, state.changed_at) == ({}, {})
 
 
 def test_bystanders_of_a_poison_request_are_cleared(fake):
@@ -192,11 +194,11 @@
     die(fake, "s1", "f")
     page = trials.read_suspicions(table, after=0)
     stale = msgspec.structs.replace(page.suspicions[0], cleared=("s1/b1",))
-    trials.forget_suspicion(table, "f", seen=stale)
+    trials.delete_suspicion(table, "f", seen=stale)
     assert judge(fake, "f") is Judgement.SUSPECT
-    trials.forget_suspicion(table, "f", seen=page.suspicions[0])
+    trials.delete_suspicion(table, "f", seen=page.suspicions[0])
     later = trials.read_suspicions(table, after=page.revision)
-    assert (later.suspicions, later.gone) == ((), ("f",))
+    assert (later.suspicions, later.deleted) == ((), ("f",))
 
 
 @pytest.mark.parametrize("seed", range(20))
