--- a/src/arbutuspulley/delivery/stream.py
+++ b/src/arbutuspulley/delivery/stream.py
@@ -13,25 +13,25 @@
 class EventBuffer(State):
     """State of one stream.
 
-    :param rest: bytes of an event that has not ended.
+    :param partial: bytes of an event that has not ended.
     :param last_id: id of the last whole event, empty if it had none.
     """
 
-    rest: bytes = b""
+    partial: bytes = b""
     last_id: str = ""
 
 
-def take_complete_events(cutter: EventBuffer, chunk: bytes) -> bytes:
+def take_complete_events(buffer: EventBuffer, chunk: bytes) -> bytes:
     """Take bytes as they came and return those that end whole events."""
-    data = cutter.rest + chunk
+    data = buffer.partial + chunk
     end = data.rfind(_END)
     if end < 0:
-        cutter.rest = data
+        buffer.partial = data
         return b""
     end += len(_END)
-    whole, cutter.rest = data[:end], data[end:]
-    cutter.last_id = _find_last_id(whole) or cutter.last_id
-    return whole
+    complete, buffer.partial = data[:end], data[end:]
+    buffer.last_id = _find_last_id(complete) or buffer.last_id
+    return complete
 
 
 def count_events(events: bytes) -> int:
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -308,8 +308,8 @@
             await answer.write(events)
             self.progress.last_event_id = self._cutter.last_id
         answer = await self._open_answer(response)
-        if self._cutter.rest:
-            await answer.write(self._cutter.rest)
+        if self._cutter.partial:
+            await answer.write(self._cutter.partial)
         await answer.write_eof()
         return answer
 
@@ -395,7 +395,7 @@
             repeat=self.route.retry_policy.value,
         )
         if self._may_go_on():
-            self._cutter.rest = b""
+            self._cutter.partial = b""
             progress.resumes += self._answer is not None
             return RetryError()
         if self._answer is not None:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("chunks", "expected", "last_id", "rest"),
+    ("chunks", "expected", "last_id", "partial"),
     [
         ([b"id: 1\ndata: a\n\n"], b"id: 1\ndata: a\n\n", "1", b""),
         ([b"id: 1\nda", b"ta: a\n\nid: 2"], b"id: 1\ndata: a\n\n", "1", b"id: 2"),
@@ -16,8 +16,8 @@
         ([b""], b"", "", b""),
     ],
 )
-def test_only_whole_events_are_passed_on(chunks, expected, last_id, rest):
-    cutter = EventBuffer()
-    assert b"".join(take_complete_events(cutter, chunk) for chunk in chunks) == expected
-    assert cutter.last_id == last_id
-    assert cutter.rest == rest
+def test_only_whole_events_are_passed_on(chunks, expected, last_id, partial):
+    buffer = EventBuffer()
+    assert b"".join(take_complete_events(buffer, chunk) for chunk in chunks) == expected
+    assert buffer.last_id == last_id
+    assert buffer.partial == partial
