--- a/src/arbutuspulley/delivery/claims.py
+++ b/src/arbutuspulley/delivery/claims.py
@@ -40,7 +40,7 @@
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 """Largest answer that is kept at all; it must fit into one message."""
 
-_TRIES = 4
+_MAX_ATTEMPTS = 4
 """Bound on rounds of read and compare-and-set against other writers."""
 
 
@@ -142,12 +142,14 @@
     :raises OutcomeUnknownError: it may have been recorded; settle again.
     """
     key = build_claim_key(request.caller, request.key)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         row = table.read(key)
         record = _decode(row)
         if not decide_settlement(record, request):
             return
-        settled = _settle(record or _build_unclaimed(request), request, key, objects)
+        settled = _build_settled_record(
+            record or _build_unclaimed(request), request, key, objects
+        )
         if _write(table, key, row.revision if row else ABSENT, settled):
             log_event(
                 Event.CLAIM_SETTLED,
@@ -168,7 +170,7 @@
 
 def _try_claim(table: Table, request: ClaimRequest, objects: Objects) -> ClaimReply:
     key = build_claim_key(request.caller, request.key)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         row = table.read(key)
         record = _decode(row)
         state = decide_claim(record, request)
@@ -208,7 +210,7 @@
     return msgspec.json.decode(row.value, type=ClaimRecord)
 
 
-def _settle(
+def _build_settled_record(
     record: ClaimRecord, request: SettleRequest, key: str, objects: Objects
 ) -> ClaimRecord:
     state = ClaimState(request.state)
--- a/src/arbutuspulley/delivery/request.py
+++ b/src/arbutuspulley/delivery/request.py
@@ -178,13 +178,13 @@
     if state.phase is Phase.ENDED:
         return ()
     if isinstance(event, CallerLeft):
-        return _leave(state, event)
+        return _handle_caller_left(state, event)
     if isinstance(event, Ended):
         state.offset = event.next_offset
         state.phase = Phase.ENDED
         return (Finish(),)
     if isinstance(event, DeadlinePassed) or now >= state.deadline:
-        return _give_up_late(state, event)
+        return _fail_past_deadline(state, event)
     if isinstance(event, Admitted):
         return _dispatch(state)
     if isinstance(event, NoServer):
@@ -196,8 +196,8 @@
         state.avoid |= {event.server}
         return _retry(state, try_spend_retry)
     if isinstance(event, Refused):
-        return _take_refusal(state, event, try_spend_retry)
-    return _take_break(state, event, try_spend_retry)
+        return _handle_refusal(state, event, try_spend_retry)
+    return _handle_broken_attempt(state, event, try_spend_retry)
 
 
 def get_run_state(state: RequestState) -> RunState:
@@ -214,7 +214,7 @@
     )
 
 
-def _take_refusal(
+def _handle_refusal(
     state: RequestState, event: Refused, try_spend_retry: TrySpendRetry
 ) -> tuple[Effect, ...]:
     state.avoid |= {event.server}
@@ -229,7 +229,7 @@
     return _retry(state, try_spend_retry)
 
 
-def _take_break(
+def _handle_broken_attempt(
     state: RequestState, event: Broken, try_spend_retry: TrySpendRetry
 ) -> tuple[Effect, ...]:
     state.may_have_run = True
@@ -250,7 +250,7 @@
     return _dispatch(state)
 
 
-def _give_up_late(state: RequestState, event: Event) -> tuple[Effect, ...]:
+def _fail_past_deadline(state: RequestState, event: Event) -> tuple[Effect, ...]:
     running = state.phase is Phase.RUNNING and isinstance(event, DeadlinePassed)
     cancels = (Cancel(attempt_id=state.attempt_id),) if running else ()
     if running or isinstance(event, Broken):
@@ -287,7 +287,7 @@
     return (Fail(error=error),)
 
 
-def _leave(state: RequestState, event: CallerLeft) -> tuple[Effect, ...]:
+def _handle_caller_left(state: RequestState, event: CallerLeft) -> tuple[Effect, ...]:
     was_running = state.phase is Phase.RUNNING
     state.may_have_run = state.may_have_run or was_running
     state.offset = max(state.offset, event.next_offset)
--- a/src/arbutuspulley/delivery/suspects.py
+++ b/src/arbutuspulley/delivery/suspects.py
@@ -27,7 +27,7 @@
 """How long a request stays quarantined: a caller that comes back on time for ever
 costs two servers in this time, and no more."""
 
-_TRIAL_MARK = "#"
+_TRIAL_SEPARATOR = "#"
 
 
 class Judgement(enum.StrEnum):
@@ -59,7 +59,7 @@
 def build_mark(*, server: str, boot_id: str, trial_id: str = "") -> str:
     """Return how one death is written down; a trial's is marked as such."""
     mark = f"{server}/{boot_id}"
-    return f"{mark}{_TRIAL_MARK}{trial_id}" if trial_id else mark
+    return f"{mark}{_TRIAL_SEPARATOR}{trial_id}" if trial_id else mark
 
 
 def judge(
@@ -76,10 +76,10 @@
     if suspicion is None:
         return Judgement.CLEAR
     marks = set(suspicion.deaths) - set(suspicion.cleared) - {ignoring}
-    certain = {mark for mark in marks if _TRIAL_MARK not in mark}
+    certain = {mark for mark in marks if _TRIAL_SEPARATOR not in mark}
     if len(certain) >= max_deaths:
         return Judgement.QUARANTINED
-    deaths = {mark.partition(_TRIAL_MARK)[0] for mark in marks}
+    deaths = {mark.partition(_TRIAL_SEPARATOR)[0] for mark in marks}
     if len(deaths) >= max_deaths:
         return Judgement.ON_TRIAL
     return Judgement.SUSPECT if deaths else Judgement.CLEAR
--- a/src/arbutuspulley/delivery/trials.py
+++ b/src/arbutuspulley/delivery/trials.py
@@ -46,7 +46,7 @@
 _Change = tuple[str, Row | None, bytes | None]
 """Key of a row, the row as it was read, its new value."""
 
-_TRIES = 6
+_MAX_ATTEMPTS = 6
 """Bound on rounds of read and compare-and-set against other writers."""
 
 
@@ -100,7 +100,7 @@
         )
         return SuspicionsReply(suspicions=suspicions, recorded=True)
     except (PlatformUnavailableError, OutcomeUnknownError):
-        return SuspicionsReply(suspicions=_build_local(report))
+        return SuspicionsReply(suspicions=_build_unrecorded(report))
 
 
 def record_clearance(table: Table, report: ClearanceReport) -> Suspicion | None:
@@ -110,7 +110,7 @@
     :raises PlatformUnavailableError: nothing was recorded.
     :raises OutcomeUnknownError: it may have been recorded; clear it again.
     """
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         row = table.read(SUSPECT_PREFIX + report.fingerprint)
         holder_row = table.read(TRIAL_PREFIX + report.server)
         suspicion = _decode_suspicion(row)
@@ -154,7 +154,7 @@
     mark = build_mark(
         server=report.server, boot_id=report.boot_id, trial_id=report.trial_id
     )
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         row, holder_row = table.read(key), table.read(holder_key)
         suspicion, holder = _decode_suspicion(row), _decode_trial(holder_row)
         if not is_trial_allowed(suspicion, holder, report):
@@ -179,7 +179,7 @@
 def _record_death(table: Table, report: DeathReport, fingerprint: str) -> Suspicion:
     key, holder_key = SUSPECT_PREFIX + fingerprint, TRIAL_PREFIX + report.server
     mark = build_mark(server=report.server, boot_id=report.boot_id)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         row, holder_row = table.read(key), table.read(holder_key)
         marked = add_death(_decode_suspicion(row), fingerprint, mark)
         changes: list[_Change] = [(key, row, msgspec.json.encode(marked))]
@@ -200,7 +200,7 @@
     return (mark,)
 
 
-def _build_local(report: DeathReport) -> tuple[Suspicion, ...]:
+def _build_unrecorded(report: DeathReport) -> tuple[Suspicion, ...]:
     if report.trial_id:
         return ()
     mark = build_mark(server=report.server, boot_id=report.boot_id)
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -14,19 +14,19 @@
     ServerLayout,
     add_planned,
     copy_layout,
-    find_name,
+    get_item_name,
     is_present,
     list_missing_adapters,
-    measure_bundle,
-    measure_extra,
+    measure_additional_mib,
+    measure_bundle_mib,
     measure_free_mib,
-    rank_place,
+    rank_server,
 )
-from arbutuspulley.placement.missing_copies import list_candidates, measure_shortage
+from arbutuspulley.placement.missing_copies import list_candidates, measure_shortage_mib
 from arbutuspulley.placement.records import EntryState, LedgerEntry
 
 
-class Unit(Value, frozen=True):
+class EvictionUnit(Value, frozen=True):
     """Entries of one place that go together: an adapter, or a model with its adapters.
 
     :param freed_mib: what is free once they are gone.
@@ -44,37 +44,41 @@
     moved: tuple[Item, ...] = ()
 
 
-class Clearing(Value, frozen=True):
+class EvictionPlan(Value, frozen=True):
     """A way to make room at a place."""
 
-    place: str
+    server: str
     cost_mib: int
     steps: tuple[Action, ...]
 
 
-def make_room(layout: Layout, item: Item) -> tuple[Action, ...]:
+def plan_eviction(layout: Layout, item: Item) -> tuple[Action, ...]:
     """Return the next steps towards room for an item, or what blocks it.
 
     The place chosen is counted as taken, so that smaller items do not fill the room
     while it is being made.
     """
-    clearings = [
-        clearing
-        for place in list_candidates(layout, item)
-        if (clearing := _clear(layout, place, item)) is not None
+    plans = [
+        plan
+        for server in list_candidates(layout, item)
+        if (plan := _plan_server_eviction(layout, server, item)) is not None
     ]
-    if not clearings:
-        return (_explain(layout, item),)
+    if not plans:
+        return (_build_blocked(layout, item),)
     best = min(
-        clearings,
-        key=lambda way: (way.cost_mib, len(way.steps), rank_place(item.key, way.place)),
+        plans,
+        key=lambda plan: (
+            plan.cost_mib,
+            len(plan.steps),
+            rank_server(item.key, plan.server),
+        ),
     )
-    _count_loads(layout, best.steps)
-    add_planned(layout, layout.servers[best.place], item)
+    _add_planned_loads(layout, best.steps)
+    add_planned(layout, layout.servers[best.server], item)
     return best.steps
 
 
-def is_removable(layout: Layout, place: ServerLayout, entry: LedgerEntry) -> bool:
+def is_removable(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
     """Tell whether enough other copies of a configured item answer."""
     item = layout.items.get(entry.item)
     if item is None or entry.state is not EntryState.LOADED:
@@ -82,23 +86,27 @@
     if entry.base != item.base_key:
         return False
     others = layout.answering[item.key] & layout.reliable.get(item.key, set())
-    return len(others - {place.name}) >= item.copies
+    return len(others - {server.name}) >= item.copies
 
 
-def _clear(layout: Layout, place: ServerLayout, item: Item) -> Clearing | None:
+def _plan_server_eviction(
+    layout: Layout, server: ServerLayout, item: Item
+) -> EvictionPlan | None:
     """Return the cheapest way found to make room for an item at one place.
 
     What there is enough of goes first. Relocations are added one by one, each against
     the room that the ones before it leave, or two could count on the same room.
     """
-    short = measure_shortage(layout, place, item) - _measure_pending(layout, place)
-    chosen: list[Unit] = []
+    short = measure_shortage_mib(layout, server, item) - _measure_pending(
+        layout, server
+    )
+    chosen: list[EvictionUnit] = []
     trial = copy_layout(layout)
     while short > 0:
         units = [
             unit
-            for unit in _list_units(trial, trial.servers[place.name], item)
-            if not _overlaps(place, unit, chosen)
+            for unit in _list_units(trial, trial.servers[server.name], item)
+            if not _overlaps(server, unit, chosen)
         ]
         unit = _choose_unit(units, short)
         if unit is None:
@@ -107,14 +115,14 @@
         short -= unit.freed_mib
         for part in unit.moved:
             add_planned(trial, trial.servers[unit.target], part)
-    return Clearing(
-        place=place.name,
+    return EvictionPlan(
+        server=server.name,
         cost_mib=sum(unit.cost_mib for unit in chosen),
         steps=tuple(step for unit in chosen for step in unit.steps),
     )
 
 
-def _choose_unit(units: list[Unit], short: int) -> Unit | None:
+def _choose_unit(units: list[EvictionUnit], short: int) -> EvictionUnit | None:
     """Choose the cheapest unit that is enough; if none is, the one that frees most."""
     enough = [unit for unit in units if unit.freed_mib >= short]
     if enough:
@@ -123,11 +131,11 @@
     return max(free or units, key=lambda unit: (unit.freed_mib, unit.key), default=None)
 
 
-def _measure_pending(layout: Layout, place: ServerLayout) -> int:
+def _measure_pending(layout: Layout, server: ServerLayout) -> int:
     """Return the MiB that unloads under way, or soon due, will free."""
     return sum(
-        _measure_freed(place, entry)
-        for entry in place.entries.values()
+        _measure_freed(server, entry)
+        for entry in server.entries.values()
         if entry.state is EntryState.UNLOADING or _is_retiring(layout, entry)
     )
 
@@ -137,91 +145,97 @@
     if entry.state is not EntryState.LOADED:
         return False
     names = {item.name for item in layout.items.values()}
-    return find_name(entry.item) not in names
+    return get_item_name(entry.item) not in names
 
 
-def _measure_freed(place: ServerLayout, entry: LedgerEntry) -> int:
+def _measure_freed(server: ServerLayout, entry: LedgerEntry) -> int:
     """Return what unloading frees: nothing if a load may still arrive late."""
-    if not place.checks_orders and entry.late_loads > 0:
+    if not server.checks_orders and entry.late_loads > 0:
         return 0
     return entry.memory_mib
 
 
-def _list_units(layout: Layout, place: ServerLayout, item: Item) -> Iterator[Unit]:
-    for key in sorted(place.entries):
-        entry = place.entries[key]
+def _list_units(
+    layout: Layout, server: ServerLayout, item: Item
+) -> Iterator[EvictionUnit]:
+    for key in sorted(server.entries):
+        entry = server.entries[key]
         wanted = layout.items.get(key)
         if wanted is None or entry.state is not EntryState.LOADED:
             continue
         if entry.base != wanted.base_key or key == item.base_key:
             continue
-        unit = _build_unit(layout, place, wanted)
+        unit = _build_unit(layout, server, wanted)
         if unit is not None:
             yield unit
 
 
-def _overlaps(place: ServerLayout, unit: Unit, chosen: list[Unit]) -> bool:
+def _overlaps(
+    server: ServerLayout, unit: EvictionUnit, chosen: list[EvictionUnit]
+) -> bool:
     keys = {known.key for known in chosen}
-    bases = {place.entries[key].base for key in keys}
-    return bool(keys & {unit.key, place.entries[unit.key].base}) or unit.key in bases
+    bases = {server.entries[key].base for key in keys}
+    return bool(keys & {unit.key, server.entries[unit.key].base}) or unit.key in bases
 
 
-def _build_unit(layout: Layout, place: ServerLayout, item: Item) -> Unit | None:
+def _build_unit(
+    layout: Layout, server: ServerLayout, item: Item
+) -> EvictionUnit | None:
     """Return what it takes to take an item, and adapters with it, off a place."""
     adapters = {adapter.key for adapter in layout.adapters.get(item.key, ())}
-    if adapters & place.planned or list_missing_adapters(layout, place, item.key):
+    if adapters & server.planned or list_missing_adapters(layout, server, item.key):
         return None
     parts = [
         layout.items[key]
-        for key, entry in sorted(place.entries.items())
+        for key, entry in sorted(server.entries.items())
         if entry.base == item.key and key in layout.items
     ]
     parts.insert(0, item)
-    entries = [place.entries[part.key] for part in parts]
+    entries = [server.entries[part.key] for part in parts]
     if any(entry.state is not EntryState.LOADED for entry in entries):
         return None
-    freed = sum(_measure_freed(place, entry) for entry in entries)
-    kept = [part for part in parts if not _is_spare(layout, place, part)]
+    freed = sum(_measure_freed(server, entry) for entry in entries)
+    relocated = [part for part in parts if not _has_enough_copies(layout, server, part)]
     if freed == 0:
         return None
-    if not kept:
-        steps = _build_unloads(layout, place, parts)
-        return Unit(key=item.key, freed_mib=freed, cost_mib=0, steps=steps)
-    cost = sum(part.memory_mib for part in kept)
-    if _is_base_coming(layout, place, kept[0]):
-        return Unit(key=item.key, freed_mib=freed, cost_mib=cost, steps=())
-    target = _find_target(layout, place, kept)
+    if not relocated:
+        steps = _build_unloads(layout, server, parts)
+        return EvictionUnit(key=item.key, freed_mib=freed, cost_mib=0, steps=steps)
+    cost = sum(part.memory_mib for part in relocated)
+    if _is_base_loading(layout, server, relocated[0]):
+        return EvictionUnit(key=item.key, freed_mib=freed, cost_mib=cost, steps=())
+    target = _find_target(layout, server, relocated)
     if target is None:
         return None
-    return Unit(
+    return EvictionUnit(
         key=item.key,
         freed_mib=freed,
         cost_mib=cost,
-        steps=(Load(server=target.name, item=kept[0]),),
+        steps=(Load(server=target.name, item=relocated[0]),),
         target=target.name,
-        moved=tuple(kept),
+        moved=tuple(relocated),
     )
 
 
-def _is_spare(layout: Layout, place: ServerLayout, item: Item) -> bool:
+def _has_enough_copies(layout: Layout, server: ServerLayout, item: Item) -> bool:
     """Tell whether enough other copies answer, or are being loaded."""
-    return len(layout.holding[item.key] - {place.name}) >= item.copies
+    return len(layout.holding[item.key] - {server.name}) >= item.copies
 
 
 def _build_unloads(
-    layout: Layout, place: ServerLayout, parts: list[Item]
+    layout: Layout, server: ServerLayout, parts: list[Item]
 ) -> tuple[Action, ...]:
     """Return the unloads that can be ordered now; adapters go before their model."""
     adapters = parts[1:]
-    ready = [part for part in adapters or parts if _can_unload(layout, place, part)]
+    ready = [part for part in adapters or parts if _can_unload(layout, server, part)]
     return tuple(
-        Unload(server=place.name, item=part.key, min_copies=part.copies)
+        Unload(server=server.name, item=part.key, min_copies=part.copies)
         for part in ready
     )
 
 
-def _can_unload(layout: Layout, place: ServerLayout, item: Item) -> bool:
-    return is_removable(layout, place, place.entries[item.key])
+def _can_unload(layout: Layout, server: ServerLayout, item: Item) -> bool:
+    return is_removable(layout, server, server.entries[item.key])
 
 
 def _find_target(
@@ -229,21 +243,21 @@
 ) -> ServerLayout | None:
     """Return the place with the least room that takes all parts."""
     fitting = [
-        place
-        for place in layout.servers.values()
-        if place is not source and _takes(layout, place, parts)
+        server
+        for server in layout.servers.values()
+        if server is not source and _fits(layout, server, parts)
     ]
     return min(
         fitting,
-        key=lambda place: (
-            measure_free_mib(layout, place),
-            rank_place(parts[0].key, place.name),
+        key=lambda server: (
+            measure_free_mib(layout, server),
+            rank_server(parts[0].key, server.name),
         ),
         default=None,
     )
 
 
-def _is_base_coming(layout: Layout, source: ServerLayout, item: Item) -> bool:
+def _is_base_loading(layout: Layout, source: ServerLayout, item: Item) -> bool:
     """Tell whether an adapter's model is being loaded elsewhere: then wait for it."""
     if not item.base_key:
         return False
@@ -251,37 +265,37 @@
     return bool(elsewhere - layout.answering[item.base_key])
 
 
-def _takes(layout: Layout, place: ServerLayout, parts: list[Item]) -> bool:
-    if any(is_present(place, part.key) for part in parts):
+def _fits(layout: Layout, server: ServerLayout, parts: list[Item]) -> bool:
+    if any(is_present(server, part.key) for part in parts):
         return False
     first = parts[0]
-    if first.base_key and place.name not in layout.answering.get(first.base_key, ()):
+    if first.base_key and server.name not in layout.answering.get(first.base_key, ()):
         return False
-    needed = sum(measure_extra(place, part) for part in parts)
-    return needed <= measure_free_mib(layout, place)
+    needed = sum(measure_additional_mib(server, part) for part in parts)
+    return needed <= measure_free_mib(layout, server)
 
 
-def _count_loads(layout: Layout, steps: tuple[Action, ...]) -> None:
+def _add_planned_loads(layout: Layout, steps: tuple[Action, ...]) -> None:
     for step in steps:
         if isinstance(step, Load):
             add_planned(layout, layout.servers[step.server], step.item)
 
 
-def _explain(layout: Layout, item: Item) -> Blocked:
-    rooms = {
-        place.name: measure_free_mib(layout, place)
-        for place in list_candidates(layout, item)
+def _build_blocked(layout: Layout, item: Item) -> Blocked:
+    free_mib = {
+        server.name: measure_free_mib(layout, server)
+        for server in list_candidates(layout, item)
     }
-    if not rooms:
+    if not free_mib:
         base = f" beside {item.base_key}" if item.base_key else ""
         detail = f"no server may take another copy of {item.key}{base}"
         return Blocked(item=item.key, detail=detail)
-    roomiest = max(sorted(rooms), key=lambda name: rooms[name])
-    needed = measure_bundle(layout, layout.servers[roomiest], item)
+    largest = max(sorted(free_mib), key=lambda name: free_mib[name])
+    needed = measure_bundle_mib(layout, layout.servers[largest], item)
     beside = " with its adapters" if needed > item.memory_mib else ""
     detail = (
         f"{item.key}{beside} needs {needed} MiB; the most room is"
-        f" {rooms[roomiest]} MiB on {roomiest}, {sum(rooms.values())} MiB on all"
-        f" {len(rooms)} servers together, and nothing on them can be relocated"
+        f" {free_mib[largest]} MiB on {largest}, {sum(free_mib.values())} MiB on all"
+        f" {len(free_mib)} servers together, and nothing on them can be relocated"
     )
     return Blocked(item=item.key, detail=detail)
--- a/src/arbutuspulley/placement/evidence.py
+++ b/src/arbutuspulley/placement/evidence.py
@@ -3,7 +3,7 @@
 On a server that checks orders, a report that has seen an order's fence and number and
 does not list the item shows that the order can no longer take effect. On a server that
 does not, an item must have been listed and then be gone; orders that are unaccounted
-for then leave a trace, see :func:`leave_trace`.
+for then leave a trace, see :func:`keep_late_orders`.
 """
 
 import msgspec
@@ -15,7 +15,7 @@
 _replace = msgspec.structs.replace
 
 
-def is_old(ledger: ServerLedger, report: Report) -> bool:
+def is_outdated(ledger: ServerLedger, report: Report) -> bool:
     """Tell whether the ledger has already taken in this report or a newer one.
 
     An owner that was paused may hold a report from before a load. Taken for new, it
@@ -26,7 +26,7 @@
     return report.boot_id == ledger.boot_id and report.sequence <= ledger.sequence
 
 
-def raise_order(ledger: ServerLedger, report: Report) -> int:
+def get_next_order(ledger: ServerLedger, report: Report) -> int:
     """Return the next order number, above all that the server has seen.
 
     After the table was restored from a backup, its count would begin too low and a
@@ -36,7 +36,7 @@
     return max(ledger.next_order, report.last_order + 1, *(n + 1 for n in seen))
 
 
-def adopt(listed: ReportedItem, ledger: ServerLedger) -> LedgerEntry:
+def build_discovered_entry(listed: ReportedItem, ledger: ServerLedger) -> LedgerEntry:
     """Return an entry for what the server holds and the ledger did not know."""
     return LedgerEntry(
         item=listed.item,
@@ -49,19 +49,19 @@
     )
 
 
-def judge(
+def reconcile_entry(
     entry: LedgerEntry, listed: ReportedItem | None, *, server: Server, report: Report
 ) -> LedgerEntry | None:
     """Return the entry as the report shows it, or ``None`` if its bytes are free."""
     if listed is not None:
-        return _judge_listed(entry, listed)
+        return _reconcile_listed(entry, listed)
     if server.checks_orders:
         proven = report.fence >= entry.fence and report.last_order >= entry.number
         return None if proven else entry
-    return _judge_missing(entry)
+    return _reconcile_unlisted(entry)
 
 
-def _judge_listed(entry: LedgerEntry, listed: ReportedItem) -> LedgerEntry:
+def _reconcile_listed(entry: LedgerEntry, listed: ReportedItem) -> LedgerEntry:
     memory_mib = max(entry.memory_mib, listed.memory_mib)
     entry = _replace(entry, memory_mib=memory_mib, seen=True)
     if entry.state in (EntryState.UNLOADING, EntryState.LOADED):
@@ -86,18 +86,18 @@
     return max(0, entry.late_loads + entry.sends - max(entry.accepted, 1))
 
 
-def _judge_missing(entry: LedgerEntry) -> LedgerEntry | None:
+def _reconcile_unlisted(entry: LedgerEntry) -> LedgerEntry | None:
     """Judge an entry that a server that does not check orders no longer lists."""
     if not entry.seen:
         return entry
     if entry.state is EntryState.LOADING:
         entry = _replace(entry, late_loads=_count_late_loads(entry))
-        return leave_trace(entry)
+        return keep_late_orders(entry)
     late = entry.late_unloads + entry.sends - max(entry.accepted, 1)
-    return leave_trace(_replace(entry, late_unloads=max(0, late)))
+    return keep_late_orders(_replace(entry, late_unloads=max(0, late)))
 
 
-def leave_trace(entry: LedgerEntry) -> LedgerEntry | None:
+def keep_late_orders(entry: LedgerEntry) -> LedgerEntry | None:
     """Return what is left of an absent item: orders that may still arrive."""
     if entry.late_loads == 0 and entry.late_unloads == 0:
         return None
--- a/src/arbutuspulley/placement/fit.py
+++ b/src/arbutuspulley/placement/fit.py
@@ -25,7 +25,7 @@
 from arbutuspulley.data import Value
 from arbutuspulley.results import Code, ConfigurationError
 
-MAX_TRIED_ROOMS = 8
+MAX_RESERVED_SERVERS_TRIED = 8
 """Servers that are tried as the one kept free for a change."""
 
 
@@ -38,7 +38,7 @@
     key: str
     size_mib: int
     copies: int
-    alone: bool
+    needs_other_server: bool
 
 
 Packing = dict[str, tuple[str, ...]]
@@ -55,31 +55,33 @@
     bundles = list_bundles(configuration)
     if not bundles:
         return
-    rooms = {
+    memory_mib = {
         name: server.memory_mib for name, server in list_servers(configuration).items()
     }
-    _check_singly(bundles, rooms)
-    _check_sum(bundles, rooms)
-    packings = list(_pack_variously(bundles, rooms))
+    _check_each_bundle(bundles, memory_mib)
+    _check_total(bundles, memory_mib)
+    packings = list(_generate_packings(bundles, memory_mib))
     if not packings:
-        raise _explain_packing(bundles, rooms)
+        raise _build_packing_error(bundles, memory_mib)
     for packing in packings:
-        if _find_unchangeable(bundles, packing, rooms) is None:
+        if _find_unupdatable(bundles, packing, memory_mib) is None:
             return
-    raise _explain_change(bundles, packings[0], rooms)
+    raise _build_update_error(bundles, packings[0], memory_mib)
 
 
-def find_homes(configuration: Configuration) -> dict[str, frozenset[str]]:
+def find_target_servers(configuration: Configuration) -> dict[str, frozenset[str]]:
     """Return where each model is to be, by its key, in a packing that can be changed.
 
     Empty if none was found; then the configuration is one that would be refused.
     """
     bundles = list_bundles(configuration)
-    rooms = {
+    memory_mib = {
         name: server.memory_mib for name, server in list_servers(configuration).items()
     }
-    for packing in _pack_variously(bundles, rooms) if bundles and rooms else ():
-        if _find_unchangeable(bundles, packing, rooms) is None:
+    for packing in (
+        _generate_packings(bundles, memory_mib) if bundles and memory_mib else ()
+    ):
+        if _find_unupdatable(bundles, packing, memory_mib) is None:
             return {
                 bundle.key: frozenset(
                     name for name, keys in packing.items() if bundle.key in keys
@@ -101,7 +103,7 @@
             key=item.key,
             size_mib=item.memory_mib + adapters.get(item.key, 0),
             copies=item.copies,
-            alone=item.copies == 1 and item.key in adapters,
+            needs_other_server=item.copies == 1 and item.key in adapters,
         )
         for item in items.values()
         if not item.base_key
@@ -109,138 +111,142 @@
     return sorted(bundles, key=lambda bundle: (-bundle.size_mib, bundle.key))
 
 
-def _check_singly(bundles: Iterable[Bundle], rooms: dict[str, int]) -> None:
+def _check_each_bundle(bundles: Iterable[Bundle], memory_mib: dict[str, int]) -> None:
     for bundle in bundles:
-        fitting = sum(room >= bundle.size_mib for room in rooms.values())
+        fitting = sum(size >= bundle.size_mib for size in memory_mib.values())
         if fitting >= bundle.copies:
             continue
-        largest = max(rooms.values(), default=0)
-        raise _refuse(
+        largest = max(memory_mib.values(), default=0)
+        raise _build_error(
             f"{bundle.key} with its adapters needs {bundle.size_mib} MiB on each of"
-            f" {bundle.copies} servers; {fitting} of {len(rooms)} servers are that"
+            f" {bundle.copies} servers; {fitting} of {len(memory_mib)} servers are that"
             f" large, the largest has {largest} MiB"
         )
 
 
-def _check_sum(bundles: Iterable[Bundle], rooms: dict[str, int]) -> None:
+def _check_total(bundles: Iterable[Bundle], memory_mib: dict[str, int]) -> None:
     needed = sum(bundle.size_mib * bundle.copies for bundle in bundles)
-    total = sum(rooms.values())
+    total = sum(memory_mib.values())
     if needed > total:
-        raise _refuse(
-            f"all copies need {needed} MiB, all {len(rooms)} servers have {total} MiB:"
-            f" {needed - total} MiB too little"
+        raise _build_error(
+            f"all copies need {needed} MiB, all {len(memory_mib)} servers have"
+            f" {total} MiB: {needed - total} MiB too little"
         )
 
 
-def _pack_variously(
-    bundles: Sequence[Bundle], rooms: dict[str, int]
+def _generate_packings(
+    bundles: Sequence[Bundle], memory_mib: dict[str, int]
 ) -> Iterator[Packing]:
     """Yield packings, at first with room for the largest change kept free somewhere."""
     largest = bundles[0].size_mib
-    by_room = sorted(rooms, key=lambda name: (-rooms[name], name))
-    kept: list[tuple[str, int]] = [
-        (name, largest) for name in by_room[:MAX_TRIED_ROOMS] if rooms[name] >= largest
+    by_memory = sorted(memory_mib, key=lambda name: (-memory_mib[name], name))
+    reservations: list[tuple[str, int]] = [
+        (name, largest)
+        for name in by_memory[:MAX_RESERVED_SERVERS_TRIED]
+        if memory_mib[name] >= largest
     ]
-    kept.append((by_room[0], 0))
-    for name, reserved in kept:
+    reservations.append((by_memory[0], 0))
+    for name, reserved in reservations:
         for choose in (_choose_first, _choose_tightest):
-            left = {**rooms, name: rooms[name] - reserved}
-            packing = _pack(bundles, left, choose)
+            free_mib = {**memory_mib, name: memory_mib[name] - reserved}
+            packing = _pack(bundles, free_mib, choose)
             if packing is not None:
                 yield packing
 
 
 def _pack(
-    bundles: Iterable[Bundle], rooms: dict[str, int], choose: _Choose
+    bundles: Iterable[Bundle], memory_mib: dict[str, int], choose: _Choose
 ) -> Packing | None:
-    left = dict(rooms)
-    packing: Packing = dict.fromkeys(rooms, ())
+    free_mib = dict(memory_mib)
+    packing: Packing = dict.fromkeys(memory_mib, ())
     for bundle in bundles:
         for _ in range(bundle.copies):
             fitting = [
                 name
-                for name in left
-                if left[name] >= bundle.size_mib and bundle.key not in packing[name]
+                for name in free_mib
+                if free_mib[name] >= bundle.size_mib and bundle.key not in packing[name]
             ]
             if not fitting:
                 return None
-            name = choose(fitting, left)
-            left[name] -= bundle.size_mib
+            name = choose(fitting, free_mib)
+            free_mib[name] -= bundle.size_mib
             packing[name] = (*packing[name], bundle.key)
     return packing
 
 
-def _choose_first(fitting: Sequence[str], left: dict[str, int]) -> str:
+def _choose_first(fitting: Sequence[str], free_mib: dict[str, int]) -> str:
     return fitting[0]
 
 
-def _choose_tightest(fitting: Sequence[str], left: dict[str, int]) -> str:
-    return min(fitting, key=lambda name: (left[name], name))
+def _choose_tightest(fitting: Sequence[str], free_mib: dict[str, int]) -> str:
+    return min(fitting, key=lambda name: (free_mib[name], name))
 
 
-def _measure_left(
-    bundles: Iterable[Bundle], packing: Packing, rooms: dict[str, int]
+def _compute_free_memory(
+    bundles: Iterable[Bundle], packing: Packing, memory_mib: dict[str, int]
 ) -> dict[str, int]:
     sizes = {bundle.key: bundle.size_mib for bundle in bundles}
     return {
-        name: rooms[name] - sum(sizes[key] for key in keys)
+        name: memory_mib[name] - sum(sizes[key] for key in keys)
         for name, keys in packing.items()
     }
 
 
-def _measure_change_room(bundle: Bundle, packing: Packing, left: dict[str, int]) -> int:
+def _get_max_update_space(
+    bundle: Bundle, packing: Packing, free_mib: dict[str, int]
+) -> int:
     """Return the most room on a server that may take the bundle's next version."""
-    rooms = [
-        room
-        for name, room in left.items()
-        if not (bundle.alone and bundle.key in packing[name])
+    candidates = [
+        free
+        for name, free in free_mib.items()
+        if not (bundle.needs_other_server and bundle.key in packing[name])
     ]
-    return max(rooms, default=0)
+    return max(candidates, default=0)
 
 
-def _find_unchangeable(
-    bundles: Sequence[Bundle], packing: Packing, rooms: dict[str, int]
+def _find_unupdatable(
+    bundles: Sequence[Bundle], packing: Packing, memory_mib: dict[str, int]
 ) -> Bundle | None:
-    left = _measure_left(bundles, packing, rooms)
+    free_mib = _compute_free_memory(bundles, packing, memory_mib)
     for bundle in bundles:
-        if _measure_change_room(bundle, packing, left) < bundle.size_mib:
+        if _get_max_update_space(bundle, packing, free_mib) < bundle.size_mib:
             return bundle
     return None
 
 
-def _explain_packing(
-    bundles: Sequence[Bundle], rooms: dict[str, int]
+def _build_packing_error(
+    bundles: Sequence[Bundle], memory_mib: dict[str, int]
 ) -> ConfigurationError:
     """Say which bundle found no room, with what first-fit left over."""
     placed = 0
-    while _pack(bundles[: placed + 1], rooms, _choose_first) is not None:
+    while _pack(bundles[: placed + 1], memory_mib, _choose_first) is not None:
         placed += 1
-    packing = _pack(bundles[:placed], rooms, _choose_first) or {}
-    left = _measure_left(bundles, packing, rooms)
+    packing = _pack(bundles[:placed], memory_mib, _choose_first) or {}
+    free_mib = _compute_free_memory(bundles, packing, memory_mib)
     bundle = bundles[placed]
-    fitting = sum(room >= bundle.size_mib for room in left.values())
-    return _refuse(
+    fitting = sum(free >= bundle.size_mib for free in free_mib.values())
+    return _build_error(
         f"{bundle.key} with its adapters needs {bundle.size_mib} MiB on each of"
         f" {bundle.copies} servers; beside what is larger, {fitting}"
         f" {'has' if fitting == 1 else 'have'} that much left: the most on one server"
-        f" is {max(left.values(), default=0)} MiB, {sum(left.values())} MiB on all"
-        " together"
+        f" is {max(free_mib.values(), default=0)} MiB, {sum(free_mib.values())} MiB on"
+        " all together"
     )
 
 
-def _explain_change(
-    bundles: Sequence[Bundle], packing: Packing, rooms: dict[str, int]
+def _build_update_error(
+    bundles: Sequence[Bundle], packing: Packing, memory_mib: dict[str, int]
 ) -> ConfigurationError:
-    bundle = _find_unchangeable(bundles, packing, rooms) or bundles[0]
-    left = _measure_left(bundles, packing, rooms)
-    room = _measure_change_room(bundle, packing, left)
-    where = "on another server" if bundle.alone else "on one server"
-    return _refuse(
+    bundle = _find_unupdatable(bundles, packing, memory_mib) or bundles[0]
+    free_mib = _compute_free_memory(bundles, packing, memory_mib)
+    available_mib = _get_max_update_space(bundle, packing, free_mib)
+    where = "on another server" if bundle.needs_other_server else "on one server"
+    return _build_error(
         f"a change of {bundle.key} needs {bundle.size_mib} MiB {where} beside all that"
-        f" is loaded; the most room left is {room} MiB:"
-        f" {bundle.size_mib - room} MiB too little"
+        f" is loaded; the most room left is {available_mib} MiB:"
+        f" {bundle.size_mib - available_mib} MiB too little"
     )
 
 
-def _refuse(detail: str) -> ConfigurationError:
+def _build_error(detail: str) -> ConfigurationError:
     return ConfigurationError(code=Code.DOES_NOT_FIT, detail=detail, key="$.models")
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -8,7 +8,7 @@
 from arbutuspulley.configuration.lookup import Item, list_configured_items
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.data import State
-from arbutuspulley.placement.ledger import measure_occupied_mib, measure_reserved
+from arbutuspulley.placement.ledger import get_reserved_mib, measure_occupied_mib
 from arbutuspulley.placement.records import (
     EntryState,
     LedgerEntry,
@@ -16,7 +16,7 @@
     is_reliable,
 )
 
-_COMING = (EntryState.LOADED, EntryState.LOADING)
+_PRESENT_OR_LOADING = (EntryState.LOADED, EntryState.LOADING)
 
 
 class ServerLayout(State):
@@ -39,7 +39,7 @@
     occupied_mib: int
     entries: dict[str, LedgerEntry]
     planned: set[str]
-    pledged_mib: int | None = None
+    adapter_reserve_mib: int | None = None
 
 
 class Layout(State):
@@ -62,7 +62,7 @@
     answering: dict[str, set[str]]
     holding: dict[str, set[str]]
     reliable: dict[str, set[str]]
-    held: dict[str, int]
+    unreachable_copies: dict[str, int]
 
 
 def build_layout(
@@ -70,7 +70,7 @@
     configuration: Configuration,
     ledgers: Mapping[str, ServerLedger],
     usable: Collection[str],
-    waited_for: Collection[str] = (),
+    recently_down: Collection[str] = (),
 ) -> Layout:
     """Build the picture from rows.
 
@@ -79,98 +79,98 @@
     """
     items = list_configured_items(configuration)
     layout = Layout(
-        servers=_build_places(configuration, ledgers, usable),
+        servers=_build_servers(configuration, ledgers, usable),
         items=items,
         adapters=_group_adapters(items),
         answering={key: set() for key in items},
         holding={key: set() for key in items},
         reliable={},
-        held=_count_held(ledgers, waited_for),
+        unreachable_copies=_count_unreachable_copies(ledgers, recently_down),
     )
-    for place in layout.servers.values():
-        for entry in place.entries.values():
-            _index_entry(layout, place, entry)
+    for server in layout.servers.values():
+        for entry in server.entries.values():
+            _index_entry(layout, server, entry)
     return layout
 
 
-def is_present(place: ServerLayout, key: str) -> bool:
+def is_present(server: ServerLayout, key: str) -> bool:
     """Tell whether an item is at a place in any state, so that it can't be loaded."""
-    entry = place.entries.get(key)
+    entry = server.entries.get(key)
     present = entry is not None and entry.state is not EntryState.ABSENT
-    return present or key in place.planned
+    return present or key in server.planned
 
 
-def measure_free_mib(layout: Layout, place: ServerLayout) -> int:
+def measure_free_mib(layout: Layout, server: ServerLayout) -> int:
     """Return the free MiB at a place, less what adapters of its models still need."""
-    if place.pledged_mib is None:
-        place.pledged_mib = sum(
-            measure_extra(place, adapter)
-            for model in (*place.entries, *sorted(place.planned))
-            for adapter in list_missing_adapters(layout, place, model)
+    if server.adapter_reserve_mib is None:
+        server.adapter_reserve_mib = sum(
+            measure_additional_mib(server, adapter)
+            for model in (*server.entries, *sorted(server.planned))
+            for adapter in list_missing_adapters(layout, server, model)
         )
-    return place.capacity_mib - place.occupied_mib - place.pledged_mib
+    return server.capacity_mib - server.occupied_mib - server.adapter_reserve_mib
 
 
 def list_missing_adapters(
-    layout: Layout, place: ServerLayout, model: str
+    layout: Layout, server: ServerLayout, model: str
 ) -> list[Item]:
     """Return the adapters that a model at this place is to be joined by."""
     adapters = layout.adapters.get(model, ())
-    if not adapters or place.name not in layout.holding[model]:
+    if not adapters or server.name not in layout.holding[model]:
         return []
     return [
         adapter
         for adapter in adapters
-        if not is_present(place, adapter.key)
+        if not is_present(server, adapter.key)
         and len(layout.holding[adapter.key]) < adapter.copies
     ]
 
 
-def measure_extra(place: ServerLayout, item: Item) -> int:
+def measure_additional_mib(server: ServerLayout, item: Item) -> int:
     """Return the MiB that loading an item would add to what is occupied."""
-    entry = place.entries.get(item.key)
-    reserved = measure_reserved(entry) if entry is not None else 0
+    entry = server.entries.get(item.key)
+    reserved = get_reserved_mib(entry) if entry is not None else 0
     return max(0, item.memory_mib - reserved)
 
 
-def add_planned(layout: Layout, place: ServerLayout, item: Item) -> None:
+def add_planned(layout: Layout, server: ServerLayout, item: Item) -> None:
     """Count an item as loaded at a place for the rest of the plan."""
-    place.occupied_mib += measure_extra(place, item)
-    place.planned.add(item.key)
-    place.pledged_mib = None
-    layout.holding[item.key].add(place.name)
+    server.occupied_mib += measure_additional_mib(server, item)
+    server.planned.add(item.key)
+    server.adapter_reserve_mib = None
+    layout.holding[item.key].add(server.name)
     for name in layout.holding.get(item.base_key, ()):
-        layout.servers[name].pledged_mib = None
+        layout.servers[name].adapter_reserve_mib = None
 
 
-def measure_bundle(layout: Layout, place: ServerLayout, item: Item) -> int:
+def measure_bundle_mib(layout: Layout, server: ServerLayout, item: Item) -> int:
     """Return the MiB that an item and those of its adapters add at a place."""
     adapters = sum(
-        measure_extra(place, adapter)
+        measure_additional_mib(server, adapter)
         for adapter in layout.adapters.get(item.key, ())
-        if not is_present(place, adapter.key)
+        if not is_present(server, adapter.key)
         and len(layout.holding[adapter.key]) < adapter.copies
     )
-    return measure_extra(place, item) + adapters
+    return measure_additional_mib(server, item) + adapters
 
 
 def copy_layout(layout: Layout) -> Layout:
     """Return a copy to try planned loads on."""
     return Layout(
         servers={
-            name: msgspec.structs.replace(place, planned=set(place.planned))
-            for name, place in layout.servers.items()
+            name: msgspec.structs.replace(server, planned=set(server.planned))
+            for name, server in layout.servers.items()
         },
         items=layout.items,
         adapters=layout.adapters,
         answering=layout.answering,
         holding={key: set(names) for key, names in layout.holding.items()},
         reliable=layout.reliable,
-        held=layout.held,
+        unreachable_copies=layout.unreachable_copies,
     )
 
 
-def rank_place(key: str, server: str) -> int:
+def rank_server(key: str, server: str) -> int:
     """Return a server's preference for an item: the lowest is taken first.
 
     Rendezvous hashing: all instances agree without talking, and a server that comes
@@ -179,12 +179,12 @@
     return xxhash.xxh64_intdigest(f"{key}/{server}".encode())
 
 
-def find_name(key: str) -> str:
+def get_item_name(key: str) -> str:
     """Return the name callers use from an item's key."""
     return key.rpartition("@")[0]
 
 
-def _build_places(
+def _build_servers(
     configuration: Configuration,
     ledgers: Mapping[str, ServerLedger],
     usable: Collection[str],
@@ -217,25 +217,27 @@
     return adapters
 
 
-def _count_held(
+def _count_unreachable_copies(
     ledgers: Mapping[str, ServerLedger], names: Iterable[str]
 ) -> dict[str, int]:
-    held: dict[str, int] = {}
+    unreachable_copies: dict[str, int] = {}
     for name in names:
         ledger = ledgers.get(name)
         for entry in ledger.entries if ledger is not None else ():
-            if entry.state in _COMING:
-                held[entry.item] = held.get(entry.item, 0) + 1
-    return held
+            if entry.state in _PRESENT_OR_LOADING:
+                unreachable_copies[entry.item] = (
+                    unreachable_copies.get(entry.item, 0) + 1
+                )
+    return unreachable_copies
 
 
-def _index_entry(layout: Layout, place: ServerLayout, entry: LedgerEntry) -> None:
+def _index_entry(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> None:
     if is_reliable(entry):
-        layout.reliable.setdefault(entry.item, set()).add(place.name)
+        layout.reliable.setdefault(entry.item, set()).add(server.name)
     item = layout.items.get(entry.item)
     if item is None or entry.base != item.base_key:
         return
-    if entry.state in _COMING:
-        layout.holding[entry.item].add(place.name)
+    if entry.state in _PRESENT_OR_LOADING:
+        layout.holding[entry.item].add(server.name)
     if entry.state is EntryState.LOADED:
-        layout.answering[entry.item].add(place.name)
+        layout.answering[entry.item].add(server.name)
--- a/src/arbutuspulley/placement/ledger.py
+++ b/src/arbutuspulley/placement/ledger.py
@@ -23,11 +23,11 @@
 from arbutuspulley.configuration.schema import Server
 from arbutuspulley.data import Value
 from arbutuspulley.placement.evidence import (
-    adopt,
-    is_old,
-    judge,
-    leave_trace,
-    raise_order,
+    build_discovered_entry,
+    get_next_order,
+    is_outdated,
+    keep_late_orders,
+    reconcile_entry,
 )
 from arbutuspulley.placement.records import (
     EntryState,
@@ -48,7 +48,7 @@
 RESEND_AFTER_REPORTS = 10
 """Reports to wait for an order's effect before it is sent again."""
 
-PAST_BOOTS_KEPT = 8
+MAX_PAST_BOOTS = 8
 """Earlier boots remembered, so that their late reports are recognised."""
 
 _replace = msgspec.structs.replace
@@ -107,7 +107,7 @@
     return _replace(ledger, fence=fence)
 
 
-def measure_reserved(entry: LedgerEntry) -> int:
+def get_reserved_mib(entry: LedgerEntry) -> int:
     """Return the MiB that an entry reserves."""
     if entry.state is EntryState.ABSENT and entry.late_loads == 0:
         return 0
@@ -116,7 +116,7 @@
 
 def measure_occupied_mib(ledger: ServerLedger, report: Report | None = None) -> int:
     """Return the MiB to count as occupied, the larger of ledger and report."""
-    sizes = {entry.item: measure_reserved(entry) for entry in ledger.entries}
+    sizes = {entry.item: get_reserved_mib(entry) for entry in ledger.entries}
     if report is None:
         return sum(sizes.values())
     listed_mib = sum(listed.memory_mib for listed in report.items)
@@ -149,7 +149,7 @@
     if known is not None and known.state is not EntryState.ABSENT:
         raise OutdatedPlanError(detail=f"{item.key} is {known.state} already")
     _check_base(ledger, item)
-    _check_room(ledger, server=server, item=item, known=known, report=report)
+    _check_free_memory(ledger, server=server, item=item, known=known, report=report)
     entry = LedgerEntry(
         item=item.key,
         base=item.base_key,
@@ -163,7 +163,7 @@
         late_loads=known.late_loads if known else 0,
         late_unloads=known.late_unloads if known else 0,
     )
-    return _count_order(replace_entry(ledger, item.key, entry))
+    return _advance_order_number(replace_entry(ledger, item.key, entry))
 
 
 def add_unload_intent(ledger: ServerLedger, *, item: str) -> ServerLedger:
@@ -177,7 +177,7 @@
     entry = find_entry(ledger, item)
     if entry is None or entry.state is not EntryState.LOADED:
         raise OutdatedPlanError(detail=f"{item} is not loaded on {ledger.server}")
-    if any(known.base == item and _holds(known) for known in ledger.entries):
+    if any(known.base == item and _is_present(known) for known in ledger.entries):
         raise OutdatedPlanError(detail=f"adapters on {ledger.server} need {item}")
     entry = _replace(
         entry,
@@ -189,7 +189,7 @@
         sends=1,
         accepted=0,
     )
-    return _count_order(replace_entry(ledger, item, entry))
+    return _advance_order_number(replace_entry(ledger, item, entry))
 
 
 def build_order(ledger: ServerLedger, entry: LedgerEntry) -> Order:
@@ -211,7 +211,7 @@
 def record_accepted(ledger: ServerLedger, order: Order) -> ServerLedger:
     """Return the ledger after the server took an order: it can't arrive later."""
     entry = find_entry(ledger, order.item)
-    if entry is None or not _is_for(entry, order):
+    if entry is None or not _matches_order(entry, order):
         return ledger
     accepted = min(entry.sends, entry.accepted + 1)
     return replace_entry(ledger, order.item, _replace(entry, accepted=accepted))
@@ -224,7 +224,7 @@
     so for ``STALE``, a timeout or a broken connection.
     """
     entry = find_entry(ledger, order.item)
-    if entry is None or not _is_for(entry, order):
+    if entry is None or not _matches_order(entry, order):
         return ledger
     entry = _replace(entry, sends=entry.sends - 1)
     if entry.sends > 0 or (order.kind is OrderKind.LOAD and entry.seen):
@@ -232,7 +232,7 @@
     if order.kind is OrderKind.UNLOAD:
         entry = _replace(entry, state=EntryState.LOADED, accepted=0)
         return replace_entry(ledger, order.item, entry)
-    return replace_entry(ledger, order.item, leave_trace(entry))
+    return replace_entry(ledger, order.item, keep_late_orders(entry))
 
 
 def reconcile(
@@ -246,28 +246,34 @@
 
     :param server: its configuration, which says whether it checks orders.
     """
-    if is_old(ledger, report):
+    if is_outdated(ledger, report):
         return Reconciliation(ledger=ledger)
-    start = _begin(ledger, report)
+    start = _start_boot(ledger, report)
     listed = {known.item: known for known in report.items}
     entries: list[LedgerEntry] = []
     for entry in start.entries:
-        judged = judge(entry, listed.get(entry.item), server=server, report=report)
-        if judged is not None:
-            entries.append(judged)
+        reconciled = reconcile_entry(
+            entry, listed.get(entry.item), server=server, report=report
+        )
+        if reconciled is not None:
+            entries.append(reconciled)
     known = {entry.item for entry in start.entries}
-    entries += [adopt(item, start) for key, item in listed.items() if key not in known]
+    entries += [
+        build_discovered_entry(item, start)
+        for key, item in listed.items()
+        if key not in known
+    ]
     current = _replace(
         start,
         entries=tuple(sorted(entries, key=lambda entry: entry.item)),
         sequence=report.sequence,
-        next_order=raise_order(start, report),
+        next_order=get_next_order(start, report),
     )
     superseded = report.fence > ledger.fence
     resend: tuple[Order, ...] = ()
     if not superseded:
-        current, resend = _renew_overdue(current, listed)
-    return _compare(ledger, current, resend=resend, superseded=superseded)
+        current, resend = _resend_overdue(current, listed)
+    return _build_reconciliation(ledger, current, resend=resend, superseded=superseded)
 
 
 def _check_base(ledger: ServerLedger, item: Item) -> None:
@@ -279,7 +285,7 @@
         raise OutdatedPlanError(detail=detail)
 
 
-def _check_room(
+def _check_free_memory(
     ledger: ServerLedger,
     *,
     server: Server,
@@ -287,7 +293,7 @@
     known: LedgerEntry | None,
     report: Report | None,
 ) -> None:
-    reserved = measure_reserved(known) if known else 0
+    reserved = get_reserved_mib(known) if known else 0
     occupied = measure_occupied_mib(ledger, report)
     capacity = measure_capacity(server, report)
     extra = max(0, item.memory_mib - reserved)
@@ -302,15 +308,15 @@
         )
 
 
-def _count_order(ledger: ServerLedger) -> ServerLedger:
+def _advance_order_number(ledger: ServerLedger) -> ServerLedger:
     return _replace(ledger, next_order=ledger.next_order + 1)
 
 
-def _holds(entry: LedgerEntry) -> bool:
+def _is_present(entry: LedgerEntry) -> bool:
     return entry.state is not EntryState.ABSENT
 
 
-def _is_for(entry: LedgerEntry, order: Order) -> bool:
+def _matches_order(entry: LedgerEntry, order: Order) -> bool:
     kinds = {
         EntryState.LOADING: OrderKind.LOAD,
         EntryState.UNLOADING: OrderKind.UNLOAD,
@@ -318,17 +324,17 @@
     return entry.number == order.number and kinds.get(entry.state) is order.kind
 
 
-def _begin(ledger: ServerLedger, report: Report) -> ServerLedger:
+def _start_boot(ledger: ServerLedger, report: Report) -> ServerLedger:
     """Return the ledger for the report's boot; after a restart, memory is empty."""
     if report.boot_id == ledger.boot_id:
         return ledger
     past = ledger.past_boots
     if ledger.boot_id:
-        past = (*past, ledger.boot_id)[-PAST_BOOTS_KEPT:]
+        past = (*past, ledger.boot_id)[-MAX_PAST_BOOTS:]
     return _replace(ledger, boot_id=report.boot_id, past_boots=past, entries=())
 
 
-def _renew_overdue(
+def _resend_overdue(
     ledger: ServerLedger, listed: dict[str, ReportedItem]
 ) -> tuple[ServerLedger, tuple[Order, ...]]:
     """Number anew the orders that had no effect for a while.
@@ -348,7 +354,7 @@
             since=ledger.sequence,
             sends=entry.sends + 1,
         )
-        ledger = _count_order(replace_entry(ledger, entry.item, renewed))
+        ledger = _advance_order_number(replace_entry(ledger, entry.item, renewed))
         orders.append(build_order(ledger, renewed))
     return ledger, tuple(orders)
 
@@ -363,7 +369,7 @@
     return False
 
 
-def _compare(
+def _build_reconciliation(
     before: ServerLedger,
     after: ServerLedger,
     *,
@@ -377,7 +383,7 @@
     corrected = [
         key
         for key in sorted(old.keys() | new.keys())
-        if _is_surprise(old.get(key), new.get(key))
+        if _is_unexpected(old.get(key), new.get(key))
     ]
     return Reconciliation(
         ledger=after,
@@ -396,12 +402,12 @@
 
 
 def _became_absent(before: LedgerEntry, after: LedgerEntry | None) -> bool:
-    return _holds(before) and (after is None or not _holds(after))
+    return _is_present(before) and (after is None or not _is_present(after))
 
 
-def _is_surprise(before: LedgerEntry | None, after: LedgerEntry | None) -> bool:
-    if before is None or not _holds(before):
-        return after is not None and _holds(after)
-    if after is None or not _holds(after):
+def _is_unexpected(before: LedgerEntry | None, after: LedgerEntry | None) -> bool:
+    if before is None or not _is_present(before):
+        return after is not None and _is_present(after)
+    if after is None or not _is_present(after):
         return before.state is not EntryState.UNLOADING
     return after.memory_mib > before.memory_mib
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -10,20 +10,20 @@
     Layout,
     ServerLayout,
     add_planned,
-    find_name,
+    get_item_name,
     is_present,
     list_missing_adapters,
-    measure_bundle,
-    measure_extra,
+    measure_additional_mib,
+    measure_bundle_mib,
     measure_free_mib,
-    rank_place,
+    rank_server,
 )
 
-LEAST_DEMAND = 0.01
+MIN_DEMAND_TOKENS_PER_S = 0.01
 """Tokens a second below which an item counts as not asked for."""
 
-_NO_DEMAND = 1_000
-_MOST_OWN_PLACES = 3
+_NO_DEMAND_RANK = 1_000
+_MAX_OWN_SERVERS = 3
 
 
 class Priority(enum.IntEnum):
@@ -50,7 +50,7 @@
     CRAMPED = 2
 
 
-class Missing(Value, frozen=True):
+class MissingCopy(Value, frozen=True):
     """One copy to load.
 
     :param size_mib: what it needs with its adapters, to place the largest first.
@@ -61,10 +61,10 @@
     size_mib: int
 
 
-class Planned(Value, frozen=True):
+class PlannedCopy(Value, frozen=True):
     """A missing copy and where it is to go."""
 
-    missing: Missing
+    missing: MissingCopy
     server: str
 
 
@@ -72,7 +72,7 @@
 """Ranks a place for an item; the lowest is taken."""
 
 
-def list_missing(layout: Layout) -> list[Missing]:
+def list_missing(layout: Layout) -> list[MissingCopy]:
     """Return all missing copies, in the sequence in which they get a place.
 
     An adapter is listed once its model answers somewhere. The largest go first within
@@ -80,7 +80,7 @@
     """
     names = _list_answering_names(layout)
     missing = [
-        Missing(item=item, priority=priority, size_mib=_measure_size(layout, item))
+        MissingCopy(item=item, priority=priority, size_mib=_measure_size(layout, item))
         for item in layout.items.values()
         if not item.base_key or layout.answering.get(item.base_key)
         for priority in _list_priorities(layout, item, names)
@@ -89,7 +89,9 @@
     return missing
 
 
-def find_place(layout: Layout, copy: Missing, prefer: Prefer) -> ServerLayout | None:
+def find_server(
+    layout: Layout, copy: MissingCopy, prefer: Prefer
+) -> ServerLayout | None:
     """Return the preferred place where a copy fits, or ``None``.
 
     The first place in sequence of preference that also has room for the item's
@@ -98,16 +100,21 @@
     """
     item = copy.item
     candidates = list_candidates(layout, item)
-    candidates.sort(key=lambda place: prefer(layout, place, item))
+    candidates.sort(key=lambda server: prefer(layout, server, item))
     best: ServerLayout | None = None
     worst_taken = Grade.CRAMPED if copy.priority is Priority.LOST else Grade.MIXED
     best_grade = worst_taken + 1
-    for place in candidates:
-        if _measure_shortage(layout, place, item, measure_extra(place, item)) > 0:
+    for server in candidates:
+        if (
+            _measure_shortage_mib(
+                layout, server, item, measure_additional_mib(server, item)
+            )
+            > 0
+        ):
             continue
-        grade = _grade_place(layout, place, item)
+        grade = _grade_server(layout, server, item)
         if grade < best_grade:
-            best, best_grade = place, grade
+            best, best_grade = server, grade
         if grade is Grade.GOOD:
             break
     return best
@@ -120,33 +127,36 @@
         names = sorted(layout.answering.get(item.base_key, ()))
     servers = [layout.servers[name] for name in names]
     return [
-        place
-        for place in servers
-        if not is_present(place, item.key) and not _is_tied(layout, place, item)
+        server
+        for server in servers
+        if not is_present(server, item.key)
+        and not _would_lack_adapters(layout, server, item)
     ]
 
 
-def measure_shortage(layout: Layout, place: ServerLayout, item: Item) -> int:
+def measure_shortage_mib(layout: Layout, server: ServerLayout, item: Item) -> int:
     """Return how many MiB an item and its adapters lack; 0 or less if they fit."""
-    needed = measure_bundle(layout, place, item)
-    return _measure_shortage(layout, place, item, needed)
+    needed = measure_bundle_mib(layout, server, item)
+    return _measure_shortage_mib(layout, server, item, needed)
 
 
-def prefer_spread(layout: Layout, place: ServerLayout, item: Item) -> tuple[int, ...]:
+def prefer_other_sites(
+    layout: Layout, server: ServerLayout, item: Item
+) -> tuple[int, ...]:
     """Prefer other sites than those that have a copy."""
-    return (_count_in_site(layout, place, item), rank_place(item.key, place.name))
+    return (_count_in_site(layout, server, item), rank_server(item.key, server.name))
 
 
-def build_prefer_homes(homes: Mapping[str, Collection[str]]) -> Prefer:
+def build_prefer_targets(target_servers: Mapping[str, Collection[str]]) -> Prefer:
     """Return a preference for given places, then for the one with the least room.
 
-    :param homes: places by item, see :func:`.fit.find_homes`.
+    :param homes: places by item, see :func:`.fit.find_target_servers`.
     """
 
-    def prefer(layout: Layout, place: ServerLayout, item: Item) -> tuple[int, ...]:
-        away = place.name not in homes.get(item.key, ())
-        room = measure_free_mib(layout, place)
-        return (int(away), room, rank_place(item.key, place.name))
+    def prefer(layout: Layout, server: ServerLayout, item: Item) -> tuple[int, ...]:
+        away = server.name not in target_servers.get(item.key, ())
+        room = measure_free_mib(layout, server)
+        return (int(away), room, rank_server(item.key, server.name))
 
     return prefer
 
@@ -159,55 +169,55 @@
     """
     servers = sorted(
         layout.servers.values(),
-        key=lambda place: -measure_free_mib(layout, place),
-    )[: _MOST_OWN_PLACES + 1]
+        key=lambda server: -measure_free_mib(layout, server),
+    )[: _MAX_OWN_SERVERS + 1]
     for item in layout.items.values():
         if item.base_key:
             continue
-        alone = item.copies == 1 and item.key in layout.adapters
-        own = layout.holding[item.key] if alone else ()
-        rooms = [
-            measure_free_mib(layout, place)
-            for place in servers
-            if place.name not in own
+        needs_other_server = item.copies == 1 and item.key in layout.adapters
+        own = layout.holding[item.key] if needs_other_server else ()
+        free_mib = [
+            measure_free_mib(layout, server)
+            for server in servers
+            if server.name not in own
         ]
-        if max(rooms, default=0) < _measure_size(layout, item):
+        if max(free_mib, default=0) < _measure_size(layout, item):
             return False
     return True
 
 
-def place_all(
-    layout: Layout, missing: Iterable[Missing], prefer: Prefer
-) -> tuple[list[Planned], list[Missing]]:
+def place_copies(
+    layout: Layout, missing: Iterable[MissingCopy], prefer: Prefer
+) -> tuple[list[PlannedCopy], list[MissingCopy]]:
     """Find places for missing copies and count them there.
 
     :return: those with a place, and those that fit nowhere.
     """
-    planned: list[Planned] = []
-    left: list[Missing] = []
+    planned: list[PlannedCopy] = []
+    left: list[MissingCopy] = []
     for copy in missing:
-        place = find_place(layout, copy, prefer)
-        if place is None:
+        server = find_server(layout, copy, prefer)
+        if server is None:
             left.append(copy)
             continue
-        add_planned(layout, place, copy.item)
-        planned.append(Planned(missing=copy, server=place.name))
+        add_planned(layout, server, copy.item)
+        planned.append(PlannedCopy(missing=copy, server=server.name))
     return planned, left
 
 
-def order_planned(
-    layout: Layout, planned: Iterable[Planned], demand: Mapping[str, float]
-) -> list[Planned]:
+def sort_planned(
+    layout: Layout, planned: Iterable[PlannedCopy], demand: Mapping[str, float]
+) -> list[PlannedCopy]:
     """Return planned copies in the sequence in which they are to be loaded.
 
     :param demand: tokens a second by item; a model is asked for by its adapters too.
     """
 
-    def rank(load: Planned) -> tuple[int, int, int, str]:
+    def rank(load: PlannedCopy) -> tuple[int, int, int, str]:
         item = load.missing.item
         keys = [item.key, *(known.key for known in layout.adapters.get(item.key, ()))]
-        asked = sum(demand.get(key, 0.0) for key in keys)
-        step, size = rank_demand(asked, item.memory_mib)
+        demanded = sum(demand.get(key, 0.0) for key in keys)
+        step, size = rank_demand(demanded, item.memory_mib)
         return load.missing.priority, step, size, item.key
 
     return sorted(planned, key=rank)
@@ -221,30 +231,30 @@
     compares it with first-come and with smallest-first. Demand counts in steps of two,
     because the figures of two instances differ a little.
     """
-    if demand < LEAST_DEMAND:
-        return _NO_DEMAND, size
+    if demand < MIN_DEMAND_TOKENS_PER_S:
+        return _NO_DEMAND_RANK, size
     return -math.floor(math.log2(demand / size)), size
 
 
-def _is_tied(layout: Layout, place: ServerLayout, item: Item) -> bool:
+def _would_lack_adapters(layout: Layout, server: ServerLayout, item: Item) -> bool:
     """Tell whether a model's adapters could never follow it to a place.
 
     They are there for its former version, and nowhere else, so they cannot be unloaded
     there to be loaded again for this one.
     """
     return any(
-        is_present(place, adapter.key)
-        and not layout.reliable.get(adapter.key, set()) - {place.name}
+        is_present(server, adapter.key)
+        and not layout.reliable.get(adapter.key, set()) - {server.name}
         for adapter in layout.adapters.get(item.key, ())
     )
 
 
 def _list_answering_names(layout: Layout) -> set[str]:
-    return {find_name(key) for key, names in layout.reliable.items() if names}
+    return {get_item_name(key) for key, names in layout.reliable.items() if names}
 
 
 def _list_priorities(layout: Layout, item: Item, names: set[str]) -> Iterable[Priority]:
-    there = len(layout.holding[item.key]) + layout.held.get(item.key, 0)
+    there = len(layout.holding[item.key]) + layout.unreachable_copies.get(item.key, 0)
     short = item.copies - there
     if short <= 0:
         return
@@ -259,36 +269,36 @@
     return item.memory_mib + sum(adapter.memory_mib for adapter in adapters)
 
 
-def _measure_shortage(
-    layout: Layout, place: ServerLayout, item: Item, needed: int
+def _measure_shortage_mib(
+    layout: Layout, server: ServerLayout, item: Item, needed: int
 ) -> int:
-    return needed - _measure_room_for(layout, place, item)
+    return needed - _measure_free_for(layout, server, item)
 
 
-def _measure_room_for(layout: Layout, place: ServerLayout, item: Item) -> int:
+def _measure_free_for(layout: Layout, server: ServerLayout, item: Item) -> int:
     """Return the room at a place for an item.
 
     An adapter may use what its model's adapters are due there, also where that is more
     than there is.
     """
-    due = sum(
-        measure_extra(place, adapter)
-        for adapter in list_missing_adapters(layout, place, item.base_key)
+    adapter_reserve_mib = sum(
+        measure_additional_mib(server, adapter)
+        for adapter in list_missing_adapters(layout, server, item.base_key)
     )
-    return measure_free_mib(layout, place) + due
+    return measure_free_mib(layout, server) + adapter_reserve_mib
 
 
-def _grade_place(layout: Layout, place: ServerLayout, item: Item) -> Grade:
-    if measure_bundle(layout, place, item) > measure_free_mib(layout, place):
+def _grade_server(layout: Layout, server: ServerLayout, item: Item) -> Grade:
+    if measure_bundle_mib(layout, server, item) > measure_free_mib(layout, server):
         return Grade.CRAMPED if not item.base_key else Grade.GOOD
     adapters = layout.adapters.get(item.key, ())
-    if any(is_present(place, adapter.key) for adapter in adapters):
+    if any(is_present(server, adapter.key) for adapter in adapters):
         return Grade.MIXED
     return Grade.GOOD
 
 
-def _count_in_site(layout: Layout, place: ServerLayout, item: Item) -> int:
+def _count_in_site(layout: Layout, server: ServerLayout, item: Item) -> int:
     holders = layout.holding[item.key]
     if not holders:
         return 0
-    return sum(layout.servers[name].site == place.site for name in holders)
+    return sum(layout.servers[name].site == server.site for name in holders)
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -17,9 +17,9 @@
     Layout,
     ServerLayout,
     is_present,
-    measure_extra,
+    measure_additional_mib,
     measure_free_mib,
-    rank_place,
+    rank_server,
 )
 
 HALF_LIFE_MS = 30_000
@@ -28,26 +28,26 @@
 SLOT_TOKENS_PER_S = 27.0
 """Tokens a second that one slot yields within the target of 37 ms between tokens."""
 
-BUSY_SHARE = 0.8
+MAX_UTILISATION = 0.8
 """Share of its capacity that a server carries before requests come late."""
 
 HORIZON_S = 600
 """How far ahead gain and cost are compared; demand moves by half in that time if it
 moves tenfold in an hour."""
 
-STALL_S = 5
+LOAD_STALL_S = 5
 """Time for which a load may hold up what its server runs."""
 
-LOWEST_PRICE = 0.1
+MIN_MOVE_COST = 0.1
 """Price of a load or unload at moves weight 0, as share of a server's capacity."""
 
-HIGHEST_PRICE = 0.2
+MAX_MOVE_COST = 0.2
 """Price of a load or unload at moves weight 1."""
 
-SHORTEST_WAIT_MS = 5_000
+MIN_MOVE_DELAY_MS = 5_000
 """Time for which a move must be worth it at moves weight 0."""
 
-LONGEST_WAIT_MS = 60_000
+MAX_MOVE_DELAY_MS = 60_000
 """Time for which a move must be worth it at moves weight 1."""
 
 
@@ -61,7 +61,7 @@
 
     smoothed: dict[str, float] = {}
     updated_at: int = 0
-    worth_since: dict[str, int] = {}
+    worthwhile_since: dict[str, int] = {}
 
 
 class Move(Value, frozen=True):
@@ -75,7 +75,7 @@
     item: Item
     server: str
     gain: float
-    surplus: float
+    net_gain: float
 
 
 def smooth_demand(state: DemandState, demand: Mapping[str, float], *, now: int) -> None:
@@ -97,13 +97,14 @@
     :param moves_weight: 0 looks at attainment alone, 1 avoids moves the most.
     """
     loads = measure_loads(layout, state.smoothed)
-    worth = _list_worth(layout, state.smoothed, loads, moves_weight)
-    state.worth_since = {
-        move.item.key: state.worth_since.get(move.item.key, now) for move in worth
+    worthwhile = _list_worthwhile_moves(layout, state.smoothed, loads, moves_weight)
+    state.worthwhile_since = {
+        move.item.key: state.worthwhile_since.get(move.item.key, now)
+        for move in worthwhile
     }
-    wait_ms = _blend(SHORTEST_WAIT_MS, LONGEST_WAIT_MS, moves_weight)
-    for move in worth:
-        if now - state.worth_since[move.item.key] < wait_ms:
+    delay_ms = _interpolate(MIN_MOVE_DELAY_MS, MAX_MOVE_DELAY_MS, moves_weight)
+    for move in worthwhile:
+        if now - state.worthwhile_since[move.item.key] < delay_ms:
             continue
         steps = _list_steps(layout, move, loads, state.smoothed)
         if steps:
@@ -120,40 +121,42 @@
     return loads
 
 
-def measure_capacity(place: ServerLayout) -> float:
+def measure_capacity(server: ServerLayout) -> float:
     """Return the tokens a second that a server yields within the target."""
-    return place.slots * SLOT_TOKENS_PER_S
+    return server.slots * SLOT_TOKENS_PER_S
 
 
-def _list_worth(
+def _list_worthwhile_moves(
     layout: Layout,
     demand: Mapping[str, float],
     loads: Mapping[str, float],
     moves_weight: float,
 ) -> list[Move]:
     """Return all moves worth their cost, the best one first."""
-    late = {name for name in loads if _measure_late(layout.servers[name], loads[name])}
+    overloaded = {
+        name for name in loads if _measure_overload(layout.servers[name], loads[name])
+    }
     moves = [
-        _weigh(layout, item, place, demand, loads, moves_weight)
+        _evaluate_move(layout, item, server, demand, loads, moves_weight)
         for key, item in layout.items.items()
-        if demand.get(key, 0.0) > 0 and late & layout.holding[key]
-        for place in layout.servers.values()
-        if not is_present(place, key)
+        if demand.get(key, 0.0) > 0 and overloaded & layout.holding[key]
+        for server in layout.servers.values()
+        if not is_present(server, key)
     ]
     return sorted(
-        (move for move in moves if move.surplus > 0),
+        (move for move in moves if move.net_gain > 0),
         key=lambda move: (
-            -move.surplus,
+            -move.net_gain,
             move.item.key,
-            rank_place(move.item.key, move.server),
+            rank_server(move.item.key, move.server),
         ),
     )
 
 
-def _weigh(
+def _evaluate_move(
     layout: Layout,
     item: Item,
-    place: ServerLayout,
+    server: ServerLayout,
     demand: Mapping[str, float],
     loads: Mapping[str, float],
     moves_weight: float,
@@ -162,89 +165,95 @@
     before = demand[item.key] / len(holders)
     after = demand[item.key] / (len(holders) + 1)
     gain = sum(
-        _measure_late(layout.servers[name], loads[name])
-        - _measure_late(layout.servers[name], loads[name] - before + after)
+        _measure_overload(layout.servers[name], loads[name])
+        - _measure_overload(layout.servers[name], loads[name] - before + after)
         for name in holders
     )
-    gain += _measure_late(place, loads[place.name])
-    gain -= _measure_late(place, loads[place.name] + after)
-    price = _blend(LOWEST_PRICE, HIGHEST_PRICE, moves_weight) * measure_capacity(place)
-    price *= _count_steps(layout, item, place)
-    stall = loads[place.name] * STALL_S / HORIZON_S
-    return Move(item=item, server=place.name, gain=gain, surplus=gain - price - stall)
+    gain += _measure_overload(server, loads[server.name])
+    gain -= _measure_overload(server, loads[server.name] + after)
+    cost = _interpolate(MIN_MOVE_COST, MAX_MOVE_COST, moves_weight) * measure_capacity(
+        server
+    )
+    cost *= _count_steps(layout, item, server)
+    stall = loads[server.name] * LOAD_STALL_S / HORIZON_S
+    return Move(item=item, server=server.name, gain=gain, net_gain=gain - cost - stall)
 
 
-def _count_steps(layout: Layout, item: Item, place: ServerLayout) -> int:
+def _count_steps(layout: Layout, item: Item, server: ServerLayout) -> int:
     """Return how many loads and unloads a move takes."""
     steps = 1
-    needed = measure_extra(place, item)
-    if item.base_key and not is_present(place, item.base_key):
+    needed = measure_additional_mib(server, item)
+    if item.base_key and not is_present(server, item.base_key):
         steps += 1
-        needed += measure_extra(place, layout.items[item.base_key])
-    return steps + int(needed > measure_free_mib(layout, place))
+        needed += measure_additional_mib(server, layout.items[item.base_key])
+    return steps + int(needed > measure_free_mib(layout, server))
 
 
-def _measure_late(place: ServerLayout, load: float) -> float:
-    return max(0.0, load - BUSY_SHARE * measure_capacity(place))
+def _measure_overload(server: ServerLayout, load: float) -> float:
+    return max(0.0, load - MAX_UTILISATION * measure_capacity(server))
 
 
-def _blend(least: float, most: float, weight: float) -> float:
-    return least + (most - least) * weight
+def _interpolate(low: float, high: float, weight: float) -> float:
+    return low + (high - low) * weight
 
 
 def _list_steps(
     layout: Layout, move: Move, loads: Mapping[str, float], demand: Mapping[str, float]
 ) -> tuple[Load | Unload, ...]:
     """Return the next step of a move: its model first, or room for it."""
-    place = layout.servers[move.server]
+    server = layout.servers[move.server]
     item = move.item
-    if item.base_key and place.name not in layout.answering.get(item.base_key, ()):
-        if is_present(place, item.base_key):
+    if item.base_key and server.name not in layout.answering.get(item.base_key, ()):
+        if is_present(server, item.base_key):
             return ()
         item = layout.items[item.base_key]
-    short = measure_extra(place, item) - measure_free_mib(layout, place)
+    short = measure_additional_mib(server, item) - measure_free_mib(layout, server)
     if short <= 0:
-        return (Load(server=place.name, item=item),)
-    for loss, spare in sorted(_list_spares(layout, place, loads, demand)):
-        entry = place.entries[spare]
-        if entry.memory_mib >= short and loss < move.surplus / 2:
+        return (Load(server=server.name, item=item),)
+    for loss, removable in sorted(
+        _list_removable_copies(layout, server, loads, demand)
+    ):
+        entry = server.entries[removable]
+        if entry.memory_mib >= short and loss < move.net_gain / 2:
             return (
                 Unload(
-                    server=place.name, item=spare, min_copies=layout.items[spare].copies
+                    server=server.name,
+                    item=removable,
+                    min_copies=layout.items[removable].copies,
                 ),
             )
     return ()
 
 
-def _list_spares(
+def _list_removable_copies(
     layout: Layout,
-    place: ServerLayout,
+    server: ServerLayout,
     loads: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> Iterator[tuple[float, str]]:
     """Yield extra copies at a place, with the tokens a second made late without."""
-    for key, entry in place.entries.items():
-        if not is_removable(layout, place, entry):
+    for key, entry in server.entries.items():
+        if not is_removable(layout, server, entry):
             continue
-        if any(known.base == key for known in place.entries.values()):
+        if any(known.base == key for known in server.entries.values()):
             continue
-        if not place.checks_orders and entry.late_loads > 0:
+        if not server.checks_orders and entry.late_loads > 0:
             continue
-        yield _measure_loss(layout, place, key, loads, demand), key
+        yield _estimate_loss(layout, server, key, loads, demand), key
 
 
-def _measure_loss(
+def _estimate_loss(
     layout: Layout,
-    place: ServerLayout,
+    server: ServerLayout,
     key: str,
     loads: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> float:
-    others = layout.holding[key] - {place.name}
+    others = layout.holding[key] - {server.name}
     share = demand.get(key, 0.0) / len(layout.holding[key])
     more = share / len(others)
     return sum(
-        _measure_late(layout.servers[name], loads[name] + more)
-        - _measure_late(layout.servers[name], loads[name])
+        _measure_overload(layout.servers[name], loads[name] + more)
+        - _measure_overload(layout.servers[name], loads[name])
         for name in others
     )
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -13,8 +13,8 @@
 from arbutuspulley.configuration.schema import Configuration
 from arbutuspulley.data import State, Value
 from arbutuspulley.placement.actions import Action, Blocked, Load, Unload
-from arbutuspulley.placement.eviction import make_room
-from arbutuspulley.placement.fit import find_homes
+from arbutuspulley.placement.eviction import plan_eviction
+from arbutuspulley.placement.fit import find_target_servers
 from arbutuspulley.placement.layout import (
     Layout,
     add_planned,
@@ -22,18 +22,18 @@
     copy_layout,
 )
 from arbutuspulley.placement.missing_copies import (
-    Missing,
-    Planned,
+    MissingCopy,
+    PlannedCopy,
     Prefer,
     Priority,
-    build_prefer_homes,
+    build_prefer_targets,
     can_change_all,
-    find_place,
+    find_server,
     list_candidates,
     list_missing,
-    order_planned,
-    place_all,
-    prefer_spread,
+    place_copies,
+    prefer_other_sites,
+    sort_planned,
 )
 from arbutuspulley.placement.moves import DemandState, propose_move, smooth_demand
 from arbutuspulley.placement.records import EntryState, ServerLedger
@@ -70,8 +70,8 @@
 
     down_since: dict[str, int] = {}
     unneeded_since: dict[str, int] = {}
-    homes: dict[str, frozenset[str]] = {}
-    homes_version: int = -1
+    target_servers: dict[str, frozenset[str]] = {}
+    target_servers_version: int = -1
     demand: DemandState = msgspec.field(default_factory=DemandState)
 
 
@@ -95,10 +95,10 @@
         configuration=inputs.configuration,
         ledgers=inputs.ledgers,
         usable=usable,
-        waited_for=_wait_for_down(state, inputs.summaries, now=now),
+        recently_down=_list_recently_down(state, inputs.summaries, now=now),
     )
     smooth_demand(state.demand, inputs.demand, now=now)
-    unneeded = _wait_unneeded(state, list_unneeded(layout), now=now)
+    unneeded = _list_long_unneeded(state, list_unneeded(layout), now=now)
     loads, others = _plan_missing(state, layout, inputs.configuration)
     swaps = _swap_adapters(layout)
     moves: tuple[Load | Unload, ...] = ()
@@ -123,7 +123,7 @@
     }
 
 
-def _wait_for_down(
+def _list_recently_down(
     state: PlannerState, summaries: Mapping[str, ServerSummary], *, now: int
 ) -> list[str]:
     """Return the servers that stopped answering only just now.
@@ -144,7 +144,7 @@
     )
 
 
-def _wait_unneeded(
+def _list_long_unneeded(
     state: PlannerState, unloads: list[Unload], *, now: int
 ) -> list[Unload]:
     keys = {unload.item for unload in unloads}
@@ -171,49 +171,49 @@
     """
     missing = list_missing(layout)
     trial = copy_layout(layout)
-    planned, left = place_all(trial, missing, prefer_spread)
+    planned, left = place_copies(trial, missing, prefer_other_sites)
     others: list[Action] = []
     if left or (planned and not can_change_all(trial)):
-        prefer = build_prefer_homes(_find_homes(state, configuration))
-        planned, others = _plan_tight(layout, missing, prefer)
-    ordered = order_planned(layout, planned, state.demand.smoothed)
+        prefer = build_prefer_targets(_get_target_servers(state, configuration))
+        planned, others = _plan_with_evictions(layout, missing, prefer)
+    ordered = sort_planned(layout, planned, state.demand.smoothed)
     loads = [Load(server=load.server, item=load.missing.item) for load in ordered]
     return loads, others
 
 
-def _find_homes(
+def _get_target_servers(
     state: PlannerState, configuration: Configuration
 ) -> Mapping[str, Collection[str]]:
-    if state.homes_version != configuration.version:
-        state.homes = find_homes(configuration)
-        state.homes_version = configuration.version
-    return state.homes
+    if state.target_servers_version != configuration.version:
+        state.target_servers = find_target_servers(configuration)
+        state.target_servers_version = configuration.version
+    return state.target_servers
 
 
-def _plan_tight(
-    layout: Layout, missing: Iterable[Missing], prefer: Prefer
-) -> tuple[list[Planned], list[Action]]:
-    planned: list[Planned] = []
+def _plan_with_evictions(
+    layout: Layout, missing: Iterable[MissingCopy], prefer: Prefer
+) -> tuple[list[PlannedCopy], list[Action]]:
+    planned: list[PlannedCopy] = []
     others: list[Action] = []
     for copy in missing:
-        placed, left = place_all(layout, [copy], prefer)
+        placed, left = place_copies(layout, [copy], prefer)
         planned += placed
         if not left:
             continue
-        steps = make_room(layout, copy.item)
+        steps = plan_eviction(layout, copy.item)
         if copy.item.base_key and any(isinstance(step, Blocked) for step in steps):
             steps = _place_base(layout, copy, prefer) or steps
         for step in steps:
             if isinstance(step, Load):
                 moved = msgspec.structs.replace(copy, item=step.item)
-                planned.append(Planned(missing=moved, server=step.server))
+                planned.append(PlannedCopy(missing=moved, server=step.server))
             else:
                 others.append(step)
     return planned, others
 
 
 def _place_base(
-    layout: Layout, copy: Missing, prefer: Prefer
+    layout: Layout, copy: MissingCopy, prefer: Prefer
 ) -> tuple[Action, ...] | None:
     """Load another copy of an adapter's model where there is room for the adapter.
 
@@ -222,12 +222,12 @@
     base = layout.items[copy.item.base_key]
     if layout.holding[base.key] - layout.answering[base.key]:
         return ()
-    wanted = Missing(item=base, priority=Priority.SHORT, size_mib=copy.size_mib)
-    place = find_place(layout, wanted, prefer)
-    if place is None:
+    wanted = MissingCopy(item=base, priority=Priority.SHORT, size_mib=copy.size_mib)
+    server = find_server(layout, wanted, prefer)
+    if server is None:
         return None
-    add_planned(layout, place, base)
-    return (Load(server=place.name, item=base),)
+    add_planned(layout, server, base)
+    return (Load(server=server.name, item=base),)
 
 
 def _swap_adapters(layout: Layout) -> list[Unload]:
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -4,7 +4,12 @@
 
 from arbutuspulley.configuration.lookup import Item
 from arbutuspulley.placement.actions import Unload
-from arbutuspulley.placement.layout import Layout, ServerLayout, find_name, rank_place
+from arbutuspulley.placement.layout import (
+    Layout,
+    ServerLayout,
+    get_item_name,
+    rank_server,
+)
 from arbutuspulley.placement.records import EntryState, LedgerEntry
 
 
@@ -17,9 +22,9 @@
     names = {item.name: item for item in layout.items.values()}
     former = _group_former(layout, names)
     unloads = [
-        Unload(server=place.name, item=entry.item, min_copies=0)
-        for place, entry in _list_loaded(layout)
-        if find_name(entry.item) not in names
+        Unload(server=server.name, item=entry.item, min_copies=0)
+        for server, entry in _list_loaded(layout)
+        if get_item_name(entry.item) not in names
     ]
     for name in sorted(former):
         unloads += _retire_former(layout, names[name], former[name])
@@ -27,10 +32,10 @@
 
 
 def _list_loaded(layout: Layout) -> Iterator[tuple[ServerLayout, LedgerEntry]]:
-    for place in layout.servers.values():
-        for key in sorted(place.entries):
-            if place.entries[key].state is EntryState.LOADED:
-                yield place, place.entries[key]
+    for server in layout.servers.values():
+        for key in sorted(server.entries):
+            if server.entries[key].state is EntryState.LOADED:
+                yield server, server.entries[key]
 
 
 def _group_former(
@@ -42,12 +47,12 @@
     own version may be the same.
     """
     former: dict[str, list[tuple[ServerLayout, LedgerEntry]]] = {}
-    for place, entry in _list_loaded(layout):
-        item = names.get(find_name(entry.item))
+    for server, entry in _list_loaded(layout):
+        item = names.get(get_item_name(entry.item))
         if item is None:
             continue
         if entry.item != item.key or entry.base != item.base_key:
-            former.setdefault(item.name, []).append((place, entry))
+            former.setdefault(item.name, []).append((server, entry))
     return former
 
 
@@ -64,16 +69,16 @@
         former,
         key=lambda known: (
             known[0].name in layout.holding[item.key],
-            rank_place(known[1].item, known[0].name),
+            rank_server(known[1].item, known[0].name),
         ),
     )
-    steps = (_retire_copy(layout, item, place, entry) for place, entry in former)
-    begun = [step for step in steps if step is not None]
-    return [unload for step in begun[: max(0, spare)] for unload in step]
+    steps = (_retire_copy(layout, item, server, entry) for server, entry in former)
+    unload_groups = [step for step in steps if step is not None]
+    return [unload for step in unload_groups[: max(0, spare)] for unload in step]
 
 
 def _retire_copy(
-    layout: Layout, item: Item, place: ServerLayout, entry: LedgerEntry
+    layout: Layout, item: Item, server: ServerLayout, entry: LedgerEntry
 ) -> list[Unload] | None:
     """Return the next steps to retire one copy, or ``None`` if it must stay.
 
@@ -83,32 +88,32 @@
     """
     adapters = [
         known
-        for known in place.entries.values()
+        for known in server.entries.values()
         if known.base == entry.item and known.state is not EntryState.ABSENT
     ]
     if not adapters:
-        return [_build_unload(item, place, entry)]
+        return [_build_unload(item, server, entry)]
     short = len(layout.holding[item.key]) < item.copies
-    if not short or not all(_is_spare(layout, place, known) for known in adapters):
+    if not short or not all(_is_redundant(layout, server, known) for known in adapters):
         return None
     return [
-        Unload(server=place.name, item=known.item)
+        Unload(server=server.name, item=known.item)
         for known in adapters
         if known.state is EntryState.LOADED
     ]
 
 
-def _is_spare(layout: Layout, place: ServerLayout, entry: LedgerEntry) -> bool:
+def _is_redundant(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
     if entry.state is EntryState.UNLOADING:
         return True
-    others = layout.reliable.get(entry.item, set()) - {place.name}
+    others = layout.reliable.get(entry.item, set()) - {server.name}
     return entry.state is EntryState.LOADED and bool(others)
 
 
-def _build_unload(item: Item, place: ServerLayout, entry: LedgerEntry) -> Unload:
+def _build_unload(item: Item, server: ServerLayout, entry: LedgerEntry) -> Unload:
     same = entry.item == item.key
     return Unload(
-        server=place.name,
+        server=server.name,
         item=entry.item,
         min_copies=int(same),
         successor="" if same else item.key,
--- a/src/arbutuspulley/placement/slots.py
+++ b/src/arbutuspulley/placement/slots.py
@@ -66,10 +66,10 @@
     ]
     if rank < len(free):
         return free[rank]
-    left = [slot for slot in free if now - slot.changed_at >= TURN_TIMEOUT_MS]
-    if not left:
+    unclaimed = [slot for slot in free if now - slot.changed_at >= TURN_TIMEOUT_MS]
+    if not unclaimed:
         return None
-    return left[xxhash.xxh64_intdigest(instance.encode()) % len(left)]
+    return unclaimed[xxhash.xxh64_intdigest(instance.encode()) % len(unclaimed)]
 
 
 def can_release(
