--- a/src/arbutuspulley/delivery/__init__.py
+++ b/src/arbutuspulley/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""Delivery: the life of one request, from admission to its whole answer."""
+"""Delivery: the life cycle of a request, from admission to its complete answer."""
--- a/src/arbutuspulley/delivery/claims.py
+++ b/src/arbutuspulley/delivery/claims.py
@@ -1,11 +1,11 @@
-"""Claims: an unrepeatable request runs at most once, whoever sends it again.
+"""Claims of idempotency keys, so that an unrepeatable request runs at most once.
 
-Before its only dispatch a request claims its caller's idempotency key by a row
-that is inserted only if absent. Whoever comes with the same key later finds the
-row: with the stored answer, or still open. An open claim is never run again, also
-when its claimant died, because the request may have run.
+Before its only dispatch, a request claims its caller's idempotency key with a row that
+is inserted only if absent. A later request with the same key finds the row, with the
+stored answer or still open. The request of an open claim is never run again, even if
+the claimant died, because it may have run.
 
-The functions block and are called by the controller on its I/O threads.
+The functions block; the controller calls them on its I/O threads.
 """
 
 import enum
@@ -35,17 +35,17 @@
 from arbutuspulley.rpc.messages import ClaimReply, ClaimRequest, SettleRequest
 
 INLINE_ANSWER_BYTES = 16 * 1024
-"""Largest answer kept in the table row; larger ones go to the object store."""
+"""Largest answer stored in the table row; larger ones go to the object store."""
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""Largest answer that is kept at all; it must fit into one message."""
+"""Largest answer that is stored; it must fit into one message."""
 
 _MAX_ATTEMPTS = 4
-"""Bound on rounds of read and compare-and-set against other writers."""
+"""Maximum rounds of read and compare-and-set in competition with other writers."""
 
 
 class ClaimState(enum.StrEnum):
-    """State of a claim, in its row and towards the entry."""
+    """State of a claim, as stored in its row and as returned to the entry."""
 
     GRANTED = "granted"
     CLAIMED = "claimed"
@@ -61,10 +61,10 @@
     """The row of one idempotency key.
 
     :param state: ``claimed``, ``answered``, ``unknown`` or ``not_run``.
-    :param attempt_id: the claim that holds or held the key.
-    :param claimant: boot id of the entry that made it.
-    :param body: the answer, if it is small.
-    :param object_name: where the answer is kept, if it is large.
+    :param attempt_id: id of the claim that holds or held the key.
+    :param claimant: boot id of the entry that made the claim.
+    :param body: the answer, if at most :data:`INLINE_ANSWER_BYTES` long.
+    :param object_name: name of the stored object with a longer answer.
     """
 
     body_sha256: str
@@ -78,20 +78,21 @@
 
 
 def build_claim_key(caller: str, key: str) -> str:
-    """Return the key of a claim's row; the idempotency key itself is not shown."""
+    """Return the key of a claim's row, which contains a hash of the idempotency key."""
     return f"claim/{caller}/{hashlib.sha256(key.encode()).hexdigest()}"
 
 
 def decide_claim(record: ClaimRecord | None, request: ClaimRequest) -> ClaimState:
-    """Judge a claim against the row that is there.
+    """Decide on a claim by the existing row.
 
-    :return: ``GRANTED`` (the row may be written), or what to tell the caller.
+    :return: ``GRANTED`` if the row may be written, otherwise the state to return to the
+        caller.
     """
     if record is None:
         return ClaimState.GRANTED
     if record.state is ClaimState.NOT_RUN:
-        # The key was never used for a run. A late copy of the claim that was
-        # taken back must not get it again: its entry has already given up.
+        # The key was never used for a run. A late duplicate of the withdrawn claim
+        # must not get it again, because its entry has already given up.
         if record.attempt_id == request.attempt_id:
             return ClaimState.UNAVAILABLE
         return ClaimState.GRANTED
@@ -100,17 +101,17 @@
     if record.state is not ClaimState.CLAIMED:
         return record.state
     if record.attempt_id == request.attempt_id:
-        # The reply to this very claim was lost on its way; its entry asks again
-        # and has not dispatched yet.
+        # The reply to this claim was lost; its entry retries the claim and has not
+        # dispatched the request yet.
         return ClaimState.GRANTED
     return ClaimState.IN_PROGRESS
 
 
 def decide_settlement(record: ClaimRecord | None, request: SettleRequest) -> bool:
-    """Return whether the settlement may be written over the row that is there.
+    """Return whether the settlement may replace the existing row.
 
-    A claim that is taken back before its row is there leaves a row all the same: the
-    claim may still be on its way, and would hold the key for ever if it arrived.
+    A claim that is withdrawn before its row exists writes a row as well: the claim may
+    still be in flight, and would hold the key for ever if it arrived.
     """
     if record is None:
         return request.state == ClaimState.NOT_RUN
@@ -125,7 +126,7 @@
     """Claim the right to run a request.
 
     :return: ``granted`` only if the row was certainly written by this claim;
-        ``unavailable`` if it was not, or if that cannot be told now.
+        ``unavailable`` if it was not, or if that is currently unknown.
     """
     try:
         return _try_claim(table, request, objects)
@@ -136,10 +137,10 @@
 
 
 def settle_claim(table: Table, request: SettleRequest, *, objects: Objects) -> None:
-    """Record how a claimed request ended; repeating it changes nothing.
+    """Record the outcome of a claimed request; idempotent.
 
-    :raises PlatformUnavailableError: nothing was recorded.
-    :raises OutcomeUnknownError: it may have been recorded; settle again.
+    :raises PlatformUnavailableError: if nothing was recorded.
+    :raises OutcomeUnknownError: if the outcome may have been recorded; settle again.
     """
     key = build_claim_key(request.caller, request.key)
     for _ in range(_MAX_ATTEMPTS):
@@ -159,7 +160,7 @@
                 state=request.state,
             )
             return
-    raise PlatformUnavailableError(detail="claim is changed by others too often")
+    raise PlatformUnavailableError(detail="claim row has too many concurrent writers")
 
 
 def _build_unclaimed(request: SettleRequest) -> ClaimRecord:
--- a/src/arbutuspulley/delivery/cursor.py
+++ b/src/arbutuspulley/delivery/cursor.py
@@ -1,7 +1,7 @@
 """Checks each chunk of an answer by attempt id and offset.
 
-Late chunks of an old attempt, chunks that came twice and chunks out of order must
-never reach the caller: a doubled token, or one of another answer, would.
+Late chunks of an earlier attempt, duplicates and chunks out of order must never reach
+the caller; otherwise it would receive duplicate tokens or tokens of another answer.
 """
 
 import enum
@@ -20,12 +20,12 @@
 
 
 class Cursor(State):
-    """Where one answer stands; used by the one thread that relays it.
+    """Progress of one answer; used only by the thread that relays the answer.
 
-    :param attempt_id: the only attempt whose chunks count.
+    :param attempt_id: the only attempt whose chunks are accepted.
     :param offset: index of the next token that the caller needs.
-    :param dropped: chunks that were dropped so far.
-    :param ended: whether the end marker arrived in its place.
+    :param dropped: number of chunks dropped so far.
+    :param ended: whether the end marker arrived at the expected offset.
     """
 
     attempt_id: str
@@ -35,14 +35,15 @@
 
 
 def begin_attempt(cursor: Cursor, *, attempt_id: str) -> None:
-    """Count only the chunks of a new attempt from now on."""
+    """Accept only chunks of a new attempt from now on."""
     cursor.attempt_id = attempt_id
 
 
 def accept(cursor: Cursor, chunk: Chunk) -> Verdict:
-    """Judge one chunk and move on if it is the next one.
+    """Check one chunk, and advance the cursor if it is the next one.
 
-    :return: ``GAP`` means that tokens are missing: the attempt counts as broken.
+    :return: what to do with the chunk; ``GAP`` means that tokens are missing, and the
+        attempt counts as broken.
     """
     if chunk.attempt_id != cursor.attempt_id or cursor.ended:
         cursor.dropped += 1
--- a/src/arbutuspulley/delivery/failures.py
+++ b/src/arbutuspulley/delivery/failures.py
@@ -1,9 +1,9 @@
-"""Builds the final answer of a request that is given up."""
+"""Builds the error response of a request that failed."""
 
 from arbutuspulley.results import Code, RequestError, RunState
 
 DEFAULT_RETRY_AFTER_MS = 1_000
-"""When to come back if nothing better is known."""
+"""Retry delay that callers are given if no better value is known."""
 
 _UNAVAILABLE = 503
 _STATUSES = {
@@ -32,9 +32,10 @@
     run_state: RunState = RunState.NOT_RUN,
     retry_after_ms: int | None = None,
 ) -> RequestError:
-    """Return the error with the HTTP status that belongs to its code.
+    """Return the error with the HTTP status of its code.
 
-    :param retry_after_ms: when to come back, or ``None`` if that cannot help.
+    :param run_state: whether the request may have run.
+    :param retry_after_ms: delay before a retry, or ``None`` if a retry cannot help.
     """
     return RequestError(
         code=code,
--- a/src/arbutuspulley/delivery/request.py
+++ b/src/arbutuspulley/delivery/request.py
@@ -1,10 +1,11 @@
-"""The life of one request, from admission to its final answer.
+"""State machine of one request, from admission to its final answer.
 
-A request is run by attempts, one at a time. :func:`advance` takes what happened
-and says what to do next; the shell around it sends bytes and reads clocks.
+A request is run by attempts, one at a time. :func:`advance` takes an event and returns
+the effects to carry out; its caller does the I/O and reads the clock.
 
-A repeatable request whose attempt broke off goes on elsewhere from the next
-offset. An unrepeatable one is never sent again once bytes of it may have left.
+A repeatable request whose attempt was interrupted resumes on another server from the
+next offset. An unrepeatable request is never sent again once bytes of it may have been
+sent.
 """
 
 import enum
@@ -15,11 +16,11 @@
 from arbutuspulley.results import Code, RequestError, RunState
 
 MAX_ATTEMPTS = 8
-"""Bound on attempts of one request, besides the retry budget and the deadline."""
+"""Maximum attempts of one request, in addition to retry budget and deadline."""
 
 
 class Phase(enum.StrEnum):
-    """Where a request is in its life."""
+    """Phase of a request's life cycle."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -27,14 +28,14 @@
 
 
 class RequestState(State):
-    """One request.
+    """State of one request.
 
-    :param repeatable: whether it may be sent again after bytes have left.
-    :param deadline: when it is given up, in milliseconds of the shell's clock.
+    :param repeatable: whether it may be sent again after bytes of it were sent.
+    :param deadline: time when it fails, in milliseconds of the caller's clock.
     :param offset: index of the next token that the caller needs.
     :param may_have_run: whether a server may have admitted any attempt so far.
-    :param avoid: servers that a next attempt should not go to.
-    :param retry_after_ms: what servers that refused it said last.
+    :param avoid: servers that further attempts should avoid.
+    :param retry_after_ms: latest retry delay given by a server that refused it.
     """
 
     request_id: str
@@ -50,13 +51,13 @@
 
 
 class Admitted(Value, frozen=True):
-    """It is the request's turn."""
+    """The request was admitted and may be dispatched."""
 
 
 class NoServer(Value, frozen=True):
-    """No server can take it now.
+    """No server can run the request now.
 
-    :param code: why, for the caller.
+    :param code: the reason, as returned to the caller.
     """
 
     code: Code = Code.MODEL_NOT_LOADED
@@ -64,7 +65,7 @@
 
 
 class Barred(Value, frozen=True):
-    """It must not be dispatched, for example because it is quarantined."""
+    """The request must not be dispatched, for example because it is quarantined."""
 
     code: Code
     detail: str
@@ -72,7 +73,7 @@
 
 
 class NotSent(Value, frozen=True):
-    """The attempt failed before a byte of it left."""
+    """The attempt failed before a byte of it was sent."""
 
     server: str
 
@@ -80,7 +81,8 @@
 class Refused(Value, frozen=True):
     """The server refused the attempt before admission.
 
-    :param final: whether any other server would refuse it, too.
+    :param leaving: whether the server refused it because it is leaving.
+    :param final: whether any other server would also refuse it.
     """
 
     server: str
@@ -91,10 +93,10 @@
 
 
 class Broken(Value, frozen=True):
-    """The attempt broke off after bytes of it may have left.
+    """The attempt was interrupted after bytes of it may have been sent.
 
-    :param next_offset: index of the first token that the caller has not got.
-    :param barred: why it must not be retried, if so.
+    :param next_offset: index of the first token that the caller has not received.
+    :param barred: reason why it must not be retried, or ``None`` if it may be.
     """
 
     server: str
@@ -109,13 +111,13 @@
 
 
 class CallerLeft(Value, frozen=True):
-    """The caller closed its connection after the events before ``next_offset``."""
+    """The caller closed its connection after receiving events up to ``next_offset``."""
 
     next_offset: int = 0
 
 
 class DeadlinePassed(Value, frozen=True):
-    """The request's time is over."""
+    """The request's deadline has passed."""
 
 
 Event = (
@@ -129,7 +131,7 @@
     | CallerLeft
     | DeadlinePassed
 )
-"""What can happen to a request."""
+"""Events that :func:`advance` handles."""
 
 
 class Dispatch(Value, frozen=True):
@@ -150,30 +152,30 @@
 
 
 class Finish(Value, frozen=True):
-    """The answer is whole."""
+    """The answer is complete."""
 
 
 class Fail(Value, frozen=True):
-    """Give the caller this final answer at once."""
+    """Return this error to the caller at once."""
 
     error: RequestError
 
 
 Effect = Dispatch | Cancel | Finish | Fail
-"""What is to be done."""
+"""Effects that the caller of :func:`advance` carries out."""
 
 TrySpendRetry = Callable[[], bool]
-"""Takes one retry from the budget, or returns false; see ``admission.retry_budget``."""
+"""Spends one retry of the budget or returns false, see ``admission.retry_budget``."""
 
 
 def advance(
     state: RequestState, event: Event, *, now: int, try_spend_retry: TrySpendRetry
 ) -> tuple[Effect, ...]:
-    """Move a request on.
+    """Apply an event to a request.
 
     :param now: the time in milliseconds.
     :param try_spend_retry: called once if, and only if, a retry is about to be made.
-    :return: what to do, in order; nothing if the request has already ended.
+    :return: effects to carry out in order; empty if the request has already ended.
     """
     if state.phase is Phase.ENDED:
         return ()
@@ -201,7 +203,7 @@
 
 
 def get_run_state(state: RequestState) -> RunState:
-    """Return what can be promised of a request that has no whole answer."""
+    """Return whether a request without a complete answer may have run."""
     return RunState.UNKNOWN if state.may_have_run else RunState.NOT_RUN
 
 
@@ -223,8 +225,8 @@
     if event.retry_after_ms is not None:
         state.retry_after_ms = event.retry_after_ms
     if event.leaving and state.attempts < MAX_ATTEMPTS:
-        # A leaving server is no failure, and it is avoided from now on: moving
-        # on cannot add to an overload, so it costs no retry of the budget.
+        # A leaving server is not a failure, and further attempts avoid it. This
+        # attempt cannot add to an overload, so it costs no retry of the budget.
         return _dispatch(state)
     return _retry(state, try_spend_retry)
 
@@ -265,11 +267,11 @@
 
 
 def _fail_unknown(state: RequestState) -> tuple[Effect, ...]:
-    """Give up an unrepeatable request that may have run.
+    """Fail an unrepeatable request that may have run.
 
-    The server may have run it although its answer is lost: sent once more, a
-    booking would be confirmed twice. Coming back cannot help either, so there is
-    no time to come back at.
+    The server may have run it although the answer is lost, and a retry could then
+    confirm a booking twice. A later retry by the caller cannot help either, so the
+    error has no retry delay.
     """
     detail = "the server broke off; the request may have run"
     return _fail(state, Code.OUTCOME_UNKNOWN, detail, retry_after_ms=None)
--- a/src/arbutuspulley/delivery/stream.py
+++ b/src/arbutuspulley/delivery/stream.py
@@ -1,7 +1,7 @@
-"""Cuts a server's event stream into whole events.
+"""Splits a server's event stream into complete events.
 
-A server may stop in the middle of an event. Only whole events are passed on, so
-that a stream can go on elsewhere after the last one without a torn piece in it.
+A server may stop in the middle of an event. Only complete events are forwarded, so that
+a stream can resume on another server after the last one without a partial event in it.
 """
 
 from arbutuspulley.data import State
@@ -11,10 +11,10 @@
 
 
 class EventBuffer(State):
-    """State of one stream.
+    """Buffer of one stream.
 
-    :param partial: bytes of an event that has not ended.
-    :param last_id: id of the last whole event, empty if it had none.
+    :param partial: bytes of an event that is not complete yet.
+    :param last_id: latest id of the complete events; empty if none had one.
     """
 
     partial: bytes = b""
@@ -22,7 +22,7 @@
 
 
 def take_complete_events(buffer: EventBuffer, chunk: bytes) -> bytes:
-    """Take bytes as they came and return those that end whole events."""
+    """Add received bytes to the buffer, and remove and return the complete events."""
     data = buffer.partial + chunk
     end = data.rfind(_END)
     if end < 0:
@@ -35,7 +35,7 @@
 
 
 def count_events(events: bytes) -> int:
-    """Count whole events, as :func:`take_complete_events` returns them."""
+    """Count complete events, as returned by :func:`take_complete_events`."""
     return events.count(_END)
 
 
--- a/src/arbutuspulley/delivery/suspects.py
+++ b/src/arbutuspulley/delivery/suspects.py
@@ -1,12 +1,12 @@
-"""Suspects: requests that were in flight on a server as it died.
+"""Suspects: requests that were in flight on a server when it died.
 
-One of them may be the cause and would kill the next server, too. After a first
-death a suspect is retried only on trial: alone of its kind on one server, with the
-death written down beforehand and taken back if it runs whole. After a second death
-it is quarantined. So a request costs two servers at most, and a bystander of a
-first death, which then runs whole, is cleared.
+One of them may be the cause and would kill the next server as well. After a first death
+a suspect is retried only in a trial: as the only suspect on its server, with the death
+recorded beforehand and cleared if the request completes. After a second death it is
+quarantined. A request therefore costs at most two servers, and a harmless request that
+was in flight during a first death is cleared when it completes.
 
-All functions are pure; :mod:`.trials` keeps the records in the table.
+The functions do no I/O; :mod:`.trials` stores the records in the table.
 """
 
 import enum
@@ -18,20 +18,20 @@
 from arbutuspulley.rpc.messages import Suspicion
 
 DEATHS_TO_QUARANTINE = 2
-"""Servers that one request may cost before it is no longer run."""
+"""Deaths of servers after which a request is quarantined."""
 
 SUSPICION_MS = 900 * SECOND_MS
-"""How long a first death is remembered without news; longer than any request lives."""
+"""Time for which an unchanged suspicion is kept; longer than any request lives."""
 
 QUARANTINE_MS = 6 * 3_600 * SECOND_MS
-"""How long a request stays quarantined: a caller that comes back on time for ever
-costs two servers in this time, and no more."""
+"""Time for which a request stays quarantined: a caller that keeps retrying costs at
+most two servers in this time."""
 
 _TRIAL_SEPARATOR = "#"
 
 
 class Judgement(enum.StrEnum):
-    """What may be done with a request."""
+    """Whether and how a request may be run."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -40,9 +40,10 @@
 
 
 class SuspectState(State):
-    """The suspicions that one process knows.
+    """The suspicions that one process knows, by fingerprint.
 
-    :param changed_at: when each was last changed, in milliseconds of its own clock.
+    :param changed_at: time of the last change of each suspicion, in milliseconds of the
+        process's clock.
     """
 
     suspicions: dict[str, Suspicion] = {}
@@ -50,14 +51,14 @@
 
 
 def build_fingerprint(*, caller: str, path: str, body: bytes) -> str:
-    """Return the name of a request that is the same whenever it is sent again."""
+    """Return an id of a request that is the same for each retry by its caller."""
     digest = hashlib.sha256(f"{caller}\0{path}\0".encode())
     digest.update(body)
     return digest.hexdigest()[:32]
 
 
 def build_mark(*, server: str, boot_id: str, trial_id: str = "") -> str:
-    """Return how one death is written down; a trial's is marked as such."""
+    """Return the death mark that identifies one death, and its trial if it has one."""
     mark = f"{server}/{boot_id}"
     return f"{mark}{_TRIAL_SEPARATOR}{trial_id}" if trial_id else mark
 
@@ -68,10 +69,10 @@
     ignoring: str = "",
     max_deaths: int = DEATHS_TO_QUARANTINE,
 ) -> Judgement:
-    """Say what may be done with a request.
+    """Return whether and how a request may be run.
 
-    :param ignoring: the mark of the asker's own trial.
-    :param max_deaths: after so many it is no longer run.
+    :param ignoring: death mark to leave out: that of the requester's own trial.
+    :param max_deaths: deaths after which the request is no longer run.
     """
     if suspicion is None:
         return Judgement.CLEAR
@@ -86,20 +87,20 @@
 
 
 def add_death(suspicion: Suspicion | None, fingerprint: str, mark: str) -> Suspicion:
-    """Return the suspicion with one death more."""
+    """Return the suspicion with one more death."""
     return merge_suspicions(
         suspicion, Suspicion(fingerprint=fingerprint, deaths=(mark,))
     )
 
 
 def clear_deaths(suspicion: Suspicion, marks: Iterable[str]) -> Suspicion:
-    """Return the suspicion without these deaths."""
+    """Return the suspicion with these deaths cleared."""
     cleared = Suspicion(fingerprint=suspicion.fingerprint, cleared=tuple(marks))
     return merge_suspicions(suspicion, cleared)
 
 
 def merge_suspicions(first: Suspicion | None, second: Suspicion) -> Suspicion:
-    """Merge two accounts of one request; the order does not matter."""
+    """Merge two suspicions of the same request; the merge is commutative."""
     if first is None:
         first = Suspicion(fingerprint=second.fingerprint)
     deaths = set(first.deaths) | set(second.deaths)
@@ -113,7 +114,7 @@
 
 
 def count_deaths(suspicion: Suspicion | None) -> int:
-    """Return how many servers died with a request in flight that was not cleared."""
+    """Return the number of deaths of a request that are not cleared."""
     if suspicion is None:
         return 0
     return len(set(suspicion.deaths) - set(suspicion.cleared))
@@ -122,7 +123,7 @@
 def record_death(
     state: SuspectState, *, fingerprint: str, server: str, boot_id: str, now: int
 ) -> Suspicion:
-    """Write down that a server died while a request was in flight there."""
+    """Record that a server died while a request was in flight on it."""
     mark = build_mark(server=server, boot_id=boot_id)
     suspicion = add_death(state.suspicions.get(fingerprint), fingerprint, mark)
     merge(state, (suspicion,), now=now)
@@ -130,14 +131,14 @@
 
 
 def clear_suspicion(state: SuspectState, fingerprint: str, *, now: int) -> None:
-    """Clear a request that ran whole of all deaths written down so far."""
+    """Clear all deaths recorded so far for a request that completed."""
     suspicion = state.suspicions.get(fingerprint)
     if suspicion is not None:
         merge(state, (clear_deaths(suspicion, suspicion.deaths),), now=now)
 
 
 def merge(state: SuspectState, suspicions: Iterable[Suspicion], *, now: int) -> None:
-    """Take in what another process or the table knows."""
+    """Merge suspicions from another process or from the table into the state."""
     for suspicion in suspicions:
         known = state.suspicions.get(suspicion.fingerprint)
         merged = merge_suspicions(known, suspicion)
@@ -147,9 +148,9 @@
 
 
 def evict_expired(state: SuspectState, *, now: int) -> tuple[str, ...]:
-    """Drop what has had no news for its time.
+    """Remove the suspicions that have expired without a change.
 
-    :return: the fingerprints dropped, so that their rows can be deleted.
+    :return: their fingerprints, so that their rows can be deleted.
     """
     old = tuple(
         fingerprint
@@ -163,7 +164,7 @@
 
 
 def get_time_to_expiry_ms(state: SuspectState, fingerprint: str, *, now: int) -> int:
-    """Return after how long a suspicion is dropped if there is no news."""
+    """Return the time in milliseconds until a suspicion expires if unchanged."""
     judgement = judge(state.suspicions[fingerprint])
     is_quarantined = judgement is Judgement.QUARANTINED
     life_ms = QUARANTINE_MS if is_quarantined else SUSPICION_MS
--- a/src/arbutuspulley/delivery/trials.py
+++ b/src/arbutuspulley/delivery/trials.py
@@ -1,10 +1,11 @@
-"""Deaths and trials in the table, where all instances see them.
+"""Stores deaths and trials in the table, where all instances see them.
 
-A trial holds its server (one suspect a server, or two would be blamed for one
-another) and writes its death down beforehand (one server a suspect, or two
-instances would lose one each). Both are one transaction.
+A trial reserves its server, so that only one suspect runs there: with two suspects on a
+server, both would be blamed for a death that one caused. It also records its death
+beforehand, so that a suspect runs on only one server: otherwise two instances could
+lose one server each. Both happen in one transaction.
 
-The functions block and are called by the controller on its I/O threads.
+The functions block; the controller calls them on its I/O threads.
 """
 
 import uuid
@@ -38,20 +39,20 @@
 )
 
 SUSPECT_PREFIX = "suspect/"
-"""Rows of suspicions, one a fingerprint."""
+"""Key prefix of suspicions; one row per fingerprint."""
 
 TRIAL_PREFIX = "trial/"
-"""Rows of running trials, one a server."""
+"""Key prefix of running trials; one row per server."""
 
 _Change = tuple[str, Row | None, bytes | None]
-"""Key of a row, the row as it was read, its new value."""
+"""Key of a row, the row as it was read, and its new value; ``None`` deletes it."""
 
 _MAX_ATTEMPTS = 6
-"""Bound on rounds of read and compare-and-set against other writers."""
+"""Maximum rounds of read and compare-and-set in competition with other writers."""
 
 
 class TrialRecord(Message, frozen=True):
-    """The trial that holds a server; void once the server's boot has changed."""
+    """The trial that has reserved a server; void once the server's boot has changed."""
 
     boot_id: str
     trial_id: str
@@ -59,10 +60,10 @@
 
 
 class SuspicionsPage(Value, frozen=True):
-    """Suspicions that changed.
+    """Changed suspicions.
 
     :param deleted: fingerprints whose rows were deleted.
-    :param revision: pass it as ``after`` to go on from here.
+    :param revision: value of ``after`` that reads the next changes.
     """
 
     suspicions: tuple[Suspicion, ...]
@@ -73,7 +74,7 @@
 def is_trial_allowed(
     suspicion: Suspicion | None, holder: TrialRecord | None, report: DeathReport
 ) -> bool:
-    """Decide on a trial from the rows that are there."""
+    """Return whether a trial may run, according to the existing rows."""
     own = build_mark(
         server=report.server, boot_id=report.boot_id, trial_id=report.trial_id
     )
@@ -86,10 +87,10 @@
 
 
 def record_deaths(table: Table, report: DeathReport) -> SuspicionsReply:
-    """Write down a server's death, or a trial before it runs.
+    """Record a server's death, or a trial before it runs.
 
-    :return: ``recorded`` is false if the table did not certainly take it; then no
-        suspect may be retried.
+    :return: suspicions and outcome; ``recorded`` is false unless the table certainly
+        stored the record. No suspect may be retried in that case.
     """
     try:
         if report.trial_id:
@@ -104,11 +105,13 @@
 
 
 def record_clearance(table: Table, report: ClearanceReport) -> Suspicion | None:
-    """Clear a suspect that ran whole and free the server of its trial.
+    """Clear a suspect that completed, and release its trial's server.
 
-    :return: the suspicion as it is now.
-    :raises PlatformUnavailableError: nothing was recorded.
-    :raises OutcomeUnknownError: it may have been recorded; clear it again.
+    If the request did not run, only the death of its trial is cleared.
+
+    :return: the updated suspicion, or ``None`` if there is none.
+    :raises PlatformUnavailableError: if nothing was recorded.
+    :raises OutcomeUnknownError: if the clearance may have been recorded; clear again.
     """
     for _ in range(_MAX_ATTEMPTS):
         row = table.read(SUSPECT_PREFIX + report.fingerprint)
@@ -123,7 +126,9 @@
             changes.append((TRIAL_PREFIX + report.server, holder_row, None))
         if not changes or _commit(table, changes):
             return suspicion
-    raise PlatformUnavailableError(detail="suspicion is changed by others too often")
+    raise PlatformUnavailableError(
+        detail="suspicion row has too many concurrent writers"
+    )
 
 
 def read_suspicions(table: Table, *, after: int, limit: int = 500) -> SuspicionsPage:
@@ -142,7 +147,7 @@
 
 
 def delete_suspicion(table: Table, fingerprint: str, *, seen: Suspicion) -> None:
-    """Delete the row of a suspicion if it is still as it was seen."""
+    """Delete the row of a suspicion if it is unchanged since it was read."""
     row = table.read(SUSPECT_PREFIX + fingerprint)
     if row is not None and _decode_suspicion(row) == seen:
         _commit(table, [(row.key, row, None)])
@@ -173,7 +178,9 @@
         ]
         if _commit(table, changes):
             return SuspicionsReply(suspicions=(marked,), recorded=True, granted=True)
-    raise PlatformUnavailableError(detail="suspicion is changed by others too often")
+    raise PlatformUnavailableError(
+        detail="suspicion row has too many concurrent writers"
+    )
 
 
 def _record_death(table: Table, report: DeathReport, fingerprint: str) -> Suspicion:
@@ -188,7 +195,9 @@
             changes.append((holder_key, holder_row, None))
         if _commit(table, changes):
             return marked
-    raise PlatformUnavailableError(detail="suspicion is changed by others too often")
+    raise PlatformUnavailableError(
+        detail="suspicion row has too many concurrent writers"
+    )
 
 
 def _list_cleared(suspicion: Suspicion, report: ClearanceReport) -> tuple[str, ...]:
--- a/src/arbutuspulley/placement/__init__.py
+++ b/src/arbutuspulley/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: which server holds which item, and the memory ledger."""
+"""Placement: which server loads which model or adapter, and the memory ledger."""
--- a/src/arbutuspulley/placement/actions.py
+++ b/src/arbutuspulley/placement/actions.py
@@ -1,4 +1,4 @@
-"""What a plan consists of."""
+"""The actions of a placement plan."""
 
 from arbutuspulley.configuration.lookup import Item
 from arbutuspulley.data import Value
@@ -7,7 +7,7 @@
 class Load(Value, frozen=True):
     """Load an item into a server's memory.
 
-    :param item: what to load, as :func:`.ledger.add_load_intent` takes it.
+    :param item: model or adapter, passed to :func:`.ledger.add_load_intent`.
     """
 
     server: str
@@ -17,10 +17,10 @@
 class Unload(Value, frozen=True):
     """Unload an item from a server.
 
-    :param item: its key.
-    :param min_copies: copies that must answer elsewhere, as
-        :func:`.transactions.build_unload_intent` takes it.
-    :param successor: the item that replaces it and must answer; empty if none.
+    :param item: key of the item.
+    :param min_copies: copies that must be ready on other servers; passed to
+        :func:`.transactions.build_unload_intent`.
+    :param successor: key of the item that replaces it and must be ready; empty if none.
     """
 
     server: str
@@ -30,10 +30,10 @@
 
 
 class Blocked(Value, frozen=True):
-    """An item that has nowhere to go.
+    """An item that no server can load.
 
-    :param item: its key.
-    :param detail: the sum that does not fit.
+    :param item: key of the item.
+    :param detail: the required and the available memory.
     """
 
     item: str
@@ -41,4 +41,4 @@
 
 
 Action = Load | Unload | Blocked
-"""One step of a plan. The loads of a plan are ranked by their sequence."""
+"""One step of a plan. A plan lists its loads in order of priority."""
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -1,7 +1,8 @@
-"""Room for an item that fits nowhere: unload what there is enough of, or relocate.
+"""Frees memory for an item that fits on no server, by unloading or relocating items.
 
-A relocation loads another copy of something elsewhere first. Once that copy answers,
-there is one more than configured, and the next plan unloads the one in the way.
+Items with redundant copies are unloaded. A relocation first loads another copy of an
+item on a different server. Once that copy is ready, the item has one copy more than
+configured, and the next plan unloads the one that occupies the needed memory.
 """
 
 from collections.abc import Iterator
@@ -27,13 +28,14 @@
 
 
 class EvictionUnit(Value, frozen=True):
-    """Entries of one place that go together: an adapter, or a model with its adapters.
-
-    :param freed_mib: what is free once they are gone.
-    :param cost_mib: what has to be loaded elsewhere first.
-    :param steps: the next actions towards it; empty to wait for earlier ones.
-    :param target: where parts have to be loaded first; empty if none has.
-    :param moved: those parts.
+    """Items of one server evicted together: an adapter, or a model and its adapters.
+
+    :param key: key of the adapter or the model.
+    :param freed_mib: memory that is free once they are unloaded.
+    :param cost_mib: memory of the items that must be loaded on another server first.
+    :param steps: next actions; empty to wait for earlier actions.
+    :param target: server on which items must be loaded first; empty if none must.
+    :param moved: the items to load there.
     """
 
     key: str
@@ -45,7 +47,7 @@
 
 
 class EvictionPlan(Value, frozen=True):
-    """A way to make room at a place."""
+    """Evictions that free enough memory on a server."""
 
     server: str
     cost_mib: int
@@ -53,10 +55,10 @@
 
 
 def plan_eviction(layout: Layout, item: Item) -> tuple[Action, ...]:
-    """Return the next steps towards room for an item, or what blocks it.
+    """Return the next steps that free memory for an item, or why it is blocked.
 
-    The place chosen is counted as taken, so that smaller items do not fill the room
-    while it is being made.
+    The item is counted as planned on the chosen server, so that smaller items do not
+    use the memory while it is being freed.
     """
     plans = [
         plan
@@ -79,7 +81,7 @@
 
 
 def is_removable(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
-    """Tell whether enough other copies of a configured item answer."""
+    """Return whether enough other copies of a configured item are ready."""
     item = layout.items.get(entry.item)
     if item is None or entry.state is not EntryState.LOADED:
         return False
@@ -92,10 +94,11 @@
 def _plan_server_eviction(
     layout: Layout, server: ServerLayout, item: Item
 ) -> EvictionPlan | None:
-    """Return the cheapest way found to make room for an item at one place.
+    """Return the cheapest evictions found for an item on one server.
 
-    What there is enough of goes first. Relocations are added one by one, each against
-    the room that the ones before it leave, or two could count on the same room.
+    Items with redundant copies are evicted first. Relocations are added one by one,
+    each against the memory that the previous ones leave free; otherwise two of them
+    could rely on the same memory.
     """
     short = measure_shortage_mib(layout, server, item) - _measure_pending(
         layout, server
@@ -123,7 +126,7 @@
 
 
 def _choose_unit(units: list[EvictionUnit], short: int) -> EvictionUnit | None:
-    """Choose the cheapest unit that is enough; if none is, the one that frees most."""
+    """Return the cheapest unit that frees enough, or else the one that frees most."""
     enough = [unit for unit in units if unit.freed_mib >= short]
     if enough:
         return min(enough, key=lambda unit: (unit.cost_mib, unit.freed_mib, unit.key))
@@ -132,7 +135,7 @@
 
 
 def _measure_pending(layout: Layout, server: ServerLayout) -> int:
-    """Return the MiB that unloads under way, or soon due, will free."""
+    """Return the memory in MiB that running and upcoming unloads will free."""
     return sum(
         _measure_freed(server, entry)
         for entry in server.entries.values()
@@ -141,7 +144,7 @@
 
 
 def _is_retiring(layout: Layout, entry: LedgerEntry) -> bool:
-    """Tell whether no site configures anything under the entry's name any more."""
+    """Return whether no site configures the entry's name any more."""
     if entry.state is not EntryState.LOADED:
         return False
     names = {item.name for item in layout.items.values()}
@@ -149,7 +152,7 @@
 
 
 def _measure_freed(server: ServerLayout, entry: LedgerEntry) -> int:
-    """Return what unloading frees: nothing if a load may still arrive late."""
+    """Return the memory that an unload frees: none if a late load may still arrive."""
     if not server.checks_orders and entry.late_loads > 0:
         return 0
     return entry.memory_mib
@@ -181,7 +184,10 @@
 def _build_unit(
     layout: Layout, server: ServerLayout, item: Item
 ) -> EvictionUnit | None:
-    """Return what it takes to take an item, and adapters with it, off a place."""
+    """Return the unit that removes an item and its adapters from a server.
+
+    :return: ``None`` if they cannot be removed now.
+    """
     adapters = {adapter.key for adapter in layout.adapters.get(item.key, ())}
     if adapters & server.planned or list_missing_adapters(layout, server, item.key):
         return None
@@ -218,14 +224,14 @@
 
 
 def _has_enough_copies(layout: Layout, server: ServerLayout, item: Item) -> bool:
-    """Tell whether enough other copies answer, or are being loaded."""
+    """Return whether enough other copies are ready or being loaded."""
     return len(layout.holding[item.key] - {server.name}) >= item.copies
 
 
 def _build_unloads(
     layout: Layout, server: ServerLayout, parts: list[Item]
 ) -> tuple[Action, ...]:
-    """Return the unloads that can be ordered now; adapters go before their model."""
+    """Return the unloads that are possible now; adapters go before their model."""
     adapters = parts[1:]
     ready = [part for part in adapters or parts if _can_unload(layout, server, part)]
     return tuple(
@@ -241,7 +247,7 @@
 def _find_target(
     layout: Layout, source: ServerLayout, parts: list[Item]
 ) -> ServerLayout | None:
-    """Return the place with the least room that takes all parts."""
+    """Return the server with the least free memory on which all parts fit."""
     fitting = [
         server
         for server in layout.servers.values()
@@ -258,7 +264,10 @@
 
 
 def _is_base_loading(layout: Layout, source: ServerLayout, item: Item) -> bool:
-    """Tell whether an adapter's model is being loaded elsewhere: then wait for it."""
+    """Return whether an adapter's model is being loaded on another server.
+
+    The relocation then waits for that copy.
+    """
     if not item.base_key:
         return False
     elsewhere = layout.holding[item.base_key] - {source.name}
@@ -288,7 +297,7 @@
     }
     if not free_mib:
         base = f" beside {item.base_key}" if item.base_key else ""
-        detail = f"no server may take another copy of {item.key}{base}"
+        detail = f"no server can load another copy of {item.key}{base}"
         return Blocked(item=item.key, detail=detail)
     largest = max(sorted(free_mib), key=lambda name: free_mib[name])
     needed = measure_bundle_mib(layout, layout.servers[largest], item)
--- a/src/arbutuspulley/placement/evidence.py
+++ b/src/arbutuspulley/placement/evidence.py
@@ -1,9 +1,10 @@
-"""What a server's report proves about the items in its ledger.
+"""Updates ledger entries from a server's report.
 
-On a server that checks orders, a report that has seen an order's fence and number and
-does not list the item shows that the order can no longer take effect. On a server that
-does not, an item must have been listed and then be gone; orders that are unaccounted
-for then leave a trace, see :func:`keep_late_orders`.
+On a server that checks orders, a report whose fence and last order are at least those
+of an order, and that does not list the item, proves that the order can no longer take
+effect. On a server that does not check orders, the item must have been listed in one
+report and be missing from a later one; orders that may still arrive are then kept in
+the ledger, see :func:`keep_late_orders`.
 """
 
 import msgspec
@@ -16,10 +17,11 @@
 
 
 def is_outdated(ledger: ServerLedger, report: Report) -> bool:
-    """Tell whether the ledger has already taken in this report or a newer one.
+    """Return whether the ledger already includes this report or a newer one.
 
-    An owner that was paused may hold a report from before a load. Taken for new, it
-    would show the item gone, and its bytes would be given away while it is there.
+    An owner that was paused may hold a report from before a load. If it were applied,
+    the item would count as unloaded, and its memory would be allocated a second time
+    while the item is loaded.
     """
     if report.boot_id in ledger.past_boots:
         return True
@@ -27,17 +29,17 @@
 
 
 def get_next_order(ledger: ServerLedger, report: Report) -> int:
-    """Return the next order number, above all that the server has seen.
+    """Return the next order number, above all numbers that the server has seen.
 
-    After the table was restored from a backup, its count would begin too low and a
-    checking server would refuse every order.
+    After the table is restored from a backup, the stored number is too low, and a
+    server that checks orders would refuse every order.
     """
     seen = [item.number for item in report.items]
     return max(ledger.next_order, report.last_order + 1, *(n + 1 for n in seen))
 
 
 def build_discovered_entry(listed: ReportedItem, ledger: ServerLedger) -> LedgerEntry:
-    """Return an entry for what the server holds and the ledger did not know."""
+    """Return an entry for an item that the server lists and the ledger lacks."""
     return LedgerEntry(
         item=listed.item,
         memory_mib=listed.memory_mib,
@@ -52,7 +54,7 @@
 def reconcile_entry(
     entry: LedgerEntry, listed: ReportedItem | None, *, server: Server, report: Report
 ) -> LedgerEntry | None:
-    """Return the entry as the report shows it, or ``None`` if its bytes are free."""
+    """Return the entry updated by the report, or ``None`` if its memory is free."""
     if listed is not None:
         return _reconcile_listed(entry, listed)
     if server.checks_orders:
@@ -80,14 +82,14 @@
 def _count_late_loads(entry: LedgerEntry) -> int:
     """Return how many load orders may still arrive once the item was listed.
 
-    One order has brought the item in; which one is not known, but it is one of those
-    the server took, if it is known to have taken any.
+    One order loaded the item. Which one is unknown, but it is one of the accepted
+    orders if any is known to have been accepted.
     """
     return max(0, entry.late_loads + entry.sends - max(entry.accepted, 1))
 
 
 def _reconcile_unlisted(entry: LedgerEntry) -> LedgerEntry | None:
-    """Judge an entry that a server that does not check orders no longer lists."""
+    """Update an entry that a server without order checks no longer lists."""
     if not entry.seen:
         return entry
     if entry.state is EntryState.LOADING:
@@ -98,7 +100,7 @@
 
 
 def keep_late_orders(entry: LedgerEntry) -> LedgerEntry | None:
-    """Return what is left of an absent item: orders that may still arrive."""
+    """Return an absent entry that records late orders, ``None`` if there are none."""
     if entry.late_loads == 0 and entry.late_unloads == 0:
         return None
     return _replace(entry, state=EntryState.ABSENT, sends=0, accepted=0, seen=False)
--- a/src/arbutuspulley/placement/fit.py
+++ b/src/arbutuspulley/placement/fit.py
@@ -1,21 +1,22 @@
-"""Whether the servers can hold everything that a configuration asks for.
+"""Checks that the servers have enough memory for a configuration.
 
-What is checked, with sizes that include the KV cache floor:
+These conditions are checked, with sizes that include the KV cache floor:
 
-* each model with all its adapters fits on one server, and there are as many servers
-  as it has copies;
-* all copies fit together, each copy of a model with its adapters on a server of its
-  own (tried by first-fit and by best-fit, largest first);
-* beside all that, each model can be changed: one server has room for a second version
-  with its adapters. If a model has one copy and adapters, it must be another server
-  than its own, because an adapter cannot be loaded twice on one server.
+* Each model with all its adapters fits on one server, and at least as many such servers
+  exist as the model has copies.
+* All copies fit together, with each copy of a model and its adapters on a different
+  server (tried by first-fit and best-fit, largest first).
+* In addition, each model can be updated: one server has free memory for a second
+  version with its adapters. If a model has one copy and adapters, this must be a
+  server other than the model's own, because an adapter cannot be loaded twice on one
+  server.
 
-What is not checked: the loss of a server, and several changes at a time; those wait
+The loss of a server and several changes at a time are not checked; such changes wait
 for each other. The planner follows the packing found here when memory is short, but
-later changes and losses may leave copies so that a change is blocked; it is then told
-as such, and the former version keeps answering. The packing is heuristic, so a
-configuration that uses nearly all memory may be refused although a packing exists; it
-is never the other way round.
+later changes and losses may leave copies so that a change is blocked. The change is
+then reported as blocked, and the previous version keeps serving. The packing is
+heuristic: a configuration that uses nearly all memory may be refused although a packing
+exists, but a configuration without a packing is never accepted.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -26,13 +27,15 @@
 from arbutuspulley.results import Code, ConfigurationError
 
 MAX_RESERVED_SERVERS_TRIED = 8
-"""Servers that are tried as the one kept free for a change."""
+"""Servers that are tried in turn as the one with memory reserved for an update."""
 
 
 class Bundle(Value, frozen=True):
-    """A model with its adapters, which go to the same server.
+    """A model with its adapters, which are loaded on the same server.
 
-    :param alone: whether a change needs another server than the model's own.
+    :param size_mib: memory of the model and its adapters together.
+    :param needs_other_server: whether an update needs a server other than the model's
+        own.
     """
 
     key: str
@@ -42,15 +45,15 @@
 
 
 Packing = dict[str, tuple[str, ...]]
-"""The bundles on each server."""
+"""Keys of the bundles on each server, by server name."""
 
 _Choose = Callable[[Sequence[str], dict[str, int]], str]
 
 
 def check_fit(configuration: Configuration) -> None:
-    """Refuse a configuration that cannot hold every model at its peak.
+    """Check that all models fit on the servers, also while one is updated.
 
-    :raises ConfigurationError: with the sum that does not fit.
+    :raises ConfigurationError: with the required and the available memory.
     """
     bundles = list_bundles(configuration)
     if not bundles:
@@ -70,9 +73,10 @@
 
 
 def find_target_servers(configuration: Configuration) -> dict[str, frozenset[str]]:
-    """Return where each model is to be, by its key, in a packing that can be changed.
+    """Return the servers of each model in a packing that leaves memory for updates.
 
-    Empty if none was found; then the configuration is one that would be refused.
+    :return: server names by model key; empty if no packing was found, in which case
+        :func:`check_fit` refuses the configuration.
     """
     bundles = list_bundles(configuration)
     memory_mib = {
@@ -92,7 +96,7 @@
 
 
 def list_bundles(configuration: Configuration) -> list[Bundle]:
-    """Return all models with their adapters, the largest first."""
+    """Return all models with their adapters, largest first."""
     items = list_configured_items(configuration)
     adapters: dict[str, int] = {}
     for item in items.values():
@@ -137,7 +141,7 @@
 def _generate_packings(
     bundles: Sequence[Bundle], memory_mib: dict[str, int]
 ) -> Iterator[Packing]:
-    """Yield packings, at first with room for the largest change kept free somewhere."""
+    """Yield packings, first those with memory reserved for the largest update."""
     largest = bundles[0].size_mib
     by_memory = sorted(memory_mib, key=lambda name: (-memory_mib[name], name))
     reservations: list[tuple[str, int]] = [
@@ -195,7 +199,7 @@
 def _get_max_update_space(
     bundle: Bundle, packing: Packing, free_mib: dict[str, int]
 ) -> int:
-    """Return the most room on a server that may take the bundle's next version."""
+    """Return the most free memory of a server that can load the next version."""
     candidates = [
         free
         for name, free in free_mib.items()
@@ -217,7 +221,7 @@
 def _build_packing_error(
     bundles: Sequence[Bundle], memory_mib: dict[str, int]
 ) -> ConfigurationError:
-    """Say which bundle found no room, with what first-fit left over."""
+    """Build the error for the first bundle that first-fit could not place."""
     placed = 0
     while _pack(bundles[: placed + 1], memory_mib, _choose_first) is not None:
         placed += 1
@@ -227,7 +231,7 @@
     fitting = sum(free >= bundle.size_mib for free in free_mib.values())
     return _build_error(
         f"{bundle.key} with its adapters needs {bundle.size_mib} MiB on each of"
-        f" {bundle.copies} servers; beside what is larger, {fitting}"
+        f" {bundle.copies} servers; with larger models placed, {fitting}"
         f" {'has' if fitting == 1 else 'have'} that much left: the most on one server"
         f" is {max(free_mib.values(), default=0)} MiB, {sum(free_mib.values())} MiB on"
         " all together"
@@ -242,8 +246,8 @@
     available_mib = _get_max_update_space(bundle, packing, free_mib)
     where = "on another server" if bundle.needs_other_server else "on one server"
     return _build_error(
-        f"a change of {bundle.key} needs {bundle.size_mib} MiB {where} beside all that"
-        f" is loaded; the most room left is {available_mib} MiB:"
+        f"a change of {bundle.key} needs {bundle.size_mib} MiB {where} in addition to"
+        f" all loaded models; the most room left is {available_mib} MiB:"
         f" {bundle.size_mib - available_mib} MiB too little"
     )
 
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -1,4 +1,4 @@
-"""A picture of all servers and items of a group, which a plan is worked out on."""
+"""In-memory model of the servers and items of a group, from which plans are made."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -20,15 +20,15 @@
 
 
 class ServerLayout(State):
-    """One server that may take loads.
+    """One server that can be given loads.
 
-    :param capacity_mib: its memory.
+    :param capacity_mib: memory of the server.
     :param checks_orders: whether it refuses an order with an old fencing number.
-    :param occupied_mib: what its ledger counts, planned loads included.
-    :param entries: what it holds, by item.
-    :param planned: keys of items that the plan at hand loads there.
-    :param pledged_mib: what adapters of its models still need; ``None`` if it has to be
-        worked out again.
+    :param occupied_mib: memory occupied according to its ledger, plus planned loads.
+    :param entries: its ledger entries by item.
+    :param planned: keys of items that the current plan loads there.
+    :param adapter_reserve_mib: memory reserved for adapters of its models that are not
+        loaded yet; ``None`` if it has to be recomputed.
     """
 
     name: str
@@ -43,17 +43,17 @@
 
 
 class Layout(State):
-    """Places, wanted items and where they are.
+    """Servers, configured items and the servers on which the items are loaded.
 
-    :param servers: servers that answer and are not leaving, by name.
+    :param servers: servers that are alive and not leaving, by name.
     :param items: configured items by key.
-    :param adapters: for each model's item, its adapters, sorted by key.
-    :param answering: servers where an item answers with the base it now needs.
-    :param holding: servers where it answers or will, by order or by plan.
-    :param reliable: servers whose copy no order on its way can take away, whatever
+    :param adapters: adapters of each model by the model's key, sorted by key.
+    :param answering: servers where an item is loaded with its configured base.
+    :param holding: servers where it is loaded, is being loaded, or is planned to be.
+    :param reliable: servers whose loaded copy no order in flight can unload, whatever
         its base.
-    :param held: copies on servers that stopped answering only just now; they are not
-        replaced yet.
+    :param unreachable_copies: copies on servers that became unreachable recently; they
+        are not replaced yet.
     """
 
     servers: dict[str, ServerLayout]
@@ -72,10 +72,10 @@
     usable: Collection[str],
     recently_down: Collection[str] = (),
 ) -> Layout:
-    """Build the picture from rows.
+    """Build the layout from the ledgers.
 
-    :param usable: servers that answer and are not leaving.
-    :param waited_for: servers that stopped answering only just now.
+    :param usable: servers that are alive and not leaving.
+    :param recently_down: servers that became unreachable recently.
     """
     items = list_configured_items(configuration)
     layout = Layout(
@@ -94,14 +94,14 @@
 
 
 def is_present(server: ServerLayout, key: str) -> bool:
-    """Tell whether an item is at a place in any state, so that it can't be loaded."""
+    """Return whether an item is on a server in any state and can't be loaded there."""
     entry = server.entries.get(key)
     present = entry is not None and entry.state is not EntryState.ABSENT
     return present or key in server.planned
 
 
 def measure_free_mib(layout: Layout, server: ServerLayout) -> int:
-    """Return the free MiB at a place, less what adapters of its models still need."""
+    """Return the free memory of a server in MiB, less the reserve for adapters."""
     if server.adapter_reserve_mib is None:
         server.adapter_reserve_mib = sum(
             measure_additional_mib(server, adapter)
@@ -114,7 +114,7 @@
 def list_missing_adapters(
     layout: Layout, server: ServerLayout, model: str
 ) -> list[Item]:
-    """Return the adapters that a model at this place is to be joined by."""
+    """Return the adapters that are still to be loaded beside a model on a server."""
     adapters = layout.adapters.get(model, ())
     if not adapters or server.name not in layout.holding[model]:
         return []
@@ -127,14 +127,14 @@
 
 
 def measure_additional_mib(server: ServerLayout, item: Item) -> int:
-    """Return the MiB that loading an item would add to what is occupied."""
+    """Return the memory in MiB that loading an item would occupy additionally."""
     entry = server.entries.get(item.key)
     reserved = get_reserved_mib(entry) if entry is not None else 0
     return max(0, item.memory_mib - reserved)
 
 
 def add_planned(layout: Layout, server: ServerLayout, item: Item) -> None:
-    """Count an item as loaded at a place for the rest of the plan."""
+    """Count an item as loaded on a server for the rest of the plan."""
     server.occupied_mib += measure_additional_mib(server, item)
     server.planned.add(item.key)
     server.adapter_reserve_mib = None
@@ -144,7 +144,7 @@
 
 
 def measure_bundle_mib(layout: Layout, server: ServerLayout, item: Item) -> int:
-    """Return the MiB that an item and those of its adapters add at a place."""
+    """Return the memory in MiB that an item and its missing adapters add."""
     adapters = sum(
         measure_additional_mib(server, adapter)
         for adapter in layout.adapters.get(item.key, ())
@@ -155,7 +155,7 @@
 
 
 def copy_layout(layout: Layout) -> Layout:
-    """Return a copy to try planned loads on."""
+    """Return a copy of the layout on which loads can be planned tentatively."""
     return Layout(
         servers={
             name: msgspec.structs.replace(server, planned=set(server.planned))
@@ -171,16 +171,16 @@
 
 
 def rank_server(key: str, server: str) -> int:
-    """Return a server's preference for an item: the lowest is taken first.
+    """Return a server's rank for an item; the lowest rank is preferred.
 
-    Rendezvous hashing: all instances agree without talking, and a server that comes
-    or goes changes the preference of few items.
+    Rendezvous hashing: all instances agree without communicating, and a server that is
+    added or removed changes the preference of few items.
     """
     return xxhash.xxh64_intdigest(f"{key}/{server}".encode())
 
 
 def get_item_name(key: str) -> str:
-    """Return the name callers use from an item's key."""
+    """Return the name that callers use for the item with a key."""
     return key.rpartition("@")[0]
 
 
--- a/src/arbutuspulley/placement/ledger.py
+++ b/src/arbutuspulley/placement/ledger.py
@@ -1,20 +1,22 @@
-"""The memory ledger of one server: what occupies it, until proven otherwise.
+"""The memory ledger of one server: which items occupy its memory.
 
-An order is committed here before it is sent, and its bytes count from then on. A
-timeout or a lost reply proves nothing. Only these free the bytes of an item:
+An order is committed to the ledger before it is sent, and its memory counts as used
+from then on. A timeout or a lost reply proves nothing. The memory of an item is freed
+only in these cases:
 
-* A server that checks orders applies them in the sequence of their numbers, so a
-  report that has seen this order's fence and number and does not list the item shows
-  that the order can no longer take effect.
+* A server that checks orders applies them in the sequence of their numbers. A report
+  whose fence and last order are at least those of the order, and that does not list
+  the item, proves that the order can no longer take effect.
 * A server that does not check orders may apply a lost order at any later time. The
-  item must have been listed and then be gone, and every load order that was sent for
-  it must be accounted for. What is not accounted for stays reserved.
-* The engine restarted: each order travels on a connection to the boot that it names
+  item must have been listed in one report and be missing from a later one, and every
+  load order that was sent for it must be accounted for. Load orders that are not
+  accounted for keep their memory reserved.
+* The engine restarted: each order is sent on a connection to the boot that it names
   (:attr:`Order.boot_id`), so it ends with that process. This relies on the adapter
   never sending an order to another boot, and on no proxy that reconnects.
 
-Reports are taken in the sequence in which the engine made them; an older one, which a
-slow reply or a paused owner may bring, is ignored.
+Reports are applied in the sequence in which the engine made them. An older report,
+which can arrive through a slow reply or a paused owner, is ignored.
 """
 
 import msgspec
@@ -46,10 +48,10 @@
 from arbutuspulley.results import ArbutusError, Code
 
 RESEND_AFTER_REPORTS = 10
-"""Reports to wait for an order's effect before it is sent again."""
+"""Reports without an order's effect after which the order is sent again."""
 
 MAX_PAST_BOOTS = 8
-"""Earlier boots remembered, so that their late reports are recognised."""
+"""Earlier boots that are kept, so that their late reports are recognised."""
 
 _replace = msgspec.structs.replace
 
@@ -57,7 +59,7 @@
 class DoesNotFitError(ArbutusError):
     """The item would overcommit the server's memory; nothing was changed.
 
-    :param missing_mib: by how much.
+    :param missing_mib: memory that is missing, in MiB.
     """
 
     def __init__(self, *, detail: str, missing_mib: int) -> None:
@@ -66,23 +68,23 @@
 
 
 class OutdatedPlanError(ArbutusError):
-    """The action does not match the ledger any more; plan again."""
+    """The planned action no longer matches the ledger; a new plan is needed."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.STALE_ORDER, detail=detail)
 
 
 class Reconciliation(Value, frozen=True):
-    """What a report changed.
+    """Changes that a report makes to a ledger.
 
-    The ledger must be committed before ``resend`` is sent; if ``changed`` is false it
-    differs by the newest report's sequence only and need not be committed.
+    The ledger must be committed before ``resend`` is sent. If ``changed`` is false, it
+    differs only by the newest report's sequence and need not be committed.
 
-    :param loaded: items that answer now and did not before.
-    :param unloaded: items that are proven absent now.
-    :param corrected: items of which the report showed something unexpected.
-    :param resend: orders without effect so far, numbered anew.
-    :param superseded: the server has seen the fence of a newer owner.
+    :param loaded: items that are newly loaded.
+    :param unloaded: items that are newly proven absent.
+    :param corrected: items whose reported state was unexpected.
+    :param resend: orders without effect so far, with new numbers.
+    :param superseded: whether the server has seen the fence of a newer owner.
     """
 
     ledger: ServerLedger
@@ -97,8 +99,8 @@
 def take_over(ledger: ServerLedger, *, fence: int) -> ServerLedger:
     """Return the ledger under a new owner; every entry is kept.
 
-    The former owner may be paused and still send what it committed, so its intents
-    count as much as the new owner's own.
+    The former owner may be paused and still send the orders that it committed, so its
+    intents count like those of the new owner.
 
     :raises OutdatedPlanError: if the fence is lower than the ledger's.
     """
@@ -108,14 +110,14 @@
 
 
 def get_reserved_mib(entry: LedgerEntry) -> int:
-    """Return the MiB that an entry reserves."""
+    """Return the memory that an entry reserves, in MiB."""
     if entry.state is EntryState.ABSENT and entry.late_loads == 0:
         return 0
     return entry.memory_mib
 
 
 def measure_occupied_mib(ledger: ServerLedger, report: Report | None = None) -> int:
-    """Return the MiB to count as occupied, the larger of ledger and report."""
+    """Return the occupied memory in MiB, by ledger or report, whichever is larger."""
     sizes = {entry.item: get_reserved_mib(entry) for entry in ledger.entries}
     if report is None:
         return sum(sizes.values())
@@ -127,7 +129,7 @@
 
 
 def measure_capacity(server: Server, report: Report | None = None) -> int:
-    """Return the server's memory in MiB, the smaller of configured and reported."""
+    """Return the server's memory in MiB, configured or reported, if that is less."""
     if report is None or report.memory_total_mib == 0:
         return server.memory_mib
     return min(server.memory_mib, report.memory_total_mib)
@@ -136,12 +138,12 @@
 def add_load_intent(
     ledger: ServerLedger, *, server: Server, item: Item, report: Report | None = None
 ) -> ServerLedger:
-    """Return the ledger with a load intended; commit it before the order is sent.
+    """Return the ledger with a load intent; commit it before the order is sent.
 
-    :param report: the server's latest report, if one is at hand.
+    :param report: the server's latest report, if available.
     :raises DoesNotFitError: if the item would overcommit the memory.
-    :raises OutdatedPlanError: if the item is there already, its base model does not
-        answer there, or no report of the engine was seen yet.
+    :raises OutdatedPlanError: if the item is already on the server, its base model is
+        not loaded there, or the engine has not reported yet.
     """
     if not ledger.boot_id:
         raise OutdatedPlanError(detail=f"{ledger.server} has not reported yet")
@@ -167,10 +169,10 @@
 
 
 def add_unload_intent(ledger: ServerLedger, *, item: str) -> ServerLedger:
-    """Return the ledger with an unload intended; commit it before the order is sent.
+    """Return the ledger with an unload intent; commit it before the order is sent.
 
-    An item that is still loading is never unloaded: its load order could arrive after
-    the unload order. It is loaded first and then unloaded.
+    An item that is still loading is never unloaded, because its load order could
+    arrive after the unload order. It is unloaded once it is loaded.
 
     :raises OutdatedPlanError: if the item is not loaded, or adapters depend on it.
     """
@@ -195,7 +197,7 @@
 def build_order(ledger: ServerLedger, entry: LedgerEntry) -> Order:
     """Return the order of an entry that is loading or unloading."""
     if entry.state not in (EntryState.LOADING, EntryState.UNLOADING):
-        raise ValueError(f"{entry.item} is {entry.state}: there is no order")
+        raise ValueError(f"{entry.item} is {entry.state} and has no order")
     loading = entry.state is EntryState.LOADING
     return Order(
         kind=OrderKind.LOAD if loading else OrderKind.UNLOAD,
@@ -209,7 +211,7 @@
 
 
 def record_accepted(ledger: ServerLedger, order: Order) -> ServerLedger:
-    """Return the ledger after the server took an order: it can't arrive later."""
+    """Return the ledger after an order was accepted, so that it can't arrive later."""
     entry = find_entry(ledger, order.item)
     if entry is None or not _matches_order(entry, order):
         return ledger
@@ -218,10 +220,10 @@
 
 
 def record_refused(ledger: ServerLedger, order: Order) -> ServerLedger:
-    """Return the ledger after an order certainly had no effect and never will have.
+    """Return the ledger after an order that certainly has no effect, now or later.
 
-    This is so if the server refused it (``REFUSED``) or no byte of it left. It is not
-    so for ``STALE``, a timeout or a broken connection.
+    That is certain if the server refused it (``REFUSED``) or no byte of it was sent. It
+    is not certain for ``STALE``, a timeout or a broken connection.
     """
     entry = find_entry(ledger, order.item)
     if entry is None or not _matches_order(entry, order):
@@ -238,13 +240,13 @@
 def reconcile(
     ledger: ServerLedger, *, server: Server, report: Report
 ) -> Reconciliation:
-    """Take in a server's report.
+    """Apply a server's report to its ledger.
 
-    Ask a server for one report at a time, and drop the one at hand when a commit
-    conflicts: boots are only told apart by name, so a report from before a restart
-    that this ledger has not met would pass for a newer boot.
+    Request one report of a server at a time, and discard the current one when a commit
+    conflicts. Boots are distinguished only by name, so a report from before a restart
+    would count as a newer boot if the ledger does not know that earlier boot.
 
-    :param server: its configuration, which says whether it checks orders.
+    :param server: configuration of the server, which says whether it checks orders.
     """
     if is_outdated(ledger, report):
         return Reconciliation(ledger=ledger)
@@ -325,7 +327,7 @@
 
 
 def _start_boot(ledger: ServerLedger, report: Report) -> ServerLedger:
-    """Return the ledger for the report's boot; after a restart, memory is empty."""
+    """Return the ledger for the report's boot; a restart empties the memory."""
     if report.boot_id == ledger.boot_id:
         return ledger
     past = ledger.past_boots
@@ -337,11 +339,11 @@
 def _resend_overdue(
     ledger: ServerLedger, listed: dict[str, ReportedItem]
 ) -> tuple[ServerLedger, tuple[Order, ...]]:
-    """Number anew the orders that had no effect for a while.
+    """Renumber orders without effect for :data:`RESEND_AFTER_REPORTS` reports.
 
-    A new number lets a checking server tell the new order from the old one, which it
-    then refuses. For a server that does not check, both may arrive: ``sends`` counts
-    them.
+    A new number lets a server that checks orders distinguish the new order from the old
+    one, which it then refuses. On a server that does not check orders both may arrive;
+    ``sends`` counts them.
     """
     orders: list[Order] = []
     for entry in ledger.entries:
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -1,4 +1,4 @@
-"""Copies that the configuration asks for and that are not there yet."""
+"""Configured copies that are not loaded yet, and the servers to load them on."""
 
 import enum
 import math
@@ -20,17 +20,17 @@
 )
 
 MIN_DEMAND_TOKENS_PER_S = 0.01
-"""Tokens a second below which an item counts as not asked for."""
+"""Demand below which an item counts as unused."""
 
 _NO_DEMAND_RANK = 1_000
 _MAX_OWN_SERVERS = 3
 
 
 class Priority(enum.IntEnum):
-    """Which loads go first.
+    """Priority of a load.
 
-    ``LOST``: nothing answers under the name; ``SHORT``: fewer copies than configured;
-    ``DEMAND``: more copies than configured, because callers ask for them.
+    ``LOST``: no version of the name is loaded; ``SHORT``: fewer copies are loaded than
+    configured; ``DEMAND``: more copies than configured, because of demand.
     """
 
     LOST = 0
@@ -39,10 +39,11 @@
 
 
 class Grade(enum.IntEnum):
-    """How well a place suits a model that has adapters.
+    """How suitable a server is for a model that has adapters.
 
-    ``MIXED``: it holds one of them for the model's former version, which would have to
-    go before it can be loaded again; ``CRAMPED``: it has no room for them.
+    ``MIXED``: it has one of the adapters for the model's previous version, which would
+    have to be unloaded before it can be loaded again; ``CRAMPED``: it lacks memory for
+    the adapters.
     """
 
     GOOD = 0
@@ -53,7 +54,7 @@
 class MissingCopy(Value, frozen=True):
     """One copy to load.
 
-    :param size_mib: what it needs with its adapters, to place the largest first.
+    :param size_mib: memory of the item with its adapters; the largest is placed first.
     """
 
     item: Item
@@ -62,21 +63,21 @@
 
 
 class PlannedCopy(Value, frozen=True):
-    """A missing copy and where it is to go."""
+    """A missing copy and the server that is to load it."""
 
     missing: MissingCopy
     server: str
 
 
 Prefer = Callable[[Layout, ServerLayout, Item], tuple[int, ...]]
-"""Ranks a place for an item; the lowest is taken."""
+"""Returns the rank of a server for an item; the lowest rank is preferred."""
 
 
 def list_missing(layout: Layout) -> list[MissingCopy]:
-    """Return all missing copies, in the sequence in which they get a place.
+    """Return all missing copies, in the sequence in which they are placed.
 
-    An adapter is listed once its model answers somewhere. The largest go first within
-    a priority, because they fit in the fewest places.
+    An adapter is listed once its model is loaded on some server. Within a priority the
+    largest go first, because they fit on the fewest servers.
     """
     names = _list_answering_names(layout)
     missing = [
@@ -92,11 +93,12 @@
 def find_server(
     layout: Layout, copy: MissingCopy, prefer: Prefer
 ) -> ServerLayout | None:
-    """Return the preferred place where a copy fits, or ``None``.
+    """Return the preferred server on which a copy fits, or ``None``.
 
-    The first place in sequence of preference that also has room for the item's
-    adapters is taken. If there is none, a lost model goes where only it fits; another
-    one waits for room, as its adapters could never follow it.
+    The first server in order of preference that also has memory for the item's adapters
+    is chosen. If there is none, a lost model goes to a server where only the model
+    itself fits. Any other copy waits for memory, because its adapters could never be
+    loaded beside it.
     """
     item = copy.item
     candidates = list_candidates(layout, item)
@@ -121,7 +123,7 @@
 
 
 def list_candidates(layout: Layout, item: Item) -> list[ServerLayout]:
-    """Return the places that may hold an item, whether or not it fits now."""
+    """Return the servers that may load an item, whether or not it fits now."""
     names: Iterable[str] = layout.servers
     if item.base_key:
         names = sorted(layout.answering.get(item.base_key, ()))
@@ -135,7 +137,7 @@
 
 
 def measure_shortage_mib(layout: Layout, server: ServerLayout, item: Item) -> int:
-    """Return how many MiB an item and its adapters lack; 0 or less if they fit."""
+    """Return the memory in MiB that an item and its adapters lack; <= 0 if they fit."""
     needed = measure_bundle_mib(layout, server, item)
     return _measure_shortage_mib(layout, server, item, needed)
 
@@ -143,14 +145,14 @@
 def prefer_other_sites(
     layout: Layout, server: ServerLayout, item: Item
 ) -> tuple[int, ...]:
-    """Prefer other sites than those that have a copy."""
+    """Rank servers in sites without a copy of the item first."""
     return (_count_in_site(layout, server, item), rank_server(item.key, server.name))
 
 
 def build_prefer_targets(target_servers: Mapping[str, Collection[str]]) -> Prefer:
-    """Return a preference for given places, then for the one with the least room.
+    """Return a ranking that puts the target servers first, then the least free memory.
 
-    :param homes: places by item, see :func:`.fit.find_target_servers`.
+    :param target_servers: server names by item, see :func:`.fit.find_target_servers`.
     """
 
     def prefer(layout: Layout, server: ServerLayout, item: Item) -> tuple[int, ...]:
@@ -162,10 +164,11 @@
 
 
 def can_change_all(layout: Layout) -> bool:
-    """Tell whether one more version of each model would fit somewhere, one at a time.
+    """Return whether each model could be updated, one model at a time.
 
-    If a model has one copy and adapters, it must be another place than its own, as an
-    adapter cannot be loaded twice on one server.
+    An update needs free memory for one more version. If a model has one copy and
+    adapters, this must be on a server other than its own, because an adapter cannot be
+    loaded twice on one server.
     """
     servers = sorted(
         layout.servers.values(),
@@ -189,9 +192,9 @@
 def place_copies(
     layout: Layout, missing: Iterable[MissingCopy], prefer: Prefer
 ) -> tuple[list[PlannedCopy], list[MissingCopy]]:
-    """Find places for missing copies and count them there.
+    """Find servers for missing copies and add the copies to the layout.
 
-    :return: those with a place, and those that fit nowhere.
+    :return: copies with a server, and copies that fit on no server.
     """
     planned: list[PlannedCopy] = []
     left: list[MissingCopy] = []
@@ -210,7 +213,8 @@
 ) -> list[PlannedCopy]:
     """Return planned copies in the sequence in which they are to be loaded.
 
-    :param demand: tokens a second by item; a model is asked for by its adapters too.
+    :param demand: tokens per second by item; demand for an adapter also counts for its
+        model.
     """
 
     def rank(load: PlannedCopy) -> tuple[int, int, int, str]:
@@ -224,12 +228,16 @@
 
 
 def rank_demand(demand: float, size: int) -> tuple[int, int]:
-    """Return the key by which loads of one priority are ordered, lowest first.
+    """Return the sort key for loads of one priority, lowest first.
 
-    What is asked for most goes first, for the time that it takes to load; this keeps
-    the requests that find nothing loaded fewest. ``scripts/compare_load_order.py``
-    compares it with first-come and with smallest-first. Demand counts in steps of two,
-    because the figures of two instances differ a little.
+    Items with the most demand relative to their load time, which grows with size, go
+    first. This minimises the requests whose item is not loaded.
+    ``scripts/compare_load_order.py`` compares this order with first-come and
+    smallest-first. Demand is rounded to powers of two, because the estimates of two
+    instances differ slightly.
+
+    :param demand: tokens per second.
+    :param size: size of the item in MiB.
     """
     if demand < MIN_DEMAND_TOKENS_PER_S:
         return _NO_DEMAND_RANK, size
@@ -237,10 +245,11 @@
 
 
 def _would_lack_adapters(layout: Layout, server: ServerLayout, item: Item) -> bool:
-    """Tell whether a model's adapters could never follow it to a place.
+    """Return whether a model's adapters could never be loaded beside it on a server.
 
-    They are there for its former version, and nowhere else, so they cannot be unloaded
-    there to be loaded again for this one.
+    That is so if an adapter is loaded there for the model's previous version and no
+    other server has a reliable copy of it: it cannot be unloaded to be loaded again for
+    this version.
     """
     return any(
         is_present(server, adapter.key)
@@ -276,10 +285,10 @@
 
 
 def _measure_free_for(layout: Layout, server: ServerLayout, item: Item) -> int:
-    """Return the room at a place for an item.
+    """Return the free memory of a server for an item, in MiB.
 
-    An adapter may use what its model's adapters are due there, also where that is more
-    than there is.
+    An adapter may use the memory that is reserved there for its model's adapters, even
+    if the reserve exceeds the free memory.
     """
     adapter_reserve_mib = sum(
         measure_additional_mib(server, adapter)
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -1,10 +1,11 @@
-"""Copies beyond the configured ones, where demand makes them worth their move.
-
-A move is worth it if the tokens that it brings within the target over the next while
-are more than what it costs: the risk that the server stalls while it loads, and a price
-that grows with the operators' weight on moves. It must stay worth it for a while, so
-that a burst moves nothing. An extra copy is never unloaded for low demand, only for
-room; so demand that goes up and down moves nothing either.
+"""Loads extra copies, beyond the configured ones, where demand justifies the move.
+
+A move is worthwhile if the additional tokens served within the latency target over
+:data:`HORIZON_S` exceed its cost: the risk that the server stalls during the load, plus
+a cost that grows with the operators' weight on moves. It must stay worthwhile for some
+time, so that a burst of demand causes no move. An extra copy is unloaded only when its
+memory is needed, never because of low demand, so that fluctuating demand causes no
+moves either.
 """
 
 from collections.abc import Iterator, Mapping
@@ -23,40 +24,40 @@
 )
 
 HALF_LIFE_MS = 30_000
-"""Time after which a change of demand counts by half."""
+"""Half-life of the moving average of demand."""
 
 SLOT_TOKENS_PER_S = 27.0
-"""Tokens a second that one slot yields within the target of 37 ms between tokens."""
+"""Token rate of one slot within the target of 37 ms between tokens."""
 
 MAX_UTILISATION = 0.8
-"""Share of its capacity that a server carries before requests come late."""
+"""Share of a server's capacity above which requests miss the latency target."""
 
 HORIZON_S = 600
-"""How far ahead gain and cost are compared; demand moves by half in that time if it
-moves tenfold in an hour."""
+"""Time over which gain and cost are compared; demand that changes tenfold in an hour
+changes by half in this time."""
 
 LOAD_STALL_S = 5
-"""Time for which a load may hold up what its server runs."""
+"""Time for which a load may stall the requests that run on its server."""
 
 MIN_MOVE_COST = 0.1
-"""Price of a load or unload at moves weight 0, as share of a server's capacity."""
+"""Cost of a load or unload at moves weight 0, as a share of the server's capacity."""
 
 MAX_MOVE_COST = 0.2
-"""Price of a load or unload at moves weight 1."""
+"""Cost of a load or unload at moves weight 1, as a share of the server's capacity."""
 
 MIN_MOVE_DELAY_MS = 5_000
-"""Time for which a move must be worth it at moves weight 0."""
+"""Time for which a move must stay worthwhile at moves weight 0."""
 
 MAX_MOVE_DELAY_MS = 60_000
-"""Time for which a move must be worth it at moves weight 1."""
+"""Time for which a move must stay worthwhile at moves weight 1."""
 
 
 class DemandState(State):
-    """What an instance remembers of demand between plans.
+    """Demand that an instance keeps between plans.
 
-    :param smoothed: tokens a second by item.
-    :param updated_at: when it was last updated.
-    :param worth_since: when a move was first seen to be worth it, by item.
+    :param smoothed: moving average of demand by item, in tokens per second.
+    :param updated_at: time of the last update, in milliseconds.
+    :param worthwhile_since: time since which a move has been worthwhile, by item.
     """
 
     smoothed: dict[str, float] = {}
@@ -65,11 +66,11 @@
 
 
 class Move(Value, frozen=True):
-    """One more copy of an item.
+    """A candidate for one more copy of an item.
 
-    :param item: what callers ask for; an adapter may first need its model.
-    :param gain: tokens a second brought within the target.
-    :param surplus: gain less cost, in the same unit; worth it if above 0.
+    :param item: the item in demand; an adapter may need its model loaded first.
+    :param gain: additional tokens per second served within the latency target.
+    :param net_gain: gain less cost, in the same unit; worthwhile if above 0.
     """
 
     item: Item
@@ -79,7 +80,7 @@
 
 
 def smooth_demand(state: DemandState, demand: Mapping[str, float], *, now: int) -> None:
-    """Take in demand as now measured, in tokens a second by item."""
+    """Update the moving average with current demand, in tokens per second by item."""
     passed = now - state.updated_at if state.smoothed else 10 * HALF_LIFE_MS
     kept = 0.5 ** (passed / HALF_LIFE_MS)
     state.smoothed = {
@@ -92,9 +93,11 @@
 def propose_move(
     state: DemandState, layout: Layout, *, moves_weight: float, now: int
 ) -> tuple[Load | Unload, ...]:
-    """Return the steps of the one move that is worth most, if any has been for long.
+    """Return the steps of the move with the highest net gain.
+
+    Only moves that have been worthwhile long enough are considered.
 
-    :param moves_weight: 0 looks at attainment alone, 1 avoids moves the most.
+    :param moves_weight: 0 considers attainment of the target only, 1 avoids moves most.
     """
     loads = measure_loads(layout, state.smoothed)
     worthwhile = _list_worthwhile_moves(layout, state.smoothed, loads, moves_weight)
@@ -113,7 +116,7 @@
 
 
 def measure_loads(layout: Layout, demand: Mapping[str, float]) -> dict[str, float]:
-    """Return the tokens a second that each server gets, copies sharing evenly."""
+    """Return the tokens per second of each server; copies share demand evenly."""
     loads = dict.fromkeys(layout.servers, 0.0)
     for key, holders in layout.holding.items():
         for name in holders:
@@ -122,7 +125,7 @@
 
 
 def measure_capacity(server: ServerLayout) -> float:
-    """Return the tokens a second that a server yields within the target."""
+    """Return the tokens per second that a server yields within the latency target."""
     return server.slots * SLOT_TOKENS_PER_S
 
 
@@ -132,7 +135,7 @@
     loads: Mapping[str, float],
     moves_weight: float,
 ) -> list[Move]:
-    """Return all moves worth their cost, the best one first."""
+    """Return all moves whose gain exceeds their cost, best first."""
     overloaded = {
         name for name in loads if _measure_overload(layout.servers[name], loads[name])
     }
@@ -180,7 +183,7 @@
 
 
 def _count_steps(layout: Layout, item: Item, server: ServerLayout) -> int:
-    """Return how many loads and unloads a move takes."""
+    """Return the number of loads and unloads of a move."""
     steps = 1
     needed = measure_additional_mib(server, item)
     if item.base_key and not is_present(server, item.base_key):
@@ -200,7 +203,7 @@
 def _list_steps(
     layout: Layout, move: Move, loads: Mapping[str, float], demand: Mapping[str, float]
 ) -> tuple[Load | Unload, ...]:
-    """Return the next step of a move: its model first, or room for it."""
+    """Return the next step of a move: load its model first, or free memory for it."""
     server = layout.servers[move.server]
     item = move.item
     if item.base_key and server.name not in layout.answering.get(item.base_key, ()):
@@ -231,7 +234,11 @@
     loads: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> Iterator[tuple[float, str]]:
-    """Yield extra copies at a place, with the tokens a second made late without."""
+    """Yield each removable copy of a server with the cost of removing it.
+
+    :return: the tokens per second that would miss the latency target, and the item's
+        key.
+    """
     for key, entry in server.entries.items():
         if not is_removable(layout, server, entry):
             continue
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -1,9 +1,9 @@
-"""The plan for all servers of a group, the same wherever it is worked out.
+"""Computes the placement plan for all servers of a group, the same on each instance.
 
-Each controller plans for the whole group from the same rows and carries out only what
-concerns servers that it owns. What the configuration asks for follows from the rows
-alone; only timers and smoothed demand are an instance's own, and the transactions of
-:mod:`.transactions` keep two owners that disagree from doing harm.
+Each controller plans for the whole group from the same rows and executes only the
+actions for servers that it owns. The configured copies follow from the rows alone; only
+timers and the moving average of demand differ between instances. The transactions of
+:mod:`.transactions` prevent damage when two owners disagree.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -43,29 +43,30 @@
 __all__ = ["Action", "Blocked", "Load", "PlannerInputs", "PlannerState", "Unload"]
 
 DOWN_AFTER_MS = 5_000
-"""How long a server's copies are waited for before they are replaced."""
+"""Time for which a server must be unreachable before its copies are replaced."""
 
 RETIRE_AFTER_MS = 30_000
-"""How long a copy stays after it is no longer needed.
+"""Time for which a copy stays loaded after it is no longer needed.
 
-Requests admitted under the former configuration may still ask for it: the new one is
-in force everywhere within 18 s, and what was admitted before that has to end.
+Requests admitted under the previous configuration may still need it: the new one is
+active on all instances within 18 s, and requests admitted before that have to end.
 """
 
 MAX_LOADS = 16
-"""Most loads in one plan; the weight store's slots allow far fewer at a time."""
+"""Maximum loads in a plan; the weight store's slots allow far fewer at a time."""
 
 MAX_UNLOADS = 16
-"""Most unloads in one plan."""
+"""Maximum unloads in a plan."""
 
 
 class PlannerState(State):
-    """What an instance remembers between plans.
+    """State that an instance keeps between plans.
 
-    :param down_since: when a server was first seen not to answer.
-    :param unneeded_since: when a copy was first seen not to be needed, by item.
-    :param homes: where models are to be if memory is short, by item.
-    :param homes_version: the configuration that ``homes`` was worked out from.
+    :param down_since: time since which a server has been unreachable, by server.
+    :param unneeded_since: time since which a copy has not been needed, by item.
+    :param target_servers: servers of each model if memory is short, by item.
+    :param target_servers_version: configuration version that ``target_servers`` was
+        computed from.
     """
 
     down_since: dict[str, int] = {}
@@ -76,10 +77,10 @@
 
 
 class PlannerInputs(Value, frozen=True):
-    """What a plan is made from.
+    """Inputs of a plan.
 
-    :param summaries: the model engines by name, as their owners tell of them.
-    :param demand: estimated token cost that callers asked of an item, a second.
+    :param summaries: model engines by name, as reported by their owners.
+    :param demand: estimated token cost of the requests for an item, per second.
     """
 
     configuration: Configuration
@@ -89,7 +90,7 @@
 
 
 def plan(state: PlannerState, inputs: PlannerInputs, *, now: int) -> tuple[Action, ...]:
-    """Plan the next actions: unloads, then loads in sequence of rank, then blocks."""
+    """Plan the next actions: unloads, then loads by priority, then blocked items."""
     usable = _list_usable(inputs.summaries)
     layout = build_layout(
         configuration=inputs.configuration,
@@ -126,10 +127,10 @@
 def _list_recently_down(
     state: PlannerState, summaries: Mapping[str, ServerSummary], *, now: int
 ) -> list[str]:
-    """Return the servers that stopped answering only just now.
+    """Return the servers that became unreachable within :data:`DOWN_AFTER_MS`.
 
-    A report that comes late is far more common than a server that died, and to
-    replace its copies would take the weight store's time from those that need it.
+    A late report is far more common than a dead server, and replacing the copies would
+    take weight store capacity from loads that need it.
     """
     down = {name for name, summary in summaries.items() if not summary.alive}
     for name in list(state.down_since):
@@ -163,11 +164,11 @@
 def _plan_missing(
     state: PlannerState, layout: Layout, configuration: Configuration
 ) -> tuple[list[Load], list[Action]]:
-    """Place missing copies, and make room for what fits nowhere.
+    """Plan loads of missing copies, and evictions for copies that fit on no server.
 
-    Places by preference spread copies well, but may leave no room large enough for
-    another version of some model. Then the packing that was found when the
-    configuration was accepted is followed.
+    The preferred servers spread copies well, but may leave no server with enough free
+    memory for another version of some model. In that case the packing that was found
+    when the configuration was accepted is followed.
     """
     missing = list_missing(layout)
     trial = copy_layout(layout)
@@ -215,9 +216,9 @@
 def _place_base(
     layout: Layout, copy: MissingCopy, prefer: Prefer
 ) -> tuple[Action, ...] | None:
-    """Load another copy of an adapter's model where there is room for the adapter.
+    """Load another copy of an adapter's model on a server that can hold the adapter.
 
-    :return: ``None`` if there is no such place; no action if it is being loaded.
+    :return: ``None`` if no server can; no action if such a copy is being loaded.
     """
     base = layout.items[copy.item.base_key]
     if layout.holding[base.key] - layout.answering[base.key]:
@@ -233,8 +234,8 @@
 def _swap_adapters(layout: Layout) -> list[Unload]:
     """Unload adapters that must be loaded again for their model's new version.
 
-    Only where no other server holds the new version without them, and only while
-    another copy answers.
+    An adapter is unloaded only if no other server has the new version without the
+    adapter, and only while another copy of the adapter is reliable.
     """
     unloads: list[Unload] = []
     for key in sorted(layout.items):
@@ -253,10 +254,10 @@
 
 
 def _merge_unloads(*groups: Iterable[Action]) -> list[Unload]:
-    """Return unloads, the first one for each copy.
+    """Return the first unload of each copy.
 
-    At most one copy of an item is unloaded at a time, except if none is needed: each
-    unload is only known to be safe by itself.
+    At most one copy of an item is unloaded at a time, unless no copy is needed: each
+    unload is checked to be safe only by itself.
     """
     merged: dict[tuple[str, str], Unload] = {}
     for group in groups:
--- a/src/arbutuspulley/placement/records.py
+++ b/src/arbutuspulley/placement/records.py
@@ -1,4 +1,4 @@
-"""Rows of the table that placement owns, and how they are encoded."""
+"""Records that placement stores in the table, and their encoding."""
 
 import enum
 from typing import TypeVar
@@ -11,10 +11,10 @@
 
 
 class EntryState(enum.StrEnum):
-    """What the ledger holds of an item on a server.
+    """State of an item on a server, as the ledger records it.
 
-    ``ABSENT``: the item is proven to be gone, but an order that was sent earlier may
-    still arrive at a server that does not check orders.
+    ``ABSENT``: the item is proven to be unloaded, but an order that was sent earlier
+    may still arrive at a server that does not check orders.
     """
 
     LOADING = "loading"
@@ -24,15 +24,15 @@
 
 
 class LedgerEntry(Value, frozen=True, omit_defaults=True):
-    """One item that occupies, or may come to occupy, a server's memory.
+    """One item that occupies, or may still occupy, a server's memory.
 
-    :param base: for an adapter, the item of the model that it extends.
+    :param base: for an adapter, the key of the model that it extends.
     :param number: number of the latest order for this item.
     :param fence: fencing number that the latest order carries.
-    :param boot_id: the boot of the engine that the latest order is meant for.
+    :param boot_id: boot of the engine to which the latest order is addressed.
     :param since: report sequence at which the latest order was committed.
-    :param sends: orders of the present kind that were committed to be sent.
-    :param accepted: how many of ``sends`` the server is known to have taken.
+    :param sends: committed orders of the current kind, load or unload.
+    :param accepted: how many of ``sends`` the server is known to have accepted.
     :param seen: whether a report has listed the item.
     :param late_loads: earlier load orders that may still arrive.
     :param late_unloads: earlier unload orders that may still arrive.
@@ -54,13 +54,14 @@
 
 
 class ServerLedger(Value, frozen=True, omit_defaults=True):
-    """All that occupies one server's memory; the row of the memory ledger.
+    """Memory ledger of one server: all items that occupy its memory.
 
-    :param fence: fencing number of the owner that wrote it; it only grows.
+    :param fence: fencing number of the owner that wrote it; it never decreases.
     :param next_order: number for the next order, across owners.
-    :param boot_id: the engine's boot as last seen; empty before the first report.
-    :param sequence: the newest report of that boot that was taken in.
-    :param past_boots: boots that are over; their reports are ignored.
+    :param boot_id: the engine's latest known boot; empty before the first report.
+    :param sequence: sequence number of the newest report of that boot that was
+        applied.
+    :param past_boots: earlier boots; their reports are ignored.
     """
 
     server: str
@@ -73,17 +74,17 @@
 
 
 class CopiesRecord(Value, frozen=True):
-    """The servers that hold an answering copy of an item, sorted by name."""
+    """The servers that have a ready copy of an item, sorted by name."""
 
     item: str
     servers: tuple[str, ...] = ()
 
 
 class SlotRecord(Value, frozen=True):
-    """One of the weight store's slots; free if ``session`` is empty.
+    """One load slot of the weight store; free if ``session`` is empty.
 
-    :param session: the session of the instance that holds it.
-    :param number: number of the load order that it was taken for.
+    :param session: session of the instance that holds the slot.
+    :param number: number of the load order for which it was taken.
     """
 
     session: str = ""
@@ -98,12 +99,12 @@
 
 
 def build_copies_key(group: str, item: str) -> str:
-    """Return the key of an item's row of answering copies."""
+    """Return the key of the row that lists an item's ready copies."""
     return f"{group}/copies/{item}"
 
 
 def build_slot_key(group: str, number: int) -> str:
-    """Return the key of one slot of the weight store, counted from 0."""
+    """Return the key of one load slot of the weight store, counted from 0."""
     return f"{group}/load-slot/{number}"
 
 
@@ -131,7 +132,7 @@
 def replace_entry(
     ledger: ServerLedger, item: str, entry: LedgerEntry | None
 ) -> ServerLedger:
-    """Return the ledger with an item's entry set, or taken out if ``None``."""
+    """Return the ledger with an item's entry set, or removed if ``None``."""
     kept = [known for known in ledger.entries if known.item != item]
     if entry is not None:
         kept.append(entry)
@@ -140,5 +141,5 @@
 
 
 def is_reliable(entry: LedgerEntry) -> bool:
-    """Tell whether a copy answers and no order on its way can take it away."""
+    """Return whether a copy is loaded and no order in flight can unload it."""
     return entry.state is EntryState.LOADED and entry.late_unloads == 0
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -1,4 +1,4 @@
-"""Copies that the configuration in force no longer needs."""
+"""Unloads copies that the active configuration no longer needs."""
 
 from collections.abc import Iterator
 
@@ -14,10 +14,11 @@
 
 
 def list_unneeded(layout: Layout) -> list[Unload]:
-    """Return the unloads of former versions and of items that are not configured.
+    """Return the unloads of previous versions and of items that are not configured.
 
-    A former version goes once the new one answers, and only as far as both together
-    are more than the configured copies. Adapters go before their model.
+    A previous version is unloaded once the new one is ready, and only as long as both
+    together have more than the configured copies. Adapters are unloaded before their
+    model.
     """
     names = {item.name: item for item in layout.items.values()}
     former = _group_former(layout, names)
@@ -41,10 +42,10 @@
 def _group_former(
     layout: Layout, names: dict[str, Item]
 ) -> dict[str, list[tuple[ServerLayout, LedgerEntry]]]:
-    """Return the loaded former versions of each configured name.
+    """Return the loaded previous versions of each configured name.
 
-    An adapter that was loaded for its model's former version is one too, although its
-    own version may be the same.
+    An adapter that was loaded for its model's previous version counts as a previous
+    version, even if its own version is unchanged.
     """
     former: dict[str, list[tuple[ServerLayout, LedgerEntry]]] = {}
     for server, entry in _list_loaded(layout):
@@ -63,8 +64,8 @@
     if answering == 0:
         return []
     spare = answering + len(former) - item.copies
-    # A server that holds both versions comes last: the next copy of the new version
-    # needs a server that holds none, and may fit there only once the old one is gone.
+    # Servers that have both versions come last: the next copy of the new version needs
+    # a server without one, and may fit there only once the old version is unloaded.
     former = sorted(
         former,
         key=lambda known: (
@@ -82,9 +83,10 @@
 ) -> list[Unload] | None:
     """Return the next steps to retire one copy, or ``None`` if it must stay.
 
-    Adapters that need it keep it, unless a copy of the new version is still short of a
-    server: the one at hand may be all that is left. They then go first, as far as
-    another copy answers, and fewer than the configured copies do so for a while.
+    A copy that adapters depend on stays, unless the new version still lacks a copy: the
+    server at hand may be the only one left for it. The adapters are then unloaded first
+    if each has another reliable copy, and for a while they have fewer copies than
+    configured.
     """
     adapters = [
         known
--- a/src/arbutuspulley/placement/slots.py
+++ b/src/arbutuspulley/placement/slots.py
@@ -1,10 +1,9 @@
-"""The weight store's queue, shared through rows of the table.
+"""Load slots of the weight store, shared by all instances through rows of the table.
 
-There are as many slots as loads that the store serves at full speed. A load needs a
-slot; its holder keeps it until the load has ended and for
-:func:`compute_min_hold_ms` at least. Two loads on one slot therefore begin at least
-that long apart, which bounds the rate of all instances together without synchronised
-clocks.
+There are as many slots as concurrent loads that the store serves at full speed. A load
+needs a slot. Its holder keeps the slot until the load has ended, and for at least
+:func:`compute_min_hold_ms`. Two loads in one slot therefore start at least that long
+apart, which limits the load rate of all instances together without synchronised clocks.
 """
 
 from collections.abc import Collection, Mapping
@@ -24,11 +23,11 @@
 """Milliseconds in a minute."""
 
 TURN_TIMEOUT_MS = 3_000
-"""How long a free slot is left to the load whose turn it is."""
+"""Time for which a free slot is reserved for the load whose turn it is."""
 
 
 def compute_min_hold_ms(store: WeightStore) -> int:
-    """Return how long a slot is kept at least, in milliseconds, rounded up."""
+    """Return the minimum time for which a slot is held, in milliseconds, rounded up."""
     return -(-store.loads_at_once * MINUTE_MS // store.loads_per_minute)
 
 
@@ -43,19 +42,21 @@
     alive: Collection[str],
     now: int,
 ) -> SlotRow | None:
-    """Choose the slot for a planned load, if it is its turn.
-
-    All instances rank the planned loads alike, and the load of rank ``n`` takes the
-    ``n``-th free slot, so that instances rarely want the same one. If the owner whose
-    turn it is does not act, others take the slot after :data:`TURN_TIMEOUT_MS`.
-
-    :param slots: the slots as this instance last read them, by number; slots without
-        a row are free.
-    :param rank: position among all loads of the plan, other owners' included.
-    :param sessions: sessions that this instance does not hold for lapsed.
-    :param ledgers: the ledgers of the servers that slots may name.
-    :param alive: servers that answer.
-    :return: the slot, or ``None`` to wait.
+    """Choose the slot for a planned load if it is its turn.
+
+    All instances rank the planned loads in the same way, and the load with rank ``n``
+    takes the ``n``-th free slot, so that instances rarely compete for a slot. If the
+    owner whose turn it is does not take a slot, other owners may take it after
+    :data:`TURN_TIMEOUT_MS`.
+
+    :param slots: slots by number, as this instance last read them; slots without a row
+        are free.
+    :param rank: position among all loads of the plan, including those of other owners.
+    :param sessions: sessions that this instance does not consider expired.
+    :param ledgers: ledgers of the servers that slots may refer to, by server.
+    :param alive: servers that are reachable.
+    :param now: time in milliseconds.
+    :return: the slot, or ``None`` if the load has to wait.
     """
     free = [
         slot
@@ -81,11 +82,11 @@
     sent_at: int,
     now: int,
 ) -> bool:
-    """Tell whether the holder may free its slot.
+    """Return whether the holder may release its slot.
 
-    :param ledger: the ledger of the server that the slot names.
-    :param alive: whether that server answers.
-    :param sent_at: when the load order was sent, on the holder's clock.
+    :param ledger: ledger of the server that the slot refers to.
+    :param alive: whether that server is reachable.
+    :param sent_at: time when the load order was sent, by the holder's clock.
     """
     if now - sent_at < compute_min_hold_ms(store):
         return False
@@ -106,10 +107,10 @@
     alive: Collection[str],
     now: int,
 ) -> bool:
-    """Tell whether a slot was released, or its holder lapsed and its load ended.
+    """Return whether a slot was released, or its holder expired and its load ended.
 
-    The holder's own minimum may not be over when it lapses, so the slot must also have
-    been seen unchanged for that long.
+    The holder's minimum hold time may not have passed when its session expires, so the
+    slot must also have been unchanged for that time.
     """
     record = slot.record
     if not record.session:
@@ -125,7 +126,7 @@
 def _is_loading(
     record: SlotRecord, *, ledger: ServerLedger | None, alive: bool
 ) -> bool:
-    """Tell whether a slot's load may still draw on the weight store."""
+    """Return whether a slot's load may still be reading from the weight store."""
     if ledger is None or not alive:
         return False
     entry = find_entry(ledger, record.item)
--- a/src/arbutuspulley/placement/transactions.py
+++ b/src/arbutuspulley/placement/transactions.py
@@ -1,9 +1,10 @@
-"""Transactions of placement: each commits a decision before it is acted upon.
+"""Placement transactions; each commits a decision before it is carried out.
 
-Every transaction of a server's owner carries the ownership row as a precondition, so
-an owner that has been replaced cannot commit anything. Commit them through
+Every transaction of a server's owner has the ownership row as a precondition, so that
+an owner that has been replaced cannot commit. Commit the transactions through
 :func:`arbutuspulley.ports.commit.commit`. After a conflict, read the rows again and
-drop the report at hand: it may be older than what the other owner has committed.
+discard the current report: it may be older than the state that the other owner
+committed.
 """
 
 from collections.abc import Collection, Sequence
@@ -27,14 +28,14 @@
 
 
 class LastCopyError(ArbutusError):
-    """Too few other copies answer: the item must not be unloaded."""
+    """The item must not be unloaded because too few other copies are ready."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.MODEL_NOT_LOADED, detail=detail)
 
 
 class LedgerRow(Value, frozen=True):
-    """A ledger to write, with what must still hold for it.
+    """A ledger to write, with its preconditions.
 
     :param revision: revision of the row that the ledger was derived from.
     :param owner: the server's ownership row as the owner last wrote it.
@@ -46,7 +47,7 @@
 
 
 class CopiesRow(Value, frozen=True):
-    """A row of answering copies as it was read; revision 0 if there is none."""
+    """A row of ready copies as it was read; revision 0 if there is no row."""
 
     record: CopiesRecord
     revision: int
@@ -55,7 +56,8 @@
 class SlotRow(Value, frozen=True):
     """One slot of the weight store as it was read; revision 0 if there is no row.
 
-    :param changed_at: when its reader first saw this revision, on the reader's clock.
+    :param changed_at: time when its reader first saw this revision, by the reader's
+        clock.
     """
 
     number: int
@@ -67,11 +69,11 @@
 def build_load_intent(
     *, token: str, group: str, row: LedgerRow, slot: SlotRow, holder: SlotRecord
 ) -> Transaction:
-    """Take a slot of the weight store and commit the intent of a load together.
+    """Build a transaction that takes a load slot and commits a load intent.
 
     :param row: the ledger that :func:`.ledger.add_load_intent` returned.
     :param slot: the free slot as it was read.
-    :param holder: what the slot will hold.
+    :param holder: new value of the slot.
     """
     return _build(
         token=token,
@@ -92,32 +94,33 @@
     min_copies: int = 1,
     successor: CopiesRow | None = None,
 ) -> Transaction:
-    """Commit the intent of an unload, and take the server out of the copies.
+    """Build a transaction that commits an unload intent and updates the copies.
 
-    The row of copies is a precondition and a write. Two owners that would each unload
-    one of the last two copies both depend on the same revision of it, so only one can
-    commit; the other reads again and finds itself the last.
+    The server is removed from the row of copies, which is both a precondition and a
+    write. Two owners that would each unload one of the last two copies depend on the
+    same revision of the row, so only one of them can commit; the other reads the row
+    again and finds that it has the last copy.
 
     :param row: the ledger that :func:`.ledger.add_unload_intent` returned.
-    :param answering: servers known to be alive and not leaving; a copy elsewhere does
-        not count.
-    :param min_copies: copies that must be left; 0 for an item that no site configures,
-        or that has a successor.
-    :param successor: copies of the version that replaces the item; one must answer.
-    :raises LastCopyError: if fewer would be left, or the successor does not answer.
+    :param answering: servers known to be alive and not leaving; copies on other servers
+        do not count.
+    :param min_copies: copies that must remain; 0 for an item that no site configures or
+        that has a successor.
+    :param successor: copies of the version that replaces the item; one must be ready.
+    :raises LastCopyError: if fewer would remain, or the successor is not ready.
     """
     server = row.ledger.server
     others = [name for name in copies.record.servers if name != server]
     left = [name for name in others if name in answering]
     if len(left) < min_copies:
         raise LastCopyError(
-            detail=f"{copies.record.item} would be left with {len(left)} copies"
+            detail=f"{copies.record.item} would have only {len(left)} ready copies left"
         )
     relied_on = [copies]
     if successor is not None:
         relied_on.append(successor)
         if not set(successor.record.servers) & set(answering):
-            raise LastCopyError(detail=f"{successor.record.item} does not answer yet")
+            raise LastCopyError(detail=f"{successor.record.item} is not ready yet")
     record = CopiesRecord(item=copies.record.item, servers=tuple(others))
     return _build(
         token=token,
@@ -136,11 +139,11 @@
     copies: Sequence[CopiesRow] = (),
     alive: bool = True,
 ) -> Transaction:
-    """Commit a reconciled or taken-over ledger with the copies that it changes.
+    """Build a transaction for a reconciled or taken-over ledger and changed copies.
 
     :param copies: rows of items that were loaded, unloaded or corrected; also all rows
-        that name the server, when it died or came back.
-    :param alive: whether the server answers; if not, it is taken out of all of them.
+        that list the server if it died or recovered.
+    :param alive: whether the server is reachable; if not, it is removed from all rows.
     """
     changed = [
         (known, record)
@@ -158,7 +161,7 @@
 
 
 def build_slot_release(*, token: str, group: str, slot: SlotRow) -> Transaction:
-    """Free a slot that its holder no longer needs."""
+    """Build a transaction that releases a slot."""
     return Transaction(
         token=token,
         preconditions=(_expect_slot(group, slot),),
@@ -169,9 +172,9 @@
 def update_copies(
     record: CopiesRecord, *, ledger: ServerLedger, alive: bool = True
 ) -> CopiesRecord:
-    """Return an item's copies as they are by one server's ledger.
+    """Return an item's copies, updated from one server's ledger.
 
-    A copy that a late unload order may still take away is not counted, so no other
+    A copy that a late unload order may still remove is not counted, so that no other
     copy is ever unloaded in reliance on it.
     """
     entry = find_entry(ledger, record.item)
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -66,30 +66,30 @@
             {"a": 40, "b": 40, "c": 40},
             {"s0": 60, "s1": 60},
             {},
-            "c@1 with its adapters needs 40 MiB on each of 1 servers; beside what is"
-            " larger, 0 have that much left: the most on one server is 20 MiB, 40 MiB"
-            " on all together",
+            "c@1 with its adapters needs 40 MiB on each of 1 servers; with larger"
+            " models placed, 0 have that much left: the most on one server is 20 MiB,"
+            " 40 MiB on all together",
         ),
         (
             {"a": 50, "c": 55},
             {"s0": 160, "s1": 60},
             {"copies": 2},
-            "a@1 with its adapters needs 50 MiB on each of 2 servers; beside what is"
-            " larger, 1 has that much left: the most on one server is 105 MiB",
+            "a@1 with its adapters needs 50 MiB on each of 2 servers; with larger"
+            " models placed, 1 has that much left: the most on one server is 105 MiB",
         ),
         (
             {"a": 50},
             {"s0": 90},
             {},
-            "a change of a@1 needs 50 MiB on one server beside all that is loaded; the"
-            " most room left is 40 MiB: 10 MiB too little",
+            "a change of a@1 needs 50 MiB on one server in addition to all loaded"
+            " models; the most room left is 40 MiB: 10 MiB too little",
         ),
         (
             {"a": 50},
             {"s0": 200, "s1": 40},
             {"adapters": [("x", "a")]},
-            "needs 55 MiB on another server beside all that is loaded; the most room"
-            " left is 40 MiB: 15 MiB too little",
+            "needs 55 MiB on another server in addition to all loaded models; the most"
+            " room left is 40 MiB: 15 MiB too little",
         ),
     ],
     ids=["no-server", "size", "distinct", "sum", "packing", "apart", "change", "other"],
