--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -301,9 +301,9 @@
         return Blocked(item=item.key, detail=detail)
     largest = max(sorted(free_mib), key=lambda name: free_mib[name])
     needed = measure_bundle_mib(layout, layout.servers[largest], item)
-    beside = " with its adapters" if needed > item.memory_mib else ""
+    suffix = " with its adapters" if needed > item.memory_mib else ""
     detail = (
-        f"{item.key}{beside} needs {needed} MiB; the most room is"
+        f"{item.key}{suffix} needs {needed} MiB; the most room is"
         f" {free_mib[largest]} MiB on {largest}, {sum(free_mib.values())} MiB on all"
         f" {len(free_mib)} servers together, and nothing on them can be relocated"
     )
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -104,8 +104,8 @@
     candidates = list_candidates(layout, item)
     candidates.sort(key=lambda server: prefer(layout, server, item))
     best: ServerLayout | None = None
-    worst_taken = Grade.CRAMPED if copy.priority is Priority.LOST else Grade.MIXED
-    best_grade = worst_taken + 1
+    worst_accepted = Grade.CRAMPED if copy.priority is Priority.LOST else Grade.MIXED
+    best_grade = worst_accepted + 1
     for server in candidates:
         if (
             _measure_shortage_mib(
@@ -156,9 +156,9 @@
     """
 
     def prefer(layout: Layout, server: ServerLayout, item: Item) -> tuple[int, ...]:
-        away = server.name not in target_servers.get(item.key, ())
-        room = measure_free_mib(layout, server)
-        return (int(away), room, rank_server(item.key, server.name))
+        is_other = server.name not in target_servers.get(item.key, ())
+        free_mib = measure_free_mib(layout, server)
+        return (int(is_other), free_mib, rank_server(item.key, server.name))
 
     return prefer
 
@@ -197,15 +197,15 @@
     :return: copies with a server, and copies that fit on no server.
     """
     planned: list[PlannedCopy] = []
-    left: list[MissingCopy] = []
+    unplaced: list[MissingCopy] = []
     for copy in missing:
         server = find_server(layout, copy, prefer)
         if server is None:
-            left.append(copy)
+            unplaced.append(copy)
             continue
         add_planned(layout, server, copy.item)
         planned.append(PlannedCopy(missing=copy, server=server.name))
-    return planned, left
+    return planned, unplaced
 
 
 def sort_planned(
@@ -263,11 +263,11 @@
 
 
 def _list_priorities(layout: Layout, item: Item, names: set[str]) -> Iterable[Priority]:
-    there = len(layout.holding[item.key]) + layout.unreachable_copies.get(item.key, 0)
-    short = item.copies - there
+    present = len(layout.holding[item.key]) + layout.unreachable_copies.get(item.key, 0)
+    short = item.copies - present
     if short <= 0:
         return
-    lost = there == 0 and item.name not in names
+    lost = present == 0 and item.name not in names
     yield Priority.LOST if lost else Priority.SHORT
     for _ in range(short - 1):
         yield Priority.SHORT
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -172,9 +172,9 @@
     """
     missing = list_missing(layout)
     trial = copy_layout(layout)
-    planned, left = place_copies(trial, missing, prefer_other_sites)
+    planned, unplaced = place_copies(trial, missing, prefer_other_sites)
     others: list[Action] = []
-    if left or (planned and not can_change_all(trial)):
+    if unplaced or (planned and not can_change_all(trial)):
         prefer = build_prefer_targets(_get_target_servers(state, configuration))
         planned, others = _plan_with_evictions(layout, missing, prefer)
     ordered = sort_planned(layout, planned, state.demand.smoothed)
@@ -197,9 +197,9 @@
     planned: list[PlannedCopy] = []
     others: list[Action] = []
     for copy in missing:
-        placed, left = place_copies(layout, [copy], prefer)
+        placed, unplaced = place_copies(layout, [copy], prefer)
         planned += placed
-        if not left:
+        if not unplaced:
             continue
         steps = plan_eviction(layout, copy.item)
         if copy.item.base_key and any(isinstance(step, Blocked) for step in steps):
--- a/src/arbutuspulley/placement/transactions.py
+++ b/src/arbutuspulley/placement/transactions.py
@@ -111,10 +111,10 @@
     """
     server = row.ledger.server
     others = [name for name in copies.record.servers if name != server]
-    left = [name for name in others if name in answering]
-    if len(left) < min_copies:
+    remaining = [name for name in others if name in answering]
+    if len(remaining) < min_copies:
         raise LastCopyError(
-            detail=f"{copies.record.item} would have only {len(left)} ready copies left"
+            detail=f"{copies.record.item} would have only {len(remaining)} ready copies"
         )
     relied_on = [copies]
     if successor is not None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -58,7 +58,7 @@
         ("not_run", "a1", "b", "unavailable"),
     ],
 )
-def test_the_same_key_again(fake, settled, attempt, body, state):
+def test_claim_of_a_used_key(fake, settled, attempt, body, state):
     """A desk volunteer sees no answer to a confirmation and sends it once more.
 
     The first one ran, may have run, still runs, or was certainly not run; only in
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("size", [0, INLINE_ANSWER_BYTES, INLINE_ANSWER_BYTES + 1])
-def test_a_stored_answer_comes_back_whole(fake, size):
+def test_a_stored_answer_is_returned_complete(fake, size):
     claim(fake)
     settle(fake, body=b"x" * size)
     reply = claim(fake, "a2")
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("lost", ["object", "size"])
-def test_an_answer_that_cannot_be_kept_is_unknown(fake, lost):
+def test_an_answer_that_is_not_stored_is_unknown(fake, lost):
     """An answer is too large to keep, or its object has been deleted.
 
     An empty answer in its place would look like a whole one.
@@ -102,7 +102,7 @@
         ("down_after_lost_reply", True, "unavailable", True, "in_progress"),
     ],
 )
-def test_a_claim_while_the_store_fails(fake, fault, value, first, uncertain, second):
+def test_a_claim_during_store_faults(fake, fault, value, first, uncertain, second):
     """The reply to a claim is lost after the row was written.
 
     Taken for refused and claimed anew it would look like another's; taken for
@@ -116,7 +116,7 @@
     assert claim(fake, "a2").state == second
 
 
-def test_two_entries_claim_at_once(fake):
+def test_two_entries_claim_concurrently(fake):
     """A caller on a patchy phone sends a booking to two entries at the same moment.
 
     Both read that there is no row; the second write must lose.
@@ -140,7 +140,7 @@
         (None, "a2", "not_run", "in_progress"),
     ],
 )
-def test_a_settlement_is_not_undone(fake, first, attempt, second, kept):
+def test_a_settlement_is_not_overwritten(fake, first, attempt, second, kept):
     """A settlement arrives twice or late, or from an entry that lost the claim."""
     claim(fake)
     if first:
@@ -152,7 +152,7 @@
         assert reply.body == b"whole"
 
 
-def test_a_settlement_says_so_when_it_cannot_be_recorded(fake):
+def test_a_settlement_raises_if_it_is_not_recorded(fake):
     claim(fake)
     fake.down = True
     with pytest.raises(PlatformUnavailableError):
@@ -171,7 +171,7 @@
     assert fake.platform.table.read(KEY) is None
 
 
-def test_a_claim_that_was_taken_back_cannot_arrive_later(fake):
+def test_a_withdrawn_claim_that_arrives_late_is_refused(fake):
     """A claim is stuck on its way to a slow store; its entry gives up, takes it back.
 
     Arriving afterwards it would hold the key for a request that nobody runs, and the
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -30,7 +30,7 @@
     ],
     ids=["empty", "one", "adapter", "two-copies", "packed", "lestari", "kurzeme"],
 )
-def test_configuration_that_fits_is_taken_and_can_be_loaded(sizes, servers, options):
+def test_configuration_that_fits_is_accepted_and_can_be_loaded(sizes, servers, options):
     configuration = build(sizes, servers, **options)
     check_fit(configuration)
     fleet = Fleet(configuration)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sizes", "servers", "options", "sum_shown"),
+    ("sizes", "servers", "options", "expected_detail"),
     [
         ({"a": 50}, {}, {}, "needs 50 MiB on each of 1 servers; 0 of 0 servers"),
         (
@@ -94,8 +94,8 @@
     ],
     ids=["no-server", "size", "distinct", "sum", "packing", "apart", "change", "other"],
 )
-def test_configuration_that_cannot_fit_is_refused_with_the_sum(
-    sizes, servers, options, sum_shown
+def test_configuration_that_does_not_fit_is_refused_with_sizes(
+    sizes, servers, options, expected_detail
 ):
     """An operator approves a model too many, or one too large to ever be changed.
 
@@ -104,39 +104,39 @@
     with pytest.raises(ConfigurationError) as caught:
         check_fit(build(sizes, servers, **options))
     assert caught.value.code is Code.DOES_NOT_FIT
-    assert sum_shown in caught.value.detail
+    assert expected_detail in caught.value.detail
 
 
-def build_randomly(chance):
+def build_randomly(rng):
     """Build a configuration of a few servers that are nearly full."""
-    memories = [chance.choice([60, 80, 100, 150]) for _ in range(chance.randint(2, 6))]
-    models = chance.randint(2, 10)
-    sizes = {f"m{number}": chance.randint(10, 50) for number in range(models)}
+    memories = [rng.choice([60, 80, 100, 150]) for _ in range(rng.randint(2, 6))]
+    models = rng.randint(2, 10)
+    sizes = {f"m{number}": rng.randint(10, 50) for number in range(models)}
     adapters = [
-        (f"x{number}", f"m{chance.randrange(models)}")
-        for number in range(chance.randint(0, 6))
+        (f"x{number}", f"m{rng.randrange(models)}")
+        for number in range(rng.randint(0, 6))
     ]
     return build(
         sizes,
         {f"s{number}": memory for number, memory in enumerate(memories)},
         adapters=adapters,
-        copies=chance.choice([1, 1, 2]),
+        copies=rng.choice([1, 1, 2]),
     )
 
 
-def edit_randomly(configuration, chance):
+def edit_randomly(configuration, rng):
     """Change versions, sizes or copies of a few models."""
     site = configuration.sites["site-0"]
     models = dict(site.models)
-    for _ in range(chance.randint(1, 3)):
-        name = chance.choice(sorted(models))
+    for _ in range(rng.randint(1, 3)):
+        name = rng.choice(sorted(models))
         model = models[name]
         version = str(int(model.version) + 1)
-        models[name] = chance.choice(
+        models[name] = rng.choice(
             [
                 replace(model, version=version),
-                replace(model, version=version, size_mib=chance.randint(10, 50)),
-                replace(model, copies=chance.choice([1, 2])),
+                replace(model, version=version, size_mib=rng.randint(10, 50)),
+                replace(model, copies=rng.choice([1, 2])),
             ]
         )
     return replace(
@@ -154,7 +154,7 @@
     return True
 
 
-def lose_and_regain(fleet, name):
+def drain_and_restore(fleet, name):
     fleet.leaving.add(name)
     fleet.run()
     fleet.leaving.clear()
@@ -177,32 +177,32 @@
 
     :return: the accepted changes that were asked for and those that took hold.
     """
-    chance = random.Random(seed)
-    configuration = build_randomly(chance)
+    rng = random.Random(seed)
+    configuration = build_randomly(rng)
     if not is_accepted(configuration):
         return 0, 0
     fleet = Fleet(configuration)
     fleet.run()
     assert is_complete(fleet)
-    asked = taken = 0
+    requested = applied = 0
     for _ in range(6):
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             servers = configuration.sites["site-0"].servers
-            lose_and_regain(fleet, chance.choice(sorted(servers)))
-        edited = edit_randomly(fleet.configuration, chance)
+            drain_and_restore(fleet, rng.choice(sorted(servers)))
+        edited = edit_randomly(fleet.configuration, rng)
         if not is_accepted(edited):
             continue
         fleet.configuration = edited
         fleet.run()
-        asked += 1
+        requested += 1
         if not is_complete(fleet):
             break
-        taken += 1
-    return asked, taken
+        applied += 1
+    return requested, applied
 
 
 @pytest.mark.parametrize("seed", [4, 7, 15, 35, 124, 169, 193, 201, 316, 649, 762])
-def test_accepted_changes_take_hold_on_nearly_full_servers(seed):
+def test_accepted_changes_complete_on_nearly_full_servers(seed):
     """A configuration is accepted, but a plan fills the servers unluckily.
 
     A change that an operator approves then never takes hold, or copies go back and
@@ -210,5 +210,5 @@
     failed without one of the planner's guards; of seeds 0 to 2199, 11 in 2079 and 41
     in 5593 changes still end up blocked, told as such, with the former version kept.
     """
-    asked, taken = run_randomly(seed)
-    assert asked == taken
+    requested, applied = run_randomly(seed)
+    assert requested == applied
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -32,7 +32,7 @@
 B = Item(name="b", key="b@1", memory_mib=60)
 ADAPTER = Item(name="x", key="x@1", memory_mib=5, base_key="a@1")
 CHECKING = Server(address="127.0.0.1:1", memory_mib=100, checks_orders=True)
-TRUSTING = replace(CHECKING, checks_orders=False)
+NON_CHECKING = replace(CHECKING, checks_orders=False)
 START = ServerLedger(server="s", fence=3, boot_id="boot-1")
 LATER = RESEND_AFTER_REPORTS
 
@@ -47,12 +47,12 @@
     return Report(server="s", boot_id=boot, sequence=sequence, items=listed, **fields)
 
 
-def load(known=START, item=A, server=TRUSTING):
+def load(known=START, item=A, server=NON_CHECKING):
     known = add_load_intent(known, server=server, item=item)
     return known, build_order(known, find_entry(known, item.key))
 
 
-def run(known, *reports, server=TRUSTING):
+def run(known, *reports, server=NON_CHECKING):
     for report in reports:
         known = reconcile(known, server=server, report=report).ledger
     return known
@@ -72,10 +72,10 @@
 @pytest.mark.parametrize(
     ("server", "report", "expected"),
     [
-        (TRUSTING, build_report(sequence=99, last_order=9), LOADING),
-        (TRUSTING, build_report("a@1"), LOADED),
-        (TRUSTING, build_report(("a@1", "loading")), LOADING),
-        (TRUSTING, build_report(boot="boot-2"), None),
+        (NON_CHECKING, build_report(sequence=99, last_order=9), LOADING),
+        (NON_CHECKING, build_report("a@1"), LOADED),
+        (NON_CHECKING, build_report(("a@1", "loading")), LOADING),
+        (NON_CHECKING, build_report(boot="boot-2"), None),
         (CHECKING, build_report(sequence=99), LOADING),
         (CHECKING, build_report(fence=3, last_order=0), LOADING),
         (CHECKING, build_report(fence=2, last_order=9), LOADING),
@@ -104,7 +104,7 @@
         ([build_report(sequence=1), build_report(sequence=2)], UNLOADING),
     ],
 )
-def test_unload_frees_once_a_newer_report_shows_it(reports, expected):
+def test_unload_frees_memory_once_a_newer_report_proves_it(reports, expected):
     """A report from before the load comes late, after the unload was ordered.
 
     It does not list the item. Taken for new, it would free the bytes of an item that
@@ -116,14 +116,14 @@
     assert show(run(known, *reports)) == expected
 
 
-def test_resent_load_is_reserved_after_the_unload():
+def test_resent_load_stays_reserved_after_the_unload():
     """An order to a server that does not check is sent twice, and one copy is late.
 
     The item is loaded, unloaded, and its room given away; then the late copy arrives
     and loads it again. The bytes stay reserved until the late one has shown itself.
     """
     known, _ = load()
-    outcome = reconcile(known, server=TRUSTING, report=build_report(sequence=LATER))
+    outcome = reconcile(known, server=NON_CHECKING, report=build_report(sequence=LATER))
     assert [order.number for order in outcome.resend] == [2]
     known = run(outcome.ledger, build_report("a@1", sequence=LATER + 1))
     known = add_unload_intent(known, item="a@1")
@@ -142,10 +142,10 @@
     ("answer", "expected"),
     [(record_accepted, None), (record_refused, None), (None, RESERVED)],
 )
-def test_reply_to_the_resent_order_rules_out_that_it_is_late(answer, expected):
+def test_reply_to_a_resent_order_excludes_its_late_arrival(answer, expected):
     known, first = load()
     known = record_accepted(known, first)
-    outcome = reconcile(known, server=TRUSTING, report=build_report(sequence=LATER))
+    outcome = reconcile(known, server=NON_CHECKING, report=build_report(sequence=LATER))
     known = outcome.ledger
     if answer is not None:
         known = answer(known, outcome.resend[0])
@@ -191,12 +191,12 @@
         ((), {"memory_used_mib": 15}, 75),
     ],
 )
-def test_larger_of_ledger_and_report_counts(items, fields, expected):
+def test_larger_of_ledger_and_report_counts_as_occupied(items, fields, expected):
     known, _ = load()
     assert measure_occupied_mib(known, build_report(*items, **fields)) == expected
 
 
-def test_report_that_shows_more_wins_at_once():
+def test_items_missing_from_the_ledger_are_adopted_from_a_report():
     """The table was restored from a backup, and the ledger is older than the server.
 
     What the server holds must be counted and its orders numbered above all it has
@@ -210,7 +210,7 @@
     assert outcome.ledger.next_order == 42
 
 
-def test_new_owner_keeps_intents_and_renews_them_under_its_fence():
+def test_new_owner_keeps_intents_and_resends_them_with_its_fence():
     """An owner lapses between the commit of a load and its order, and wakes later.
 
     The new owner must count the load, and order it anew with its own fence, so that a
@@ -262,7 +262,7 @@
 def test_reported_memory_limits_what_fits():
     report = build_report(memory_total_mib=50)
     with pytest.raises(DoesNotFitError, match="10 MiB too little"):
-        add_load_intent(START, server=TRUSTING, item=A, report=report)
+        add_load_intent(START, server=NON_CHECKING, item=A, report=report)
 
 
 @pytest.mark.parametrize(
@@ -274,17 +274,20 @@
         (build_report("a@1", boot="boot-2"), ("a@1",), (), ()),
     ],
 )
-def test_reconciliation_tells_what_changed(report, loaded, unloaded, corrected):
-    outcome = reconcile(load()[0], server=TRUSTING, report=report)
+def test_reconciliation_lists_changed_items(report, loaded, unloaded, corrected):
+    outcome = reconcile(load()[0], server=NON_CHECKING, report=report)
     assert outcome.changed
     shown = (outcome.loaded, outcome.unloaded, outcome.corrected)
     assert shown == (loaded, unloaded, corrected)
 
 
-def test_report_without_news_needs_no_commit():
+def test_report_without_changes_needs_no_commit():
     known = run(load()[0], build_report("a@1"))
-    outcome = reconcile(known, server=TRUSTING, report=build_report("a@1", sequence=2))
+    outcome = reconcile(
+        known, server=NON_CHECKING, report=build_report("a@1", sequence=2)
+    )
     assert not outcome.changed and outcome.ledger.sequence == 2
     assert (
-        ledgers.reconcile(known, server=TRUSTING, report=build_report()).ledger is known
+        ledgers.reconcile(known, server=NON_CHECKING, report=build_report()).ledger
+        is known
     )
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -147,7 +147,7 @@
             return True
         owner.ledger, owner.revision = self.read_ledger(owner.server)
         owner.inbox.clear()
-        self.look(owner)
+        self.read_all_copies(owner)
         return False
 
     def read_ledger(self, server):
@@ -167,7 +167,7 @@
         owners = self.owners[self.name(server)]
         return owners[max(-1 - age, -len(owners))]
 
-    def look(self, owner: Owner) -> None:
+    def read_all_copies(self, owner: Owner) -> None:
         owner.copies = {item: self.read_copies(item) for item in SIZES}
 
     def claim(self, server):
@@ -186,9 +186,9 @@
         taken = ledger.take_over(known, fence=fence)
         assert self.commit(owner, taken, transactions.build_confirmation)
         self.owners[server].append(owner)
-        self.look(owner)
+        self.read_all_copies(owner)
 
-    def operate(self, server, age, item):
+    def load_or_unload(self, server, age, item):
         """Load an item, or unload it if it is loaded, as far as the owner knows."""
         owner = self.find_owner(server, age)
         entry = find_entry(owner.ledger, item)
@@ -249,7 +249,7 @@
         owner = self.find_owner(server, age)
         owner.inbox.append(self.engines[owner.server].report())
 
-    def take_report(self, server, age, index):
+    def apply_report(self, server, age, index):
         """Take in any report at hand of the boot whose turn it is."""
         owner = self.find_owner(server, age)
         turn = [
@@ -267,7 +267,7 @@
         if not outcome.changed:
             owner.ledger = outcome.ledger
             return
-        self.look(owner)
+        self.read_all_copies(owner)
         copies = list(owner.copies.values())
         build = transactions.build_confirmation
         if self.commit(owner, outcome.ledger, build, copies=copies):
@@ -285,7 +285,7 @@
         report = engine.report()
         owner.inbox = [old for old in owner.inbox if old.boot_id == report.boot_id]
         self.reconcile(owner, report)
-        self.look(owner)
+        self.read_all_copies(owner)
 
     def describe(self, server) -> Server:
         return Server(
@@ -333,11 +333,13 @@
 
 
 KINDS = {
-    "operate": lambda fleet, a, b, c: fleet.operate(a, AGES[b], sorted(SIZES)[c % 2]),
+    "operate": lambda fleet, a, b, c: fleet.load_or_unload(
+        a, AGES[b], sorted(SIZES)[c % 2]
+    ),
     "deliver": lambda fleet, a, b, c: fleet.deliver(a, FATES[b], c % 2 == 0),
     "work": lambda fleet, a, b, c: fleet.work(a, b == 0),
     "ask": lambda fleet, a, b, c: fleet.ask_report(a, AGES[b]),
-    "take": lambda fleet, a, b, c: fleet.take_report(a, AGES[b], c),
+    "take": lambda fleet, a, b, c: fleet.apply_report(a, AGES[b], c),
     "settle": lambda fleet, a, b, c: fleet.settle(a, ARRIVING[b]),
     "claim": lambda fleet, a, b, c: fleet.claim(a),
     "restart": lambda fleet, a, b, c: fleet.restart(a),
@@ -353,7 +355,7 @@
 
 @pytest.mark.parametrize("names", [("s0",), ("s0", "s1")], ids=["one", "two"])
 @pytest.mark.parametrize("checks", [True, False], ids=["checking", "unchecking"])
-def test_orders_and_reports_interleave(checks, names):
+def test_memory_is_never_overcommitted_under_interleaving(checks, names):
     """An order is sent twice, arrives late, or its owner is paused and replaced.
 
     A user would see a server die for lack of memory, or a model gone, long after the
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -32,7 +32,7 @@
 
 STEP_MS = 2_000
 ENGINE_MS = 2 * STEP_MS
-MOST_STEPS = 400
+MAX_STEPS = 400
 
 
 def build_site(sizes, servers, *, adapters=(), copies=1, version="1"):
@@ -68,7 +68,7 @@
 class Fleet:
     """Ledgers kept by plans that are carried out, one load at a time.
 
-    :param fewest: the fewest copies of a name that answered, at any step.
+    :param min_copies: the fewest copies of a name that answered, at any step.
     """
 
     def __init__(self, configuration):
@@ -82,7 +82,7 @@
         self.demand = {}
         self.done = []
         self.due = {}
-        self.fewest = {}
+        self.min_copies = {}
 
     def plan(self):
         summaries = {}
@@ -105,7 +105,7 @@
         )
         return plan(self.state, inputs, now=self.now)
 
-    def run(self, steps=MOST_STEPS):
+    def run(self, steps=MAX_STEPS):
         """Carry plans out until they ask for nothing more; return what was done."""
         start = len(self.done)
         waited = 0
@@ -146,7 +146,7 @@
         self.done.append(action)
         counts = self.count_names()
         for name, count in counts.items():
-            self.fewest[name] = min(count, self.fewest.get(name, count))
+            self.min_copies[name] = min(count, self.min_copies.get(name, count))
         if isinstance(action, Unload):
             name = action.item.partition("@")[0]
             last = name in self.list_names() and counts[name] == 0
@@ -236,7 +236,7 @@
     assert len(done) == sum(wanted.values())
 
 
-def test_plan_is_the_same_wherever_it_is_made():
+def test_plan_is_the_same_on_each_instance():
     configuration = build(LESTARI, {f"s{n}": 240 for n in range(5)})
     fleets = [Fleet(configuration), Fleet(configuration)]
     fleets[1].ledgers = {
@@ -297,25 +297,25 @@
     ],
     ids=["smallest", "most-asked", "by-size", "about-as-much", "by-its-adapter"],
 )
-def test_loads_of_a_priority_go_by_demand_for_their_size(demand, expected):
+def test_loads_of_a_priority_are_ordered_by_demand_per_size(demand, expected):
     sizes = {"a": 30, "b": 20, "c": 15}
     fleet = Fleet(build(sizes, {"s0": 200}, adapters=[("x", "a")]))
     fleet.demand = demand
     assert show(fleet.plan()) == [f"load {name}@1" for name in expected]
 
 
-@pytest.mark.parametrize("trouble", ["down", "leaving"])
-def test_copies_of_a_lost_server_are_loaded_elsewhere(trouble):
+@pytest.mark.parametrize("fault", ["down", "leaving"])
+def test_copies_of_a_lost_server_are_loaded_elsewhere(fault):
     servers = {f"s{n}": 340 for n in range(5)}
     fleet = Fleet(build(LESTARI, servers, adapters=LESTARI_ADAPTERS))
     fleet.run()
-    getattr(fleet, trouble).add("s2")
+    getattr(fleet, fault).add("s2")
     fleet.run()
     wanted = {f"{name}@1" for name in (*LESTARI, *dict(LESTARI_ADAPTERS))}
     assert fleet.list_answering().keys() == wanted
 
 
-def test_adapters_follow_a_lost_model_that_went_where_only_it_fits():
+def test_adapters_get_another_copy_of_a_model_that_lacks_memory_for_them():
     """A server leaves, and the only other one has room for a model but not for all
     of its adapters. Callers of the model come first; when the server is back, the
     adapters left over need another copy of the model there.
@@ -341,10 +341,10 @@
     ],
     ids=["beside", "in-turn", "in-turn-2", "other-server", "swap", "three", "four"],
 )
-def test_new_version_answers_before_the_old_one_goes(servers, copies, adapters):
+def test_new_version_is_ready_before_the_old_one_is_unloaded(servers, copies, adapters):
     fleet = Fleet(build({"a": 40}, servers, copies=copies, adapters=adapters))
     fleet.run()
-    fleet.fewest.clear()
+    fleet.min_copies.clear()
     fleet.engine_ms = 2 * RETIRE_AFTER_MS
     fleet.configuration = build(
         {"a": 40}, servers, copies=copies, adapters=adapters, version="2", number=2
@@ -353,12 +353,12 @@
     names = {f"{name}@1": copies for name, _ in adapters}
     assert fleet.count_copies() == {"a@2": copies, **names}
     assert len(done) == 2 * copies * (1 + len(adapters))
-    assert fleet.fewest["a"] == copies
+    assert fleet.min_copies["a"] == copies
     if len(servers) == 2 * copies:
-        assert set(fleet.fewest.values()) == {copies}
+        assert set(fleet.min_copies.values()) == {copies}
 
 
-def test_items_no_longer_configured_go_after_a_while():
+def test_items_no_longer_configured_are_unloaded_after_a_delay():
     servers = {"s0": 100}
     fleet = Fleet(build({"a": 40, "b": 40}, servers, adapters=[("x", "b")]))
     fleet.run()
@@ -369,10 +369,10 @@
     assert show(fleet.run()) == ["unload x@1", "unload b@1"]
 
 
-def place(fleet, homes):
+def load_items(fleet, keys_by_server):
     """Put items on servers as they would be after other plans."""
     configuration = fleet.configuration
-    for name, keys in homes.items():
+    for name, keys in keys_by_server.items():
         fleet.ledgers[name] = ServerLedger(server=name, boot_id="boot-1")
         for key in keys:
             model = configuration.sites["site-0"].models[key[0]]
@@ -388,7 +388,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sizes", "servers", "homes", "expected"),
+    ("sizes", "servers", "keys_by_server", "expected"),
     [
         (
             {"a": 30, "b": 30, "c": 60},
@@ -417,7 +417,9 @@
     ],
     ids=["relocate", "cheapest", "surplus", "no-more-than-needed"],
 )
-def test_room_is_made_for_what_fits_nowhere(sizes, servers, homes, expected):
+def test_memory_is_freed_for_a_model_that_fits_on_no_server(
+    sizes, servers, keys_by_server, expected
+):
     """Enough memory is free in all, but on no single server.
 
     Callers of the last model would be refused for ever, though the configuration was
@@ -425,13 +427,13 @@
     answers, the one in the way goes.
     """
     fleet = Fleet(build(sizes, servers))
-    place(fleet, homes)
+    load_items(fleet, keys_by_server)
     done = show(fleet.run())
     assert done == expected
     assert fleet.count_copies().keys() == {f"{name}@1" for name in sizes}
 
 
-def test_room_being_made_is_kept_for_a_lost_model():
+def test_memory_being_freed_is_reserved_for_a_lost_model():
     """A large model answers nowhere; room for it takes a relocation.
 
     Second copies of a small one would fill the room in the meantime, and callers of
@@ -439,7 +441,7 @@
     """
     sizes = {"a": 30, "b": 30, "c": 60, "d": 25}
     fleet = Fleet(build(sizes, {"s0": 60, "s1": 60, "s2": 40}))
-    place(fleet, {"s0": ["a@1"], "s1": ["b@1"], "s2": ["d@1"]})
+    load_items(fleet, {"s0": ["a@1"], "s1": ["b@1"], "s2": ["d@1"]})
     site = fleet.configuration.sites["site-0"]
     models = {**site.models, "d": replace(site.models["d"], copies=2)}
     fleet.configuration = replace(
@@ -449,7 +451,7 @@
     assert fleet.count_copies() == {f"{name}@1": 1 for name in sizes}
 
 
-def test_what_fits_nowhere_is_told_with_its_sum():
+def test_blocked_model_is_reported_with_sizes():
     fleet = Fleet(build({"a": 50, "b": 50}, {"s0": 60}))
     fleet.run()
     (blocked,) = fleet.plan()
@@ -472,7 +474,7 @@
         (1.0, 0.95 * HOT, 600, []),
     ],
 )
-def test_demand_brings_copies_if_they_are_worth_the_move(
+def test_demand_adds_copies_if_the_move_is_worthwhile(
     moves_weight, demand, seconds, expected
 ):
     servers = {"s0": 100, "s1": 100, "s2": 100}
@@ -485,7 +487,7 @@
     assert show(fleet.done[start:]) == expected
 
 
-def test_copy_goes_where_it_fits_if_the_idlest_server_is_full():
+def test_copy_goes_to_another_server_if_the_idlest_is_full():
     """The server with the least to do has no room, and nothing on it can go.
 
     Callers of a hot model would get late answers for hours beside a server that has
@@ -493,13 +495,13 @@
     """
     servers = {"s0": 40, "s1": 60, "s2": 100}
     fleet = Fleet(build({"a": 40, "c": 60, "d": 20}, servers))
-    place(fleet, {"s0": ["a@1"], "s1": ["c@1"], "s2": ["d@1"]})
+    load_items(fleet, {"s0": ["a@1"], "s1": ["c@1"], "s2": ["d@1"]})
     fleet.demand = {"a@1": 1.5 * HOT, "d@1": 0.3 * HOT}
     fleet.run()
     assert fleet.list_answering()["a@1"] == ["s0", "s2"]
 
 
-def test_demand_that_comes_and_goes_moves_nothing_after_the_first_copies():
+def test_alternating_demand_causes_no_moves_after_the_first_copies():
     """Two models take turns at ten times their demand every few minutes.
 
     Moving each time would load and unload without end, and each load may stall what
@@ -524,8 +526,8 @@
         ({"b@1": 0.95 * HOT}, []),
     ],
 )
-def test_extra_copy_makes_room_for_one_that_is_worth_more(demand, expected):
+def test_extra_copy_is_unloaded_for_a_more_valuable_one(demand, expected):
     fleet = Fleet(build({"a": 40, "b": 20}, {"s0": 50, "s1": 60}))
-    place(fleet, {"s0": ["a@1"], "s1": ["b@1", "a@1"]})
+    load_items(fleet, {"s0": ["a@1"], "s1": ["b@1", "a@1"]})
     fleet.demand = demand
     assert show(fleet.run()) == expected
--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -11,13 +11,13 @@
 NOT_SENT = life.NotSent(server="s1")
 BUSY = life.Refused(server="s1", detail="busy", retry_after_ms=700)
 LEAVING = life.Refused(server="s1", detail="leaving", leaving=True)
-WRONG = life.Refused(server="s1", detail="wrong", final=True)
+REFUSED_FINALLY = life.Refused(server="s1", detail="wrong", final=True)
 BROKEN = life.Broken(server="s1", next_offset=7)
 ENDED = life.Ended(next_offset=9)
-LEFT = life.CallerLeft(next_offset=3)
-LATE = life.DeadlinePassed()
+CALLER_LEFT = life.CallerLeft(next_offset=3)
+DEADLINE_PASSED = life.DeadlinePassed()
 BARRED = life.Barred(code=Code.QUARANTINED, detail="no", retry_after_ms=9_000)
-BARRED_BREAK = life.Broken(server="s1", next_offset=7, barred=BARRED)
+BROKEN_BARRED = life.Broken(server="s1", next_offset=7, barred=BARRED)
 NO_SERVER = life.NoServer(retry_after_ms=3_000)
 DEADLINE = 1_000
 
@@ -35,16 +35,19 @@
     return type(effect).__name__.lower()
 
 
-def play(state, *events, retries=8, now=0):
+def run_events(state, *events, retries=8, now=0):
     """Return what was done, and how many retries are left."""
-    left = [True] * retries
+    remaining = [True] * retries
     shown = []
     for event in events:
         effects = life.advance(
-            state, event, now=now, try_spend_retry=lambda: bool(left and left.pop())
+            state,
+            event,
+            now=now,
+            try_spend_retry=lambda: bool(remaining and remaining.pop()),
         )
         shown += [show(effect) for effect in effects]
-    return shown, len(left)
+    return shown, len(remaining)
 
 
 @pytest.mark.parametrize(
@@ -53,20 +56,20 @@
         ((ENDED,), "finish"),
         ((NO_SERVER,), "MODEL_NOT_LOADED not_run 3000"),
         ((BARRED,), "QUARANTINED not_run 9000"),
-        ((WRONG,), "BAD_PARAMETER not_run None"),
-        ((LEFT,), "cancel"),
-        ((LATE,), "cancel"),
+        ((REFUSED_FINALLY,), "BAD_PARAMETER not_run None"),
+        ((CALLER_LEFT,), "cancel"),
+        ((DEADLINE_PASSED,), "cancel"),
         ((NOT_SENT, ENDED), "finish"),
         ((NOT_SENT, NO_SERVER), "MODEL_NOT_LOADED not_run 3000"),
         ((BROKEN, NO_SERVER), "MODEL_NOT_LOADED unknown 3000"),
         ((BROKEN, BARRED), "QUARANTINED unknown 9000"),
-        ((BARRED_BREAK,), "QUARANTINED unknown 9000"),
-        ((BROKEN, WRONG), "BAD_PARAMETER unknown None"),
+        ((BROKEN_BARRED,), "QUARANTINED unknown 9000"),
+        ((BROKEN, REFUSED_FINALLY), "BAD_PARAMETER unknown None"),
         ((BROKEN, BUSY, ENDED), "finish"),
     ],
 )
-def test_ends_as_its_events_say(events, ending):
-    shown, _ = play(build(), ADMITTED, *events)
+def test_final_effect_of_each_event_sequence(events, ending):
+    shown, _ = run_events(build(), ADMITTED, *events)
     assert shown[len(events)] == ending
 
 
@@ -78,27 +81,29 @@
         (BROKEN, "RETRIES_EXHAUSTED unknown 1000", "OUTCOME_UNKNOWN unknown None"),
     ],
 )
-def test_gives_up_at_once_when_the_budget_is_empty(event, ending, unrepeatable_ending):
+def test_fails_at_once_when_the_retry_budget_is_empty(
+    event, ending, unrepeatable_ending
+):
     """A third of the servers fail, and each request is tried three times.
 
     The healthy servers get three times the load, fail too, and nobody is answered.
     Retries come from a budget, and without it the answer is final at once.
     """
-    shown, _ = play(build(), ADMITTED, event, retries=0)
+    shown, _ = run_events(build(), ADMITTED, event, retries=0)
     assert shown == ["dispatch r.1 at 0", ending]
-    shown, _ = play(build(repeatable=False), ADMITTED, event, retries=0)
+    shown, _ = run_events(build(repeatable=False), ADMITTED, event, retries=0)
     assert shown[-1] == (unrepeatable_ending or ending)
 
 
-def test_resumes_elsewhere_from_the_next_offset():
+def test_resumes_on_another_server_from_the_next_offset():
     """An engine dies in the middle of a reply to a guest.
 
     Begun anew, the guest would read the first half twice; given up, half a reply.
     """
     state = build(offset=2)
-    shown, left = play(state, ADMITTED, BROKEN, retries=3)
+    shown, remaining = run_events(state, ADMITTED, BROKEN, retries=3)
     assert shown == ["dispatch r.1 at 2", "dispatch r.2 at 7"]
-    assert (left, state.avoid) == (2, {"s1"})
+    assert (remaining, state.avoid) == (2, {"s1"})
 
 
 @pytest.mark.parametrize("first", [NOT_SENT, BUSY, LEAVING])
@@ -109,16 +114,18 @@
     family would be turned away. Only attempts that certainly were not run may be
     followed by another.
     """
-    shown, left = play(build(repeatable=False), ADMITTED, first, BROKEN, NOT_SENT)
+    shown, remaining = run_events(
+        build(repeatable=False), ADMITTED, first, BROKEN, NOT_SENT
+    )
     assert shown[:2] == ["dispatch r.1 at 0", "dispatch r.2 at 0"]
     assert shown[2:] == ["OUTCOME_UNKNOWN unknown None"]
-    assert left == 8 if first is LEAVING else 7
+    assert remaining == 8 if first is LEAVING else 7
 
 
 def test_a_leaving_server_costs_no_retry():
-    shown, left = play(build(), ADMITTED, LEAVING, retries=0)
+    shown, remaining = run_events(build(), ADMITTED, LEAVING, retries=0)
     assert shown[-1] == "dispatch r.2 at 0"
-    assert left == 0
+    assert remaining == 0
 
 
 @pytest.mark.parametrize(
@@ -127,24 +134,35 @@
         ((), "DEADLINE_OUT_OF_REACH not_run 1000"),
         ((NOT_SENT,), "DEADLINE_OUT_OF_REACH not_run 1000"),
         ((BROKEN,), "ANSWER_INCOMPLETE unknown 1000"),
-        ((LATE,), "ANSWER_INCOMPLETE unknown 1000"),
+        ((DEADLINE_PASSED,), "ANSWER_INCOMPLETE unknown 1000"),
     ],
 )
-def test_is_given_up_at_its_deadline(events, ending):
+def test_fails_at_its_deadline(events, ending):
     state = build()
     if events:
-        play(state, ADMITTED)
-    shown, _ = play(state, *(events or (ADMITTED,)), now=DEADLINE)
+        run_events(state, ADMITTED)
+    shown, _ = run_events(state, *(events or (ADMITTED,)), now=DEADLINE)
     assert shown[-1] == ending
 
 
 EVENTS = st.sampled_from(
-    [ADMITTED, NOT_SENT, BUSY, LEAVING, WRONG, BROKEN, ENDED, LEFT, LATE, NO_SERVER]
+    [
+        ADMITTED,
+        NOT_SENT,
+        BUSY,
+        LEAVING,
+        REFUSED_FINALLY,
+        BROKEN,
+        ENDED,
+        CALLER_LEFT,
+        DEADLINE_PASSED,
+        NO_SERVER,
+    ]
 )
 
 
 @given(st.lists(EVENTS, max_size=12), st.booleans(), st.integers(0, 3))
-def test_promises_hold_for_any_run_of_events(events, repeatable, retries):
+def test_invariants_hold_for_any_event_sequence(events, repeatable, retries):
     """Whatever order faults come in, three promises hold.
 
     "Not run" is said only if no attempt ever broke off; an unrepeatable request is
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -37,7 +37,7 @@
     ("per_minute", "at_once", "hold_ms"),
     [(60, 2, 2_000), (120, 3, 1_500), (7, 1, 8_572)],
 )
-def test_hold_bounds_the_rate_of_all_slots(per_minute, at_once, hold_ms):
+def test_hold_time_limits_the_rate_of_all_slots(per_minute, at_once, hold_ms):
     store = WeightStore(loads_per_minute=per_minute, loads_at_once=at_once)
     assert compute_min_hold_ms(store) == hold_ms
 
@@ -92,7 +92,7 @@
         "lapsed-and-server-dead",
     ],
 )
-def test_slot_is_taken_in_turn_and_from_a_lapsed_holder(slot, options, expected):
+def test_slot_is_taken_in_turn_and_from_an_expired_holder(slot, options, expected):
     """An instance dies in the middle of a load and never frees its slot.
 
     Loads would wait for ever, or, if others took the slot at once, the weight store
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -16,7 +16,7 @@
         ([b""], b"", "", b""),
     ],
 )
-def test_only_whole_events_are_passed_on(chunks, expected, last_id, partial):
+def test_only_complete_events_are_returned(chunks, expected, last_id, partial):
     buffer = EventBuffer()
     assert b"".join(take_complete_events(buffer, chunk) for chunk in chunks) == expected
     assert buffer.last_id == last_id
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -20,12 +20,12 @@
     return FakePlatform()
 
 
-def die(fake, server, *fingerprints):
+def record_death(fake, server, *fingerprints):
     report = DeathReport(server=server, boot_id=BOOT, fingerprints=fingerprints)
     return trials.record_deaths(fake.platform.table, report)
 
 
-def ask(fake, server, fingerprint, trial, boot=BOOT, expired=""):
+def request_trial(fake, server, fingerprint, trial, boot=BOOT, expired=""):
     report = DeathReport(
         server=server,
         boot_id=boot,
@@ -45,7 +45,7 @@
 
 def judge(fake, fingerprint):
     page = trials.read_suspicions(fake.platform.table, after=0)
-    known = {one.fingerprint: one for one in page.suspicions}
+    known = {item.fingerprint: item for item in page.suspicions}
     return suspects.judge(known.get(fingerprint))
 
 
@@ -62,24 +62,24 @@
         (("s1/b1", "s2/b1"), ("s1/b1",), Judgement.SUSPECT),
     ],
 )
-def test_judges_by_deaths_that_were_not_cleared(deaths, cleared, judgement):
+def test_judgement_counts_deaths_that_are_not_cleared(deaths, cleared, judgement):
     known = Suspicion(fingerprint="f", deaths=deaths, cleared=cleared)
     assert suspects.judge(known) is judgement
 
 
-def test_accounts_of_instances_merge_in_any_order():
+def test_suspicions_merge_in_any_order():
     """A clearance and an older account of the death arrive in either order.
 
     Merged by "the latest wins", the older one would blame the cleared request anew.
     """
     death = suspects.add_death(None, "f", "s1/b1")
-    accounts = [
+    suspicions = [
         death,
         suspects.clear_deaths(death, death.deaths),
         suspects.add_death(None, "f", "s2/b1"),
     ]
     merged = set()
-    for order in itertools.permutations(accounts):
+    for order in itertools.permutations(suspicions):
         state = suspects.SuspectState()
         suspects.merge(state, order, now=0)
         merged.add(state.suspicions["f"])
@@ -87,7 +87,7 @@
     assert suspects.judge(merged.pop()) is Judgement.SUSPECT
 
 
-def test_forgets_a_suspicion_without_news():
+def test_unchanged_suspicion_expires():
     state = suspects.SuspectState()
     suspects.record_death(state, fingerprint="f", server="s1", boot_id=BOOT, now=0)
     suspects.merge(state, tuple(state.suspicions.values()), now=5_000)
@@ -101,21 +101,21 @@
     assert (state.suspicions, state.changed_at) == ({}, {})
 
 
-def test_bystanders_of_a_poison_request_are_cleared(fake):
+def test_harmless_requests_beside_a_poison_request_are_cleared(fake):
     """Four requests run on a server as one of them kills it.
 
     All four lose their server, and nobody knows which did it. Each is tried alone;
     three run whole, and the fourth kills the second server and is quarantined.
     """
-    die(fake, "s1", "a", "b", "c", "poison")
+    record_death(fake, "s1", "a", "b", "c", "poison")
     for fingerprint in ("a", "b", "c"):
-        assert ask(fake, "s2", fingerprint, f"t-{fingerprint}").granted
+        assert request_trial(fake, "s2", fingerprint, f"t-{fingerprint}").granted
         clear_suspicion(fake, fingerprint, "s2", f"t-{fingerprint}")
-    assert ask(fake, "s2", "poison", "t-p").granted
-    die(fake, "s2", "poison")
-    judged = [judge(fake, one) for one in ("a", "b", "c", "poison")]
-    assert judged == [Judgement.CLEAR] * 3 + [Judgement.QUARANTINED]
-    assert not ask(fake, "s3", "poison", "t-again").granted
+    assert request_trial(fake, "s2", "poison", "t-p").granted
+    record_death(fake, "s2", "poison")
+    judgements = [judge(fake, item) for item in ("a", "b", "c", "poison")]
+    assert judgements == [Judgement.CLEAR] * 3 + [Judgement.QUARANTINED]
+    assert not request_trial(fake, "s3", "poison", "t-again").granted
 
 
 def test_two_suspects_never_share_a_server(fake):
@@ -124,14 +124,14 @@
     Both would have two deaths, and the harmless one would be blamed with the
     other. A trial holds its server until it ends or the server has another boot.
     """
-    die(fake, "s1", "a", "poison")
-    assert ask(fake, "s2", "a", "t1").granted
-    refused = ask(fake, "s2", "poison", "t2")
+    record_death(fake, "s1", "a", "poison")
+    assert request_trial(fake, "s2", "a", "t1").granted
+    refused = request_trial(fake, "s2", "poison", "t2")
     assert (refused.granted, refused.recorded, refused.holder) == (False, True, "t1")
-    assert ask(fake, "s2", "poison", "t2", expired="t1").granted
+    assert request_trial(fake, "s2", "poison", "t2", expired="t1").granted
     clear_suspicion(fake, "poison", "s2", "t1")
-    assert not ask(fake, "s2", "a", "t3").granted
-    assert ask(fake, "s2", "c", "t4", boot="b2").granted
+    assert not request_trial(fake, "s2", "a", "t3").granted
+    assert request_trial(fake, "s2", "c", "t4", boot="b2").granted
 
 
 def test_a_suspect_is_tried_on_one_server_at_a_time(fake):
@@ -140,47 +140,51 @@
     Each entry knows of one death and tries it on another server; both servers die,
     and three are lost. The death of a trial is written down before it runs.
     """
-    die(fake, "s1", "poison")
-    assert ask(fake, "s2", "poison", "t1").granted
-    assert ask(fake, "s2", "poison", "t1").granted
+    record_death(fake, "s1", "poison")
+    assert request_trial(fake, "s2", "poison", "t1").granted
+    assert request_trial(fake, "s2", "poison", "t1").granted
     for server, trial in (("s3", "t2"), ("s2", "t3")):
-        refused = ask(fake, server, "poison", trial)
+        refused = request_trial(fake, server, "poison", trial)
         assert refused.recorded and not refused.granted
         assert suspects.judge(refused.suspicions[0]) is Judgement.ON_TRIAL
     clear_suspicion(fake, "poison", "s2", "t1", ran=False)
     assert judge(fake, "poison") is Judgement.SUSPECT
-    assert ask(fake, "s3", "poison", "t2").granted
+    assert request_trial(fake, "s3", "poison", "t2").granted
 
 
 def test_a_race_for_the_first_trial_has_one_winner(fake):
-    die(fake, "s1", "poison")
+    record_death(fake, "s1", "poison")
     granted = []
     fake.before_transact = lambda: granted.append(
-        ask(fake, "s3", "poison", "t2").granted
+        request_trial(fake, "s3", "poison", "t2").granted
     )
-    granted.append(ask(fake, "s2", "poison", "t1").granted)
+    granted.append(request_trial(fake, "s2", "poison", "t1").granted)
     assert granted == [True, False]
 
 
 @pytest.mark.parametrize("trial", ["", "t1"])
-def test_nothing_is_granted_that_was_not_recorded(fake, trial):
+def test_no_retry_is_granted_if_recording_fails(fake, trial):
     """The store is down when a server dies, so no other instance hears of it.
 
     A retry could then cost one server an instance; it must not be made.
     """
     fake.down = True
-    reply = ask(fake, "s1", "f", trial) if trial else die(fake, "s1", "f")
+    reply = (
+        request_trial(fake, "s1", "f", trial)
+        if trial
+        else record_death(fake, "s1", "f")
+    )
     assert (reply.recorded, reply.granted) == (False, False)
-    assert [one.deaths for one in reply.suspicions] == ([] if trial else [("s1/b1",)])
+    assert [item.deaths for item in reply.suspicions] == ([] if trial else [("s1/b1",)])
     with pytest.raises(PlatformUnavailableError):
         clear_suspicion(fake, "f")
 
 
-def test_a_lost_reply_is_resolved(fake):
+def test_a_lost_reply_is_retried(fake):
     fake.lost_replies = 1
-    assert die(fake, "s1", "f").recorded
+    assert record_death(fake, "s1", "f").recorded
     fake.lost_replies = 1
-    assert ask(fake, "s2", "f", "t1").granted
+    assert request_trial(fake, "s2", "f", "t1").granted
     fake.lost_replies, fake.down_after_lost_reply = 1, True
     with pytest.raises(OutcomeUnknownError):
         clear_suspicion(fake, "f", "s2", "t1")
@@ -189,9 +193,9 @@
     assert judge(fake, "f") is Judgement.CLEAR
 
 
-def test_rows_are_read_on_and_forgotten(fake):
+def test_changes_are_read_incrementally_and_rows_deleted(fake):
     table = fake.platform.table
-    die(fake, "s1", "f")
+    record_death(fake, "s1", "f")
     page = trials.read_suspicions(table, after=0)
     stale = msgspec.structs.replace(page.suspicions[0], cleared=("s1/b1",))
     trials.delete_suspicion(table, "f", seen=stale)
@@ -202,33 +206,33 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_any_order_of_trials_costs_two_servers_and_blames_no_bystander(fake, seed):
+def test_random_trials_cost_two_servers_and_quarantine_no_harmless_request(fake, seed):
     """Poison and harmless requests die together and are sent again at random.
 
     Whatever entry they come through and however the trials overlap, a poison request
     kills two servers at most, and whoever runs whole is never quarantined.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     requests = ["a", "b", "c", "poison"]
     running = {}
     killed = {"s0"}
-    die(fake, "s0", *requests)
+    record_death(fake, "s0", *requests)
     for step in range(200):
-        server = f"s{chance.randrange(1, 5)}"
-        fingerprint = chance.choice(requests)
-        if fingerprint in running and chance.random() < 0.5:
+        server = f"s{rng.randrange(1, 5)}"
+        fingerprint = rng.choice(requests)
+        if fingerprint in running and rng.random() < 0.5:
             server, trial = running.pop(fingerprint)
             if fingerprint == "poison":
                 killed.add(server)
-                die(fake, server, fingerprint)
+                record_death(fake, server, fingerprint)
             else:
                 clear_suspicion(fake, fingerprint, server, trial)
         elif judge(fake, fingerprint) is Judgement.SUSPECT and server not in killed:
             trial = f"t{step}"
-            if ask(fake, server, fingerprint, trial).granted:
+            if request_trial(fake, server, fingerprint, trial).granted:
                 assert server not in {held for held, _ in running.values()}
                 running[fingerprint] = (server, trial)
     assert len(killed) == 2
-    judged = {judge(fake, one) for one in ("a", "b", "c") if one not in running}
-    assert judged <= {Judgement.CLEAR}
+    judgements = {judge(fake, item) for item in ("a", "b", "c") if item not in running}
+    assert judgements <= {Judgement.CLEAR}
     assert judge(fake, "poison") is Judgement.QUARANTINED
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -93,7 +93,9 @@
     ],
     ids=["load", "unload", "replace", "confirm", "nothing-new", "release"],
 )
-def test_transaction_depends_on_all_that_was_decided_on(transaction, expected, written):
+def test_transaction_has_all_rows_of_its_decision_as_preconditions(
+    transaction, expected, written
+):
     assert show(transaction) == (expected, written)
 
 
@@ -137,7 +139,7 @@
     assert update_copies(record, ledger=LEDGER, alive=alive).servers == after
 
 
-def test_unload_takes_the_server_out_of_the_copies():
+def test_unload_removes_the_server_from_the_copies():
     transaction = build_unload_intent(
         **COMMON, copies=build_copies("s0", "s1"), answering={"s1"}
     )
