--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of unrepeatable requests: at most one run, whoever sends it again."""
+"""Claims: an unrepeatable request runs at most once, even if it is sent again."""
 
 import pytest
 
@@ -59,11 +59,11 @@
     ],
 )
 def test_claim_of_a_used_key(fake, settled, attempt, body, state):
-    """A desk volunteer sees no answer to a confirmation and sends it once more.
+    """A caller receives no answer to a confirmation and sends it again.
 
-    The first one ran, may have run, still runs, or was certainly not run; only in
-    the last case may the second one run. A late copy of the first claim, which its
-    entry gave up, must not get the key back either.
+    The first request ran, may have run, is still running, or certainly did not run;
+    only in the last case may the second one run. A late duplicate of the first claim,
+    which its entry withdrew, must not get the key either.
     """
     assert claim(fake).state == "granted"
     if settled:
@@ -83,9 +83,9 @@
 
 @pytest.mark.parametrize("lost", ["object", "size"])
 def test_an_answer_that_is_not_stored_is_unknown(fake, lost):
-    """An answer is too large to keep, or its object has been deleted.
+    """An answer is too large to store, or its object has been deleted.
 
-    An empty answer in its place would look like a whole one.
+    An empty answer in its place would look complete.
     """
     claim(fake)
     settle(fake, body=b"x" * (MAX_ANSWER_BYTES + (lost == "size")))
@@ -105,8 +105,9 @@
 def test_a_claim_during_store_faults(fake, fault, value, first, uncertain, second):
     """The reply to a claim is lost after the row was written.
 
-    Taken for refused and claimed anew it would look like another's; taken for
-    granted without looking, two entries could run the same booking.
+    If the claim were treated as refused and made again, the row would look like that of
+    another claim. If it were treated as granted without reading the row, two entries
+    could run the same booking.
     """
     setattr(fake, fault, value)
     fake.lost_replies = 1 if fault.startswith("down_") else fake.lost_replies
@@ -117,9 +118,9 @@
 
 
 def test_two_entries_claim_concurrently(fake):
-    """A caller on a patchy phone sends a booking to two entries at the same moment.
+    """A caller with an unstable connection sends a booking to two entries at once.
 
-    Both read that there is no row; the second write must lose.
+    Both read that there is no row; the second write must fail.
     """
     replies = []
     fake.before_transact = lambda: replies.append(claim(fake, "a2").state)
@@ -141,7 +142,7 @@
     ],
 )
 def test_a_settlement_is_not_overwritten(fake, first, attempt, second, kept):
-    """A settlement arrives twice or late, or from an entry that lost the claim."""
+    """A settlement is duplicate or late, or from an entry that lost the claim."""
     claim(fake)
     if first:
         settle(fake, first)
@@ -172,10 +173,10 @@
 
 
 def test_a_withdrawn_claim_that_arrives_late_is_refused(fake):
-    """A claim is stuck on its way to a slow store; its entry gives up, takes it back.
+    """A claim is delayed by a slow store; its entry gives up and withdraws it.
 
-    Arriving afterwards it would hold the key for a request that nobody runs, and the
-    caller would be told to wait for ever.
+    If the claim were granted afterwards, it would hold the key for a request that is
+    not running, and the caller would wait for ever.
     """
     settle(fake, "not_run")
     assert claim(fake, "a1").state == "unavailable"
--- a/tests/test_cursor.py
+++ b/tests/test_cursor.py
@@ -1,4 +1,4 @@
-"""Which chunks of an answer reach the caller."""
+"""The cursor, which decides which chunks of an answer reach the caller."""
 
 import pytest
 
@@ -26,10 +26,11 @@
     ],
 )
 def test_delivers_each_token_once_and_in_order(chunks, verdicts):
-    """A host reads a reply with a sentence twice, or with one of another guest.
+    """An answer is resumed at offset 4 after an interrupted attempt.
 
-    An answer resumed at offset 4. Chunks of the broken attempt, doubled ones and
-    ones out of order still arrive; only the next one of this attempt counts.
+    Chunks of the interrupted attempt, duplicates and chunks out of order still arrive.
+    If any was delivered, the caller would read text twice, or text of another answer;
+    only the next chunk of the current attempt is accepted.
     """
     cursor = Cursor(attempt_id="r.1", offset=4)
     begin_attempt(cursor, attempt_id="r.2")
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -1,4 +1,4 @@
-"""Which configurations are refused because they cannot be held."""
+"""Checks of a configuration against the memory of the servers."""
 
 import random
 
@@ -97,9 +97,9 @@
 def test_configuration_that_does_not_fit_is_refused_with_sizes(
     sizes, servers, options, expected_detail
 ):
-    """An operator approves a model too many, or one too large to ever be changed.
+    """An operator approves one model too many, or one too large ever to be updated.
 
-    Taken, it would leave a model without a server, or a later change half done.
+    If accepted, a model would remain without a server, or a later change incomplete.
     """
     with pytest.raises(ConfigurationError) as caught:
         check_fit(build(sizes, servers, **options))
@@ -175,7 +175,7 @@
 def run_randomly(seed):
     """Load, lose servers and change models at random.
 
-    :return: the accepted changes that were asked for and those that took hold.
+    :return: the number of accepted changes, and the number of those that completed.
     """
     rng = random.Random(seed)
     configuration = build_randomly(rng)
@@ -203,12 +203,13 @@
 
 @pytest.mark.parametrize("seed", [4, 7, 15, 35, 124, 169, 193, 201, 316, 649, 762])
 def test_accepted_changes_complete_on_nearly_full_servers(seed):
-    """A configuration is accepted, but a plan fills the servers unluckily.
+    """A configuration is accepted, but a plan fragments the memory of the servers.
 
-    A change that an operator approves then never takes hold, or copies go back and
-    forth for ever, though memory enough was shown to exist. Each of these seeds
-    failed without one of the planner's guards; of seeds 0 to 2199, 11 in 2079 and 41
-    in 5593 changes still end up blocked, told as such, with the former version kept.
+    A change that an operator approves would then never complete, or copies would be
+    moved back and forth for ever, although enough memory was shown to exist. Each of
+    these seeds failed without one of the planner's guards. Of seeds 0 to 2199, 11 in
+    2079 and 41 in 5593 changes still end up blocked: they are reported as blocked, and
+    the previous version is kept.
     """
     requested, applied = run_randomly(seed)
     assert requested == applied
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The memory ledger: what counts as occupied, and what frees it."""
+"""The memory ledger: which memory counts as occupied, and when it is freed."""
 
 import pytest
 from msgspec.structs import replace
@@ -38,7 +38,7 @@
 
 
 def build_report(*items, sequence=1, boot="boot-1", **fields):
-    """Build a report; an item is its key, loaded, or a pair of key and state."""
+    """Build a report; an item is a key, if loaded, or a pair of key and state."""
     pairs = [item if isinstance(item, tuple) else (item, "loaded") for item in items]
     listed = tuple(
         ReportedItem(item=key, state=ItemState(state), memory_mib=60)
@@ -85,11 +85,11 @@
     ],
 )
 def test_lost_load_counts_until_absence_is_proven(server, report, expected):
-    """A load order is lost, or only late; reports do not list the item.
+    """A load order is lost or late, and reports do not list the item.
 
-    Its bytes are given to another model, the late order arrives after all, and the
-    server runs out of memory in the middle of a request. Only a checking server that
-    has seen a newer order, or a restart, rules the late order out.
+    If its memory is given to another model and the late order arrives after all, the
+    server runs out of memory during a request. The late order is excluded only by a
+    restart, or by a server that checks orders and has seen this or a newer order.
     """
     known, _ = load(server=server)
     assert show(run(known, report, server=server)) == expected
@@ -105,10 +105,10 @@
     ],
 )
 def test_unload_frees_memory_once_a_newer_report_proves_it(reports, expected):
-    """A report from before the load comes late, after the unload was ordered.
+    """A report from before the load arrives after the unload was ordered.
 
-    It does not list the item. Taken for new, it would free the bytes of an item that
-    is still there, and the next load would overcommit the server.
+    It does not list the item. If it counted as new, it would free the memory of an item
+    that is still loaded, and the next load would overcommit the server.
     """
     known, _ = load()
     known = run(known, build_report("a@1", sequence=2))
@@ -117,10 +117,11 @@
 
 
 def test_resent_load_stays_reserved_after_the_unload():
-    """An order to a server that does not check is sent twice, and one copy is late.
+    """A load order is sent twice to a server without order checks, and one is late.
 
-    The item is loaded, unloaded, and its room given away; then the late copy arrives
-    and loads it again. The bytes stay reserved until the late one has shown itself.
+    The item is loaded and unloaded, and its memory is given to another item; then the
+    late order arrives and loads the item again. The memory therefore stays reserved
+    until the late order has taken effect.
     """
     known, _ = load()
     outcome = reconcile(known, server=NON_CHECKING, report=build_report(sequence=LATER))
@@ -155,10 +156,10 @@
 
 
 def test_copy_that_a_late_unload_may_remove_is_not_relied_on():
-    """An unload order is sent twice; one copy is late, and the item is loaded again.
+    """An unload order is sent twice; one is late, and the item is loaded again.
 
-    Another server unloads its copy because this one answers. Then the late unload
-    arrives here, the last copy is gone, and callers of the model are refused.
+    Another server unloads its copy because this one is ready. If the late unload then
+    arrives here, the last copy is unloaded, and callers of the model are refused.
     """
     known = run(load()[0], build_report("a@1"))
     known = add_unload_intent(known, item="a@1")
@@ -171,10 +172,10 @@
 
 
 def test_report_of_a_past_boot_is_ignored():
-    """An engine restarts; a report from before the restart comes in late.
+    """An engine restarts, and a report from before the restart arrives late.
 
-    It would look like another restart, wipe the ledger, and free what the engine
-    holds since the restart.
+    It would look like another restart, clear the ledger, and free the memory of items
+    loaded since the restart.
     """
     known = run(START, build_report(boot="boot-2"))
     known = run(load(known)[0], build_report("a@1", sequence=2, boot="boot-2"))
@@ -197,10 +198,10 @@
 
 
 def test_items_missing_from_the_ledger_are_adopted_from_a_report():
-    """The table was restored from a backup, and the ledger is older than the server.
+    """The table was restored from a backup, so the ledger is older than the server.
 
-    What the server holds must be counted and its orders numbered above all it has
-    seen, or it would be overcommitted, or refuse every order as too old.
+    The loaded items must be counted, and new orders numbered above all that the server
+    has seen. Otherwise it would be overcommitted, or refuse every order as too old.
     """
     report = build_report("b@1", fence=3, last_order=41)
     outcome = reconcile(START, server=CHECKING, report=report)
@@ -211,10 +212,11 @@
 
 
 def test_new_owner_keeps_intents_and_resends_them_with_its_fence():
-    """An owner lapses between the commit of a load and its order, and wakes later.
+    """An owner's session expires after the commit of a load, before its order is sent.
 
-    The new owner must count the load, and order it anew with its own fence, so that a
-    checking server refuses the old order when it comes.
+    The former owner resumes later and sends the order. The new owner must count the
+    load and order it again with its own fence, so that a server that checks orders
+    refuses the old order.
     """
     known = take_over(load()[0], fence=8)
     assert show(known) == LOADING
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -1,4 +1,4 @@
-"""Random interleavings of orders, reports, owners and restarts over the ledger."""
+"""Random interleavings of orders, reports, changes of owner and restarts."""
 
 import pytest
 from hypothesis import given, settings
@@ -42,7 +42,7 @@
 
 
 class Engine(State):
-    """A backend server that obeys every order that its kind lets through."""
+    """A backend server that carries out all orders, or those that pass its checks."""
 
     name: str
     checks: bool
@@ -101,7 +101,7 @@
 
 
 class Owner(State):
-    """An owner of one server; a replaced one lives on with what it knew."""
+    """An owner of one server; a replaced owner continues with its outdated state."""
 
     server: str
     owner: Precondition
@@ -112,7 +112,7 @@
 
 
 class Fleet:
-    """Servers, owners that come and go, and a table between them."""
+    """Servers, their successive owners, and the table that the owners share."""
 
     def __init__(self, *, checks, names):
         self.names = names
@@ -189,7 +189,7 @@
         self.read_all_copies(owner)
 
     def load_or_unload(self, server, age, item):
-        """Load an item, or unload it if it is loaded, as far as the owner knows."""
+        """Load an item, or unload it if the owner's ledger says that it is loaded."""
         owner = self.find_owner(server, age)
         entry = find_entry(owner.ledger, item)
         loaded = entry is not None and entry.state is EntryState.LOADED
@@ -250,7 +250,7 @@
         owner.inbox.append(self.engines[owner.server].report())
 
     def apply_report(self, server, age, index):
-        """Take in any report at hand of the boot whose turn it is."""
+        """Apply any received report of the same boot as the first one."""
         owner = self.find_owner(server, age)
         turn = [
             known for known in owner.inbox if known.boot_id == owner.inbox[0].boot_id
@@ -274,7 +274,7 @@
             self.orders += [(owner, order) for order in outcome.resend]
 
     def settle(self, server, arriving=ALL):
-        """Let a while pass in which some of the owner's orders arrive."""
+        """Advance by several reports, in which some of the owner's orders arrive."""
         owner = self.find_owner(server)
         engine = self.engines[owner.server]
         engine.sequence += ledger.RESEND_AFTER_REPORTS
@@ -317,7 +317,7 @@
                 assert counted >= possible
 
     def end_faults(self):
-        """Every ledger comes to agree with its server."""
+        """Check that every ledger agrees with its server once no more faults occur."""
         for index, name in enumerate(self.names):
             self.claim(index)
             for _ in range(4):
@@ -356,10 +356,10 @@
 @pytest.mark.parametrize("names", [("s0",), ("s0", "s1")], ids=["one", "two"])
 @pytest.mark.parametrize("checks", [True, False], ids=["checking", "unchecking"])
 def test_memory_is_never_overcommitted_under_interleaving(checks, names):
-    """An order is sent twice, arrives late, or its owner is paused and replaced.
+    """Orders are sent twice or arrive late, and owners are paused and replaced.
 
-    A user would see a server die for lack of memory, or a model gone, long after the
-    cause: bytes given away, or a copy relied upon, before an order's end was proven.
+    If memory is freed, or a copy is relied on, before an order is proven to have ended,
+    a server runs out of memory or a model becomes unavailable long after the cause.
     """
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True, database=None)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The plan: what is loaded where, in which sequence, and what makes room."""
+"""Placement plans: which loads, in which order, and how memory is freed."""
 
 import pytest
 from msgspec.structs import replace
@@ -66,9 +66,9 @@
 
 
 class Fleet:
-    """Ledgers kept by plans that are carried out, one load at a time.
+    """Ledgers updated by carrying out plans, one load at a time.
 
-    :param min_copies: the fewest copies of a name that answered, at any step.
+    :param min_copies: the fewest ready copies of a name at any step.
     """
 
     def __init__(self, configuration):
@@ -106,7 +106,7 @@
         return plan(self.state, inputs, now=self.now)
 
     def run(self, steps=MAX_STEPS):
-        """Carry plans out until they ask for nothing more; return what was done."""
+        """Carry out plans until they have no more actions; return the actions done."""
         start = len(self.done)
         waited = 0
         for _ in range(steps):
@@ -160,7 +160,7 @@
         return counts
 
     def settle(self, name):
-        """Let the server report, with what it has done by now."""
+        """Apply a report of the server with the orders that it has completed by now."""
         known = self.ledgers[name]
         items = tuple(
             ReportedItem(item=entry.item, state=state, memory_mib=entry.memory_mib)
@@ -184,7 +184,7 @@
         return {name for site in sites for name in (*site.models, *site.adapters)}
 
     def list_answering(self):
-        """Return the servers that answer for each item."""
+        """Return the servers on which each item is ready."""
         answering = {}
         for name, known in self.ledgers.items():
             for entry in known.entries:
@@ -259,10 +259,10 @@
 
 
 def test_lost_models_are_loaded_before_second_copies():
-    """A server dies that held the only copy of one model and one of two of another.
+    """A server dies that had the only copy of one model and one of two of another.
 
-    Callers of the first are refused until it is loaded again; those of the second
-    have a copy that answers. The weight store takes one load a second.
+    Callers of the first model are refused until it is loaded again; the second model
+    still has a ready copy. The weight store allows one load per second.
     """
     servers = {"s0": 60, "s1": 60, "s2": 60}
     site = build_site({"lone": 30, "pair": 10}, servers)
@@ -316,9 +316,9 @@
 
 
 def test_adapters_get_another_copy_of_a_model_that_lacks_memory_for_them():
-    """A server leaves, and the only other one has room for a model but not for all
-    of its adapters. Callers of the model come first; when the server is back, the
-    adapters left over need another copy of the model there.
+    """A server leaves, and the only other one has memory for a model but not for all
+    of its adapters. The model is loaded first; when the server is back, the remaining
+    adapters need another copy of the model there.
     """
     adapters = [("x", "a"), ("y", "a")]
     fleet = Fleet(build({"a": 50}, {"s0": 55, "s1": 100}, adapters=adapters))
@@ -370,7 +370,7 @@
 
 
 def load_items(fleet, keys_by_server):
-    """Put items on servers as they would be after other plans."""
+    """Load items on given servers, as previous plans may have done."""
     configuration = fleet.configuration
     for name, keys in keys_by_server.items():
         fleet.ledgers[name] = ServerLedger(server=name, boot_id="boot-1")
@@ -420,11 +420,11 @@
 def test_memory_is_freed_for_a_model_that_fits_on_no_server(
     sizes, servers, keys_by_server, expected
 ):
-    """Enough memory is free in all, but on no single server.
+    """Enough memory is free in total, but not on any single server.
 
-    Callers of the last model would be refused for ever, though the configuration was
-    accepted. Another model is loaded a second time elsewhere, and only when that copy
-    answers, the one in the way goes.
+    Callers of the last model would be refused for ever, although the configuration was
+    accepted. Another model is first loaded on a second server; only when that copy is
+    ready, the copy that occupies the needed memory is unloaded.
     """
     fleet = Fleet(build(sizes, servers))
     load_items(fleet, keys_by_server)
@@ -434,10 +434,10 @@
 
 
 def test_memory_being_freed_is_reserved_for_a_lost_model():
-    """A large model answers nowhere; room for it takes a relocation.
+    """A large model is not loaded, and freeing memory for it takes a relocation.
 
-    Second copies of a small one would fill the room in the meantime, and callers of
-    the large one would be refused for good.
+    Second copies of a small model would use the memory in the meantime, and callers of
+    the large model would be refused permanently.
     """
     sizes = {"a": 30, "b": 30, "c": 60, "d": 25}
     fleet = Fleet(build(sizes, {"s0": 60, "s1": 60, "s2": 40}))
@@ -488,10 +488,10 @@
 
 
 def test_copy_goes_to_another_server_if_the_idlest_is_full():
-    """The server with the least to do has no room, and nothing on it can go.
+    """The least loaded server has no free memory, and nothing on it can be unloaded.
 
-    Callers of a hot model would get late answers for hours beside a server that has
-    room and not much to do.
+    Callers of a model in high demand would get late answers for hours although another
+    server has free memory and little load.
     """
     servers = {"s0": 40, "s1": 60, "s2": 100}
     fleet = Fleet(build({"a": 40, "c": 60, "d": 20}, servers))
@@ -502,10 +502,10 @@
 
 
 def test_alternating_demand_causes_no_moves_after_the_first_copies():
-    """Two models take turns at ten times their demand every few minutes.
+    """Two models alternately have ten times their usual demand, for minutes each.
 
-    Moving each time would load and unload without end, and each load may stall what
-    the server runs. An extra copy stays until its room is needed.
+    Moving copies each time would load and unload without end, and each load may stall
+    the requests on its server. An extra copy stays until its memory is needed.
     """
     servers = {"s0": 100, "s1": 100, "s2": 100}
     fleet = Fleet(build({"a": 40, "b": 40}, servers))
--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -1,4 +1,4 @@
-"""The life of one request: what follows each event, and what it may claim."""
+"""The request state machine: effects of each event, and the final error."""
 
 import pytest
 from hypothesis import given
@@ -36,7 +36,7 @@
 
 
 def run_events(state, *events, retries=8, now=0):
-    """Return what was done, and how many retries are left."""
+    """Return the effects, and the number of retries left."""
     remaining = [True] * retries
     shown = []
     for event in events:
@@ -84,10 +84,11 @@
 def test_fails_at_once_when_the_retry_budget_is_empty(
     event, ending, unrepeatable_ending
 ):
-    """A third of the servers fail, and each request is tried three times.
+    """A third of the servers fail, and each request is attempted three times.
 
-    The healthy servers get three times the load, fail too, and nobody is answered.
-    Retries come from a budget, and without it the answer is final at once.
+    The healthy servers would get three times the load and fail as well, so that no
+    request succeeds. Retries are limited by a budget; without budget, a failure is
+    final at once.
     """
     shown, _ = run_events(build(), ADMITTED, event, retries=0)
     assert shown == ["dispatch r.1 at 0", ending]
@@ -96,9 +97,10 @@
 
 
 def test_resumes_on_another_server_from_the_next_offset():
-    """An engine dies in the middle of a reply to a guest.
+    """An engine dies in the middle of an answer.
 
-    Begun anew, the guest would read the first half twice; given up, half a reply.
+    If the answer restarted, the caller would read the first half twice; if the request
+    failed, it would get half an answer.
     """
     state = build(offset=2)
     shown, remaining = run_events(state, ADMITTED, BROKEN, retries=3)
@@ -108,11 +110,11 @@
 
 @pytest.mark.parametrize("first", [NOT_SENT, BUSY, LEAVING])
 def test_never_sends_an_unrepeatable_request_twice(first):
-    """A booking confirmation goes out, and the connection breaks off.
+    """A booking confirmation is sent, and the connection is interrupted.
 
-    The engine confirmed it although no answer came. Sent to another engine, a second
-    family would be turned away. Only attempts that certainly were not run may be
-    followed by another.
+    The engine confirmed the booking although no answer arrived. If the request were
+    sent to another engine, the booking would be confirmed twice. Only attempts that
+    certainly did not run may be retried.
     """
     shown, remaining = run_events(
         build(repeatable=False), ADMITTED, first, BROKEN, NOT_SENT
@@ -163,10 +165,11 @@
 
 @given(st.lists(EVENTS, max_size=12), st.booleans(), st.integers(0, 3))
 def test_invariants_hold_for_any_event_sequence(events, repeatable, retries):
-    """Whatever order faults come in, three promises hold.
+    """Three invariants hold for any sequence of faults.
 
-    "Not run" is said only if no attempt ever broke off; an unrepeatable request is
-    not sent again after it may have run; after the end nothing more is done.
+    The run state "not run" is returned only if no attempt was interrupted; an
+    unrepeatable request is not sent again after it may have run; after the end there
+    are no more effects.
     """
     state = build(repeatable=repeatable)
     broke = False
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""The weight store's queue: who takes which slot, and when it is free again."""
+"""Load slots of the weight store: which load takes which slot, and its release."""
 
 import pytest
 
@@ -93,10 +93,11 @@
     ],
 )
 def test_slot_is_taken_in_turn_and_from_an_expired_holder(slot, options, expected):
-    """An instance dies in the middle of a load and never frees its slot.
+    """An instance dies during a load and never releases its slot.
 
-    Loads would wait for ever, or, if others took the slot at once, the weight store
-    would serve more at a time than it does at full speed, and all loads get slow.
+    Loads would wait for ever. If other instances took the slot at once, the weight
+    store would serve more concurrent loads than it can at full speed, and all loads
+    would be slow.
     """
     assert choose(slot, **options) == expected
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Whole events only."""
+"""Splitting of a stream into complete events."""
 
 import pytest
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Suspects and their trials: two servers at most, and no bystander blamed."""
+"""Suspects and trials: a poison request costs at most two servers."""
 
 import itertools
 import random
@@ -68,9 +68,10 @@
 
 
 def test_suspicions_merge_in_any_order():
-    """A clearance and an older account of the death arrive in either order.
+    """A clearance and an older record of the death arrive in either order.
 
-    Merged by "the latest wins", the older one would blame the cleared request anew.
+    If the latest record won, the older one would make the cleared request a suspect
+    again.
     """
     death = suspects.add_death(None, "f", "s1/b1")
     suspicions = [
@@ -102,10 +103,10 @@
 
 
 def test_harmless_requests_beside_a_poison_request_are_cleared(fake):
-    """Four requests run on a server as one of them kills it.
+    """Four requests run on a server when one of them kills it.
 
-    All four lose their server, and nobody knows which did it. Each is tried alone;
-    three run whole, and the fourth kills the second server and is quarantined.
+    Which request was the cause is unknown. Each gets a trial as the only suspect on a
+    server; three complete, and the fourth kills a second server and is quarantined.
     """
     record_death(fake, "s1", "a", "b", "c", "poison")
     for fingerprint in ("a", "b", "c"):
@@ -119,10 +120,10 @@
 
 
 def test_two_suspects_never_share_a_server(fake):
-    """Two suspects of the same death are tried on one server, and it dies.
+    """Two suspects of the same death have a trial on one server, and it dies.
 
-    Both would have two deaths, and the harmless one would be blamed with the
-    other. A trial holds its server until it ends or the server has another boot.
+    Both would have two deaths, and the harmless request would be quarantined as well.
+    A trial reserves its server until it ends or the server has another boot.
     """
     record_death(fake, "s1", "a", "poison")
     assert request_trial(fake, "s2", "a", "t1").granted
@@ -135,10 +136,11 @@
 
 
 def test_a_suspect_is_tried_on_one_server_at_a_time(fake):
-    """The caller sends a poison request again through two other entries at once.
+    """The caller retries a poison request through two other entries at once.
 
-    Each entry knows of one death and tries it on another server; both servers die,
-    and three are lost. The death of a trial is written down before it runs.
+    If each entry knew of one death and ran a trial on a different server, both servers
+    would die, three in total. The death of a trial is therefore recorded before it
+    runs.
     """
     record_death(fake, "s1", "poison")
     assert request_trial(fake, "s2", "poison", "t1").granted
@@ -164,9 +166,9 @@
 
 @pytest.mark.parametrize("trial", ["", "t1"])
 def test_no_retry_is_granted_if_recording_fails(fake, trial):
-    """The store is down when a server dies, so no other instance hears of it.
+    """The store is down when a server dies, so other instances don't know of the death.
 
-    A retry could then cost one server an instance; it must not be made.
+    Retries could then cost one server per instance, so none is allowed.
     """
     fake.down = True
     reply = (
@@ -207,10 +209,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_random_trials_cost_two_servers_and_quarantine_no_harmless_request(fake, seed):
-    """Poison and harmless requests die together and are sent again at random.
+    """Poison and harmless requests lose their server together, then retry at random.
 
-    Whatever entry they come through and however the trials overlap, a poison request
-    kills two servers at most, and whoever runs whole is never quarantined.
+    However the trials overlap, a poison request kills at most two servers, and a
+    request that completes is never quarantined.
     """
     rng = random.Random(seed)
     requests = ["a", "b", "c", "poison"]
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,4 +1,4 @@
-"""What each placement transaction depends on and writes."""
+"""Preconditions and writes of the placement transactions."""
 
 import pytest
 
@@ -115,10 +115,10 @@
     ids=["alone", "other-is-down", "too-few", "no-successor", "successor-is-down"],
 )
 def test_last_copy_is_not_unloaded(servers, answering, options):
-    """Two owners each unload the copy that the other relies on, or one server dies.
+    """Two owners each unload the copy that the other relies on, or a server dies.
 
-    Callers of the model are refused until it is loaded again. Each unload depends on
-    the revision of the copies that it counted, so the second one conflicts.
+    Callers of the model would be refused until it is loaded again. Each unload has the
+    revision of the copies that it counted as a precondition, so the second conflicts.
     """
     with pytest.raises(LastCopyError):
         build_unload_intent(
