--- a/src/arbutuspulley/delivery/suspects.py
+++ b/src/arbutuspulley/delivery/suspects.py
@@ -21,7 +21,7 @@
 """Deaths of servers after which a request is quarantined."""
 
 SUSPICION_MS = 900 * SECOND_MS
-"""Time for which an unchanged suspicion is kept; longer than any request lives."""
+"""Time for which an unchanged first death is kept; longer than any request lives."""
 
 QUARANTINE_MS = 6 * 3_600 * SECOND_MS
 """Time for which a request stays quarantined: a caller that keeps retrying costs at
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -186,7 +186,7 @@
 ) -> EvictionUnit | None:
     """Return the unit that removes an item and its adapters from a server.
 
-    :return: ``None`` if they cannot be removed now.
+    :return: ``None`` if they cannot be removed now, or if no memory would be freed.
     """
     adapters = {adapter.key for adapter in layout.adapters.get(item.key, ())}
     if adapters & server.planned or list_missing_adapters(layout, server, item.key):
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -234,10 +234,10 @@
     loads: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> Iterator[tuple[float, str]]:
-    """Yield each removable copy of a server with the cost of removing it.
+    """Yield the loss and the item key of each removable copy of a server.
 
-    :return: the tokens per second that would miss the latency target, and the item's
-        key.
+    The loss is the demand, in tokens per second, that would miss the latency target
+    without the copy.
     """
     for key, entry in server.entries.items():
         if not is_removable(layout, server, entry):
