--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -190,7 +190,7 @@
         return SuspicionsReply()
     now = controller.clock.now()
     suspicions = tuple(
-        suspects.note_death(
+        suspects.record_death(
             controller.suspects,
             fingerprint=fingerprint,
             server=report.server,
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -95,7 +95,7 @@
     if state is None or server is None or not can_begin_step(controller, working, name):
         return False
     try:
-        current = ledgers.intend_load(
+        current = ledgers.add_load_intent(
             working.current[name], server=server, item=action.item, report=state.report
         )
     except (DoesNotFitError, OutdatedPlanError) as error:
@@ -141,14 +141,14 @@
     if state is None or not can_begin_step(controller, working, name):
         return False
     try:
-        current = ledgers.intend_unload(working.current[name], item=action.item)
+        current = ledgers.add_unload_intent(working.current[name], item=action.item)
         transaction = build_unload_intent(
             token=uuid.uuid4().hex,
             group=controller.settings.group,
             row=build_row(controller, working, current),
             copies=get_copies(controller, action.item),
             answering=answering,
-            least=action.least,
+            min_copies=action.min_copies,
         )
     except (OutdatedPlanError, LastCopyError) as error:
         log_event(Event.PLACEMENT_BLOCKED, level=logging.DEBUG, detail=error.detail)
@@ -261,7 +261,7 @@
     current = working.current.get(server)
     if reply.outcome is OrderOutcome.ACCEPTED:
         if current is not None:
-            working.current[server] = ledgers.note_accepted(current, order)
+            working.current[server] = ledgers.record_accepted(current, order)
         return
     log_event(
         Event.ORDER_REFUSED,
@@ -278,7 +278,7 @@
 def _record_refused(working: WorkingLedgers, server: str, order: Order) -> None:
     current = working.current.get(server)
     if current is not None:
-        working.current[server] = ledgers.note_refused(current, order)
+        working.current[server] = ledgers.record_refused(current, order)
 
 
 def _count(controller: Controller, order: Order, outcome: str) -> None:
--- a/src/arbutuspulley/delivery/stream.py
+++ b/src/arbutuspulley/delivery/stream.py
@@ -1,7 +1,7 @@
-"""Cuts a server's event stream into whole events.
+"""Splits a server's event stream into complete events.
 
-A server may stop in the middle of an event. Only whole events are passed on, so
-that a stream can go on elsewhere after the last one without a torn piece in it.
+A server may stop in the middle of an event. Only complete events are forwarded, so that
+a stream can resume on another server after the last one without a partial event in it.
 """
 
 from arbutuspulley.data import State
@@ -10,32 +10,32 @@
 _ID = b"id:"
 
 
-class EventCutter(State):
-    """State of one stream.
+class EventBuffer(State):
+    """Buffer of one stream.
 
-    :param rest: bytes of an event that has not ended.
-    :param last_id: id of the last whole event, empty if it had none.
+    :param partial: bytes of an event that is not complete yet.
+    :param last_id: latest id of the complete events; empty if none had one.
     """
 
-    rest: bytes = b""
+    partial: bytes = b""
     last_id: str = ""
 
 
-def cut_events(cutter: EventCutter, chunk: bytes) -> bytes:
-    """Take bytes as they came and return those that end whole events."""
-    data = cutter.rest + chunk
+def take_complete_events(buffer: EventBuffer, chunk: bytes) -> bytes:
+    """Add received bytes to the buffer, and remove and return the complete events."""
+    data = buffer.partial + chunk
     end = data.rfind(_END)
     if end < 0:
-        cutter.rest = data
+        buffer.partial = data
         return b""
     end += len(_END)
-    whole, cutter.rest = data[:end], data[end:]
-    cutter.last_id = _find_last_id(whole) or cutter.last_id
-    return whole
+    complete, buffer.partial = data[:end], data[end:]
+    buffer.last_id = _find_last_id(complete) or buffer.last_id
+    return complete
 
 
 def count_events(events: bytes) -> int:
-    """Count whole events, as :func:`cut_events` returns them."""
+    """Count complete events, as returned by :func:`take_complete_events`."""
     return events.count(_END)
 
 
--- a/src/arbutuspulley/delivery/suspects.py
+++ b/src/arbutuspulley/delivery/suspects.py
@@ -1,12 +1,12 @@
-"""Suspects: requests that were in flight on a server as it died.
+"""Suspects: requests that were in flight on a server when it died.
 
-One of them may be the cause and would kill the next server, too. After a first
-death a suspect is retried only on trial: alone of its kind on one server, with the
-death written down beforehand and taken back if it runs whole. After a second death
-it is quarantined. So a request costs two servers at most, and a bystander of a
-first death, which then runs whole, is cleared.
+One of them may be the cause and would kill the next server as well. After a first death
+a suspect is retried only in a trial: as the only suspect on its server, with the death
+recorded beforehand and cleared if the request completes. After a second death it is
+quarantined. A request therefore costs at most two servers, and a harmless request that
+was in flight during a first death is cleared when it completes.
 
-All functions are pure; :mod:`.trials` keeps the records in the table.
+The functions do no I/O; :mod:`.trials` stores the records in the table.
 """
 
 import enum
@@ -18,20 +18,20 @@
 from arbutuspulley.rpc.messages import Suspicion
 
 DEATHS_TO_QUARANTINE = 2
-"""Servers that one request may cost before it is no longer run."""
+"""Deaths of servers after which a request is quarantined."""
 
 SUSPICION_MS = 900 * SECOND_MS
-"""How long a first death is remembered without news; longer than any request lives."""
+"""Time for which an unchanged first death is kept; longer than any request lives."""
 
 QUARANTINE_MS = 6 * 3_600 * SECOND_MS
-"""How long a request stays quarantined: a caller that comes back on time for ever
-costs two servers in this time, and no more."""
+"""Time for which a request stays quarantined: a caller that keeps retrying costs at
+most two servers in this time."""
 
-_TRIAL_MARK = "#"
+_TRIAL_SEPARATOR = "#"
 
 
 class Judgement(enum.StrEnum):
-    """What may be done with a request."""
+    """Whether and how a request may be run."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -40,66 +40,67 @@
 
 
 class SuspectState(State):
-    """The suspicions that one process knows.
+    """The suspicions that one process knows, by fingerprint.
 
-    :param seen_at: when each was last changed, in milliseconds of its own clock.
+    :param changed_at: time of the last change of each suspicion, in milliseconds of the
+        process's clock.
     """
 
     suspicions: dict[str, Suspicion] = {}
-    seen_at: dict[str, int] = {}
+    changed_at: dict[str, int] = {}
 
 
 def build_fingerprint(*, caller: str, path: str, body: bytes) -> str:
-    """Return the name of a request that is the same whenever it is sent again."""
+    """Return an id of a request that is the same for each retry by its caller."""
     digest = hashlib.sha256(f"{caller}\0{path}\0".encode())
     digest.update(body)
     return digest.hexdigest()[:32]
 
 
 def build_mark(*, server: str, boot_id: str, trial_id: str = "") -> str:
-    """Return how one death is written down; a trial's is marked as such."""
+    """Return the death mark that identifies one death, and its trial if it has one."""
     mark = f"{server}/{boot_id}"
-    return f"{mark}{_TRIAL_MARK}{trial_id}" if trial_id else mark
+    return f"{mark}{_TRIAL_SEPARATOR}{trial_id}" if trial_id else mark
 
 
 def judge(
     suspicion: Suspicion | None,
     *,
     ignoring: str = "",
-    most_deaths: int = DEATHS_TO_QUARANTINE,
+    max_deaths: int = DEATHS_TO_QUARANTINE,
 ) -> Judgement:
-    """Say what may be done with a request.
+    """Return whether and how a request may be run.
 
-    :param ignoring: the mark of the asker's own trial.
-    :param most_deaths: after so many it is no longer run.
+    :param ignoring: death mark to leave out: that of the requester's own trial.
+    :param max_deaths: deaths after which the request is no longer run.
     """
     if suspicion is None:
         return Judgement.CLEAR
     marks = set(suspicion.deaths) - set(suspicion.cleared) - {ignoring}
-    certain = {mark for mark in marks if _TRIAL_MARK not in mark}
-    if len(certain) >= most_deaths:
+    certain = {mark for mark in marks if _TRIAL_SEPARATOR not in mark}
+    if len(certain) >= max_deaths:
         return Judgement.QUARANTINED
-    deaths = {mark.partition(_TRIAL_MARK)[0] for mark in marks}
-    if len(deaths) >= most_deaths:
+    deaths = {mark.partition(_TRIAL_SEPARATOR)[0] for mark in marks}
+    if len(deaths) >= max_deaths:
         return Judgement.ON_TRIAL
     return Judgement.SUSPECT if deaths else Judgement.CLEAR
 
 
 def add_death(suspicion: Suspicion | None, fingerprint: str, mark: str) -> Suspicion:
-    """Return the suspicion with one death more."""
+    """Return the suspicion with one more death."""
     return merge_suspicions(
         suspicion, Suspicion(fingerprint=fingerprint, deaths=(mark,))
     )
 
 
 def clear_deaths(suspicion: Suspicion, marks: Iterable[str]) -> Suspicion:
-    """Return the suspicion without these deaths."""
+    """Return the suspicion with these deaths cleared."""
     cleared = Suspicion(fingerprint=suspicion.fingerprint, cleared=tuple(marks))
     return merge_suspicions(suspicion, cleared)
 
 
 def merge_suspicions(first: Suspicion | None, second: Suspicion) -> Suspicion:
-    """Merge two accounts of one request; the order does not matter."""
+    """Merge two suspicions of the same request; the merge is commutative."""
     if first is None:
         first = Suspicion(fingerprint=second.fingerprint)
     deaths = set(first.deaths) | set(second.deaths)
@@ -113,16 +114,16 @@
 
 
 def count_deaths(suspicion: Suspicion | None) -> int:
-    """Return how many servers died with a request in flight that was not cleared."""
+    """Return the number of deaths of a request that are not cleared."""
     if suspicion is None:
         return 0
     return len(set(suspicion.deaths) - set(suspicion.cleared))
 
 
-def note_death(
+def record_death(
     state: SuspectState, *, fingerprint: str, server: str, boot_id: str, now: int
 ) -> Suspicion:
-    """Write down that a server died while a request was in flight there."""
+    """Record that a server died while a request was in flight on it."""
     mark = build_mark(server=server, boot_id=boot_id)
     suspicion = add_death(state.suspicions.get(fingerprint), fingerprint, mark)
     merge(state, (suspicion,), now=now)
@@ -130,41 +131,41 @@
 
 
 def clear_suspicion(state: SuspectState, fingerprint: str, *, now: int) -> None:
-    """Clear a request that ran whole of all deaths written down so far."""
+    """Clear all deaths recorded so far for a request that completed."""
     suspicion = state.suspicions.get(fingerprint)
     if suspicion is not None:
         merge(state, (clear_deaths(suspicion, suspicion.deaths),), now=now)
 
 
 def merge(state: SuspectState, suspicions: Iterable[Suspicion], *, now: int) -> None:
-    """Take in what another process or the table knows."""
+    """Merge suspicions from another process or from the table into the state."""
     for suspicion in suspicions:
         known = state.suspicions.get(suspicion.fingerprint)
         merged = merge_suspicions(known, suspicion)
         if merged != known:
             state.suspicions[suspicion.fingerprint] = merged
-            state.seen_at[suspicion.fingerprint] = now
+            state.changed_at[suspicion.fingerprint] = now
 
 
-def forget_old(state: SuspectState, *, now: int) -> tuple[str, ...]:
-    """Drop what has had no news for its time.
+def evict_expired(state: SuspectState, *, now: int) -> tuple[str, ...]:
+    """Remove the suspicions that have expired without a change.
 
-    :return: the fingerprints dropped, so that their rows can be deleted.
+    :return: their fingerprints, so that their rows can be deleted.
     """
     old = tuple(
         fingerprint
         for fingerprint in state.suspicions
-        if get_return_ms(state, fingerprint, now=now) <= 0
+        if get_time_to_expiry_ms(state, fingerprint, now=now) <= 0
     )
     for fingerprint in old:
         del state.suspicions[fingerprint]
-        del state.seen_at[fingerprint]
+        del state.changed_at[fingerprint]
     return old
 
 
-def get_return_ms(state: SuspectState, fingerprint: str, *, now: int) -> int:
-    """Return after how long a suspicion is dropped if there is no news."""
+def get_time_to_expiry_ms(state: SuspectState, fingerprint: str, *, now: int) -> int:
+    """Return the time in milliseconds until a suspicion expires if unchanged."""
     judgement = judge(state.suspicions[fingerprint])
     is_quarantined = judgement is Judgement.QUARANTINED
     life_ms = QUARANTINE_MS if is_quarantined else SUSPICION_MS
-    return state.seen_at[fingerprint] + life_ms - now
+    return state.changed_at[fingerprint] + life_ms - now
--- a/src/arbutuspulley/entry/accounting.py
+++ b/src/arbutuspulley/entry/accounting.py
@@ -107,7 +107,7 @@
     """
     request, now = ongoing.request, runtime.clock.now()
     produced = request.offset - ongoing.call.offset
-    if not request.exposed and not produced:
+    if not request.may_have_run and not produced:
         admission_queue.leave_queue(runtime, ongoing)
         return
     used = cost.compute_cost(
--- a/src/arbutuspulley/entry/controller_sync.py
+++ b/src/arbutuspulley/entry/controller_sync.py
@@ -194,11 +194,11 @@
     suspects.merge(state.suspects, view.suspicions, now=now)
     listed = {suspicion.fingerprint for suspicion in view.suspicions}
     unrecorded = {report.fingerprints[0] for report in state.unrecorded_deaths.values()}
-    for fingerprint, seen_at in list(state.suspects.seen_at.items()):
+    for fingerprint, seen_at in list(state.suspects.changed_at.items()):
         known = fingerprint in listed or fingerprint in unrecorded
         if not known and now - seen_at >= SUSPICION_GRACE_MS:
             del state.suspects.suspicions[fingerprint]
-            del state.suspects.seen_at[fingerprint]
+            del state.suspects.changed_at[fingerprint]
 
 
 def _activate_configuration(runtime: Runtime, view: View) -> None:
--- a/src/arbutuspulley/entry/deaths.py
+++ b/src/arbutuspulley/entry/deaths.py
@@ -116,7 +116,7 @@
         suspects=len(unique),
     )
     for fingerprint in unique:
-        suspects.note_death(
+        suspects.record_death(
             state.suspects,
             fingerprint=fingerprint,
             server=attempt.server,
--- a/src/arbutuspulley/entry/dispatch.py
+++ b/src/arbutuspulley/entry/dispatch.py
@@ -130,7 +130,7 @@
         ongoing.request,
         event,
         now=runtime.clock.now(),
-        take_retry=lambda: retry_budget.try_spend_retry(
+        try_spend_retry=lambda: retry_budget.try_spend_retry(
             runtime.state.retry_budget, now=runtime.clock.now()
         ),
     )
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -165,7 +165,9 @@
         run.request,
         event,
         now=now,
-        take_retry=lambda: retry_budget.try_spend_retry(state.retry_budget, now=now),
+        try_spend_retry=lambda: retry_budget.try_spend_retry(
+            state.retry_budget, now=now
+        ),
     )
     for effect in effects:
         if isinstance(effect, lifecycle.Fail):
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -133,7 +133,7 @@
     return lifecycle.Barred(
         code=Code.QUARANTINED,
         detail="servers died while they ran this request; it is not run for now",
-        retry_after_ms=suspects.get_return_ms(
+        retry_after_ms=suspects.get_time_to_expiry_ms(
             runtime.state.suspects, ongoing.fingerprint, now=runtime.clock.now()
         ),
     )
--- a/src/arbutuspulley/node/poison.py
+++ b/src/arbutuspulley/node/poison.py
@@ -13,11 +13,11 @@
     build_fingerprint,
     clear_suspicion,
     count_deaths,
-    forget_old,
-    get_return_ms,
+    evict_expired,
+    get_time_to_expiry_ms,
     judge,
     merge,
-    note_death,
+    record_death,
 )
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.node.link import Link
@@ -51,7 +51,7 @@
         self._state = state
         self._link = link
         self._evict_at = 0
-        self._suspects = SuspectState(suspicions={}, seen_at={})
+        self._suspects = SuspectState(suspicions={}, changed_at={})
         link.on_suspicions = self.merge_suspicions
 
     def count_crashes(self, request: InboundRequest) -> int:
@@ -64,11 +64,11 @@
         :return: ``None`` if the request is not quarantined and may run.
         """
         suspicion = self._find(request)
-        judgement = judge(suspicion, most_deaths=MAX_CRASHES)
+        judgement = judge(suspicion, max_deaths=MAX_CRASHES)
         if suspicion is None or judgement is not Judgement.QUARANTINED:
             return None
         now = self._state.clock.now()
-        return get_return_ms(self._suspects, suspicion.fingerprint, now=now)
+        return get_time_to_expiry_ms(self._suspects, suspicion.fingerprint, now=now)
 
     def record_crash(
         self, request: InboundRequest, *, incarnation: str, known: int
@@ -85,7 +85,7 @@
         self._evict_old(now)
         if len(self._suspects.suspicions) >= MAX_SUSPECTS:
             return
-        suspicion = note_death(
+        suspicion = record_death(
             self._suspects,
             fingerprint=_get_fingerprint(request),
             server=incarnation,
@@ -118,7 +118,7 @@
     def _evict_old(self, now: int) -> None:
         if now >= self._evict_at:
             self._evict_at = now + EVICT_INTERVAL_MS
-            forget_old(self._suspects, now=now)
+            evict_expired(self._suspects, now=now)
 
     def _find(self, request: InboundRequest) -> Suspicion | None:
         if not self._suspects.suspicions:
--- a/src/arbutuspulley/placement/ledger.py
+++ b/src/arbutuspulley/placement/ledger.py
@@ -1,20 +1,22 @@
-"""The memory ledger of one server: what occupies it, until proven otherwise.
+"""The memory ledger of one server: which items occupy its memory.
 
-An order is committed here before it is sent, and its bytes count from then on. A
-timeout or a lost reply proves nothing. Only these free the bytes of an item:
+An order is committed to the ledger before it is sent, and its memory counts as used
+from then on. A timeout or a lost reply proves nothing. The memory of an item is freed
+only in these cases:
 
-* A server that checks orders applies them in the sequence of their numbers, so a
-  report that has seen this order's fence and number and does not list the item shows
-  that the order can no longer take effect.
+* A server that checks orders applies them in the sequence of their numbers. A report
+  whose fence and last order are at least those of the order, and that does not list
+  the item, proves that the order can no longer take effect.
 * A server that does not check orders may apply a lost order at any later time. The
-  item must have been listed and then be gone, and every load order that was sent for
-  it must be accounted for. What is not accounted for stays reserved.
-* The engine restarted: each order travels on a connection to the boot that it names
+  item must have been listed in one report and be missing from a later one, and every
+  load order that was sent for it must be accounted for. Load orders that are not
+  accounted for keep their memory reserved.
+* The engine restarted: each order is sent on a connection to the boot that it names
   (:attr:`Order.boot_id`), so it ends with that process. This relies on the adapter
   never sending an order to another boot, and on no proxy that reconnects.
 
-Reports are taken in the sequence in which the engine made them; an older one, which a
-slow reply or a paused owner may bring, is ignored.
+Reports are applied in the sequence in which the engine made them. An older report,
+which can arrive through a slow reply or a paused owner, is ignored.
 """
 
 import msgspec
@@ -23,11 +25,11 @@
 from arbutuspulley.configuration.schema import Server
 from arbutuspulley.data import Value
 from arbutuspulley.placement.evidence import (
-    adopt,
-    is_old,
-    judge,
-    leave_trace,
-    raise_order,
+    build_discovered_entry,
+    get_next_order,
+    is_outdated,
+    keep_late_orders,
+    reconcile_entry,
 )
 from arbutuspulley.placement.records import (
     EntryState,
@@ -46,10 +48,10 @@
 from arbutuspulley.results import ArbutusError, Code
 
 RESEND_AFTER_REPORTS = 10
-"""Reports to wait for an order's effect before it is sent again."""
+"""Reports without an order's effect after which the order is sent again."""
 
-PAST_BOOTS_KEPT = 8
-"""Earlier boots remembered, so that their late reports are recognised."""
+MAX_PAST_BOOTS = 8
+"""Earlier boots that are kept, so that their late reports are recognised."""
 
 _replace = msgspec.structs.replace
 
@@ -57,7 +59,7 @@
 class DoesNotFitError(ArbutusError):
     """The item would overcommit the server's memory; nothing was changed.
 
-    :param missing_mib: by how much.
+    :param missing_mib: memory that is missing, in MiB.
     """
 
     def __init__(self, *, detail: str, missing_mib: int) -> None:
@@ -66,23 +68,23 @@
 
 
 class OutdatedPlanError(ArbutusError):
-    """The action does not match the ledger any more; plan again."""
+    """The planned action no longer matches the ledger; a new plan is needed."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.STALE_ORDER, detail=detail)
 
 
 class Reconciliation(Value, frozen=True):
-    """What a report changed.
+    """Changes that a report makes to a ledger.
 
-    The ledger must be committed before ``resend`` is sent; if ``changed`` is false it
-    differs by the newest report's sequence only and need not be committed.
+    The ledger must be committed before ``resend`` is sent. If ``changed`` is false, it
+    differs only by the newest report's sequence and need not be committed.
 
-    :param loaded: items that answer now and did not before.
-    :param unloaded: items that are proven absent now.
-    :param corrected: items of which the report showed something unexpected.
-    :param resend: orders without effect so far, numbered anew.
-    :param superseded: the server has seen the fence of a newer owner.
+    :param loaded: items that are newly loaded.
+    :param unloaded: items that are newly proven absent.
+    :param corrected: items whose reported state was unexpected.
+    :param resend: orders without effect so far, with new numbers.
+    :param superseded: whether the server has seen the fence of a newer owner.
     """
 
     ledger: ServerLedger
@@ -97,8 +99,8 @@
 def take_over(ledger: ServerLedger, *, fence: int) -> ServerLedger:
     """Return the ledger under a new owner; every entry is kept.
 
-    The former owner may be paused and still send what it committed, so its intents
-    count as much as the new owner's own.
+    The former owner may be paused and still send the orders that it committed, so its
+    intents count like those of the new owner.
 
     :raises OutdatedPlanError: if the fence is lower than the ledger's.
     """
@@ -107,16 +109,16 @@
     return _replace(ledger, fence=fence)
 
 
-def measure_reserved(entry: LedgerEntry) -> int:
-    """Return the MiB that an entry reserves."""
+def get_reserved_mib(entry: LedgerEntry) -> int:
+    """Return the memory that an entry reserves, in MiB."""
     if entry.state is EntryState.ABSENT and entry.late_loads == 0:
         return 0
     return entry.memory_mib
 
 
-def occupied_mib(ledger: ServerLedger, report: Report | None = None) -> int:
-    """Return the MiB to count as occupied, the larger of ledger and report."""
-    sizes = {entry.item: measure_reserved(entry) for entry in ledger.entries}
+def measure_occupied_mib(ledger: ServerLedger, report: Report | None = None) -> int:
+    """Return the occupied memory in MiB, by ledger or report, whichever is larger."""
+    sizes = {entry.item: get_reserved_mib(entry) for entry in ledger.entries}
     if report is None:
         return sum(sizes.values())
     listed_mib = sum(listed.memory_mib for listed in report.items)
@@ -127,21 +129,21 @@
 
 
 def measure_capacity(server: Server, report: Report | None = None) -> int:
-    """Return the server's memory in MiB, the smaller of configured and reported."""
+    """Return the server's memory in MiB, configured or reported, if that is less."""
     if report is None or report.memory_total_mib == 0:
         return server.memory_mib
     return min(server.memory_mib, report.memory_total_mib)
 
 
-def intend_load(
+def add_load_intent(
     ledger: ServerLedger, *, server: Server, item: Item, report: Report | None = None
 ) -> ServerLedger:
-    """Return the ledger with a load intended; commit it before the order is sent.
+    """Return the ledger with a load intent; commit it before the order is sent.
 
-    :param report: the server's latest report, if one is at hand.
+    :param report: the server's latest report, if available.
     :raises DoesNotFitError: if the item would overcommit the memory.
-    :raises OutdatedPlanError: if the item is there already, its base model does not
-        answer there, or no report of the engine was seen yet.
+    :raises OutdatedPlanError: if the item is already on the server, its base model is
+        not loaded there, or the engine has not reported yet.
     """
     if not ledger.boot_id:
         raise OutdatedPlanError(detail=f"{ledger.server} has not reported yet")
@@ -149,7 +151,7 @@
     if known is not None and known.state is not EntryState.ABSENT:
         raise OutdatedPlanError(detail=f"{item.key} is {known.state} already")
     _check_base(ledger, item)
-    _check_room(ledger, server=server, item=item, known=known, report=report)
+    _check_free_memory(ledger, server=server, item=item, known=known, report=report)
     entry = LedgerEntry(
         item=item.key,
         base=item.base_key,
@@ -163,21 +165,21 @@
         late_loads=known.late_loads if known else 0,
         late_unloads=known.late_unloads if known else 0,
     )
-    return _count_order(replace_entry(ledger, item.key, entry))
+    return _advance_order_number(replace_entry(ledger, item.key, entry))
 
 
-def intend_unload(ledger: ServerLedger, *, item: str) -> ServerLedger:
-    """Return the ledger with an unload intended; commit it before the order is sent.
+def add_unload_intent(ledger: ServerLedger, *, item: str) -> ServerLedger:
+    """Return the ledger with an unload intent; commit it before the order is sent.
 
-    An item that is still loading is never unloaded: its load order could arrive after
-    the unload order. It is loaded first and then unloaded.
+    An item that is still loading is never unloaded, because its load order could
+    arrive after the unload order. It is unloaded once it is loaded.
 
     :raises OutdatedPlanError: if the item is not loaded, or adapters depend on it.
     """
     entry = find_entry(ledger, item)
     if entry is None or entry.state is not EntryState.LOADED:
         raise OutdatedPlanError(detail=f"{item} is not loaded on {ledger.server}")
-    if any(known.base == item and _holds(known) for known in ledger.entries):
+    if any(known.base == item and _is_present(known) for known in ledger.entries):
         raise OutdatedPlanError(detail=f"adapters on {ledger.server} need {item}")
     entry = _replace(
         entry,
@@ -189,13 +191,13 @@
         sends=1,
         accepted=0,
     )
-    return _count_order(replace_entry(ledger, item, entry))
+    return _advance_order_number(replace_entry(ledger, item, entry))
 
 
 def build_order(ledger: ServerLedger, entry: LedgerEntry) -> Order:
     """Return the order of an entry that is loading or unloading."""
     if entry.state not in (EntryState.LOADING, EntryState.UNLOADING):
-        raise ValueError(f"{entry.item} is {entry.state}: there is no order")
+        raise ValueError(f"{entry.item} is {entry.state} and has no order")
     loading = entry.state is EntryState.LOADING
     return Order(
         kind=OrderKind.LOAD if loading else OrderKind.UNLOAD,
@@ -208,23 +210,23 @@
     )
 
 
-def note_accepted(ledger: ServerLedger, order: Order) -> ServerLedger:
-    """Return the ledger after the server took an order: it can't arrive later."""
+def record_accepted(ledger: ServerLedger, order: Order) -> ServerLedger:
+    """Return the ledger after an order was accepted, so that it can't arrive later."""
     entry = find_entry(ledger, order.item)
-    if entry is None or not _is_for(entry, order):
+    if entry is None or not _matches_order(entry, order):
         return ledger
     accepted = min(entry.sends, entry.accepted + 1)
     return replace_entry(ledger, order.item, _replace(entry, accepted=accepted))
 
 
-def note_refused(ledger: ServerLedger, order: Order) -> ServerLedger:
-    """Return the ledger after an order certainly had no effect and never will have.
+def record_refused(ledger: ServerLedger, order: Order) -> ServerLedger:
+    """Return the ledger after an order that certainly has no effect, now or later.
 
-    This is so if the server refused it (``REFUSED``) or no byte of it left. It is not
-    so for ``STALE``, a timeout or a broken connection.
+    That is certain if the server refused it (``REFUSED``) or no byte of it was sent. It
+    is not certain for ``STALE``, a timeout or a broken connection.
     """
     entry = find_entry(ledger, order.item)
-    if entry is None or not _is_for(entry, order):
+    if entry is None or not _matches_order(entry, order):
         return ledger
     entry = _replace(entry, sends=entry.sends - 1)
     if entry.sends > 0 or (order.kind is OrderKind.LOAD and entry.seen):
@@ -232,42 +234,48 @@
     if order.kind is OrderKind.UNLOAD:
         entry = _replace(entry, state=EntryState.LOADED, accepted=0)
         return replace_entry(ledger, order.item, entry)
-    return replace_entry(ledger, order.item, leave_trace(entry))
+    return replace_entry(ledger, order.item, keep_late_orders(entry))
 
 
 def reconcile(
     ledger: ServerLedger, *, server: Server, report: Report
 ) -> Reconciliation:
-    """Take in a server's report.
+    """Apply a server's report to its ledger.
 
-    Ask a server for one report at a time, and drop the one at hand when a commit
-    conflicts: boots are only told apart by name, so a report from before a restart
-    that this ledger has not met would pass for a newer boot.
+    Request one report of a server at a time, and discard the current one when a commit
+    conflicts. Boots are distinguished only by name, so a report from before a restart
+    would count as a newer boot if the ledger does not know that earlier boot.
 
-    :param server: its configuration, which says whether it checks orders.
+    :param server: configuration of the server, which says whether it checks orders.
     """
-    if is_old(ledger, report):
+    if is_outdated(ledger, report):
         return Reconciliation(ledger=ledger)
-    start = _begin(ledger, report)
+    start = _start_boot(ledger, report)
     listed = {known.item: known for known in report.items}
     entries: list[LedgerEntry] = []
     for entry in start.entries:
-        judged = judge(entry, listed.get(entry.item), server=server, report=report)
-        if judged is not None:
-            entries.append(judged)
+        reconciled = reconcile_entry(
+            entry, listed.get(entry.item), server=server, report=report
+        )
+        if reconciled is not None:
+            entries.append(reconciled)
     known = {entry.item for entry in start.entries}
-    entries += [adopt(item, start) for key, item in listed.items() if key not in known]
+    entries += [
+        build_discovered_entry(item, start)
+        for key, item in listed.items()
+        if key not in known
+    ]
     current = _replace(
         start,
         entries=tuple(sorted(entries, key=lambda entry: entry.item)),
         sequence=report.sequence,
-        next_order=raise_order(start, report),
+        next_order=get_next_order(start, report),
     )
     superseded = report.fence > ledger.fence
     resend: tuple[Order, ...] = ()
     if not superseded:
-        current, resend = _renew_overdue(current, listed)
-    return _compare(ledger, current, resend=resend, superseded=superseded)
+        current, resend = _resend_overdue(current, listed)
+    return _build_reconciliation(ledger, current, resend=resend, superseded=superseded)
 
 
 def _check_base(ledger: ServerLedger, item: Item) -> None:
@@ -279,7 +287,7 @@
         raise OutdatedPlanError(detail=detail)
 
 
-def _check_room(
+def _check_free_memory(
     ledger: ServerLedger,
     *,
     server: Server,
@@ -287,8 +295,8 @@
     known: LedgerEntry | None,
     report: Report | None,
 ) -> None:
-    reserved = measure_reserved(known) if known else 0
-    occupied = occupied_mib(ledger, report)
+    reserved = get_reserved_mib(known) if known else 0
+    occupied = measure_occupied_mib(ledger, report)
     capacity = measure_capacity(server, report)
     extra = max(0, item.memory_mib - reserved)
     missing = occupied + extra - capacity
@@ -302,15 +310,15 @@
         )
 
 
-def _count_order(ledger: ServerLedger) -> ServerLedger:
+def _advance_order_number(ledger: ServerLedger) -> ServerLedger:
     return _replace(ledger, next_order=ledger.next_order + 1)
 
 
-def _holds(entry: LedgerEntry) -> bool:
+def _is_present(entry: LedgerEntry) -> bool:
     return entry.state is not EntryState.ABSENT
 
 
-def _is_for(entry: LedgerEntry, order: Order) -> bool:
+def _matches_order(entry: LedgerEntry, order: Order) -> bool:
     kinds = {
         EntryState.LOADING: OrderKind.LOAD,
         EntryState.UNLOADING: OrderKind.UNLOAD,
@@ -318,24 +326,24 @@
     return entry.number == order.number and kinds.get(entry.state) is order.kind
 
 
-def _begin(ledger: ServerLedger, report: Report) -> ServerLedger:
-    """Return the ledger for the report's boot; after a restart, memory is empty."""
+def _start_boot(ledger: ServerLedger, report: Report) -> ServerLedger:
+    """Return the ledger for the report's boot; a restart empties the memory."""
     if report.boot_id == ledger.boot_id:
         return ledger
     past = ledger.past_boots
     if ledger.boot_id:
-        past = (*past, ledger.boot_id)[-PAST_BOOTS_KEPT:]
+        past = (*past, ledger.boot_id)[-MAX_PAST_BOOTS:]
     return _replace(ledger, boot_id=report.boot_id, past_boots=past, entries=())
 
 
-def _renew_overdue(
+def _resend_overdue(
     ledger: ServerLedger, listed: dict[str, ReportedItem]
 ) -> tuple[ServerLedger, tuple[Order, ...]]:
-    """Number anew the orders that had no effect for a while.
+    """Renumber orders without effect for :data:`RESEND_AFTER_REPORTS` reports.
 
-    A new number lets a checking server tell the new order from the old one, which it
-    then refuses. For a server that does not check, both may arrive: ``sends`` counts
-    them.
+    A new number lets a server that checks orders distinguish the new order from the old
+    one, which it then refuses. On a server that does not check orders both may arrive;
+    ``sends`` counts them.
     """
     orders: list[Order] = []
     for entry in ledger.entries:
@@ -348,7 +356,7 @@
             since=ledger.sequence,
             sends=entry.sends + 1,
         )
-        ledger = _count_order(replace_entry(ledger, entry.item, renewed))
+        ledger = _advance_order_number(replace_entry(ledger, entry.item, renewed))
         orders.append(build_order(ledger, renewed))
     return ledger, tuple(orders)
 
@@ -363,7 +371,7 @@
     return False
 
 
-def _compare(
+def _build_reconciliation(
     before: ServerLedger,
     after: ServerLedger,
     *,
@@ -377,7 +385,7 @@
     corrected = [
         key
         for key in sorted(old.keys() | new.keys())
-        if _is_surprise(old.get(key), new.get(key))
+        if _is_unexpected(old.get(key), new.get(key))
     ]
     return Reconciliation(
         ledger=after,
@@ -396,12 +404,12 @@
 
 
 def _became_absent(before: LedgerEntry, after: LedgerEntry | None) -> bool:
-    return _holds(before) and (after is None or not _holds(after))
+    return _is_present(before) and (after is None or not _is_present(after))
 
 
-def _is_surprise(before: LedgerEntry | None, after: LedgerEntry | None) -> bool:
-    if before is None or not _holds(before):
-        return after is not None and _holds(after)
-    if after is None or not _holds(after):
+def _is_unexpected(before: LedgerEntry | None, after: LedgerEntry | None) -> bool:
+    if before is None or not _is_present(before):
+        return after is not None and _is_present(after)
+    if after is None or not _is_present(after):
         return before.state is not EntryState.UNLOADING
     return after.memory_mib > before.memory_mib
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of unrepeatable requests: at most one run, whoever sends it again."""
+"""Claims: an unrepeatable request runs at most once, even if it is sent again."""
 
 import pytest
 
@@ -58,12 +58,12 @@
         ("not_run", "a1", "b", "unavailable"),
     ],
 )
-def test_the_same_key_again(fake, settled, attempt, body, state):
-    """A desk volunteer sees no answer to a confirmation and sends it once more.
+def test_claim_of_a_used_key(fake, settled, attempt, body, state):
+    """A caller receives no answer to a confirmation and sends it again.
 
-    The first one ran, may have run, still runs, or was certainly not run; only in
-    the last case may the second one run. A late copy of the first claim, which its
-    entry gave up, must not get the key back either.
+    The first request ran, may have run, is still running, or certainly did not run;
+    only in the last case may the second one run. A late duplicate of the first claim,
+    which its entry withdrew, must not get the key either.
     """
     assert claim(fake).state == "granted"
     if settled:
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("size", [0, INLINE_ANSWER_BYTES, INLINE_ANSWER_BYTES + 1])
-def test_a_stored_answer_comes_back_whole(fake, size):
+def test_a_stored_answer_is_returned_complete(fake, size):
     claim(fake)
     settle(fake, body=b"x" * size)
     reply = claim(fake, "a2")
@@ -82,10 +82,10 @@
 
 
 @pytest.mark.parametrize("lost", ["object", "size"])
-def test_an_answer_that_cannot_be_kept_is_unknown(fake, lost):
-    """An answer is too large to keep, or its object has been deleted.
+def test_an_answer_that_is_not_stored_is_unknown(fake, lost):
+    """An answer is too large to store, or its object has been deleted.
 
-    An empty answer in its place would look like a whole one.
+    An empty answer in its place would look complete.
     """
     claim(fake)
     settle(fake, body=b"x" * (MAX_ANSWER_BYTES + (lost == "size")))
@@ -102,11 +102,12 @@
         ("down_after_lost_reply", True, "unavailable", True, "in_progress"),
     ],
 )
-def test_a_claim_while_the_store_fails(fake, fault, value, first, uncertain, second):
+def test_a_claim_during_store_faults(fake, fault, value, first, uncertain, second):
     """The reply to a claim is lost after the row was written.
 
-    Taken for refused and claimed anew it would look like another's; taken for
-    granted without looking, two entries could run the same booking.
+    If the claim were treated as refused and made again, the row would look like that of
+    another claim. If it were treated as granted without reading the row, two entries
+    could run the same booking.
     """
     setattr(fake, fault, value)
     fake.lost_replies = 1 if fault.startswith("down_") else fake.lost_replies
@@ -116,10 +117,10 @@
     assert claim(fake, "a2").state == second
 
 
-def test_two_entries_claim_at_once(fake):
-    """A caller on a patchy phone sends a booking to two entries at the same moment.
+def test_two_entries_claim_concurrently(fake):
+    """A caller with an unstable connection sends a booking to two entries at once.
 
-    Both read that there is no row; the second write must lose.
+    Both read that there is no row; the second write must fail.
     """
     replies = []
     fake.before_transact = lambda: replies.append(claim(fake, "a2").state)
@@ -140,8 +141,8 @@
         (None, "a2", "not_run", "in_progress"),
     ],
 )
-def test_a_settlement_is_not_undone(fake, first, attempt, second, kept):
-    """A settlement arrives twice or late, or from an entry that lost the claim."""
+def test_a_settlement_is_not_overwritten(fake, first, attempt, second, kept):
+    """A settlement is duplicate or late, or from an entry that lost the claim."""
     claim(fake)
     if first:
         settle(fake, first)
@@ -152,7 +153,7 @@
         assert reply.body == b"whole"
 
 
-def test_a_settlement_says_so_when_it_cannot_be_recorded(fake):
+def test_a_settlement_raises_if_it_is_not_recorded(fake):
     claim(fake)
     fake.down = True
     with pytest.raises(PlatformUnavailableError):
@@ -171,11 +172,11 @@
     assert fake.platform.table.read(KEY) is None
 
 
-def test_a_claim_that_was_taken_back_cannot_arrive_later(fake):
-    """A claim is stuck on its way to a slow store; its entry gives up, takes it back.
+def test_a_withdrawn_claim_that_arrives_late_is_refused(fake):
+    """A claim is delayed by a slow store; its entry gives up and withdraws it.
 
-    Arriving afterwards it would hold the key for a request that nobody runs, and the
-    caller would be told to wait for ever.
+    If the claim were granted afterwards, it would hold the key for a request that is
+    not running, and the caller would wait for ever.
     """
     settle(fake, "not_run")
     assert claim(fake, "a1").state == "unavailable"
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -1,4 +1,4 @@
-"""Random interleavings of orders, reports, owners and restarts over the ledger."""
+"""Random interleavings of orders, reports, changes of owner and restarts."""
 
 import pytest
 from hypothesis import given, settings
@@ -42,7 +42,7 @@
 
 
 class Engine(State):
-    """A backend server that obeys every order that its kind lets through."""
+    """A backend server that carries out all orders, or those that pass its checks."""
 
     name: str
     checks: bool
@@ -101,7 +101,7 @@
 
 
 class Owner(State):
-    """An owner of one server; a replaced one lives on with what it knew."""
+    """An owner of one server; a replaced owner continues with its outdated state."""
 
     server: str
     owner: Precondition
@@ -112,7 +112,7 @@
 
 
 class Fleet:
-    """Servers, owners that come and go, and a table between them."""
+    """Servers, their successive owners, and the table that the owners share."""
 
     def __init__(self, *, checks, names):
         self.names = names
@@ -147,7 +147,7 @@
             return True
         owner.ledger, owner.revision = self.read_ledger(owner.server)
         owner.inbox.clear()
-        self.look(owner)
+        self.read_all_copies(owner)
         return False
 
     def read_ledger(self, server):
@@ -167,7 +167,7 @@
         owners = self.owners[self.name(server)]
         return owners[max(-1 - age, -len(owners))]
 
-    def look(self, owner: Owner) -> None:
+    def read_all_copies(self, owner: Owner) -> None:
         owner.copies = {item: self.read_copies(item) for item in SIZES}
 
     def claim(self, server):
@@ -186,10 +186,10 @@
         taken = ledger.take_over(known, fence=fence)
         assert self.commit(owner, taken, transactions.build_confirmation)
         self.owners[server].append(owner)
-        self.look(owner)
+        self.read_all_copies(owner)
 
-    def operate(self, server, age, item):
-        """Load an item, or unload it if it is loaded, as far as the owner knows."""
+    def load_or_unload(self, server, age, item):
+        """Load an item, or unload it if the owner's ledger says that it is loaded."""
         owner = self.find_owner(server, age)
         entry = find_entry(owner.ledger, item)
         loaded = entry is not None and entry.state is EntryState.LOADED
@@ -202,7 +202,7 @@
             self.orders.append((owner, order))
 
     def load(self, owner, item):
-        current = ledger.intend_load(
+        current = ledger.add_load_intent(
             owner.ledger, server=self.describe(owner.server), item=ITEMS[item]
         )
         slot = SlotRow(number=0, revision=self.rows.get("g/load-slot/0", (b"", 0))[1])
@@ -211,14 +211,14 @@
         return current if done else None
 
     def unload(self, owner, item):
-        current = ledger.intend_unload(owner.ledger, item=item)
+        current = ledger.add_unload_intent(owner.ledger, item=item)
         done = self.commit(
             owner,
             current,
             transactions.build_unload_intent,
             copies=owner.copies[item],
             answering=self.names,
-            least=len(self.names) - 1,
+            min_copies=len(self.names) - 1,
         )
         return current if done else None
 
@@ -233,9 +233,9 @@
         if before and not self.restarts:
             assert self.list_answering(sent.item), "the last copy was unloaded"
         if reply and outcome is OrderOutcome.ACCEPTED:
-            owner.ledger = ledger.note_accepted(owner.ledger, sent)
+            owner.ledger = ledger.record_accepted(owner.ledger, sent)
         elif reply and outcome is OrderOutcome.REFUSED:
-            owner.ledger = ledger.note_refused(owner.ledger, sent)
+            owner.ledger = ledger.record_refused(owner.ledger, sent)
 
     def work(self, server, fail):
         self.engines[self.name(server)].work(fail=fail)
@@ -249,8 +249,8 @@
         owner = self.find_owner(server, age)
         owner.inbox.append(self.engines[owner.server].report())
 
-    def take_report(self, server, age, index):
-        """Take in any report at hand of the boot whose turn it is."""
+    def apply_report(self, server, age, index):
+        """Apply any received report of the same boot as the first one."""
         owner = self.find_owner(server, age)
         turn = [
             known for known in owner.inbox if known.boot_id == owner.inbox[0].boot_id
@@ -267,14 +267,14 @@
         if not outcome.changed:
             owner.ledger = outcome.ledger
             return
-        self.look(owner)
+        self.read_all_copies(owner)
         copies = list(owner.copies.values())
         build = transactions.build_confirmation
         if self.commit(owner, outcome.ledger, build, copies=copies):
             self.orders += [(owner, order) for order in outcome.resend]
 
     def settle(self, server, arriving=ALL):
-        """Let a while pass in which some of the owner's orders arrive."""
+        """Advance by several reports, in which some of the owner's orders arrive."""
         owner = self.find_owner(server)
         engine = self.engines[owner.server]
         engine.sequence += ledger.RESEND_AFTER_REPORTS
@@ -285,7 +285,7 @@
         report = engine.report()
         owner.inbox = [old for old in owner.inbox if old.boot_id == report.boot_id]
         self.reconcile(owner, report)
-        self.look(owner)
+        self.read_all_copies(owner)
 
     def describe(self, server) -> Server:
         return Server(
@@ -313,11 +313,11 @@
             possible = sum(SIZES[item] for item in on_the_way | engine.items.keys())
             assert possible <= CAPACITY_MIB, f"{name} may come to hold {possible}"
             if self.read_ledger(name)[0].boot_id == f"{name}-{engine.boot}":
-                counted = ledger.occupied_mib(self.read_ledger(name)[0])
+                counted = ledger.measure_occupied_mib(self.read_ledger(name)[0])
                 assert counted >= possible
 
     def end_faults(self):
-        """Every ledger comes to agree with its server."""
+        """Check that every ledger agrees with its server once no more faults occur."""
         for index, name in enumerate(self.names):
             self.claim(index)
             for _ in range(4):
@@ -333,11 +333,13 @@
 
 
 KINDS = {
-    "operate": lambda fleet, a, b, c: fleet.operate(a, AGES[b], sorted(SIZES)[c % 2]),
+    "operate": lambda fleet, a, b, c: fleet.load_or_unload(
+        a, AGES[b], sorted(SIZES)[c % 2]
+    ),
     "deliver": lambda fleet, a, b, c: fleet.deliver(a, FATES[b], c % 2 == 0),
     "work": lambda fleet, a, b, c: fleet.work(a, b == 0),
     "ask": lambda fleet, a, b, c: fleet.ask_report(a, AGES[b]),
-    "take": lambda fleet, a, b, c: fleet.take_report(a, AGES[b], c),
+    "take": lambda fleet, a, b, c: fleet.apply_report(a, AGES[b], c),
     "settle": lambda fleet, a, b, c: fleet.settle(a, ARRIVING[b]),
     "claim": lambda fleet, a, b, c: fleet.claim(a),
     "restart": lambda fleet, a, b, c: fleet.restart(a),
@@ -353,11 +355,11 @@
 
 @pytest.mark.parametrize("names", [("s0",), ("s0", "s1")], ids=["one", "two"])
 @pytest.mark.parametrize("checks", [True, False], ids=["checking", "unchecking"])
-def test_orders_and_reports_interleave(checks, names):
-    """An order is sent twice, arrives late, or its owner is paused and replaced.
+def test_memory_is_never_overcommitted_under_interleaving(checks, names):
+    """Orders are sent twice or arrive late, and owners are paused and replaced.
 
-    A user would see a server die for lack of memory, or a model gone, long after the
-    cause: bytes given away, or a copy relied upon, before an order's end was proven.
+    If memory is freed, or a copy is relied on, before an order is proven to have ended,
+    a server runs out of memory or a model becomes unavailable long after the cause.
     """
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True, database=None)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""The weight store's queue: who takes which slot, and when it is free again."""
+"""Load slots of the weight store: which load takes which slot, and its release."""
 
 import pytest
 
@@ -10,10 +10,10 @@
     SlotRecord,
 )
 from arbutuspulley.placement.slots import (
-    PATIENCE_MS,
+    TURN_TIMEOUT_MS,
     can_release,
     choose_slot,
-    measure_hold_ms,
+    compute_min_hold_ms,
 )
 from arbutuspulley.placement.transactions import SlotRow
 
@@ -37,9 +37,9 @@
     ("per_minute", "at_once", "hold_ms"),
     [(60, 2, 2_000), (120, 3, 1_500), (7, 1, 8_572)],
 )
-def test_hold_bounds_the_rate_of_all_slots(per_minute, at_once, hold_ms):
+def test_hold_time_limits_the_rate_of_all_slots(per_minute, at_once, hold_ms):
     store = WeightStore(loads_per_minute=per_minute, loads_at_once=at_once)
-    assert measure_hold_ms(store) == hold_ms
+    assert compute_min_hold_ms(store) == hold_ms
 
 
 def choose(first, second=None, *, rank=0, sessions=("other",), **rest):
@@ -66,7 +66,7 @@
     [
         (build_slot(0, 0), {}, 0),
         (build_slot(0, 0), {"rank": 1}, None),
-        (build_slot(0, PATIENCE_MS), {"rank": 1}, 0),
+        (build_slot(0, TURN_TIMEOUT_MS), {"rank": 1}, 0),
         (build_slot(0, 99_000, HELD), {}, None),
         (build_slot(0, HOLD_MS, HELD), {"sessions": ()}, 0),
         (build_slot(0, HOLD_MS - 1, HELD), {"sessions": ()}, None),
@@ -92,11 +92,12 @@
         "lapsed-and-server-dead",
     ],
 )
-def test_slot_is_taken_in_turn_and_from_a_lapsed_holder(slot, options, expected):
-    """An instance dies in the middle of a load and never frees its slot.
+def test_slot_is_taken_in_turn_and_from_an_expired_holder(slot, options, expected):
+    """An instance dies during a load and never releases its slot.
 
-    Loads would wait for ever, or, if others took the slot at once, the weight store
-    would serve more at a time than it does at full speed, and all loads get slow.
+    Loads would wait for ever. If other instances took the slot at once, the weight
+    store would serve more concurrent loads than it can at full speed, and all loads
+    would be slow.
     """
     assert choose(slot, **options) == expected
 
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -1,4 +1,4 @@
-"""What each placement transaction depends on and writes."""
+"""Preconditions and writes of the placement transactions."""
 
 import pytest
 
@@ -65,7 +65,7 @@
                 **COMMON,
                 copies=build_copies("s0"),
                 answering={"s1"},
-                least=0,
+                min_copies=0,
                 successor=build_copies("s1", item="a@2", revision=8),
             ),
             {**OWN, "g/copies/a@1": 7, "g/copies/a@2": 8},
@@ -93,7 +93,9 @@
     ],
     ids=["load", "unload", "replace", "confirm", "nothing-new", "release"],
 )
-def test_transaction_depends_on_all_that_was_decided_on(transaction, expected, written):
+def test_transaction_has_all_rows_of_its_decision_as_preconditions(
+    transaction, expected, written
+):
     assert show(transaction) == (expected, written)
 
 
@@ -102,17 +104,21 @@
     [
         (("s0",), {"s0", "s1"}, {}),
         (("s0", "s1"), {"s0"}, {}),
-        (("s0", "s1"), {"s0", "s1"}, {"least": 2}),
-        (("s0",), {"s1"}, {"least": 0, "successor": build_copies(item="a@2")}),
-        (("s0",), {"s2"}, {"least": 0, "successor": build_copies("s1", item="a@2")}),
+        (("s0", "s1"), {"s0", "s1"}, {"min_copies": 2}),
+        (("s0",), {"s1"}, {"min_copies": 0, "successor": build_copies(item="a@2")}),
+        (
+            ("s0",),
+            {"s2"},
+            {"min_copies": 0, "successor": build_copies("s1", item="a@2")},
+        ),
     ],
     ids=["alone", "other-is-down", "too-few", "no-successor", "successor-is-down"],
 )
 def test_last_copy_is_not_unloaded(servers, answering, options):
-    """Two owners each unload the copy that the other relies on, or one server dies.
+    """Two owners each unload the copy that the other relies on, or a server dies.
 
-    Callers of the model are refused until it is loaded again. Each unload depends on
-    the revision of the copies that it counted, so the second one conflicts.
+    Callers of the model would be refused until it is loaded again. Each unload has the
+    revision of the copies that it counted as a precondition, so the second conflicts.
     """
     with pytest.raises(LastCopyError):
         build_unload_intent(
@@ -133,7 +139,7 @@
     assert update_copies(record, ledger=LEDGER, alive=alive).servers == after
 
 
-def test_unload_takes_the_server_out_of_the_copies():
+def test_unload_removes_the_server_from_the_copies():
     transaction = build_unload_intent(
         **COMMON, copies=build_copies("s0", "s1"), answering={"s1"}
     )
