--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from arbutuspulley.bench.asking import Attempt, Try, read_clock
+from arbutuspulley.bench.client import Attempt, Try, read_clock
 from arbutuspulley.bench.workloads import (
     BETWEEN_TOKENS_TARGET_MS,
     FIRST_TOKEN_TARGET_MS,
--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -16,7 +16,7 @@
 import urllib3
 
 from arbutuspulley.adapters.engines import connect_engines
-from arbutuspulley.bench.asking import (
+from arbutuspulley.bench.client import (
     VERSION,
     Attempt,
     Try,
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -3,7 +3,7 @@
 import pytest
 
 from arbutuspulley.bench import figures, workloads
-from arbutuspulley.bench.asking import Try
+from arbutuspulley.bench.client import Try
 from arbutuspulley.bench.load import Asked, offer_load
 from arbutuspulley.bench.workloads import Arrival
 
