--- a/scripts/demo_load.py
+++ b/scripts/demo_load.py
@@ -14,7 +14,7 @@
 from arbutuspulley.configuration.lookup import build_item_key
 from arbutuspulley.data import State, Value
 from arbutuspulley.standins import answer
-from arbutuspulley.standins.engine_http import ADMITTED
+from arbutuspulley.standins.engine_http import ADMISSION_LINE_PREFIX
 from scripts.asking import AddressBook, Ask, Ending, Outcome, ask
 
 WORKERS = 8
@@ -109,7 +109,7 @@
     return Counter(
         words[1]
         for words in lines
-        if len(words) == 3 and words[0] == ADMITTED and words[2] == "0"
+        if len(words) == 3 and words[0] == ADMISSION_LINE_PREFIX and words[2] == "0"
     )
 
 
--- a/src/arbutuspulley/standins/engine_http.py
+++ b/src/arbutuspulley/standins/engine_http.py
@@ -52,7 +52,7 @@
 A comment to a caller that is gone fails, and the attempt is cancelled.
 """
 
-ADMITTED = "admitted"
+ADMISSION_LINE_PREFIX = "admitted"
 """Begins a line on standard output for each admission: prompt's digest, offset."""
 
 _COMMENT = b": waiting\n\n"
@@ -115,7 +115,7 @@
         busy = HTTPStatus.SERVICE_UNAVAILABLE
         return _refuse(HTTPStatus.NOT_FOUND if missing else busy, tokens)
     # Written before the first token leaves: unlike the counters, it survives SIGKILL.
-    print(f"{ADMITTED} {run.digest} {first}\n", end="", flush=True)
+    print(f"{ADMISSION_LINE_PREFIX} {run.digest} {first}\n", end="", flush=True)
     faults = runtime.perform(lambda state, _now: _take_faults(state))
     if faults.unanswered:
         return Outgoing(cut=True)
--- a/src/arbutuspulley/standins/fleet_server.py
+++ b/src/arbutuspulley/standins/fleet_server.py
@@ -23,7 +23,7 @@
     Faults: ``breaks_after`` events of a stream the connection is reset, and
     ``on_break`` is called before; ``sheds`` refuses every request as not run;
     ``crashes_on``: a body with these bytes resets its connection as it runs, and
-    ``on_break`` is called; ``holds_s`` delays answers; ``loses_orders`` drops orders
+    ``on_break`` is called; ``delay_s`` delays answers; ``loses_orders`` drops orders
     and ``loses_order_answers`` carries them out, both without an answer;
     ``limit_per_s`` is named in answers to requests.
 
@@ -35,10 +35,10 @@
         "arrivals",
         "breaks_after",
         "crashes_on",
+        "delay_s",
         "fails",
         "fence",
         "headers",
-        "holds_s",
         "incarnation",
         "is_busy",
         "limit_per_s",
@@ -81,7 +81,7 @@
         self.on_break: Callable[[], None] = lambda: None
         self.sheds = False
         self.fails = False
-        self.holds_s = 0.0
+        self.delay_s = 0.0
         self.limit_per_s: float | None = None
         self.arrivals: list[float] = []
         self.loses_orders = False
@@ -182,8 +182,8 @@
             request.transport.abort()
             self.on_break()
             return web.Response()
-        if self.holds_s:
-            await asyncio.sleep(self.holds_s)
+        if self.delay_s:
+            await asyncio.sleep(self.delay_s)
         headers = {
             names.ATTEMPT_ID: attempt,
             names.SEAL: f"seal.{self.incarnation}",
--- a/src/arbutuspulley/standins/fleet_store.py
+++ b/src/arbutuspulley/standins/fleet_store.py
@@ -71,7 +71,7 @@
         row = self._rows.get((table, key))
         return row[1] if row else None
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Forget all changes; feeds that wait for older ones get 410."""
         self._feed.clear()
         self._first = self.version
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -159,7 +159,7 @@
 
     async def scenario(fleet, session):
         for server in fleet.servers[2:]:
-            server.holds_s = 2
+            server.delay_s = 2
         front = fleet.addresses["n1"]["Frontend"]
         status, _, _ = await ask(
             session,
@@ -194,7 +194,7 @@
 
     async def scenario(fleet, session):
         full, sound = fleet.servers[2:]
-        full.sheds, sound.holds_s = True, 0.05
+        full.sheds, sound.delay_s = True, 0.05
         front = fleet.addresses["n1"]["Frontend"]
         begun_s = time.monotonic()
         for number in range(12):
@@ -213,7 +213,7 @@
 
     async def scenario(fleet, session):
         for server in fleet.servers[2:]:
-            server.holds_s = 1.2
+            server.delay_s = 1.2
         front = fleet.addresses["n1"]["Frontend"]
         answers = []
         for wave in range(3):
@@ -338,11 +338,11 @@
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         fleet.store.is_down = True
-        fleet.store.forget_history()
+        fleet.store.discard_history()
         fleet.store.put("op", "config", build_configuration(9))
         status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m0")
         assert (status, body) == (200, WHOLE)
-        fleet.store.forget_history()
+        fleet.store.discard_history()
         fleet.store.is_down = False
         await fleet.wait_log("n1", '"version":9')
 
@@ -390,7 +390,7 @@
     and it ends by itself with status 0."""
 
     async def scenario(fleet, session):
-        fleet.servers[2].holds_s = fleet.servers[3].holds_s = 0.5
+        fleet.servers[2].delay_s = fleet.servers[3].delay_s = 0.5
         front = fleet.addresses["n1"]["Frontend"]
         before = asyncio.create_task(ask(session, front, "/book/1", attempt="a1"))
         await asyncio.sleep(0.2)
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -152,7 +152,7 @@
     async def scenario(standin, client):
         standin.put(TABLE, "a", 1)
         standin.put(TABLE, "a", 2)
-        standin.forget_history()
+        standin.discard_history()
         with pytest.raises(HistoryLostError):
             await client.wait_for_changes(TABLE, after=1)
 
