--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -165,11 +165,13 @@
         attempt = policies.build_round_robin(engines, run=full, counts=counts)
     asked = offer_load(arrivals, attempt)
     time.sleep(SETTLE_S)
-    attempts = counts.attempts or _count_attempts(bench.system) - before
-    made = Run(name=name, policy=policy, asked=tuple(asked), attempts=attempts)
+    attempts = counts.engine_attempts or _count_attempts(bench.system) - before
+    made = Run(
+        name=name, policy=policy, requests=tuple(asked), engine_attempts=attempts
+    )
     bench.runs[f"{name}/{policy}"] = made
     summary = msgspec.json.encode(summarise(made)).decode()
-    codes = Counter(try_.code for one in asked for try_ in one.tries if try_.code)
+    codes = Counter(try_.code for one in asked for try_ in one.attempts if try_.code)
     print(f"bench: {summary} {dict(codes)}", flush=True)
 
 
@@ -180,7 +182,7 @@
 
     def grow(policy: str, *, from_first: bool) -> float | None:
         met = [
-            measures.count_good(made, from_first=from_first)
+            measures.count_goodput(made, from_first=from_first)
             for load in ("1.0", "2.0")
             if (made := runs.get(f"lestari {load}/{policy}"))
         ]
--- a/src/arbutuspulley/bench/client.py
+++ b/src/arbutuspulley/bench/client.py
@@ -24,7 +24,7 @@
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=30.0)
 
 
-class Try(State):
+class CallerAttempt(State):
     """What one try brought.
 
     :param code: the numbered result code, 0 if there is none.
@@ -77,9 +77,9 @@
     )
 
 
-def ask_entry(address: str, arrival: Arrival, *, run: str) -> Try:
+def ask_entry(address: str, arrival: Arrival, *, run: str) -> CallerAttempt:
     """Ask once through an entry."""
-    one = Try(began_at=read_clock())
+    one = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     host, _, port = address.rpartition(":")
     headers = {
@@ -107,9 +107,9 @@
 
 def ask_engine(
     engines: Engines, address: str, arrival: Arrival, *, run: str, attempt: int
-) -> Try:
+) -> CallerAttempt:
     """Ask once at an engine itself."""
-    one = Try(began_at=read_clock())
+    one = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     request = InferenceRequest(
         request_id=f"{run}-{arrival.number}",
@@ -131,7 +131,10 @@
 
 
 def _read_response(
-    one: Try, response: urllib3.BaseHTTPResponse, arrival: Arrival, body: bytes
+    one: CallerAttempt,
+    response: urllib3.BaseHTTPResponse,
+    arrival: Arrival,
+    body: bytes,
 ) -> None:
     one.code = int(response.headers.get("X-Arbutus-Code", "0"))
     if response.status != HTTPStatus.OK:
@@ -153,7 +156,9 @@
     one.whole = bool(events) and events[-1].data == _END_MARKER
 
 
-def _collect(one: Try, parts: Iterable[bytes], arrival: Arrival, body: bytes) -> None:
+def _collect(
+    one: CallerAttempt, parts: Iterable[bytes], arrival: Arrival, body: bytes
+) -> None:
     text = ""
     tokens = 0
     for data in parts:
@@ -170,5 +175,5 @@
     one.correct = text == answer.build_answer(item=item, prompt=prompt)
 
 
-Attempt = Callable[[Arrival, int], Try]
+SendAttempt = Callable[[Arrival, int], CallerAttempt]
 """Makes one try; takes the request and how many tries it has had."""
--- a/src/arbutuspulley/bench/figures.py
+++ b/src/arbutuspulley/bench/figures.py
@@ -4,7 +4,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from arbutuspulley.bench.load import Asked
+from arbutuspulley.bench.load import RequestRecord
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import Value
 
@@ -20,13 +20,13 @@
 class Run(Value, frozen=True):
     """One run of a policy.
 
-    :param attempts: attempts at engines, as the engines' callers counted them.
+    :param engine_attempts: attempts at engines, as the engines' callers counted them.
     """
 
     name: str
     policy: str
-    asked: tuple[Asked, ...]
-    attempts: int = 0
+    requests: tuple[RequestRecord, ...]
+    engine_attempts: int = 0
 
 
 class Summary(Value, frozen=True):
@@ -61,21 +61,22 @@
 def count_met(run: Run, *, caller: str = "", from_first: bool = False) -> int:
     """Return how many counted requests of a caller, or of all, met their targets."""
     return sum(
-        one.is_met(from_first=from_first) for one in list_counted(run, caller=caller)
+        one.meets_targets(from_first=from_first)
+        for one in list_counted(run, caller=caller)
     )
 
 
-def count_good(run: Run, *, from_first: bool = False) -> int:
+def count_goodput(run: Run, *, from_first: bool = False) -> int:
     """Return the answers that met their targets and began in the counted time.
 
     What arrived earlier counts too: under overload, callers that come back take the
     place of new ones. What begins after the last arrival does not.
     """
-    last_at = max((one.arrival.at for one in run.asked), default=0)
+    last_at = max((one.arrival.at for one in run.requests), default=0)
     return sum(
         WARM_UP_MS <= _find_begin(one) <= last_at
-        for one in run.asked
-        if one.is_met(from_first=from_first)
+        for one in run.requests
+        if one.meets_targets(from_first=from_first)
     )
 
 
@@ -86,11 +87,11 @@
     return met / len(counted) if counted else 0.0
 
 
-def list_counted(run: Run, *, caller: str = "") -> list[Asked]:
+def list_counted(run: Run, *, caller: str = "") -> list[RequestRecord]:
     """Return the requests that arrived after the warm-up."""
     return [
         one
-        for one in run.asked
+        for one in run.requests
         if one.arrival.at >= WARM_UP_MS and caller in ("", one.arrival.caller)
     ]
 
@@ -99,7 +100,7 @@
     """Return the histogram of times from the first try to the first token, in ms."""
     histogram = HdrHistogram(1, _MOST_MS, 3)
     for one in list_counted(run):
-        last = one.tries[-1] if one.tries else None
+        last = one.attempts[-1] if one.attempts else None
         if last is not None and last.first_at is not None:
             histogram.record_value(max(1, round(last.first_at - one.due_at)))
     return histogram
@@ -109,7 +110,7 @@
     """Return what a run brought."""
     counted = list_counted(run)
     first = build_first_tokens(run)
-    admitted = sum(_count_admitted(one) for one in run.asked)
+    admitted = sum(_count_admitted(one) for one in run.requests)
     between = _build_between(counted)
     return Summary(
         name=run.name,
@@ -119,13 +120,15 @@
         met=count_met(run),
         met_first=count_met(run, from_first=True),
         refused=sum(not one.is_whole() for one in counted),
-        tries=round(sum(len(one.tries) for one in counted) / max(1, len(counted)), 2),
+        tries=round(
+            sum(len(one.attempts) for one in counted) / max(1, len(counted)), 2
+        ),
         first_token_p50_ms=first.get_value_at_percentile(50),
         first_token_p95_ms=first.get_value_at_percentile(95),
         between_p95_ms=between.get_value_at_percentile(95) / 100,
-        amplification=round(run.attempts / admitted, 3) if admitted else 0.0,
-        lost=sum(one.is_lost() for one in run.asked),
-        doubled=sum(try_.doubled for one in run.asked for try_ in one.tries),
+        amplification=round(run.engine_attempts / admitted, 3) if admitted else 0.0,
+        lost=sum(one.is_lost() for one in run.requests),
+        doubled=sum(try_.doubled for one in run.requests for try_ in one.attempts),
     )
 
 
@@ -134,25 +137,25 @@
     return round(part / whole, 3) if whole else None
 
 
-def _find_begin(asked: Asked) -> float:
+def _find_begin(asked: RequestRecord) -> float:
     """Return when an answer's first token came, after the start of the run."""
-    first_at = asked.tries[-1].first_at
+    first_at = asked.attempts[-1].first_at
     assert first_at is not None
     return first_at - asked.due_at + asked.arrival.at
 
 
-def _count_admitted(asked: Asked) -> int:
+def _count_admitted(asked: RequestRecord) -> int:
     return sum(
         not (one.refused and (one.code in REFUSED_CODES or not one.code))
-        for one in asked.tries
+        for one in asked.attempts
     )
 
 
-def _build_between(counted: Sequence[Asked]) -> HdrHistogram:
+def _build_between(counted: Sequence[RequestRecord]) -> HdrHistogram:
     """Return the histogram of mean times between tokens, in hundredths of a ms."""
     histogram = HdrHistogram(1, 100 * _MOST_MS, 3)
     for one in counted:
-        last = one.tries[-1] if one.tries else None
+        last = one.attempts[-1] if one.attempts else None
         if last is not None and last.whole and last.first_at is not None:
             between = (last.ended_at - last.first_at) / one.arrival.tokens
             histogram.record_value(max(1, round(100 * between)))
--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from arbutuspulley.bench.client import Attempt, Try, read_clock
+from arbutuspulley.bench.client import CallerAttempt, SendAttempt, read_clock
 from arbutuspulley.bench.workloads import (
     BETWEEN_TOKENS_TARGET_MS,
     FIRST_TOKEN_TARGET_MS,
-    MOST_TRIES,
-    PATIENCE_MS,
+    MAX_ATTEMPTS,
+    RETRY_DEADLINE_MS,
     Arrival,
 )
 from arbutuspulley.clock import SECOND_MS
@@ -25,7 +25,7 @@
 """Longest wait for the last answers."""
 
 
-class Asked(State):
+class RequestRecord(State):
     """One request and all its tries.
 
     :param due_at: when it arrived, on the clock of the run.
@@ -33,32 +33,32 @@
 
     arrival: Arrival
     due_at: float
-    tries: list[Try] = msgspec.field(default_factory=list)
+    attempts: list[CallerAttempt] = msgspec.field(default_factory=list)
     ended: bool = False
 
     def is_whole(self) -> bool:
         """Whether its answer came."""
-        return bool(self.tries) and self.tries[-1].whole
+        return bool(self.attempts) and self.attempts[-1].whole
 
     def is_lost(self) -> bool:
         """Whether it ended neither whole and right nor with a plain refusal."""
-        if not self.ended or not self.tries:
+        if not self.ended or not self.attempts:
             return True
-        last = self.tries[-1]
+        last = self.attempts[-1]
         return not last.correct if last.whole else not (last.refused or last.code)
 
-    def is_met(self, *, from_first: bool) -> bool:
+    def meets_targets(self, *, from_first: bool) -> bool:
         """Whether its answer met the targets.
 
         :param from_first: count the first token from the first try; else from the
             last one, since a refused caller is answered at once and told when to
             come back.
         """
-        if not self.is_whole() or not self.tries[-1].correct:
+        if not self.is_whole() or not self.attempts[-1].correct:
             return False
-        last = self.tries[-1]
+        last = self.attempts[-1]
         assert last.first_at is not None
-        since = self.due_at if from_first or len(self.tries) == 1 else last.began_at
+        since = self.due_at if from_first or len(self.attempts) == 1 else last.began_at
         between_ms = (last.ended_at - last.first_at) / self.arrival.tokens
         is_prompt = last.first_at - since <= FIRST_TOKEN_TARGET_MS
         return is_prompt and between_ms <= BETWEEN_TOKENS_TARGET_MS
@@ -69,19 +69,21 @@
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
-        self.due: list[tuple[float, int, Asked]] = []
+        self.due: list[tuple[float, int, RequestRecord]] = []
         self.open = 0
 
-    def add(self, at: float, asked: Asked) -> None:
+    def add(self, at: float, asked: RequestRecord) -> None:
         with self.lock:
             heapq.heappush(self.due, (at, asked.arrival.number, asked))
             self.lock.notify_all()
 
 
-def offer_load(arrivals: Sequence[Arrival], attempt: Attempt) -> list[Asked]:
+def offer_load(
+    arrivals: Sequence[Arrival], attempt: SendAttempt
+) -> list[RequestRecord]:
     """Ask all requests at their times and return them once the last has ended."""
     start = read_clock()
-    everything = [Asked(arrival=one, due_at=start + one.at) for one in arrivals]
+    everything = [RequestRecord(arrival=one, due_at=start + one.at) for one in arrivals]
     plan = _Plan()
     plan.open = len(everything)
     for asked in everything:
@@ -95,7 +97,7 @@
     return everything
 
 
-def _take_due(plan: _Plan) -> Asked | None:
+def _take_due(plan: _Plan) -> RequestRecord | None:
     with plan.lock:
         if plan.due:
             wait_ms = plan.due[0][0] - read_clock()
@@ -107,12 +109,12 @@
     return None
 
 
-def _ask(plan: _Plan, asked: Asked, attempt: Attempt) -> None:
-    one = Try(began_at=read_clock())
+def _ask(plan: _Plan, asked: RequestRecord, attempt: SendAttempt) -> None:
+    one = CallerAttempt(began_at=read_clock())
     try:
-        one = attempt(asked.arrival, len(asked.tries))
+        one = attempt(asked.arrival, len(asked.attempts))
     finally:
-        asked.tries.append(one)
+        asked.attempts.append(one)
         again_at = _choose_return(asked, one)
         if again_at is not None:
             plan.add(again_at, asked)
@@ -123,9 +125,9 @@
                 plan.lock.notify_all()
 
 
-def _choose_return(asked: Asked, one: Try) -> float | None:
+def _choose_return(asked: RequestRecord, one: CallerAttempt) -> float | None:
     """Return when the caller comes back, or ``None`` if it does not."""
-    if one.whole or one.retry_after_ms is None or len(asked.tries) >= MOST_TRIES:
+    if one.whole or one.retry_after_ms is None or len(asked.attempts) >= MAX_ATTEMPTS:
         return None
     again_at = read_clock() + one.retry_after_ms
-    return again_at if again_at <= asked.due_at + PATIENCE_MS else None
+    return again_at if again_at <= asked.due_at + RETRY_DEADLINE_MS else None
--- a/src/arbutuspulley/bench/model.py
+++ b/src/arbutuspulley/bench/model.py
@@ -55,7 +55,7 @@
     live: bool = True
 
 
-class Asked(State):
+class SimulatedRequest(State):
     """One request.
 
     :param crowded: whether its server then ran more than an eighth above its slots.
@@ -64,13 +64,13 @@
     caller: str
     at: int
     live: bool = True
-    tries: int = 0
+    attempts: int = 0
     last_at: int = 0
     entry: int = 0
     admitted_at: int | None = None
     crowded: bool = False
 
-    def is_met(self) -> bool:
+    def meets_targets(self) -> bool:
         """Tell whether it was admitted in time, where there was room for it."""
         if self.admitted_at is None or self.crowded:
             return False
@@ -100,11 +100,11 @@
         self.running = {f"s{n}": 0 for n in range(servers)}
         self.capacity = servers * slots * 1_000 / DURATION_MS
         self.known = dict(self.running)
-        self.asked: list[Asked] = []
-        self._tickets: dict[str, Asked] = {}
+        self.asked: list[SimulatedRequest] = []
+        self._tickets: dict[str, SimulatedRequest] = {}
         self._due: dict[int, list[Callable[[int], None]]] = {}
 
-    def run(self, offers: Sequence[Offer], *, until: int) -> list[Asked]:
+    def run(self, offers: Sequence[Offer], *, until: int) -> list[SimulatedRequest]:
         """Run to a time in ms and return all requests that were asked."""
         for now in range(0, until, STEP_MS):
             if now % VIEW_MS == 0:
@@ -121,14 +121,14 @@
         expected = offer.rate * STEP_MS / 1_000
         while now >= offer.start and expected > 0:
             if self.chance.random() < expected:
-                one = Asked(caller=offer.caller, at=now, live=offer.live)
+                one = SimulatedRequest(caller=offer.caller, at=now, live=offer.live)
                 one.entry = self.chance.choice(offer.entries)
                 self.asked.append(one)
                 self._submit(one, now)
             expected -= 1
 
-    def _submit(self, one: Asked, now: int) -> None:
-        one.tries, one.last_at = one.tries + 1, now
+    def _submit(self, one: SimulatedRequest, now: int) -> None:
+        one.attempts, one.last_at = one.attempts + 1, now
         name = f"{len(self._tickets)}"
         self._tickets[name] = one
         ticket = queue.Ticket(
@@ -148,7 +148,7 @@
             one = self._tickets[effect.request_id]
             if isinstance(effect, queue.Admit):
                 self._start(number, effect.request_id, now)
-            elif one.tries < 2:
+            elif one.attempts < 2:
                 self._plan(now + effect.retry_after_ms, partial(self._submit, one))
 
     def _start(self, number: int, name: str, now: int) -> None:
@@ -206,7 +206,7 @@
 
 
 def measure_met(
-    asked: Sequence[Asked],
+    asked: Sequence[SimulatedRequest],
     *,
     caller: str | None = None,
     since: int = 10_000,
@@ -220,4 +220,4 @@
     chosen = [
         one for one in asked if caller in (None, one.caller) and since <= one.at < until
     ]
-    return sum(one.is_met() for one in chosen) / len(chosen)
+    return sum(one.meets_targets() for one in chosen) / len(chosen)
--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -18,8 +18,8 @@
 from arbutuspulley.adapters.engines import connect_engines
 from arbutuspulley.bench.client import (
     VERSION,
-    Attempt,
-    Try,
+    CallerAttempt,
+    SendAttempt,
     ask_engine,
     ask_entry,
     read_clock,
@@ -42,10 +42,10 @@
 class Counts(State):
     """What a policy's callers did, besides the tries themselves.
 
-    :param attempts: attempts at engines that the caller made itself.
+    :param engine_attempts: attempts at engines that the caller made itself.
     """
 
-    attempts: int = 0
+    engine_attempts: int = 0
 
 
 class _Addresses(Message, frozen=True):
@@ -58,7 +58,7 @@
     until: float
 
 
-def build_entry_policy(entries: Sequence[str], *, run: str, seed: int) -> Attempt:
+def build_entry_policy(entries: Sequence[str], *, run: str, seed: int) -> SendAttempt:
     """Return how callers ask through entries.
 
     :param entries: addresses that every caller was given once.
@@ -80,7 +80,7 @@
             kept[place] = found
         return found
 
-    def attempt(arrival: Arrival, _tried: int) -> Try:
+    def attempt(arrival: Arrival, _tried: int) -> CallerAttempt:
         known = find(arrival)
         address = known.addresses[0]
         one = ask_entry(address, arrival, run=run)
@@ -92,7 +92,9 @@
     return attempt
 
 
-def build_round_robin(addresses: Sequence[str], *, run: str, counts: Counts) -> Attempt:
+def build_round_robin(
+    addresses: Sequence[str], *, run: str, counts: Counts
+) -> SendAttempt:
     """Return how callers ask engines in turn.
 
     :param addresses: all engines'.
@@ -106,11 +108,11 @@
         item: _take_turns(known) for item, known in holders.items()
     }
 
-    def attempt(arrival: Arrival, tried: int) -> Try:
+    def attempt(arrival: Arrival, tried: int) -> CallerAttempt:
         item = build_item_key(name=arrival.model, version=VERSION)
         began_at = read_clock()
         for number in range(1 + IMMEDIATE_RETRIES):
-            counts.attempts += 1
+            counts.engine_attempts += 1
             name = tried * (1 + IMMEDIATE_RETRIES) + number
             one = ask_engine(engines, turns[item](), arrival, run=run, attempt=name)
             one.began_at = began_at
--- a/src/arbutuspulley/bench/report.py
+++ b/src/arbutuspulley/bench/report.py
@@ -17,7 +17,7 @@
 PLOT_NAME = "first-token.svg"
 PAGE_NAME = "report.md"
 
-AIMS = {
+TARGETS = {
     "attainment_vs_baseline": "at least 1.2",
     "goodput_2x_over_1x": "at least 0.95",
     "quiet_caller_share": "at least 0.95",
@@ -74,7 +74,7 @@
         if name == "seed":
             continue
         shown = "not measured" if value is None else value
-        lines.append(f"| {name} | {shown} | {AIMS.get(name, '')} |")
+        lines.append(f"| {name} | {shown} | {TARGETS.get(name, '')} |")
     return lines
 
 
@@ -92,7 +92,7 @@
     figure, axes = pyplot.subplots(figsize=(9, 5))
     for run in runs:
         histogram = build_first_tokens(run)
-        total = len([one for one in run.asked if one.tries])
+        total = len([one for one in run.requests if one.attempts])
         if not total or not histogram.get_total_count():
             continue
         part = histogram.get_total_count() / total
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -3,8 +3,8 @@
 import pytest
 
 from arbutuspulley.bench import figures, workloads
-from arbutuspulley.bench.client import Try
-from arbutuspulley.bench.load import Asked, offer_load
+from arbutuspulley.bench.client import CallerAttempt
+from arbutuspulley.bench.load import RequestRecord, offer_load
 from arbutuspulley.bench.workloads import Arrival
 
 ARRIVAL = Arrival(number=0, at=5_000, caller="a", model="m", tokens=10)
@@ -12,18 +12,20 @@
 
 def build_asked(*tries, at=5_000, due_at=105_000):
     arrival = Arrival(number=0, at=at, caller="a", model="m", tokens=10)
-    return Asked(arrival=arrival, due_at=due_at, tries=list(tries), ended=True)
+    return RequestRecord(
+        arrival=arrival, due_at=due_at, attempts=list(tries), ended=True
+    )
 
 
 def build_try(began_at=105_000, first=100, between=30, **fields):
     first_at = began_at + first
     times = {"first_at": first_at, "ended_at": first_at + 10 * between}
     values = {"whole": True, "correct": True, **times, **fields}
-    return Try(began_at=began_at, **values)
+    return CallerAttempt(began_at=began_at, **values)
 
 
 def build_refusal(**fields):
-    return Try(began_at=105_000, refused=True, code=2002, **fields)
+    return CallerAttempt(began_at=105_000, refused=True, code=2002, **fields)
 
 
 def test_arrivals_are_seeded_and_keep_their_rate():
@@ -57,8 +59,8 @@
 )
 def test_a_request_meets_its_targets_or_is_lost(tries, met_first, met, lost):
     asked = build_asked(*tries)
-    assert asked.is_met(from_first=True) is met_first
-    assert asked.is_met(from_first=False) is met
+    assert asked.meets_targets(from_first=True) is met_first
+    assert asked.meets_targets(from_first=False) is met
     assert asked.is_lost() is lost
 
 
@@ -67,13 +69,13 @@
     run = figures.Run(
         name="n",
         policy="p",
-        asked=(early, build_asked(build_try()), build_asked(build_refusal())),
-        attempts=3,
+        requests=(early, build_asked(build_try()), build_asked(build_refusal())),
+        engine_attempts=3,
     )
     summary = figures.summarise(run)
     assert (summary.offered, summary.met, summary.attainment) == (2, 1, 0.5)
     assert summary.amplification == 1.5
-    assert figures.count_good(run) == 0  # the last arrival is before the first token
+    assert figures.count_goodput(run) == 0  # the last arrival is before the first token
 
 
 def test_refused_requests_are_asked_again_when_told():
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -251,7 +251,7 @@
         rate = load * model.capacity
         offer = Offer(caller="c", rate=rate, entries=tuple(range(entries)))
         asked = model.run([offer], until=40_000)
-        return sum(one.is_met() and one.admitted_at >= 10_000 for one in asked)
+        return sum(one.meets_targets() and one.admitted_at >= 10_000 for one in asked)
 
     assert measure(2.0) >= 0.95 * measure(1.0)
 
@@ -270,5 +270,7 @@
     recaps = [one for one in asked if not one.live and one.at < 25_000]
     assert len(recaps) > 50
     assert all(one.admitted_at is not None for one in recaps)
-    met = sum(one.is_met() and one.admitted_at >= 10_000 for one in asked if one.live)
+    met = sum(
+        one.meets_targets() and one.admitted_at >= 10_000 for one in asked if one.live
+    )
     assert met >= 0.85 * 35 * model.capacity
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -232,7 +232,7 @@
     flood = Offer(caller="f", rate=5 * model.capacity, entries=tuple(range(6)))
     asked = model.run([quiet, flood], until=30_000)
     assert measure_met(asked, caller="q") >= 0.95
-    used = sum(one.is_met() and one.admitted_at >= 10_000 for one in asked)
+    used = sum(one.meets_targets() and one.admitted_at >= 10_000 for one in asked)
     assert used >= 0.8 * 20 * model.capacity
 
 
