--- a/src/arbutuspulley/standins/control.py
+++ b/src/arbutuspulley/standins/control.py
@@ -3,7 +3,7 @@
 from arbutuspulley.data import Document, State
 
 
-def copy_set(control: Document, target: State) -> None:
+def apply_set_fields(control: Document, target: State) -> None:
     """Set the fields of the target that the control names; leave the others.
 
     :param control: a document whose fields are ``None`` if they were left out.
@@ -14,7 +14,7 @@
             setattr(target, name, value)
 
 
-def take(faults: State, name: str) -> bool:
+def consume_fault(faults: State, name: str) -> bool:
     """Tell whether a counted fault applies now, and count it down."""
     left = getattr(faults, name)
     if left == 0:
--- a/src/arbutuspulley/standins/engine_batch.py
+++ b/src/arbutuspulley/standins/engine_batch.py
@@ -12,7 +12,7 @@
 STREAMS_PER_SLOWDOWN = 16
 """So many further streams make a step longer by one undisturbed step."""
 
-PROMPT_WORDS_PER_UNIT = 512
+WORDS_PER_PREFILL_UNIT = 512
 """So many uncached words cost as much reading as the fixed part of any prompt."""
 
 RATE_WINDOW_MS = 1_000
@@ -72,7 +72,7 @@
     slow_factor: float = 1.0
     waiting: list[Run] = msgspec.field(default_factory=list)
     batch: list[Run] = msgspec.field(default_factory=list)
-    reading_until: int = 0
+    prefill_until: int = 0
     next_step_at: int = 0
     produced: list[_Produced] = msgspec.field(default_factory=list)
 
@@ -89,7 +89,7 @@
     batch.waiting.sort(key=lambda waiting: -waiting.priority)
 
 
-def take_next(batch: BatchState) -> Run | None:
+def schedule_next(batch: BatchState) -> Run | None:
     """Move the first waiting run into the batch if there is room."""
     if not batch.waiting or len(batch.batch) >= batch.max_batch:
         return None
@@ -98,14 +98,14 @@
     return run
 
 
-def begin_reading(
+def begin_prefill(
     batch: BatchState, run: Run, *, uncached_words: int, now: int
 ) -> None:
     """Queue a run's prompt to be read in."""
-    units = 1 + uncached_words / PROMPT_WORDS_PER_UNIT
+    units = 1 + uncached_words / WORDS_PER_PREFILL_UNIT
     duration = round(batch.first_token_ms * units * batch.slow_factor)
-    batch.reading_until = max(now, batch.reading_until) + duration
-    run.ready_at = batch.reading_until
+    batch.prefill_until = max(now, batch.prefill_until) + duration
+    run.ready_at = batch.prefill_until
 
 
 def step(batch: BatchState, *, now: int) -> tuple[Token, ...]:
@@ -113,7 +113,7 @@
     ready = [run for run in batch.batch if run.ready_at <= now]
     if not ready or now < batch.next_step_at:
         return ()
-    interval = find_interval(batch, streams=len(ready))
+    interval = get_token_interval_ms(batch, streams=len(ready))
     # Counting from the due time keeps the rate when a step comes a little late.
     on_time = now - batch.next_step_at < interval
     batch.next_step_at = (batch.next_step_at if on_time else now) + interval
@@ -123,7 +123,7 @@
     return tokens
 
 
-def find_interval(batch: BatchState, *, streams: int) -> int:
+def get_token_interval_ms(batch: BatchState, *, streams: int) -> int:
     """Return the time between tokens of a stream in ms."""
     slowdown = 1 + (streams - 1) / STREAMS_PER_SLOWDOWN
     return max(1, round(batch.token_ms * slowdown * batch.slow_factor))
@@ -137,7 +137,7 @@
     return max(first_ready, batch.next_step_at)
 
 
-def withdraw(batch: BatchState, attempt_id: str) -> Run | None:
+def cancel(batch: BatchState, attempt_id: str) -> Run | None:
     """Take a run out, wherever it is.
 
     :return: the run, or ``None`` if it is not there.
@@ -168,12 +168,12 @@
     return sum(part.tokens for part in batch.produced) * 1_000 / RATE_WINDOW_MS
 
 
-def estimate_wait(batch: BatchState) -> int:
+def estimate_wait_ms(batch: BatchState) -> int:
     """Return about how long until a run ends and makes room, in ms."""
     left = [run.tokens - run.offset for run in batch.batch]
     if not left:
         return batch.first_token_ms
-    return min(left) * find_interval(batch, streams=len(left))
+    return min(left) * get_token_interval_ms(batch, streams=len(left))
 
 
 def _advance(run: Run) -> Token:
--- a/src/arbutuspulley/standins/engine_cache.py
+++ b/src/arbutuspulley/standins/engine_cache.py
@@ -19,17 +19,17 @@
 DEFAULT_BLOCKS = 512
 """Blocks that fit into the cache."""
 
-EVENTS_KEPT = 1_024
+MAX_KEPT_EVENTS = 1_024
 """Events that can still be read; older ones are a gap to a slow reader."""
 
 EVENT_LAG_MS = 250
 """How late events are published."""
 
-EVENT_LOSS = 0.02
+EVENT_LOSS_RATE = 0.02
 """Share of events that are never published."""
 
 
-class _Pending(Value, frozen=True):
+class _PendingEvent(Value, frozen=True):
     """An event and when it may be read."""
 
     visible_at: int
@@ -45,7 +45,7 @@
 
     limit: int = DEFAULT_BLOCKS
     blocks: dict[str, str] = msgspec.field(default_factory=dict)
-    events: list[_Pending] = msgspec.field(default_factory=list)
+    events: list[_PendingEvent] = msgspec.field(default_factory=list)
     sequence: int = 0
 
 
@@ -59,7 +59,7 @@
     return tuple(hashes)
 
 
-def use_prefix(
+def cache_prompt(
     cache: CacheState,
     *,
     item: str,
@@ -72,7 +72,7 @@
     :return: how many of its words were cached before.
     """
     hashes = hash_prefixes(item, words)
-    known = _count_known(cache, hashes)
+    known = _count_cached(cache, hashes)
     for prefix in hashes:
         was_there = cache.blocks.pop(prefix, None) is not None
         cache.blocks[prefix] = item
@@ -83,7 +83,9 @@
     return known * BLOCK_WORDS
 
 
-def drop_item(cache: CacheState, item: str, *, now: int, chance: random.Random) -> None:
+def evict_item(
+    cache: CacheState, item: str, *, now: int, chance: random.Random
+) -> None:
     """Evict everything of an item that was unloaded."""
     for prefix in [prefix for prefix, owner in cache.blocks.items() if owner == item]:
         _evict(cache, prefix, now, chance)
@@ -98,7 +100,7 @@
     )
 
 
-def _count_known(cache: CacheState, hashes: Sequence[str]) -> int:
+def _count_cached(cache: CacheState, hashes: Sequence[str]) -> int:
     known = 0
     for prefix in hashes:
         if prefix not in cache.blocks:
@@ -122,8 +124,8 @@
     chance: random.Random,
 ) -> None:
     cache.sequence += 1
-    if chance.random() < EVENT_LOSS:
+    if chance.random() < EVENT_LOSS_RATE:
         return
     event = CacheEvent(sequence=cache.sequence, item=item, prefix=prefix, stored=stored)
-    cache.events.append(_Pending(visible_at=now + EVENT_LAG_MS, event=event))
-    del cache.events[:-EVENTS_KEPT]
+    cache.events.append(_PendingEvent(visible_at=now + EVENT_LAG_MS, event=event))
+    del cache.events[:-MAX_KEPT_EVENTS]
--- a/src/arbutuspulley/standins/engine_control.py
+++ b/src/arbutuspulley/standins/engine_control.py
@@ -7,7 +7,7 @@
 from arbutuspulley.data import Document, Message, State
 from arbutuspulley.standins.engine_memory import OnOvercommit, SeenOrder
 
-Whole = Annotated[int, msgspec.Meta(ge=0)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 Factor = Annotated[float, msgspec.Meta(gt=0)]
 
 
@@ -37,19 +37,19 @@
     :param on_overcommit: what a load that exceeds the memory does.
     """
 
-    drop_orders: Whole | None = None
-    lose_order_replies: Whole | None = None
-    hold_orders: Whole | None = None
+    drop_orders: NonNegative | None = None
+    lose_order_replies: NonNegative | None = None
+    hold_orders: NonNegative | None = None
     release_orders: bool = False
-    delay_orders: Whole | None = None
-    delay_orders_ms: Whole | None = None
-    refuse_requests: Whole | None = None
-    fail_requests: Whole | None = None
-    break_requests: Whole | None = None
-    break_streams: Whole | None = None
-    break_after_tokens: Whole | None = None
-    skip_end_markers: Whole | None = None
-    stray_chunks: Whole | None = None
+    delay_orders: NonNegative | None = None
+    delay_orders_ms: NonNegative | None = None
+    refuse_requests: NonNegative | None = None
+    fail_requests: NonNegative | None = None
+    break_requests: NonNegative | None = None
+    break_streams: NonNegative | None = None
+    break_after_tokens: NonNegative | None = None
+    skip_end_markers: NonNegative | None = None
+    stray_chunks: NonNegative | None = None
     slow_factor: Factor | None = None
     crash_marker: str | None = None
     leaving: bool | None = None
--- a/src/arbutuspulley/standins/engine_http.py
+++ b/src/arbutuspulley/standins/engine_http.py
@@ -31,7 +31,7 @@
 from arbutuspulley.results import RunState
 from arbutuspulley.standins import answer, engine_cache
 from arbutuspulley.standins.answer import BadBodyError, Prompt
-from arbutuspulley.standins.control import take
+from arbutuspulley.standins.control import consume_fault
 from arbutuspulley.standins.engine_batch import Run
 from arbutuspulley.standins.engine_control import Control
 from arbutuspulley.standins.engine_runtime import EngineRuntime, Tokens
@@ -39,9 +39,9 @@
     EngineState,
     Refusal,
     apply_control,
-    count,
+    build_counters,
     read_report,
-    take_order,
+    receive_order,
 )
 from arbutuspulley.standins.routes import Incoming, Outgoing, Routes
 from arbutuspulley.standins.server import break_connection
@@ -90,12 +90,12 @@
         ("POST", "/orders"): lambda incoming: _order(runtime, incoming),
         ("POST", "/cancel"): lambda incoming: _cancel(runtime, incoming),
         ("GET", "/report"): lambda _incoming: _send_json(
-            runtime.perform(lambda state, now: read_report(state, now=now))
+            runtime.run_locked(lambda state, now: read_report(state, now=now))
         ),
         ("GET", "/cache-events"): lambda incoming: _read_cache(runtime, incoming),
         ("POST", "/control"): lambda incoming: _control(runtime, incoming),
         ("GET", "/control/counters"): lambda _incoming: _send_json(
-            runtime.perform(lambda state, _now: count(state))
+            runtime.run_locked(lambda state, _now: build_counters(state))
         ),
     }
 
@@ -106,7 +106,9 @@
         run = _build_run(incoming, prompt)
     except (BadBodyError, ValueError) as error:
         return _refuse(HTTPStatus.BAD_REQUEST, Refusal(message=str(error)))
-    if runtime.perform(lambda state, _now: take(state.faults, "fail_requests")):
+    if runtime.run_locked(
+        lambda state, _now: consume_fault(state.faults, "fail_requests")
+    ):
         return Outgoing(status=HTTPStatus.INTERNAL_SERVER_ERROR)
     first = run.offset
     tokens = runtime.submit(run)
@@ -116,7 +118,7 @@
         return _refuse(HTTPStatus.NOT_FOUND if missing else busy, tokens)
     # Written before the first token leaves: unlike the counters, it survives SIGKILL.
     print(f"{ADMISSION_LINE_PREFIX} {run.digest} {first}\n", end="", flush=True)
-    faults = runtime.perform(lambda state, _now: _take_faults(state))
+    faults = runtime.run_locked(lambda state, _now: _consume_faults(state))
     if faults.unanswered:
         return Outgoing(cut=True)
     streamed = _Answer(
@@ -156,14 +158,14 @@
     )
 
 
-def _take_faults(state: EngineState) -> _StreamFaults:
+def _consume_faults(state: EngineState) -> _StreamFaults:
     faults = state.faults
-    breaks = take(faults, "break_streams")
+    breaks = consume_fault(faults, "break_streams")
     return _StreamFaults(
-        unanswered=take(faults, "break_requests"),
+        unanswered=consume_fault(faults, "break_requests"),
         break_after=faults.break_after_tokens if breaks else None,
-        skip_end_marker=take(faults, "skip_end_markers"),
-        stray_chunks=take(faults, "stray_chunks"),
+        skip_end_marker=consume_fault(faults, "skip_end_markers"),
+        stray_chunks=consume_fault(faults, "stray_chunks"),
     )
 
 
@@ -174,7 +176,7 @@
         yield _COMMENT
         yield from _stream_tokens(streamed)
     finally:
-        runtime.withdraw(streamed.run.attempt_id)
+        runtime.cancel(streamed.run.attempt_id)
 
 
 def _stream_tokens(streamed: _Answer) -> Generator[bytes, None, None]:
@@ -241,7 +243,7 @@
     order = _decode(incoming.body, Order)
     if order is None:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    reply = runtime.perform(lambda state, now: take_order(state, order, now=now))
+    reply = runtime.run_locked(lambda state, now: receive_order(state, order, now=now))
     return Outgoing(cut=True) if reply is None else _send_json(reply)
 
 
@@ -249,7 +251,7 @@
     request = _decode(incoming.body, wire.CancelRequest)
     if request is None:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    runtime.withdraw(request.attempt_id)
+    runtime.cancel(request.attempt_id)
     return _send_json({})
 
 
@@ -258,7 +260,7 @@
     if not after.isdecimal():
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
     return _send_json(
-        runtime.perform(
+        runtime.run_locked(
             lambda state, now: engine_cache.read_events(
                 state.cache, after=int(after), now=now
             )
@@ -270,7 +272,7 @@
     control = _decode(incoming.body, Control)
     if control is None:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    runtime.perform(lambda state, now: apply_control(state, control, now=now))
+    runtime.run_locked(lambda state, now: apply_control(state, control, now=now))
     return _send_json({})
 
 
--- a/src/arbutuspulley/standins/engine_memory.py
+++ b/src/arbutuspulley/standins/engine_memory.py
@@ -19,7 +19,7 @@
     ReportedItem,
 )
 
-ORDERS_KEPT = 10_000
+MAX_RECORDED_ORDERS = 10_000
 """Orders remembered for the counters."""
 
 
@@ -31,7 +31,7 @@
     FLAG = "flag"
 
 
-class Held(State):
+class HeldItem(State):
     """One item that occupies memory.
 
     :param ready_at: when its load ends; ``None`` until the weight store admits it.
@@ -69,12 +69,12 @@
     total_mib: int
     checks_orders: bool
     on_overcommit: OnOvercommit = OnOvercommit.REFUSE
-    held: dict[str, Held] = msgspec.field(default_factory=dict)
+    held: dict[str, HeldItem] = msgspec.field(default_factory=dict)
     fence: int = 0
     last_order: int = 0
     last_applied: Order | None = None
     seen: list[SeenOrder] = msgspec.field(default_factory=list)
-    worst_mib: int = 0
+    peak_mib: int = 0
     overcommitted: int = 0
     died: bool = False
     loads: int = 0
@@ -83,7 +83,7 @@
 
 def apply_order(memory: MemoryState, order: Order) -> OrderReply:
     """Take an order and remember it."""
-    reply = _judge(memory, order) or _apply(memory, order)
+    reply = _check_order(memory, order) or _apply(memory, order)
     if reply.outcome is not OrderOutcome.STALE:
         memory.last_order = max(memory.last_order, order.number)
         memory.last_applied = order
@@ -99,11 +99,11 @@
             detail=reply.detail,
         )
     )
-    del memory.seen[:-ORDERS_KEPT]
+    del memory.seen[:-MAX_RECORDED_ORDERS]
     return reply
 
 
-def list_waiting_loads(memory: MemoryState) -> tuple[Held, ...]:
+def list_waiting_loads(memory: MemoryState) -> tuple[HeldItem, ...]:
     """Return the loads that the weight store has not admitted yet."""
     return tuple(
         held
@@ -122,7 +122,9 @@
     held.ready_at = now + duration_ms
 
 
-def settle(memory: MemoryState, *, in_use: Container[str], now: int) -> tuple[str, ...]:
+def finish_transitions(
+    memory: MemoryState, *, in_use: Container[str], now: int
+) -> tuple[str, ...]:
     """End the loads that are due, and the unloads of items that no run uses.
 
     :return: the items that were dropped.
@@ -162,7 +164,7 @@
     )
 
 
-def _judge(memory: MemoryState, order: Order) -> OrderReply | None:
+def _check_order(memory: MemoryState, order: Order) -> OrderReply | None:
     """Refuse an old order, or recognise a doubled one, if orders are checked."""
     if not memory.checks_orders:
         return None
@@ -196,14 +198,14 @@
         memory.died = memory.on_overcommit is OnOvercommit.DIE
         if memory.on_overcommit is OnOvercommit.REFUSE:
             return _refuse(f"{needed} MiB needed of {memory.total_mib}")
-    memory.held[order.item] = Held(
+    memory.held[order.item] = HeldItem(
         item=order.item,
         memory_mib=order.memory_mib,
         number=order.number,
         base=order.base,
     )
     memory.loads += 1
-    memory.worst_mib = max(memory.worst_mib, needed)
+    memory.peak_mib = max(memory.peak_mib, needed)
     return _accept()
 
 
@@ -218,7 +220,7 @@
     return _accept()
 
 
-def _is_load_due(held: Held, now: int) -> bool:
+def _is_load_due(held: HeldItem, now: int) -> bool:
     loading = held.state is ItemState.LOADING
     return loading and held.ready_at is not None and held.ready_at <= now
 
--- a/src/arbutuspulley/standins/engine_runtime.py
+++ b/src/arbutuspulley/standins/engine_runtime.py
@@ -25,14 +25,14 @@
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.standins import engine_batch, engine_memory
 from arbutuspulley.standins.engine_batch import Run, Token
-from arbutuspulley.standins.engine_memory import Held
+from arbutuspulley.standins.engine_memory import HeldItem
 from arbutuspulley.standins.engine_state import (
     EngineState,
     Refusal,
     admit,
     advance,
     boot,
-    withdraw,
+    cancel,
 )
 
 IDLE_STEP_MS = 20
@@ -56,7 +56,7 @@
 class EngineRuntime:
     """The model, its lock and its threads.
 
-    :param state: the model; touch it only by :meth:`perform`.
+    :param state: the model; touch it only by :meth:`run_locked`.
     :param platform: ``host:port`` of the weight store; empty if loads need none.
     :param load_ms: how long a load takes without a weight store.
     :param crash: ends the process.
@@ -71,7 +71,7 @@
         "_stopping",
         "_streams",
         "_threads",
-        "_weights",
+        "_weight_store",
     )
 
     def __init__(
@@ -87,7 +87,7 @@
         self._clock = clock or Clock()
         self._crash = crash or _end_process
         self._load_ms = load_ms
-        self._weights = build_pool(address=platform) if platform else None
+        self._weight_store = build_pool(address=platform) if platform else None
         self._changed = threading.Condition()
         self._stopping = threading.Event()
         self._streams: dict[str, Tokens] = {}
@@ -108,7 +108,7 @@
         for thread in self._threads:
             thread.join()
 
-    def perform(self, work: Callable[[EngineState, int], _Result]) -> _Result:
+    def run_locked(self, work: Callable[[EngineState, int], _Result]) -> _Result:
         """Do a quick piece of work on the model under the lock."""
         with self._changed:
             result = work(self._state, self._clock.now())
@@ -125,18 +125,18 @@
                 self._streams[run.attempt_id] = tokens
             return refusal
 
-        return self.perform(work) or tokens
+        return self.run_locked(work) or tokens
 
-    def withdraw(self, attempt_id: str) -> None:
+    def cancel(self, attempt_id: str) -> None:
         """Stop an attempt; its tokens end. One that has ended stays as it is."""
 
         def work(state: EngineState, _now: int) -> None:
-            withdraw(state, attempt_id)
+            cancel(state, attempt_id)
             tokens = self._streams.pop(attempt_id, None)
             if tokens is not None:
                 tokens.put(None)
 
-        self.perform(work)
+        self.run_locked(work)
 
     def drain(self, *, timeout_ms: int) -> None:
         """Refuse new requests and wait until those in flight have ended."""
@@ -144,7 +144,7 @@
         def work(state: EngineState, _now: int) -> None:
             state.stopping = True
 
-        self.perform(work)
+        self.run_locked(work)
         with self._changed:
             self._changed.wait_for(
                 lambda: not self._streams, timeout=timeout_ms / SECOND_MS
@@ -154,7 +154,7 @@
         while not self._stopping.is_set():
             with self._changed:
                 self._step()
-                self._changed.wait(self._find_pause_ms() / SECOND_MS)
+                self._changed.wait(self._get_wait_ms() / SECOND_MS)
 
     def _step(self) -> None:
         for token in advance(self._state, now=self._clock.now()):
@@ -167,28 +167,28 @@
             self._stopping.set()
             self._crash()
 
-    def _find_pause_ms(self) -> int:
+    def _get_wait_ms(self) -> int:
         due = engine_batch.find_next_due(self._state.batch)
         if due is None:
             return IDLE_STEP_MS
         return max(0, min(IDLE_STEP_MS, due - self._clock.now()))
 
     def _run_loads(self) -> None:
-        ask_at: dict[int, int] = {}
+        next_request_at: dict[int, int] = {}
         while not self._stopping.wait(LOAD_POLL_MS / SECOND_MS):
-            waiting = self.perform(
+            waiting = self.run_locked(
                 lambda state, _now: engine_memory.list_waiting_loads(state.memory)
             )
             now = self._clock.now()
             for held in waiting:
-                if ask_at.get(held.number, 0) <= now:
-                    ask_at[held.number] = now + self._ask_for_load(held)
+                if next_request_at.get(held.number, 0) <= now:
+                    next_request_at[held.number] = now + self._request_load(held)
 
-    def _ask_for_load(self, held: Held) -> int:
+    def _request_load(self, held: HeldItem) -> int:
         """Begin a load if the weight store admits it; return when to ask again."""
         reply = LoadReply(duration_ms=self._load_ms)
-        if self._weights is not None:
-            reply = ask_weight_store(self._weights, held)
+        if self._weight_store is not None:
+            reply = request_load(self._weight_store, held)
         if reply.retry_after_ms:
             return reply.retry_after_ms
 
@@ -201,11 +201,11 @@
                 duration_ms=reply.duration_ms,
             )
 
-        self.perform(work)
+        self.run_locked(work)
         return 0
 
 
-def ask_weight_store(pool: HTTPConnectionPool, held: Held) -> LoadReply:
+def request_load(pool: HTTPConnectionPool, held: HeldItem) -> LoadReply:
     """Ask for an item's weights; a store that is down counts as not admitting."""
     body = msgspec.json.encode(LoadRequest(memory_mib=held.memory_mib))
     try:
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -10,7 +10,7 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.ports.engines import Order, OrderReply, Report
 from arbutuspulley.standins import engine_batch, engine_cache, engine_memory
-from arbutuspulley.standins.control import copy_set, take
+from arbutuspulley.standins.control import apply_set_fields, consume_fault
 from arbutuspulley.standins.engine_batch import BatchState, Run, Token
 from arbutuspulley.standins.engine_cache import CacheState
 from arbutuspulley.standins.engine_control import (
@@ -32,7 +32,7 @@
     report: Report
 
 
-class HeldOrder(Value, frozen=True):
+class DeferredOrder(Value, frozen=True):
     """An order that is applied late.
 
     :param due_at: when; ``None`` means when it is released.
@@ -73,7 +73,7 @@
     faults: Faults = msgspec.field(default_factory=Faults)
     stopping: bool = False
     crashed: bool = False
-    held_orders: list[HeldOrder] = msgspec.field(default_factory=list)
+    deferred_orders: list[DeferredOrder] = msgspec.field(default_factory=list)
     snapshots: list[Snapshot] = msgspec.field(default_factory=list)
     sequence: int = 0
     tokens: int = 0
@@ -90,23 +90,23 @@
     ]
 
 
-def take_order(state: EngineState, order: Order, *, now: int) -> OrderReply | None:
+def receive_order(state: EngineState, order: Order, *, now: int) -> OrderReply | None:
     """Take an order as the faults allow.
 
     :return: the reply, or ``None`` if it is lost.
     """
     faults = state.faults
-    if take(faults, "drop_orders"):
+    if consume_fault(faults, "drop_orders"):
         return None
-    if take(faults, "hold_orders"):
-        state.held_orders.append(HeldOrder(order=order, due_at=None))
+    if consume_fault(faults, "hold_orders"):
+        state.deferred_orders.append(DeferredOrder(order=order, due_at=None))
         return None
-    if take(faults, "delay_orders"):
+    if consume_fault(faults, "delay_orders"):
         due_at = now + faults.delay_orders_ms
-        state.held_orders.append(HeldOrder(order=order, due_at=due_at))
+        state.deferred_orders.append(DeferredOrder(order=order, due_at=due_at))
         return None
     reply = _apply_order(state, order, now)
-    return None if take(faults, "lose_order_replies") else reply
+    return None if consume_fault(faults, "lose_order_replies") else reply
 
 
 def admit(state: EngineState, run: Run) -> Refusal | None:
@@ -125,9 +125,9 @@
     return None
 
 
-def withdraw(state: EngineState, attempt_id: str) -> bool:
+def cancel(state: EngineState, attempt_id: str) -> bool:
     """Stop an attempt, wherever it is; tell whether it was there."""
-    run = engine_batch.withdraw(state.batch, attempt_id)
+    run = engine_batch.cancel(state.batch, attempt_id)
     if run is None:
         return False
     _count_run(state, run.request_id, "withdrawn")
@@ -137,7 +137,7 @@
 def advance(state: EngineState, *, now: int) -> tuple[Token, ...]:
     """Do everything that is due: late orders, loads, unloads and one batch step."""
     _apply_due_orders(state, now)
-    _settle(state, now)
+    _finish_transitions(state, now)
     _fill_batch(state, now)
     ready = [run for run in state.batch.batch if run.ready_at <= now]
     state.crashed |= state.memory.died or any(run.poison for run in ready)
@@ -148,7 +148,7 @@
     for token in tokens:
         if token.last:
             _count_run(state, token.request_id, "finished")
-    _take_snapshot(state, now)
+    _record_snapshot(state, now)
     return tokens
 
 
@@ -156,7 +156,7 @@
     """Return the newest report that is old enough."""
     if state.report_lag_ms == 0 and not state.faults.freeze_reports:
         state.snapshots = [_build_snapshot(state, now)]
-    _drop_outdated(state, now)
+    _drop_outdated_snapshots(state, now)
     oldest = state.snapshots[0]
     return msgspec.structs.replace(oldest.report, age_ms=now - oldest.taken_at)
 
@@ -165,17 +165,17 @@
     """Set faults and limits."""
     if control.freeze_reports:
         read_report(state, now=now)
-    copy_set(control, state.faults)
-    copy_set(control, state.memory)
-    copy_set(control, state.batch)
+    apply_set_fields(control, state.faults)
+    apply_set_fields(control, state.memory)
+    apply_set_fields(control, state.batch)
     if not control.release_orders:
         return
-    released, state.held_orders = state.held_orders, []
+    released, state.deferred_orders = state.deferred_orders, []
     for held in released:
         _apply_order(state, held.order, now)
 
 
-def count(state: EngineState) -> Counters:
+def build_counters(state: EngineState) -> Counters:
     """Return the counters."""
     memory = state.memory
     return Counters(
@@ -183,7 +183,7 @@
         boot_id=state.boot_id,
         memory_total_mib=memory.total_mib,
         memory_used_mib=engine_memory.sum_memory(memory),
-        worst_memory_mib=memory.worst_mib,
+        worst_memory_mib=memory.peak_mib,
         overcommitted=memory.overcommitted,
         loads=memory.loads,
         unloads=memory.unloads,
@@ -203,13 +203,13 @@
     if any(run.attempt_id == other.attempt_id for other in _list_runs(state)):
         return Refusal(message="the attempt is in flight")
     full = not engine_batch.has_room(state.batch)
-    if full or take(state.faults, "refuse_requests"):
-        wait_ms = engine_batch.estimate_wait(state.batch)
+    if full or consume_fault(state.faults, "refuse_requests"):
+        wait_ms = engine_batch.estimate_wait_ms(state.batch)
         return Refusal(message="no room", retry_after_ms=wait_ms)
     return None
 
 
-def _count_begin(state: EngineState, run: Run) -> None:
+def _count_start(state: EngineState, run: Run) -> None:
     if run.offset > 0:
         _count_run(state, run.request_id, "resumed")
         return
@@ -232,48 +232,48 @@
     reply = engine_memory.apply_order(state.memory, order)
     # An item that no run uses is gone with its unload order, so that the effect of
     # a sequence of orders does not hang on when the next batch step happens.
-    _settle(state, now)
+    _finish_transitions(state, now)
     return reply
 
 
-def _settle(state: EngineState, now: int) -> None:
+def _finish_transitions(state: EngineState, now: int) -> None:
     in_use = {run.item for run in _list_runs(state)}
-    for item in engine_memory.settle(state.memory, in_use=in_use, now=now):
-        engine_cache.drop_item(state.cache, item, now=now, chance=state.chance)
+    for item in engine_memory.finish_transitions(state.memory, in_use=in_use, now=now):
+        engine_cache.evict_item(state.cache, item, now=now, chance=state.chance)
 
 
 def _apply_due_orders(state: EngineState, now: int) -> None:
     due = [
         held
-        for held in state.held_orders
+        for held in state.deferred_orders
         if held.due_at is not None and held.due_at <= now
     ]
     for held in due:
-        state.held_orders.remove(held)
+        state.deferred_orders.remove(held)
         _apply_order(state, held.order, now)
 
 
 def _fill_batch(state: EngineState, now: int) -> None:
-    while (run := engine_batch.take_next(state.batch)) is not None:
-        _count_begin(state, run)
-        cached = engine_cache.use_prefix(
+    while (run := engine_batch.schedule_next(state.batch)) is not None:
+        _count_start(state, run)
+        cached = engine_cache.cache_prompt(
             state.cache, item=run.item, words=run.words, now=now, chance=state.chance
         )
         # A resumed run reads in the part of the answer that exists already.
         uncached = len(run.words) - cached + run.offset
-        engine_batch.begin_reading(state.batch, run, uncached_words=uncached, now=now)
+        engine_batch.begin_prefill(state.batch, run, uncached_words=uncached, now=now)
 
 
-def _take_snapshot(state: EngineState, now: int) -> None:
+def _record_snapshot(state: EngineState, now: int) -> None:
     if state.faults.freeze_reports or state.report_lag_ms == 0:
         return
     spacing = state.report_lag_ms // SNAPSHOTS_PER_LAG
     if state.snapshots[-1].taken_at + spacing <= now:
         state.snapshots.append(_build_snapshot(state, now))
-    _drop_outdated(state, now)
+    _drop_outdated_snapshots(state, now)
 
 
-def _drop_outdated(state: EngineState, now: int) -> None:
+def _drop_outdated_snapshots(state: EngineState, now: int) -> None:
     """Keep one snapshot that is old enough, and all younger ones."""
     if state.faults.freeze_reports:
         return
--- a/src/arbutuspulley/standins/fleet_server.py
+++ b/src/arbutuspulley/standins/fleet_server.py
@@ -113,7 +113,7 @@
 
     async def _answer_order(self, request: web.BaseRequest) -> web.Response:
         order = msgspec.json.decode(await request.read())
-        answer = web.Response() if self.loses_orders else self._take_order(order)
+        answer = web.Response() if self.loses_orders else self._apply_order(order)
         is_lost = self.loses_orders or self.loses_order_answers
         if is_lost and request.transport is not None:
             request.transport.abort()
@@ -136,7 +136,7 @@
             for name, adapters in self.models.items()
         ]
 
-    def _take_order(self, order: dict) -> web.Response:
+    def _apply_order(self, order: dict) -> web.Response:
         if order["FencingToken"] < self.fence:
             return web.Response(status=412)
         if self.is_busy or order.get("Expected", self.orders) != self.orders:
@@ -155,10 +155,10 @@
             if 10 * (len(self.models) + 1) > self.memory_mb:
                 self.overcommitted += 1
             self.is_busy = True
-            asyncio.get_running_loop().call_later(self.load_s, self._finish, model)
+            asyncio.get_running_loop().call_later(self.load_s, self._finish_load, model)
         return web.Response(status=202)
 
-    def _finish(self, model: str) -> None:
+    def _finish_load(self, model: str) -> None:
         self.models[model] = set()
         self.is_busy = False
 
@@ -166,14 +166,14 @@
         body = await request.read()
         self.arrivals.append(asyncio.get_running_loop().time())
         attempt = request.headers.get(names.ATTEMPT_ID, "")
-        named = self._name_limit()
+        limit_header = self._build_limit_header()
         model, _, adapter = request.headers.get(names.MODEL, "").partition("/")
-        lacks = model and adapter not in {"", *self.models.get(model, ())}
-        if self.sheds or (model and model not in self.models) or lacks:
+        lacks_adapter = model and adapter not in {"", *self.models.get(model, ())}
+        if self.sheds or (model and model not in self.models) or lacks_adapter:
             headers = {
                 names.NOT_EXECUTED: "1",
                 names.ATTEMPT_ID: attempt,
-                **named,
+                **limit_header,
             }
             return web.Response(status=503, headers=headers)
         self.runs[attempt] += 1
@@ -187,7 +187,7 @@
         headers = {
             names.ATTEMPT_ID: attempt,
             names.SEAL: f"seal.{self.incarnation}",
-            **named,
+            **limit_header,
         }
         if self.fails:
             self.on_break()
@@ -196,7 +196,7 @@
             return web.Response(body=b"done:" + body, headers=headers)
         return await self._stream(request, headers)
 
-    def _name_limit(self) -> dict[str, str]:
+    def _build_limit_header(self) -> dict[str, str]:
         if self.limit_per_s is None:
             return {}
         return {names.SERVER_LIMIT: str(self.limit_per_s)}
--- a/src/arbutuspulley/standins/fleet_store.py
+++ b/src/arbutuspulley/standins/fleet_store.py
@@ -14,10 +14,10 @@
 
 from arbutuspulley.platform import names
 
-MOST_ROWS = 500
+MAX_ROWS = 500
 """Most rows in an answer; the store's own bound."""
 
-LONGEST_WAIT_S = 30.0
+MAX_WAIT_S = 30.0
 """Longest wait of a feed call, in s; the store's own bound."""
 
 
@@ -34,8 +34,8 @@
     __slots__ = (
         "_changed",
         "_feed",
-        "_first",
         "_history",
+        "_last_discarded",
         "_rows",
         "calls",
         "delay_s",
@@ -48,7 +48,7 @@
     def __init__(self, *, history: int = 1_000) -> None:
         self._rows: dict[tuple[str, str], tuple[int, bytes]] = {}
         self._feed: list[tuple[int, str, str, bytes | None]] = []
-        self._first = 0
+        self._last_discarded = 0
         self._history = history
         self._changed = asyncio.Event()
         self.version = 0
@@ -74,7 +74,7 @@
     def discard_history(self) -> None:
         """Forget all changes; feeds that wait for older ones get 410."""
         self._feed.clear()
-        self._first = self.version
+        self._last_discarded = self.version
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer a call."""
@@ -91,7 +91,7 @@
         if request.path == names.STORE_READ_PATH:
             return self._read(request)
         if request.path == names.STORE_FEED_PATH:
-            return await self._wait(request)
+            return await self._answer_feed(request)
         return web.Response(status=404)
 
     def _write(self, changes: list[tuple[str, str, bytes | None]]) -> None:
@@ -103,7 +103,7 @@
                 self._rows[table, key] = (self.version, value)
             self._feed.append((self.version, table, key, value))
         while len(self._feed) > self._history:
-            self._first = self._feed.pop(0)[0]
+            self._last_discarded = self._feed.pop(0)[0]
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -111,14 +111,14 @@
         for row in body["Expected"]:
             found = self._rows.get((row["Table"], row["Key"]), (0, b""))[0]
             if found != row["Ver"]:
-                return self._answer([], status=412)
+                return self._build_answer([], status=412)
         changes: list[tuple[str, str, bytes | None]] = [
             (row["Table"], row["Key"], base64.b64decode(row["Value"]))
             for row in body["Put"]
         ]
         changes += [(row["Table"], row["Key"], None) for row in body["Remove"]]
         self._write(changes)
-        return self._answer([])
+        return self._build_answer([])
 
     def _read(self, request: web.BaseRequest) -> web.Response:
         query = request.query
@@ -128,31 +128,31 @@
             for (table, key), (version, value) in sorted(self._rows.items())
             if table == query["Table"] and first <= key < end
         ]
-        most = int(query.get("Limit", MOST_ROWS))
-        answer = self._answer(rows[:most], more=len(rows) > most)
+        max_rows = int(query.get("Limit", MAX_ROWS))
+        answer = self._build_answer(rows[:max_rows], more=len(rows) > max_rows)
         self.on_read()
         return answer
 
-    async def _wait(self, request: web.BaseRequest) -> web.Response:
+    async def _answer_feed(self, request: web.BaseRequest) -> web.Response:
         table, after = request.query["Table"], int(request.query["after"])
-        limit = min(LONGEST_WAIT_S, int(request.query["WaitMs"]) / 1_000)
+        limit = min(MAX_WAIT_S, int(request.query["WaitMs"]) / 1_000)
         try:
             async with asyncio.timeout(limit):
                 while True:
-                    if after < self._first:
+                    if after < self._last_discarded:
                         return web.Response(status=410)
                     rows = [
-                        _encode(version, one, key, value)
-                        for version, one, key, value in self._feed
-                        if one == table and version > after
+                        _encode(version, changed_table, key, value)
+                        for version, changed_table, key, value in self._feed
+                        if changed_table == table and version > after
                     ]
                     if rows:
-                        return self._answer(rows)
+                        return self._build_answer(rows)
                     await self._changed.wait()
         except TimeoutError:
-            return self._answer([])
+            return self._build_answer([])
 
-    def _answer(
+    def _build_answer(
         self, rows: list[dict], *, status: int = 200, more: bool = False
     ) -> web.Response:
         body = {
--- a/src/arbutuspulley/standins/platform.py
+++ b/src/arbutuspulley/standins/platform.py
@@ -41,16 +41,16 @@
     Control,
     Counters,
     PlatformState,
-    add,
     apply_control,
-    take_loss,
+    consume_reply_loss,
+    increment,
 )
 from arbutuspulley.standins.platform_state import (
     RestoreError,
     TableState,
     begin_load,
     build_table_id,
-    find_load_wait,
+    get_load_wait_ms,
     list_instances,
     read_row,
     scan_rows,
@@ -95,78 +95,82 @@
     def objects(self, name: str) -> bytes:
         """Read an object, or write it if there is none."""
         if cherrypy.request.method == "PUT":
-            return self._put_object(name, self.take_body())
-        found = self.perform(lambda state, _now: state.objects.get(name), "reads")
+            return self._put_object(name, self.read_counted_body())
+        found = self.run_with_faults(
+            lambda state, _now: state.objects.get(name), "reads"
+        )
         if found is None:
             raise cherrypy.HTTPError(HTTPStatus.NOT_FOUND)
-        return self.answer(found)
+        return self.send_body(found)
 
     @cherrypy.expose
     def instances(self) -> bytes:
         """Return the instance list as it was a lag ago."""
-        listing = self.perform(
+        listing = self.run_with_faults(
             lambda state, now: list_instances(state.instances, now=now), "reads"
         )
-        return self.answer_json(InstanceList(instances=listing))
+        return self.send_json(InstanceList(instances=listing))
 
     @cherrypy.expose
     def weights(self, item: str) -> bytes:
         """Admit a load of an item, or say when to come back."""
-        request = _decode(self.take_body(), LoadRequest)
-        reply = self.perform(lambda state, now: _admit_load(state, request, now))
+        request = _decode(self.read_counted_body(), LoadRequest)
+        reply = self.run_with_faults(
+            lambda state, now: _admit_load(state, request, now)
+        )
         if reply.retry_after_ms:
             seconds = -(-reply.retry_after_ms // SECOND_MS)
             cherrypy.response.status = HTTPStatus.TOO_MANY_REQUESTS
             cherrypy.response.headers["Retry-After"] = str(seconds)
-        return self.answer_json(reply)
+        return self.send_json(reply)
 
-    def perform(
+    def run_with_faults(
         self, work: Callable[[PlatformState, int], _Result], counter: str = ""
     ) -> _Result:
         """Do a piece of work under the lock, as outage and slowness allow."""
         with self._lock:
             faults = self._state.faults
             if faults.outage:
-                add(self._state, "refused")
+                increment(self._state, "refused")
                 raise cherrypy.HTTPError(HTTPStatus.SERVICE_UNAVAILABLE)
             result = work(self._state, self._clock.now())
             if counter:
-                add(self._state, counter)
+                increment(self._state, counter)
             slow_ms = faults.slow_ms
         if slow_ms:
             time.sleep(slow_ms / SECOND_MS)
         return result
 
-    def control_state(self, work: Callable[[PlatformState, int], _Result]) -> _Result:
+    def run_locked(self, work: Callable[[PlatformState, int], _Result]) -> _Result:
         """Do a piece of work under the lock whatever faults are set."""
         with self._lock:
             return work(self._state, self._clock.now())
 
-    def take_body(self) -> bytes:
+    def read_counted_body(self) -> bytes:
         """Return the request's body and count it."""
         body = read_body()
-        self.control_state(lambda state, _now: add(state, "bytes_in", len(body)))
+        self.run_locked(lambda state, _now: increment(state, "bytes_in", len(body)))
         return body
 
-    def answer(self, body: bytes) -> bytes:
+    def send_body(self, body: bytes) -> bytes:
         """Return an answer's body and count it."""
-        self.control_state(lambda state, _now: add(state, "bytes_out", len(body)))
+        self.run_locked(lambda state, _now: increment(state, "bytes_out", len(body)))
         return body
 
-    def answer_json(self, value: Any) -> bytes:
+    def send_json(self, value: Any) -> bytes:
         """Return an answer in JSON and count it."""
         cherrypy.response.headers["Content-Type"] = "application/json"
-        return self.answer(msgspec.json.encode(value))
+        return self.send_body(msgspec.json.encode(value))
 
     def _put_object(self, name: str, data: bytes) -> bytes:
         def put(state: PlatformState, _now: int) -> tuple[bool, bool]:
             new = name not in state.objects
             state.objects.setdefault(name, data)
             if new:
-                add(state, "writes")
-            return new, take_loss(state)
+                increment(state, "writes")
+            return new, consume_reply_loss(state)
 
-        new, lost = self.perform(put)
+        new, lost = self.run_with_faults(put)
         if lost:
             break_connection()
         cherrypy.response.status = HTTPStatus.CREATED if new else HTTPStatus.OK
@@ -182,45 +186,45 @@
     @cherrypy.expose
     def row(self, key: str) -> bytes:
         """Return a row."""
-        row = self._standin.perform(
+        row = self._standin.run_with_faults(
             lambda state, _now: read_row(state.table, key), "reads"
         )
         if row is None:
             raise cherrypy.HTTPError(HTTPStatus.NOT_FOUND)
-        return self._standin.answer_json(row)
+        return self._standin.send_json(row)
 
     @cherrypy.expose
     def scan(self, prefix: str, after: str = "0", limit: str = "") -> bytes:
         """Return a page of rows that changed after a revision."""
-        lowest = _parse_whole(after)
-        most = _parse_whole(limit) if limit else DEFAULT_SCAN_LIMIT
-        page = self._standin.perform(
+        min_revision = _parse_number(after)
+        max_rows = _parse_number(limit) if limit else DEFAULT_SCAN_LIMIT
+        page = self._standin.run_with_faults(
             lambda state, _now: scan_rows(
-                state.table, prefix=prefix, after=lowest, limit=most
+                state.table, prefix=prefix, after=min_revision, limit=max_rows
             ),
             "reads",
         )
-        return self._standin.answer_json(page)
+        return self._standin.send_json(page)
 
     @cherrypy.expose
     def transactions(self) -> bytes:
         """Write all of a transaction, or nothing."""
-        request = _decode(self._standin.take_body(), TransactRequest)
+        request = _decode(self._standin.read_counted_body(), TransactRequest)
 
         def write(state: PlatformState, _now: int) -> tuple[Committed | Conflict, bool]:
             outcome = transact(state.table, request)
             if isinstance(outcome, Conflict):
-                add(state, "conflicts")
+                increment(state, "conflicts")
                 return outcome, False
-            add(state, "writes")
-            return outcome, take_loss(state)
+            increment(state, "writes")
+            return outcome, consume_reply_loss(state)
 
-        outcome, lost = self._standin.perform(write)
+        outcome, lost = self._standin.run_with_faults(write)
         if lost:
             break_connection()
         if isinstance(outcome, Conflict):
             cherrypy.response.status = HTTPStatus.CONFLICT
-        return self._standin.answer_json(outcome)
+        return self._standin.send_json(outcome)
 
 
 class _ControlPaths:
@@ -238,7 +242,7 @@
             apply_control(state, control, now=now)
 
         try:
-            self._standin.control_state(apply)
+            self._standin.run_locked(apply)
         except RestoreError as error:
             raise cherrypy.HTTPError(HTTPStatus.BAD_REQUEST, str(error)) from error
         return b"{}"
@@ -248,7 +252,7 @@
         """Return what has been done so far."""
         cherrypy.response.headers["Content-Type"] = "application/json"
         return msgspec.json.encode(
-            self._standin.control_state(lambda state, _now: _count(state))
+            self._standin.run_locked(lambda state, _now: _count(state))
         )
 
 
@@ -264,10 +268,10 @@
 def _admit_load(state: PlatformState, request: LoadRequest, now: int) -> LoadReply:
     reply = begin_load(state.weights, memory_mib=request.memory_mib, now=now)
     if reply is not None:
-        add(state, "loads")
+        increment(state, "loads")
         return reply
-    add(state, "loads_refused")
-    return LoadReply(retry_after_ms=find_load_wait(state.weights, now=now))
+    increment(state, "loads_refused")
+    return LoadReply(retry_after_ms=get_load_wait_ms(state.weights, now=now))
 
 
 def _decode(body: bytes, kind: type[_Result]) -> _Result:
@@ -277,7 +281,7 @@
         raise cherrypy.HTTPError(HTTPStatus.BAD_REQUEST, str(error)) from error
 
 
-def _parse_whole(text: str) -> int:
+def _parse_number(text: str) -> int:
     if not text.isdigit():
         raise cherrypy.HTTPError(HTTPStatus.BAD_REQUEST, "not a whole number")
     return int(text)
--- a/src/arbutuspulley/standins/platform_control.py
+++ b/src/arbutuspulley/standins/platform_control.py
@@ -14,7 +14,7 @@
     set_instances,
 )
 
-Whole = Annotated[int, msgspec.Meta(ge=0)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 Positive = Annotated[int, msgspec.Meta(ge=1)]
 
 
@@ -34,14 +34,14 @@
     """
 
     outage: bool | None = None
-    slow_ms: Whole | None = None
-    lose_replies: Whole | None = None
-    restore_revision: Whole | None = None
+    slow_ms: NonNegative | None = None
+    lose_replies: NonNegative | None = None
+    restore_revision: NonNegative | None = None
     instances: tuple[InstanceListing, ...] | None = None
-    instance_lag_ms: Whole | None = None
+    instance_lag_ms: NonNegative | None = None
     loads_per_minute: Positive | None = None
     loads_at_once: Positive | None = None
-    load_ms_per_gib: Whole | None = None
+    load_ms_per_gib: NonNegative | None = None
 
 
 class Counters(Message, frozen=True, omit_defaults=False):
@@ -102,29 +102,29 @@
     """
     if control.restore_revision is not None:
         restore(state.table, control.restore_revision)
-    _copy_set(control, state.faults)
-    _copy_set(control, state.weights)
+    _apply_set_fields(control, state.faults)
+    _apply_set_fields(control, state.weights)
     if control.instance_lag_ms is not None:
         state.instances.lag_ms = control.instance_lag_ms
     if control.instances is not None:
         set_instances(state.instances, control.instances, now=now)
 
 
-def add(state: PlatformState, name: str, amount: int = 1) -> None:
+def increment(state: PlatformState, name: str, amount: int = 1) -> None:
     """Raise a counter."""
     state.counts[name] = state.counts.get(name, 0) + amount
 
 
-def take_loss(state: PlatformState) -> bool:
+def consume_reply_loss(state: PlatformState) -> bool:
     """Tell whether the answer to an effect is to be withheld, and count it."""
     if state.faults.lose_replies == 0:
         return False
     state.faults.lose_replies -= 1
-    add(state, "replies_lost")
+    increment(state, "replies_lost")
     return True
 
 
-def _copy_set(control: Control, target: State) -> None:
+def _apply_set_fields(control: Control, target: State) -> None:
     for name in target.__struct_fields__:
         value = getattr(control, name, None)
         if value is not None:
--- a/src/arbutuspulley/standins/platform_state.py
+++ b/src/arbutuspulley/standins/platform_state.py
@@ -16,7 +16,7 @@
 MINUTE_MS = 60_000
 """Milliseconds in a minute."""
 
-KEPT_TRANSACTIONS = 20_000
+MAX_UNDO_TRANSACTIONS = 20_000
 """How many transactions back the table can be restored."""
 
 DEFAULT_LOAD_MS_PER_GIB = 50
@@ -115,7 +115,7 @@
     table.revision += 1
     before = tuple((write.key, table.rows.get(write.key)) for write in request.writes)
     table.undo.append(_Undo(revision=table.revision, rows=before))
-    del table.undo[:-KEPT_TRANSACTIONS]
+    del table.undo[:-MAX_UNDO_TRANSACTIONS]
     for write in request.writes:
         table.rows.pop(write.key, None)
         table.rows[write.key] = Row(
@@ -166,23 +166,23 @@
     after that one for each ``60 s / loads_per_minute``. Loads beyond
     ``loads_at_once`` are served, but each takes longer in proportion.
     """
-    if find_load_wait(state, now=now) > 0:
+    if get_load_wait_ms(state, now=now) > 0:
         return None
     interval = MINUTE_MS // state.loads_per_minute
     oldest_counted = now - interval * state.loads_at_once
     state.begun_at = [begun for begun in state.begun_at if begun > oldest_counted]
     state.begun_at.append(now)
     state.ends_at = [end for end in state.ends_at if end > now]
-    at_once = len(state.ends_at) + 1
-    state.peak = max(state.peak, at_once)
-    alone_ms = max(1, memory_mib * state.load_ms_per_gib // 1024)
-    slowdown = max(1.0, at_once / state.loads_at_once)
-    duration_ms = int(alone_ms * slowdown)
+    concurrent_loads = len(state.ends_at) + 1
+    state.peak = max(state.peak, concurrent_loads)
+    full_speed_ms = max(1, memory_mib * state.load_ms_per_gib // 1024)
+    slowdown = max(1.0, concurrent_loads / state.loads_at_once)
+    duration_ms = int(full_speed_ms * slowdown)
     state.ends_at.append(now + duration_ms)
     return LoadReply(duration_ms=duration_ms)
 
 
-def find_load_wait(state: WeightsState, *, now: int) -> int:
+def get_load_wait_ms(state: WeightsState, *, now: int) -> int:
     """Return how long until the rate allows another load to begin, in ms."""
     window = MINUTE_MS // state.loads_per_minute * state.loads_at_once
     recent = sorted(begun for begun in state.begun_at if begun > now - window)
--- a/src/arbutuspulley/standins/service.py
+++ b/src/arbutuspulley/standins/service.py
@@ -34,13 +34,13 @@
     check_present,
     split_address,
 )
-from arbutuspulley.standins.control import copy_set, take
+from arbutuspulley.standins.control import apply_set_fields, consume_fault
 from arbutuspulley.standins.routes import ANY, Incoming, Outgoing, Routes, build_root
 from arbutuspulley.standins.server import build_standin_server, run_until_stopped
 from arbutuspulley.startup import check_and_log
 from arbutuspulley.web import WebServer
 
-Whole = Annotated[int, msgspec.Meta(ge=0)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 
 app = cyclopts.App(
     name="arbutus-standin-service",
@@ -61,11 +61,11 @@
     :param slow_ms: wait before each run.
     """
 
-    refuse: Whole | None = None
-    cut_before_run: Whole | None = None
-    cut_after_run: Whole | None = None
-    fail: Whole | None = None
-    slow_ms: Whole | None = None
+    refuse: NonNegative | None = None
+    cut_before_run: NonNegative | None = None
+    cut_after_run: NonNegative | None = None
+    fail: NonNegative | None = None
+    slow_ms: NonNegative | None = None
 
 
 class Booking(Message, frozen=True, omit_defaults=False):
@@ -160,18 +160,18 @@
 
 
 def _handle(state: ServiceState, incoming: Incoming) -> Outgoing:
-    if take(state, "refuse"):
+    if consume_fault(state, "refuse"):
         state.refused += 1
         return Outgoing(
             status=HTTPStatus.SERVICE_UNAVAILABLE,
             headers=((RUN_STATE, RunState.NOT_RUN.value), ("Retry-After", "1")),
         )
-    if take(state, "cut_before_run"):
+    if consume_fault(state, "cut_before_run"):
         return Outgoing(cut=True)
     outgoing = _run(state, incoming)
-    if take(state, "cut_after_run"):
+    if consume_fault(state, "cut_after_run"):
         return Outgoing(cut=True)
-    if take(state, "fail"):
+    if consume_fault(state, "fail"):
         return Outgoing(status=HTTPStatus.INTERNAL_SERVER_ERROR)
     return outgoing
 
@@ -210,7 +210,7 @@
         control = msgspec.json.decode(incoming.body, type=Control)
     except msgspec.DecodeError:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    copy_set(control, state)
+    apply_set_fields(control, state)
     return _send_json({})
 
 
--- a/tests/test_engine_state.py
+++ b/tests/test_engine_state.py
@@ -11,11 +11,11 @@
 from arbutuspulley.standins.engine_cache import (
     BLOCK_WORDS,
     EVENT_LAG_MS,
-    EVENT_LOSS,
+    EVENT_LOSS_RATE,
     CacheState,
-    drop_item,
+    cache_prompt,
+    evict_item,
     read_events,
-    use_prefix,
 )
 from arbutuspulley.standins.engine_control import Control
 from arbutuspulley.standins.engine_memory import (
@@ -31,10 +31,10 @@
     advance,
     apply_control,
     boot,
-    count,
+    build_counters,
+    cancel,
     read_report,
-    take_order,
-    withdraw,
+    receive_order,
 )
 from tests.backends import ITEM, build_order
 
@@ -60,7 +60,7 @@
 
 
 def order(state, kind="load", *, now=0, **fields):
-    return take_order(state, build_order(kind, **fields), now=now)
+    return receive_order(state, build_order(kind, **fields), now=now)
 
 
 def settle_loads(state, *, now, duration_ms=0):
@@ -146,7 +146,7 @@
     apply_control(state, Control(on_overcommit=policy), now=0)
     assert order(state, item="n@1", number=2, mib=95).outcome.value == outcome
     advance(state, now=1)
-    counted = count(state)
+    counted = build_counters(state)
     assert (counted.overcommitted, counted.worst_memory_mib) == (1, worst_mib)
     assert state.crashed is crashed
 
@@ -202,7 +202,7 @@
 def test_memory_holds_and_checked_orders_only_grow(orders, checks):
     state = build_engine(loaded=(), checks=checks)
     for each in orders:
-        take_order(state, each, now=0)
+        receive_order(state, each, now=0)
         advance(state, now=0)
         assert sum_memory(state.memory) <= 100
     seen = [
@@ -256,8 +256,8 @@
     admit(state, build_run("r"))
     if started:
         run_until(state, FIRST_TOKEN_MS)
-    assert withdraw(state, "r")
-    assert not withdraw(state, "r")
+    assert cancel(state, "r")
+    assert not cancel(state, "r")
     assert run_until(state, 1_000, start=FIRST_TOKEN_MS + 1) == []
     counted = state.runs["r"]
     assert (counted.begun, counted.withdrawn, counted.finished) == (begun, 1, 0)
@@ -315,7 +315,7 @@
 
 def use(cache, words, *, now=0, chance=None):
     chance = chance or random.Random(0)
-    return use_prefix(cache, item=ITEM, words=words, now=now, chance=chance)
+    return cache_prompt(cache, item=ITEM, words=words, now=now, chance=chance)
 
 
 def test_a_cached_prefix_is_read_once():
@@ -325,7 +325,7 @@
     assert use(cache, words) == 2 * BLOCK_WORDS
     assert use(cache, [*words[:BLOCK_WORDS], *words]) == BLOCK_WORDS
     assert len(cache.blocks) == 3
-    drop_item(cache, ITEM, now=0, chance=random.Random(0))
+    evict_item(cache, ITEM, now=0, chance=random.Random(0))
     assert cache.blocks == {}
 
 
@@ -335,5 +335,5 @@
     assert read_events(cache, after=0, now=EVENT_LAG_MS - 1) == ()
     events = read_events(cache, after=0, now=EVENT_LAG_MS)
     lost = cache.sequence - len(events)
-    assert 0 < lost < 5 * EVENT_LOSS * cache.sequence
+    assert 0 < lost < 5 * EVENT_LOSS_RATE * cache.sequence
     assert read_events(cache, after=cache.sequence, now=EVENT_LAG_MS) == ()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -376,7 +376,7 @@
 
     assert [begin(0, 4_096).duration_ms for _ in range(2)] == [4_000, 4_000]
     assert begin(0, 4_096) is None
-    assert platform_state.find_load_wait(state, now=500) == 1_500
+    assert platform_state.get_load_wait_ms(state, now=500) == 1_500
     assert begin(1_999, 4_096) is None
     assert begin(2_000, 4_096).duration_ms == 6_000
     assert begin(9_000, 1_024).duration_ms == 1_000
