--- a/src/arbutuspulley/bench/client.py
+++ b/src/arbutuspulley/bench/client.py
@@ -30,9 +30,9 @@
     :param code: the numbered result code, 0 if there is none.
     :param refused: whether it certainly was not run.
     :param first_at: when the first token came, or ``None``.
-    :param whole: whether the answer came to its end.
+    :param complete: whether the answer came to its end.
     :param correct: whether it was the answer to this request, each token once.
-    :param doubled: tokens beyond those that were asked for.
+    :param surplus_tokens: tokens beyond those that were asked for.
     """
 
     began_at: float
@@ -41,9 +41,9 @@
     retry_after_ms: int | None = None
     first_at: float | None = None
     ended_at: float = 0.0
-    whole: bool = False
+    complete: bool = False
     correct: bool = False
-    doubled: int = 0
+    surplus_tokens: int = 0
 
 
 class _Choice(msgspec.Struct):
@@ -77,9 +77,9 @@
     )
 
 
-def ask_entry(address: str, arrival: Arrival, *, run: str) -> CallerAttempt:
+def send_to_entry(address: str, arrival: Arrival, *, run: str) -> CallerAttempt:
     """Ask once through an entry."""
-    one = CallerAttempt(began_at=read_clock())
+    attempt = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     host, _, port = address.rpartition(":")
     headers = {
@@ -96,51 +96,53 @@
                 retries=False,
                 preload_content=False,
             )
-            _read_response(one, response, arrival, body)
+            _read_response(attempt, response, arrival, body)
         except urllib3.exceptions.NewConnectionError:
-            one.refused = True
+            attempt.refused = True
         except urllib3.exceptions.HTTPError:
             pass
-    one.ended_at = read_clock()
-    return one
+    attempt.ended_at = read_clock()
+    return attempt
 
 
-def ask_engine(
-    engines: Engines, address: str, arrival: Arrival, *, run: str, attempt: int
+def send_to_engine(
+    engines: Engines, address: str, arrival: Arrival, *, run: str, attempt_number: int
 ) -> CallerAttempt:
     """Ask once at an engine itself."""
-    one = CallerAttempt(began_at=read_clock())
+    attempt = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     request = InferenceRequest(
         request_id=f"{run}-{arrival.number}",
-        attempt_id=f"{run}-{arrival.number}-{attempt}",
+        attempt_id=f"{run}-{arrival.number}-{attempt_number}",
         path=answer.COMPLETION_PATH,
         item=build_item_key(name=arrival.model, version=VERSION),
         body=body,
     )
     try:
         chunks = engines.infer(address, request)
-        _collect(one, (chunk.data for chunk in chunks if not chunk.last), arrival, body)
-        one.whole = True
+        _collect(
+            attempt, (chunk.data for chunk in chunks if not chunk.last), arrival, body
+        )
+        attempt.complete = True
     except BrokenError:
         pass
     except ArbutusError:
-        one.refused = True
-    one.ended_at = read_clock()
-    return one
+        attempt.refused = True
+    attempt.ended_at = read_clock()
+    return attempt
 
 
 def _read_response(
-    one: CallerAttempt,
+    attempt: CallerAttempt,
     response: urllib3.BaseHTTPResponse,
     arrival: Arrival,
     body: bytes,
 ) -> None:
-    one.code = int(response.headers.get("X-Arbutus-Code", "0"))
+    attempt.code = int(response.headers.get("X-Arbutus-Code", "0"))
     if response.status != HTTPStatus.OK:
-        one.refused = response.headers.get("X-Arbutus-Run-State") == "not_run"
+        attempt.refused = response.headers.get("X-Arbutus-Run-State") == "not_run"
         after = response.headers.get("Retry-After", "")
-        one.retry_after_ms = int(after) * SECOND_MS if after.isdigit() else None
+        attempt.retry_after_ms = int(after) * SECOND_MS if after.isdigit() else None
         return
     buffer = EventBuffer()
     events: list[SentEvent] = []
@@ -152,18 +154,18 @@
                 if event.data != _END_MARKER:
                     yield event.data
 
-    _collect(one, read(), arrival, body)
-    one.whole = bool(events) and events[-1].data == _END_MARKER
+    _collect(attempt, read(), arrival, body)
+    attempt.complete = bool(events) and events[-1].data == _END_MARKER
 
 
 def _collect(
-    one: CallerAttempt, parts: Iterable[bytes], arrival: Arrival, body: bytes
+    attempt: CallerAttempt, parts: Iterable[bytes], arrival: Arrival, body: bytes
 ) -> None:
     text = ""
     tokens = 0
     for data in parts:
-        if one.first_at is None:
-            one.first_at = read_clock()
+        if attempt.first_at is None:
+            attempt.first_at = read_clock()
         if data == _END_MARKER:
             continue
         part = "".join(choice.text for choice in _DECODER.decode(data).choices)
@@ -171,8 +173,8 @@
         tokens += bool(part)
     prompt = answer.read_prompt(path=answer.COMPLETION_PATH, body=body)
     item = build_item_key(name=arrival.model, version=VERSION)
-    one.doubled = max(0, tokens - arrival.tokens)
-    one.correct = text == answer.build_answer(item=item, prompt=prompt)
+    attempt.surplus_tokens = max(0, tokens - arrival.tokens)
+    attempt.correct = text == answer.build_answer(item=item, prompt=prompt)
 
 
 SendAttempt = Callable[[Arrival, int], CallerAttempt]
--- a/src/arbutuspulley/bench/figures.py
+++ b/src/arbutuspulley/bench/figures.py
@@ -14,7 +14,7 @@
 REFUSED_CODES = frozenset({2001, 2002, 2003, 2004, 2005, 2009})
 """Result codes of tries that were not admitted."""
 
-_MOST_MS = 600_000
+_MAX_MS = 600_000
 
 
 class Run(Value, frozen=True):
@@ -61,8 +61,8 @@
 def count_met(run: Run, *, caller: str = "", from_first: bool = False) -> int:
     """Return how many counted requests of a caller, or of all, met their targets."""
     return sum(
-        one.meets_targets(from_first=from_first)
-        for one in list_counted(run, caller=caller)
+        record.meets_targets(from_first=from_first)
+        for record in list_counted(run, caller=caller)
     )
 
 
@@ -72,11 +72,11 @@
     What arrived earlier counts too: under overload, callers that come back take the
     place of new ones. What begins after the last arrival does not.
     """
-    last_at = max((one.arrival.at for one in run.requests), default=0)
+    last_at = max((record.arrival.at for record in run.requests), default=0)
     return sum(
-        WARM_UP_MS <= _find_begin(one) <= last_at
-        for one in run.requests
-        if one.meets_targets(from_first=from_first)
+        WARM_UP_MS <= _get_first_token_time(record) <= last_at
+        for record in run.requests
+        if record.meets_targets(from_first=from_first)
     )
 
 
@@ -90,28 +90,28 @@
 def list_counted(run: Run, *, caller: str = "") -> list[RequestRecord]:
     """Return the requests that arrived after the warm-up."""
     return [
-        one
-        for one in run.requests
-        if one.arrival.at >= WARM_UP_MS and caller in ("", one.arrival.caller)
+        record
+        for record in run.requests
+        if record.arrival.at >= WARM_UP_MS and caller in ("", record.arrival.caller)
     ]
 
 
-def build_first_tokens(run: Run) -> HdrHistogram:
+def build_first_token_histogram(run: Run) -> HdrHistogram:
     """Return the histogram of times from the first try to the first token, in ms."""
-    histogram = HdrHistogram(1, _MOST_MS, 3)
-    for one in list_counted(run):
-        last = one.attempts[-1] if one.attempts else None
+    histogram = HdrHistogram(1, _MAX_MS, 3)
+    for record in list_counted(run):
+        last = record.attempts[-1] if record.attempts else None
         if last is not None and last.first_at is not None:
-            histogram.record_value(max(1, round(last.first_at - one.due_at)))
+            histogram.record_value(max(1, round(last.first_at - record.due_at)))
     return histogram
 
 
 def summarise(run: Run) -> Summary:
     """Return what a run brought."""
     counted = list_counted(run)
-    first = build_first_tokens(run)
-    admitted = sum(_count_admitted(one) for one in run.requests)
-    between = _build_between(counted)
+    first = build_first_token_histogram(run)
+    admitted = sum(_count_admitted(record) for record in run.requests)
+    intervals = _build_token_intervals(counted)
     return Summary(
         name=run.name,
         policy=run.policy,
@@ -119,16 +119,20 @@
         attainment=round(measure_attainment(run), 3),
         met=count_met(run),
         met_first=count_met(run, from_first=True),
-        refused=sum(not one.is_whole() for one in counted),
+        refused=sum(not record.is_complete() for record in counted),
         tries=round(
-            sum(len(one.attempts) for one in counted) / max(1, len(counted)), 2
+            sum(len(record.attempts) for record in counted) / max(1, len(counted)), 2
         ),
         first_token_p50_ms=first.get_value_at_percentile(50),
         first_token_p95_ms=first.get_value_at_percentile(95),
-        between_p95_ms=between.get_value_at_percentile(95) / 100,
+        between_p95_ms=intervals.get_value_at_percentile(95) / 100,
         amplification=round(run.engine_attempts / admitted, 3) if admitted else 0.0,
-        lost=sum(one.is_lost() for one in run.requests),
-        doubled=sum(try_.doubled for one in run.requests for try_ in one.attempts),
+        lost=sum(record.is_lost() for record in run.requests),
+        doubled=sum(
+            attempt.surplus_tokens
+            for record in run.requests
+            for attempt in record.attempts
+        ),
     )
 
 
@@ -137,26 +141,26 @@
     return round(part / whole, 3) if whole else None
 
 
-def _find_begin(asked: RequestRecord) -> float:
+def _get_first_token_time(record: RequestRecord) -> float:
     """Return when an answer's first token came, after the start of the run."""
-    first_at = asked.attempts[-1].first_at
+    first_at = record.attempts[-1].first_at
     assert first_at is not None
-    return first_at - asked.due_at + asked.arrival.at
+    return first_at - record.due_at + record.arrival.at
 
 
-def _count_admitted(asked: RequestRecord) -> int:
+def _count_admitted(record: RequestRecord) -> int:
     return sum(
-        not (one.refused and (one.code in REFUSED_CODES or not one.code))
-        for one in asked.attempts
+        not (attempt.refused and (attempt.code in REFUSED_CODES or not attempt.code))
+        for attempt in record.attempts
     )
 
 
-def _build_between(counted: Sequence[RequestRecord]) -> HdrHistogram:
+def _build_token_intervals(counted: Sequence[RequestRecord]) -> HdrHistogram:
     """Return the histogram of mean times between tokens, in hundredths of a ms."""
-    histogram = HdrHistogram(1, 100 * _MOST_MS, 3)
-    for one in counted:
-        last = one.attempts[-1] if one.attempts else None
-        if last is not None and last.whole and last.first_at is not None:
-            between = (last.ended_at - last.first_at) / one.arrival.tokens
-            histogram.record_value(max(1, round(100 * between)))
+    histogram = HdrHistogram(1, 100 * _MAX_MS, 3)
+    for record in counted:
+        last = record.attempts[-1] if record.attempts else None
+        if last is not None and last.complete and last.first_at is not None:
+            interval_ms = (last.ended_at - last.first_at) / record.arrival.tokens
+            histogram.record_value(max(1, round(100 * interval_ms)))
     return histogram
--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -36,16 +36,16 @@
     attempts: list[CallerAttempt] = msgspec.field(default_factory=list)
     ended: bool = False
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether its answer came."""
-        return bool(self.attempts) and self.attempts[-1].whole
+        return bool(self.attempts) and self.attempts[-1].complete
 
     def is_lost(self) -> bool:
         """Whether it ended neither whole and right nor with a plain refusal."""
         if not self.ended or not self.attempts:
             return True
         last = self.attempts[-1]
-        return not last.correct if last.whole else not (last.refused or last.code)
+        return not last.correct if last.complete else not (last.refused or last.code)
 
     def meets_targets(self, *, from_first: bool) -> bool:
         """Whether its answer met the targets.
@@ -54,7 +54,7 @@
             last one, since a refused caller is answered at once and told when to
             come back.
         """
-        if not self.is_whole() or not self.attempts[-1].correct:
+        if not self.is_complete() or not self.attempts[-1].correct:
             return False
         last = self.attempts[-1]
         assert last.first_at is not None
@@ -64,70 +64,77 @@
         return is_prompt and between_ms <= BETWEEN_TOKENS_TARGET_MS
 
 
-class _Plan:
+class _Schedule:
     """Requests that are due at some time, by time."""
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
         self.due: list[tuple[float, int, RequestRecord]] = []
-        self.open = 0
+        self.open_requests = 0
 
-    def add(self, at: float, asked: RequestRecord) -> None:
+    def add(self, at: float, record: RequestRecord) -> None:
         with self.lock:
-            heapq.heappush(self.due, (at, asked.arrival.number, asked))
+            heapq.heappush(self.due, (at, record.arrival.number, record))
             self.lock.notify_all()
 
 
-def offer_load(
-    arrivals: Sequence[Arrival], attempt: SendAttempt
-) -> list[RequestRecord]:
+def offer_load(arrivals: Sequence[Arrival], send: SendAttempt) -> list[RequestRecord]:
     """Ask all requests at their times and return them once the last has ended."""
     start = read_clock()
-    everything = [RequestRecord(arrival=one, due_at=start + one.at) for one in arrivals]
-    plan = _Plan()
-    plan.open = len(everything)
-    for asked in everything:
-        plan.add(asked.due_at, asked)
-    give_up_at = start + max(one.at for one in arrivals) + END_TIMEOUT_S * SECOND_MS
+    records = [
+        RequestRecord(arrival=arrival, due_at=start + arrival.at)
+        for arrival in arrivals
+    ]
+    schedule = _Schedule()
+    schedule.open_requests = len(records)
+    for record in records:
+        schedule.add(record.due_at, record)
+    deadline = (
+        start + max(arrival.at for arrival in arrivals) + END_TIMEOUT_S * SECOND_MS
+    )
     with ThreadPoolExecutor(WORKERS) as pool:
-        while plan.open and read_clock() < give_up_at:
-            chosen = _take_due(plan)
+        while schedule.open_requests and read_clock() < deadline:
+            chosen = _pop_due(schedule)
             if chosen is not None:
-                pool.submit(_ask, plan, chosen, attempt)
-    return everything
+                pool.submit(_send, schedule, chosen, send)
+    return records
 
 
-def _take_due(plan: _Plan) -> RequestRecord | None:
-    with plan.lock:
-        if plan.due:
-            wait_ms = plan.due[0][0] - read_clock()
+def _pop_due(schedule: _Schedule) -> RequestRecord | None:
+    with schedule.lock:
+        if schedule.due:
+            wait_ms = schedule.due[0][0] - read_clock()
             if wait_ms <= 0:
-                return heapq.heappop(plan.due)[2]
-            plan.lock.wait(min(wait_ms / SECOND_MS, 0.1))
+                return heapq.heappop(schedule.due)[2]
+            schedule.lock.wait(min(wait_ms / SECOND_MS, 0.1))
         else:
-            plan.lock.wait(0.1)
+            schedule.lock.wait(0.1)
     return None
 
 
-def _ask(plan: _Plan, asked: RequestRecord, attempt: SendAttempt) -> None:
-    one = CallerAttempt(began_at=read_clock())
+def _send(schedule: _Schedule, record: RequestRecord, send: SendAttempt) -> None:
+    attempt = CallerAttempt(began_at=read_clock())
     try:
-        one = attempt(asked.arrival, len(asked.attempts))
+        attempt = send(record.arrival, len(record.attempts))
     finally:
-        asked.attempts.append(one)
-        again_at = _choose_return(asked, one)
-        if again_at is not None:
-            plan.add(again_at, asked)
+        record.attempts.append(attempt)
+        retry_at = _get_retry_time(record, attempt)
+        if retry_at is not None:
+            schedule.add(retry_at, record)
         else:
-            asked.ended = True
-            with plan.lock:
-                plan.open -= 1
-                plan.lock.notify_all()
+            record.ended = True
+            with schedule.lock:
+                schedule.open_requests -= 1
+                schedule.lock.notify_all()
 
 
-def _choose_return(asked: RequestRecord, one: CallerAttempt) -> float | None:
+def _get_retry_time(record: RequestRecord, attempt: CallerAttempt) -> float | None:
     """Return when the caller comes back, or ``None`` if it does not."""
-    if one.whole or one.retry_after_ms is None or len(asked.attempts) >= MAX_ATTEMPTS:
+    if (
+        attempt.complete
+        or attempt.retry_after_ms is None
+        or len(record.attempts) >= MAX_ATTEMPTS
+    ):
         return None
-    again_at = read_clock() + one.retry_after_ms
-    return again_at if again_at <= asked.due_at + RETRY_DEADLINE_MS else None
+    retry_at = read_clock() + attempt.retry_after_ms
+    return retry_at if retry_at <= record.due_at + RETRY_DEADLINE_MS else None
--- a/src/arbutuspulley/bench/model.py
+++ b/src/arbutuspulley/bench/model.py
@@ -24,7 +24,7 @@
 VIEW_MS = 500
 """Time between two views, and the age of the reports in them."""
 
-DURATION_MS = 2_000
+MEAN_DURATION_MS = 2_000
 """Mean time that a request runs."""
 
 TARGET_MS = 1_100
@@ -58,7 +58,8 @@
 class SimulatedRequest(State):
     """One request.
 
-    :param crowded: whether its server then ran more than an eighth above its slots.
+    :param server_overloaded: whether its server then ran more than an
+        eighth above its slots.
     """
 
     caller: str
@@ -68,11 +69,11 @@
     last_at: int = 0
     entry: int = 0
     admitted_at: int | None = None
-    crowded: bool = False
+    server_overloaded: bool = False
 
     def meets_targets(self) -> bool:
         """Tell whether it was admitted in time, where there was room for it."""
-        if self.admitted_at is None or self.crowded:
+        if self.admitted_at is None or self.server_overloaded:
             return False
         return self.admitted_at - self.last_at < TARGET_MS
 
@@ -98,9 +99,9 @@
         self.target_ms = target_ms
         self.entries = [queue.AdmissionState(own=f"e{n}") for n in range(entries)]
         self.running = {f"s{n}": 0 for n in range(servers)}
-        self.capacity = servers * slots * 1_000 / DURATION_MS
-        self.known = dict(self.running)
-        self.asked: list[SimulatedRequest] = []
+        self.capacity = servers * slots * 1_000 / MEAN_DURATION_MS
+        self.reported = dict(self.running)
+        self.requests: list[SimulatedRequest] = []
         self._tickets: dict[str, SimulatedRequest] = {}
         self._due: dict[int, list[Callable[[int], None]]] = {}
 
@@ -112,61 +113,63 @@
             for action in self._due.pop(now, ()):
                 action(now)
             for offer in offers:
-                self._ask(offer, now)
+                self._generate_requests(offer, now)
             for number, entry in enumerate(self.entries):
                 self._apply(number, queue.tick(entry, now=now), now)
-        return self.asked
+        return self.requests
 
-    def _ask(self, offer: Offer, now: int) -> None:
+    def _generate_requests(self, offer: Offer, now: int) -> None:
         expected = offer.rate * STEP_MS / 1_000
         while now >= offer.start and expected > 0:
             if self.chance.random() < expected:
-                one = SimulatedRequest(caller=offer.caller, at=now, live=offer.live)
-                one.entry = self.chance.choice(offer.entries)
-                self.asked.append(one)
-                self._submit(one, now)
+                request = SimulatedRequest(caller=offer.caller, at=now, live=offer.live)
+                request.entry = self.chance.choice(offer.entries)
+                self.requests.append(request)
+                self._submit(request, now)
             expected -= 1
 
-    def _submit(self, one: SimulatedRequest, now: int) -> None:
-        one.attempts, one.last_at = one.attempts + 1, now
+    def _submit(self, request: SimulatedRequest, now: int) -> None:
+        request.attempts, request.last_at = request.attempts + 1, now
         name = f"{len(self._tickets)}"
-        self._tickets[name] = one
+        self._tickets[name] = request
         ticket = queue.Ticket(
             request_id=name,
-            caller=one.caller,
+            caller=request.caller,
             item=ITEM,
             cost=COST,
             arrived_at=now,
-            deadline=now + (self.target_ms if one.live else 60_000),
-            live=one.live,
+            deadline=now + (self.target_ms if request.live else 60_000),
+            live=request.live,
         )
-        effects = queue.submit(self.entries[one.entry], ticket, now=now)
-        self._apply(one.entry, effects, now)
+        effects = queue.submit(self.entries[request.entry], ticket, now=now)
+        self._apply(request.entry, effects, now)
 
     def _apply(self, number: int, effects: Sequence[queue.Effect], now: int) -> None:
         for effect in effects:
-            one = self._tickets[effect.request_id]
+            request = self._tickets[effect.request_id]
             if isinstance(effect, queue.Admit):
                 self._start(number, effect.request_id, now)
-            elif one.attempts < 2:
-                self._plan(now + effect.retry_after_ms, partial(self._submit, one))
+            elif request.attempts < 2:
+                self._schedule(
+                    now + effect.retry_after_ms, partial(self._submit, request)
+                )
 
     def _start(self, number: int, name: str, now: int) -> None:
-        one, entry = self._tickets[name], self.entries[number]
+        request, entry = self._tickets[name], self.entries[number]
         server = entry.running[name].server
         self.running[server] += 1
-        one.admitted_at = now
-        one.crowded = self.running[server] > self.slots * 9 // 8
+        request.admitted_at = now
+        request.server_overloaded = self.running[server] > self.slots * 9 // 8
         queue.record_first_token(entry, name, now=now + FIRST_TOKEN_MS)
-        ends = now + self.chance.expovariate(1 / DURATION_MS)
-        self._plan(ends, partial(self._finish, number, name, server))
+        ends = now + self.chance.expovariate(1 / MEAN_DURATION_MS)
+        self._schedule(ends, partial(self._finish, number, name, server))
 
     def _finish(self, number: int, name: str, server: str, now: int) -> None:
         self.running[server] -= 1
         effects = queue.finish(self.entries[number], name, tokens=COST, now=now)
         self._apply(number, effects, now)
 
-    def _plan(self, at: float, action: Callable[[int], None]) -> None:
+    def _schedule(self, at: float, action: Callable[[int], None]) -> None:
         step = (int(at) // STEP_MS + 1) * STEP_MS
         self._due.setdefault(step, []).append(action)
 
@@ -188,7 +191,7 @@
             )
             effects = queue.apply_view(entry, view=view, now=now)
             self._apply(number, effects, now)
-        self.known = dict(self.running)
+        self.reported = dict(self.running)
 
     def _report(self) -> tuple[ServerSummary, ...]:
         return tuple(
@@ -201,12 +204,12 @@
                 slots=self.slots,
                 age_ms=VIEW_MS,
             )
-            for name, running in self.known.items()
+            for name, running in self.reported.items()
         )
 
 
 def measure_met(
-    asked: Sequence[SimulatedRequest],
+    requests: Sequence[SimulatedRequest],
     *,
     caller: str | None = None,
     since: int = 10_000,
@@ -218,6 +221,8 @@
     :param since: leaves out requests before this time in ms.
     """
     chosen = [
-        one for one in asked if caller in (None, one.caller) and since <= one.at < until
+        request
+        for request in requests
+        if caller in (None, request.caller) and since <= request.at < until
     ]
-    return sum(one.meets_targets() for one in chosen) / len(chosen)
+    return sum(request.meets_targets() for request in chosen) / len(chosen)
--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -20,9 +20,9 @@
     VERSION,
     CallerAttempt,
     SendAttempt,
-    ask_engine,
-    ask_entry,
     read_clock,
+    send_to_engine,
+    send_to_entry,
 )
 from arbutuspulley.bench.workloads import Arrival
 from arbutuspulley.clock import SECOND_MS
@@ -35,7 +35,7 @@
 DEVICES = 4
 """Devices that callers use; each keeps its own address answers."""
 
-PAUSE_MS = SECOND_MS
+RETRY_INTERVAL_MS = SECOND_MS
 """When a caller that was told no time comes back."""
 
 
@@ -53,7 +53,7 @@
     lifetime_s: float = 0.0
 
 
-class _Kept(State):
+class _CachedAddresses(State):
     addresses: list[str]
     until: float
 
@@ -64,30 +64,30 @@
     :param entries: addresses that every caller was given once.
     """
     pool = urllib3.PoolManager(timeout=2.0, retries=False, maxsize=32)
-    kept: dict[tuple[int, str], _Kept] = {}
+    cache: dict[tuple[int, str], _CachedAddresses] = {}
     chance = random.Random(seed)
     lock = threading.Lock()
 
-    def find(arrival: Arrival) -> _Kept:
-        place = (arrival.number % DEVICES, arrival.model)
+    def get_addresses(arrival: Arrival) -> _CachedAddresses:
+        key = (arrival.number % DEVICES, arrival.model)
         with lock:
-            known = kept.get(place)
+            known = cache.get(key)
             shuffled = chance.sample(list(entries), len(entries))
         if known and known.addresses and read_clock() < known.until:
             return known
         found = _fetch_addresses(pool, shuffled, arrival.model)
         with lock:
-            kept[place] = found
+            cache[key] = found
         return found
 
     def attempt(arrival: Arrival, _tried: int) -> CallerAttempt:
-        known = find(arrival)
+        known = get_addresses(arrival)
         address = known.addresses[0]
-        one = ask_entry(address, arrival, run=run)
-        if one.refused and one.retry_after_ms is None:
+        result = send_to_entry(address, arrival, run=run)
+        if result.refused and result.retry_after_ms is None:
             known.addresses = [*known.addresses[1:], address]
-            one.retry_after_ms = 0
-        return one
+            result.retry_after_ms = 0
+        return result
 
     return attempt
 
@@ -104,8 +104,8 @@
     for address in addresses:
         for item in engines.report(address).items:
             holders.setdefault(item.item, []).append(address)
-    turns: Mapping[str, Callable[[], str]] = {
-        item: _take_turns(known) for item, known in holders.items()
+    rotations: Mapping[str, Callable[[], str]] = {
+        item: _build_rotation(known) for item, known in holders.items()
     }
 
     def attempt(arrival: Arrival, tried: int) -> CallerAttempt:
@@ -113,39 +113,45 @@
         began_at = read_clock()
         for number in range(1 + IMMEDIATE_RETRIES):
             counts.engine_attempts += 1
-            name = tried * (1 + IMMEDIATE_RETRIES) + number
-            one = ask_engine(engines, turns[item](), arrival, run=run, attempt=name)
-            one.began_at = began_at
-            if one.whole:
+            attempt_number = tried * (1 + IMMEDIATE_RETRIES) + number
+            result = send_to_engine(
+                engines,
+                rotations[item](),
+                arrival,
+                run=run,
+                attempt_number=attempt_number,
+            )
+            result.began_at = began_at
+            if result.complete:
                 break
-        one.retry_after_ms = None if one.whole else PAUSE_MS
-        return one
+        result.retry_after_ms = None if result.complete else RETRY_INTERVAL_MS
+        return result
 
     return attempt
 
 
-def _take_turns(addresses: Sequence[str]) -> Callable[[], str]:
-    turns = itertools.cycle(addresses)
+def _build_rotation(addresses: Sequence[str]) -> Callable[[], str]:
+    rotation = itertools.cycle(addresses)
     lock = threading.Lock()
 
-    def take() -> str:
+    def take_next() -> str:
         with lock:
-            return next(turns)
+            return next(rotation)
 
-    return take
+    return take_next
 
 
 def _fetch_addresses(
     pool: urllib3.PoolManager, entries: Sequence[str], model: str
-) -> _Kept:
+) -> _CachedAddresses:
     for entry in entries:
         url = f"http://{entry}/v1/addresses?model={model}"
         try:
             reply = pool.request("GET", url)
-            told = msgspec.json.decode(reply.data, type=_Addresses)
+            answer = msgspec.json.decode(reply.data, type=_Addresses)
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError):
             continue
-        if reply.status == 200 and told.addresses:
-            until = read_clock() + told.lifetime_s * SECOND_MS
-            return _Kept(addresses=list(told.addresses), until=until)
-    return _Kept(addresses=list(entries), until=0.0)
+        if reply.status == 200 and answer.addresses:
+            until = read_clock() + answer.lifetime_s * SECOND_MS
+            return _CachedAddresses(addresses=list(answer.addresses), until=until)
+    return _CachedAddresses(addresses=list(entries), until=0.0)
--- a/src/arbutuspulley/bench/report.py
+++ b/src/arbutuspulley/bench/report.py
@@ -10,7 +10,12 @@
 
 from matplotlib import pyplot
 
-from arbutuspulley.bench.figures import Run, Summary, build_first_tokens, summarise
+from arbutuspulley.bench.figures import (
+    Run,
+    Summary,
+    build_first_token_histogram,
+    summarise,
+)
 from arbutuspulley.bench.workloads import FIRST_TOKEN_TARGET_MS
 from arbutuspulley.data import Message
 
@@ -91,17 +96,17 @@
     """Plot which part of the requests had its first token after how long."""
     figure, axes = pyplot.subplots(figsize=(9, 5))
     for run in runs:
-        histogram = build_first_tokens(run)
+        histogram = build_first_token_histogram(run)
         total = len([one for one in run.requests if one.attempts])
         if not total or not histogram.get_total_count():
             continue
-        part = histogram.get_total_count() / total
+        fraction = histogram.get_total_count() / total
         steps = range(101)
         times = [max(1, histogram.get_value_at_percentile(step)) for step in steps]
         style = "-" if run.policy == "arbutuspulley" else "--"
         axes.plot(
             times,
-            [step * part for step in steps],
+            [step * fraction for step in steps],
             style,
             label=f"{run.name} ({run.policy})",
         )
--- a/src/arbutuspulley/bench/workloads.py
+++ b/src/arbutuspulley/bench/workloads.py
@@ -30,8 +30,8 @@
 FIRST_TOKEN_MS = 40
 ENGINE_MEMORY_MIB = 600_000
 MEAN_TOKENS = 100
-LEAST_TOKENS = 8
-MOST_TOKENS = 300
+MIN_TOKENS = 8
+MAX_TOKENS = 300
 FIRST_TOKEN_TARGET_MS = 1_100
 BETWEEN_TOKENS_TARGET_MS = 37
 RETRY_DEADLINE_MS = 6 * SECOND_MS
@@ -39,10 +39,10 @@
 BURST_PERIOD_MS = 8 * SECOND_MS
 BURST_MS = 2 * SECOND_MS
 BURST_FACTOR = 1.6
-QUIET_FACTOR = 0.8
+BASE_FACTOR = 0.8
 
 _ADAPTED_MODELS = 3
-_ADAPTED_PART = 0.25
+_ADAPTER_FRACTION = 0.25
 _POPULARITY_EXPONENT = 0.9
 _COPIES_MARGIN = 2.5
 _FULL_STEP_MS = round(TOKEN_MS * (1 + (SLOTS - 1) / 16))
@@ -51,13 +51,13 @@
 class ModelPlan(Value, frozen=True):
     """A model of a workload.
 
-    :param part: its part of all requests.
+    :param fraction: its part of all requests.
     :param adapter: name of its adapter, empty if it has none.
     """
 
     name: str
     size_mib: int
-    part: float
+    fraction: float
     copies: int
     adapter: str = ""
 
@@ -86,13 +86,13 @@
 
 def build_lestari() -> Workload:
     """Return the cottage trust's workload: 13 models, three kinds of callers."""
-    models = _build_models("assistant", count=13, least_size=34, most_size=72)
+    models = _build_models("assistant", count=13, min_size=34, max_size=72)
     return Workload(name="lestari", models=models, callers=("guests", "hosts", "desk"))
 
 
 def build_kurzeme() -> Workload:
     """Return the trail timing's workload: 26 models, two competing organisers."""
-    models = _build_models("race", count=26, least_size=16, most_size=34)
+    models = _build_models("race", count=26, min_size=16, max_size=34)
     return Workload(name="kurzeme", models=models, callers=("gauja", "kemeri"))
 
 
@@ -141,7 +141,7 @@
         at += chance.expovariate(rate * BURST_FACTOR / SECOND_MS)
         if at >= duration_ms:
             return drawn
-        if chance.random() >= _find_factor(at) / BURST_FACTOR:
+        if chance.random() >= _get_rate_factor(at) / BURST_FACTOR:
             continue
         tokens = round(chance.expovariate(1 / MEAN_TOKENS))
         drawn.append(
@@ -150,38 +150,38 @@
                 at=int(at),
                 caller=caller,
                 model=_draw_model(workload, chance),
-                tokens=min(MOST_TOKENS, max(LEAST_TOKENS, tokens)),
+                tokens=min(MAX_TOKENS, max(MIN_TOKENS, tokens)),
             )
         )
 
 
-def _find_factor(at: float) -> float:
-    return BURST_FACTOR if at % BURST_PERIOD_MS < BURST_MS else QUIET_FACTOR
+def _get_rate_factor(at: float) -> float:
+    return BURST_FACTOR if at % BURST_PERIOD_MS < BURST_MS else BASE_FACTOR
 
 
 def _draw_model(workload: Workload, chance: random.Random) -> str:
-    parts = [model.part for model in workload.models]
-    [model] = chance.choices(workload.models, parts)
-    if model.adapter and chance.random() < _ADAPTED_PART:
+    fractions = [model.fraction for model in workload.models]
+    [model] = chance.choices(workload.models, fractions)
+    if model.adapter and chance.random() < _ADAPTER_FRACTION:
         return model.adapter
     return model.name
 
 
 def _build_models(
-    name: str, *, count: int, least_size: int, most_size: int
+    name: str, *, count: int, min_size: int, max_size: int
 ) -> tuple[ModelPlan, ...]:
     weights = [1 / rank**_POPULARITY_EXPONENT for rank in range(1, count + 1)]
-    step = (most_size - least_size) / (count - 1)
+    step = (max_size - min_size) / (count - 1)
     models = []
     for number, weight in enumerate(weights):
-        part = weight / sum(weights)
-        wanted = math.ceil(part * ENGINES * _COPIES_MARGIN)
+        fraction = weight / sum(weights)
+        wanted = math.ceil(fraction * ENGINES * _COPIES_MARGIN)
         adapted = number < _ADAPTED_MODELS
         models.append(
             ModelPlan(
                 name=f"{name}-{number:02}",
-                size_mib=round(1_000 * (least_size + step * (number * 7 % count))),
-                part=part,
+                size_mib=round(1_000 * (min_size + step * (number * 7 % count))),
+                fraction=fraction,
                 copies=min(ENGINES, max(3, wanted)),
                 adapter=f"{name}-{number:02}-local" if adapted else "",
             )
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -20,7 +20,7 @@
 def build_try(began_at=105_000, first=100, between=30, **fields):
     first_at = began_at + first
     times = {"first_at": first_at, "ended_at": first_at + 10 * between}
-    values = {"whole": True, "correct": True, **times, **fields}
+    values = {"complete": True, "correct": True, **times, **fields}
     return CallerAttempt(began_at=began_at, **values)
 
 
@@ -53,7 +53,7 @@
         ([build_refusal()], False, False, False),
         ([build_refusal(), build_try(began_at=108_000)], False, True, False),
         ([build_try(correct=False)], False, False, True),
-        ([build_try(whole=False, correct=False)], False, False, True),
+        ([build_try(complete=False, correct=False)], False, False, True),
         ([], False, False, True),
     ],
 )
@@ -92,4 +92,4 @@
     ]
     asked = offer_load(arrivals, attempt)
     assert sorted(told) == [0, 0, 1, 1]
-    assert all(one.ended and one.is_whole() for one in asked)
+    assert all(one.ended and one.is_complete() for one in asked)
