--- a/src/arbutuspulley/standins/__init__.py
+++ b/src/arbutuspulley/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and backend servers, for demos and tests."""
+"""Stand-ins for the platform and backend servers, used by demos and tests."""
--- a/src/arbutuspulley/standins/answer.py
+++ b/src/arbutuspulley/standins/answer.py
@@ -1,8 +1,9 @@
-"""What the engine stand-in answers: text worked out from the item and the prompt.
+"""Answers of the engine stand-in: text derived from the item and the prompt.
 
-Any engine that holds the same item gives the same tokens, so an answer can go on
-elsewhere from any offset, and whoever asked can tell whether it came whole. Events
-have the shape of the usual chat and completion protocol.
+The text is deterministic. Every engine that has loaded the same item produces the
+same tokens, so another engine can resume an answer at any offset, and the caller can
+check that the answer is complete and correct. Events have the format of the usual
+chat and completion protocol.
 """
 
 import hashlib
@@ -14,29 +15,31 @@
 from arbutuspulley.results import ArbutusError, Code
 
 CHAT_PATH = "/v1/chat/completions"
-"""Path of requests with messages."""
+"""Path of requests that carry chat messages."""
 
 COMPLETION_PATH = "/v1/completions"
-"""Path of requests with a plain prompt."""
+"""Path of requests that carry a plain-text prompt."""
 
 DEFAULT_TOKENS = 16
-"""Tokens of an answer to a request that names no limit."""
+"""Length of an answer, in tokens, if the request sets no limit."""
 
 MAX_TOKENS = 4_096
-"""Most tokens of an answer."""
+"""Maximum length of an answer, in tokens."""
 
 EVENTS_AFTER_TOKENS = 2
-"""Events after the tokens: the one with ``finish_reason`` and the end marker."""
+"""Number of events after the last token: ``finish_reason`` and the end marker."""
 
 _TOKEN_LETTERS = 6
 
 
 class Prompt(Value, frozen=True):
-    """What a request asks for.
+    """The parsed body of an inference request.
 
-    :param digest: hash of the prompt's text.
-    :param tokens: number of tokens of the answer.
-    :param chat: whether it came with messages.
+    :param digest: hash of the prompt text.
+    :param words: words of the prompt text; each counts as one prompt token.
+    :param tokens: length of the answer, in tokens.
+    :param model: model name from the body.
+    :param chat: whether the body has chat messages instead of a plain prompt.
     """
 
     digest: str
@@ -47,7 +50,7 @@
 
 
 class BadBodyError(ArbutusError):
-    """The body is not a request of the protocol."""
+    """The body is not a valid chat or completion request."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=Code.MALFORMED_BODY, detail=detail)
@@ -71,9 +74,9 @@
 
 
 def read_prompt(*, path: str, body: bytes) -> Prompt:
-    """Read a request's body.
+    """Parse the body of an inference request.
 
-    :raises BadBodyError: if it is none.
+    :raises BadBodyError: if the body is malformed or has no messages.
     """
     try:
         request = msgspec.json.decode(body, type=_Body)
@@ -92,18 +95,18 @@
 
 
 def hash_prompt(text: str) -> str:
-    """Return the digest by which counters name a prompt."""
+    """Return the digest that identifies a prompt in the counters."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 def build_token(*, item: str, digest: str, index: int) -> str:
-    """Return the text of one token of an answer."""
+    """Return the text of the answer's token at an index."""
     seed = f"{item}\n{digest}\n{index}".encode()
     return xxhash.xxh3_64_hexdigest(seed)[:_TOKEN_LETTERS] + " "
 
 
 def build_answer(*, item: str, prompt: Prompt) -> str:
-    """Return the text of a whole answer."""
+    """Return the full text of an answer."""
     return "".join(
         build_token(item=item, digest=prompt.digest, index=index)
         for index in range(prompt.tokens)
@@ -113,7 +116,7 @@
 def build_token_data(
     *, request_id: str, item: str, prompt: Prompt, index: int
 ) -> bytes:
-    """Return the JSON of a token's event."""
+    """Return the JSON data of the event for one token."""
     text = build_token(item=item, digest=prompt.digest, index=index)
     if not prompt.chat:
         return _build_data(request_id, prompt, {"text": text, "finish_reason": None})
@@ -124,7 +127,7 @@
 
 
 def build_finish_data(*, request_id: str, prompt: Prompt) -> bytes:
-    """Return the JSON of the event with ``finish_reason`` and usage."""
+    """Return the JSON data of the event with ``finish_reason`` and token usage."""
     part: dict[str, object] = {"delta": {}} if prompt.chat else {"text": ""}
     usage = {
         "prompt_tokens": len(prompt.words),
--- a/src/arbutuspulley/standins/control.py
+++ b/src/arbutuspulley/standins/control.py
@@ -1,12 +1,13 @@
-"""How ``POST /control`` of a stand-in changes its faults."""
+"""Helpers that set and consume the faults of a stand-in (``POST /control``)."""
 
 from arbutuspulley.data import Document, State
 
 
 def apply_set_fields(control: Document, target: State) -> None:
-    """Set the fields of the target that the control names; leave the others.
+    """Copy the fields that are set in a control document to the target.
 
-    :param control: a document whose fields are ``None`` if they were left out.
+    :param control: document in which fields that the caller left out are ``None``;
+        these keep their value in the target.
     """
     for name in target.__struct_fields__:
         value = getattr(control, name, None)
@@ -15,7 +16,7 @@
 
 
 def consume_fault(faults: State, name: str) -> bool:
-    """Tell whether a counted fault applies now, and count it down."""
+    """Return whether a counted fault applies now, and decrement its counter."""
     left = getattr(faults, name)
     if left == 0:
         return False
--- a/src/arbutuspulley/standins/engine.py
+++ b/src/arbutuspulley/standins/engine.py
@@ -1,7 +1,7 @@
 """Stand-in for a model engine: ``arbutus-standin-engine``.
 
-It holds its memory, batch and counters in this process and forgets them when it
-ends. Paths are in :mod:`.engine_http`, faults in :mod:`.engine_control`.
+Memory, batch and counters are kept in the process and lost when it ends. HTTP paths
+are described in :mod:`.engine_http`, faults in :mod:`.engine_control`.
 """
 
 import random
@@ -29,10 +29,10 @@
 from arbutuspulley.startup import check_and_log
 
 DRAIN_MS = 60_000
-"""Longest wait for runs in flight after SIGTERM."""
+"""Maximum time to wait for runs in flight after SIGTERM."""
 
 SPARE_THREADS = 16
-"""Worker threads besides one for each admitted run."""
+"""Worker threads in addition to one per admitted run."""
 
 _MAX_MS = 3_600_000
 _MAX_COUNT = 1_000_000_000
@@ -45,7 +45,7 @@
 
 
 class EngineSettings(Value, frozen=True):
-    """How an engine behaves; the flags of the program say what each field means."""
+    """Settings of an engine; the fields are documented as flags of :func:`run`."""
 
     name: str
     memory_mib: int = 81_920
@@ -62,11 +62,11 @@
 
 
 class EngineStandin:
-    """An engine that serves from this process.
+    """An engine stand-in that serves from the current process.
 
-    :param settings: how it behaves.
-    :param port: 0 takes a free one; see :attr:`address`.
-    :param crash: called in place of the end of the process.
+    :param port: port to listen on; 0 picks a free one, see :attr:`address`.
+    :param crash: called when a fault crashes the engine; by default the process
+        exits.
     """
 
     __slots__ = ("address", "boot_id", "runtime", "server")
@@ -96,7 +96,7 @@
         self.runtime.start()
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to accept requests."""
         self.server.start()
 
     def stop(self) -> None:
@@ -144,23 +144,23 @@
     log_format: str = "text",
     log_level: str = "info",
 ) -> None:
-    """Serve until SIGTERM; runs in flight are finished first.
+    """Serve until SIGTERM; then finish the runs in flight and stop.
 
-    :param name: name of the server, as the configuration has it.
+    :param name: name of the server in the configuration.
     :param listen: ``host:port`` to listen on.
     :param memory_mib: memory for items, in MiB.
-    :param checks_orders: refuse orders with an old fencing or order number.
-    :param on_overcommit: what a load beyond the memory does: ``refuse`` the order,
-        let the engine ``die``, or only ``flag`` it in the counters.
-    :param platform: ``host:port`` of the weight store; without it a load takes
+    :param checks_orders: reject orders with a stale fencing token or order number.
+    :param on_overcommit: reaction to a load that exceeds the memory: ``refuse`` the
+        order, ``die`` (crash the engine), or only ``flag`` it in the counters.
+    :param platform: ``host:port`` of the weight store; without one, a load takes
         ``--load-ms``.
-    :param load_ms: duration of a load in ms.
-    :param first_token_ms: time to read in a short prompt, in ms.
-    :param token_ms: time between tokens of a stream that runs alone, in ms.
-    :param max_batch: streams that run at once.
-    :param max_waiting: requests that may wait besides.
-    :param report_lag_ms: how old load reports are at least, in ms.
-    :param seed: of the cache events that get lost.
+    :param load_ms: duration of a load without a weight store, in ms.
+    :param first_token_ms: prefill time of a short prompt, in ms.
+    :param token_ms: time between the tokens of a stream that runs alone, in ms.
+    :param max_batch: maximum number of concurrent streams.
+    :param max_waiting: maximum number of queued requests.
+    :param report_lag_ms: minimum age of load reports, in ms.
+    :param seed: random seed that selects which cache events are lost.
     :param log_format: ``json`` or ``text``.
     :param log_level: ``debug``, ``info``, ``warning`` or ``error``.
     """
--- a/src/arbutuspulley/standins/engine_batch.py
+++ b/src/arbutuspulley/standins/engine_batch.py
@@ -1,8 +1,8 @@
-"""The engine stand-in's continuous batching.
+"""Continuous batching of the engine stand-in.
 
-Prompts are read in one after the other; then each step of the batch gives every
-stream one token. A step takes longer the more streams there are, so the rate of one
-stream falls while that of all together rises.
+Prefills run one after another. After its prefill, a stream gets one token in each
+step of the batch. The step time grows with the number of streams: the token rate of a
+single stream falls while the total token rate rises.
 """
 
 import msgspec
@@ -10,23 +10,24 @@
 from arbutuspulley.data import State, Value
 
 STREAMS_PER_SLOWDOWN = 16
-"""So many further streams make a step longer by one undisturbed step."""
+"""Number of additional streams that lengthen a step by the single-stream step time."""
 
 WORDS_PER_PREFILL_UNIT = 512
-"""So many uncached words cost as much reading as the fixed part of any prompt."""
+"""Uncached words whose prefill takes as long as the fixed cost of a prompt."""
 
 RATE_WINDOW_MS = 1_000
-"""Over how long the reported token rate is averaged."""
+"""Window over which the reported token rate is averaged."""
 
 
 class Run(State):
     """One attempt that was admitted.
 
-    :param digest: the prompt's.
-    :param tokens: number of tokens of the whole answer.
+    :param digest: digest of the prompt.
+    :param words: words of the prompt.
+    :param tokens: length of the full answer, in tokens.
     :param offset: index of the next token.
-    :param poison: whether running it ends the engine.
-    :param ready_at: when its prompt has been read in.
+    :param poison: whether running the attempt crashes the engine.
+    :param ready_at: time in ms at which its prefill ends.
     """
 
     request_id: str
@@ -42,7 +43,7 @@
 
 
 class Token(Value, frozen=True):
-    """A token that a step produced."""
+    """One token that a batch step produced."""
 
     attempt_id: str
     request_id: str
@@ -51,18 +52,21 @@
 
 
 class _Produced(Value, frozen=True):
-    """How many tokens a step produced."""
+    """Number of tokens that a batch step produced, and when."""
 
     at: int
     tokens: int
 
 
 class BatchState(State):
-    """The waiting room and the batch.
-
-    :param token_ms: time between tokens of a stream that runs alone.
-    :param first_token_ms: time to read in a short prompt.
-    :param slow_factor: how much slower than that the engine is now.
+    """The queue of waiting runs and the running batch.
+
+    :param max_batch: maximum number of runs in the batch.
+    :param max_waiting: maximum number of queued runs when the batch is full.
+    :param token_ms: time between the tokens of a stream that runs alone.
+    :param first_token_ms: prefill time of a short prompt.
+    :param slow_factor: factor by which all durations are currently longer.
+    :param prefill_until: time in ms at which the last prefill ends.
     """
 
     max_batch: int
@@ -78,19 +82,22 @@
 
 
 def has_room(batch: BatchState) -> bool:
-    """Tell whether another run can be admitted."""
+    """Return whether another run can be admitted."""
     limit = batch.max_batch + batch.max_waiting
     return len(batch.waiting) + len(batch.batch) < limit
 
 
 def enqueue(batch: BatchState, run: Run) -> None:
-    """Put a run into the waiting room, behind those of its priority and higher."""
+    """Queue a run behind those of the same or a higher priority."""
     batch.waiting.append(run)
     batch.waiting.sort(key=lambda waiting: -waiting.priority)
 
 
 def schedule_next(batch: BatchState) -> Run | None:
-    """Move the first waiting run into the batch if there is room."""
+    """Move the first queued run into the batch if the batch is not full.
+
+    :return: the run, or ``None`` if none was moved.
+    """
     if not batch.waiting or len(batch.batch) >= batch.max_batch:
         return None
     run = batch.waiting.pop(0)
@@ -101,7 +108,7 @@
 def begin_prefill(
     batch: BatchState, run: Run, *, uncached_words: int, now: int
 ) -> None:
-    """Queue a run's prompt to be read in."""
+    """Schedule the prefill of a run after those that are already scheduled."""
     units = 1 + uncached_words / WORDS_PER_PREFILL_UNIT
     duration = round(batch.first_token_ms * units * batch.slow_factor)
     batch.prefill_until = max(now, batch.prefill_until) + duration
@@ -109,12 +116,12 @@
 
 
 def step(batch: BatchState, *, now: int) -> tuple[Token, ...]:
-    """Produce one token for each stream that is ready, if a step is due."""
+    """Produce one token for each run whose prefill has ended, if a step is due."""
     ready = [run for run in batch.batch if run.ready_at <= now]
     if not ready or now < batch.next_step_at:
         return ()
     interval = get_token_interval_ms(batch, streams=len(ready))
-    # Counting from the due time keeps the rate when a step comes a little late.
+    # Counting from the due time keeps the token rate when a step runs a little late.
     on_time = now - batch.next_step_at < interval
     batch.next_step_at = (batch.next_step_at if on_time else now) + interval
     tokens = tuple(_advance(run) for run in ready)
@@ -124,13 +131,13 @@
 
 
 def get_token_interval_ms(batch: BatchState, *, streams: int) -> int:
-    """Return the time between tokens of a stream in ms."""
+    """Return the time between the tokens of a stream, in ms."""
     slowdown = 1 + (streams - 1) / STREAMS_PER_SLOWDOWN
     return max(1, round(batch.token_ms * slowdown * batch.slow_factor))
 
 
 def find_next_due(batch: BatchState) -> int | None:
-    """Return when :func:`step` has work, or ``None`` if no run is in the batch."""
+    """Return when :func:`step` is next due, or ``None`` if the batch is empty."""
     if not batch.batch:
         return None
     first_ready = min(run.ready_at for run in batch.batch)
@@ -138,9 +145,9 @@
 
 
 def cancel(batch: BatchState, attempt_id: str) -> Run | None:
-    """Take a run out, wherever it is.
+    """Remove a run from the queue or the batch.
 
-    :return: the run, or ``None`` if it is not there.
+    :return: the run, or ``None`` if there is no such attempt.
     """
     for runs in (batch.waiting, batch.batch):
         for run in runs:
@@ -151,25 +158,25 @@
 
 
 def list_runs(batch: BatchState) -> list[Run]:
-    """Return all runs, the running ones first."""
+    """Return all runs: those in the batch first, then the queued ones."""
     return [*batch.batch, *batch.waiting]
 
 
 def sum_tokens(batch: BatchState) -> int:
-    """Return the tokens still to be read in or produced."""
+    """Return the number of tokens that remain to be prefilled or produced."""
     unread = sum(len(run.words) for run in batch.waiting)
     return unread + sum(run.tokens - run.offset for run in list_runs(batch))
 
 
 def measure_rate(batch: BatchState, *, now: int) -> float:
-    """Return the tokens a second produced lately."""
+    """Return the moving average of the token rate, in tokens per second."""
     since = now - RATE_WINDOW_MS
     batch.produced = [part for part in batch.produced if part.at > since]
     return sum(part.tokens for part in batch.produced) * 1_000 / RATE_WINDOW_MS
 
 
 def estimate_wait_ms(batch: BatchState) -> int:
-    """Return about how long until a run ends and makes room, in ms."""
+    """Return the estimated time in ms until the next run ends and frees its slot."""
     left = [run.tokens - run.offset for run in batch.batch]
     if not left:
         return batch.first_token_ms
--- a/src/arbutuspulley/standins/engine_cache.py
+++ b/src/arbutuspulley/standins/engine_cache.py
@@ -1,7 +1,8 @@
-"""The engine stand-in's cache of prompt prefixes and the events it publishes.
+"""Prompt prefix cache of the engine stand-in, and the events that it publishes.
 
-Prompts are cached in blocks of words; a block counts only together with all blocks
-before it. Events come late and some never come, as a real engine's do.
+Prompts are cached in blocks of words. A cached block is used only if all blocks before
+it are cached too. As with real engines, events are published with a delay and some
+are lost.
 """
 
 import random
@@ -14,33 +15,34 @@
 from arbutuspulley.ports.engines import CacheEvent
 
 BLOCK_WORDS = 16
-"""Words of a prompt that are cached together."""
+"""Block size in words; a block is the unit of caching."""
 
 DEFAULT_BLOCKS = 512
-"""Blocks that fit into the cache."""
+"""Default capacity of the cache, in blocks."""
 
 MAX_KEPT_EVENTS = 1_024
-"""Events that can still be read; older ones are a gap to a slow reader."""
+"""Maximum number of events kept; a slow reader sees a gap for older ones."""
 
 EVENT_LAG_MS = 250
-"""How late events are published."""
+"""Delay after which an event is published."""
 
 EVENT_LOSS_RATE = 0.02
-"""Share of events that are never published."""
+"""Fraction of events that are never published."""
 
 
 class _PendingEvent(Value, frozen=True):
-    """An event and when it may be read."""
+    """An event and the time from which it can be read."""
 
     visible_at: int
     event: CacheEvent
 
 
 class CacheState(State):
-    """What is cached.
+    """The cached blocks and the kept events.
 
-    :param blocks: item by prefix hash, the least lately used first.
-    :param sequence: number of the last event, published or not.
+    :param limit: capacity in blocks.
+    :param blocks: item by prefix hash, in LRU order (least recently used first).
+    :param sequence: sequence number of the last event, including lost events.
     """
 
     limit: int = DEFAULT_BLOCKS
@@ -50,7 +52,7 @@
 
 
 def hash_prefixes(item: str, words: Sequence[str]) -> tuple[str, ...]:
-    """Return the hash of each prefix of a prompt that ends with a whole block."""
+    """Return the hash of each prefix of a prompt that ends at a block boundary."""
     hashes = []
     digest = xxhash.xxh3_64(item.encode())
     for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
@@ -67,9 +69,11 @@
     now: int,
     chance: random.Random,
 ) -> int:
-    """Look up a prompt and cache all its blocks.
+    """Look up the prefix of a prompt, then cache all blocks of the prompt.
 
-    :return: how many of its words were cached before.
+    Evicts the least recently used blocks above the capacity.
+
+    :return: number of words of the prompt that were cached already.
     """
     hashes = hash_prefixes(item, words)
     known = _count_cached(cache, hashes)
@@ -86,7 +90,7 @@
 def evict_item(
     cache: CacheState, item: str, *, now: int, chance: random.Random
 ) -> None:
-    """Evict everything of an item that was unloaded."""
+    """Evict all blocks of an item that was unloaded."""
     for prefix in [prefix for prefix, owner in cache.blocks.items() if owner == item]:
         _evict(cache, prefix, now, chance)
 
--- a/src/arbutuspulley/standins/engine_control.py
+++ b/src/arbutuspulley/standins/engine_control.py
@@ -12,29 +12,32 @@
 
 
 class Control(Document, frozen=True):
-    """What ``POST /control`` may set; what is left out stays as it is.
-
-    Faults with a number apply to so many next orders or requests.
-
-    :param drop_orders: lose orders before they are applied.
-    :param lose_order_replies: apply orders and close their connections unanswered.
-    :param hold_orders: answer nothing and keep the orders until they are released.
-    :param release_orders: apply the orders that are held, in the order of arrival.
-    :param delay_orders: answer nothing and apply the orders late.
-    :param delay_orders_ms: how late.
-    :param refuse_requests: refuse requests before admission.
-    :param fail_requests: answer requests with 500 and nothing about admission.
-    :param break_requests: admit requests and close their connections unanswered.
-    :param break_streams: break streams off.
-    :param break_after_tokens: after how many tokens.
-    :param skip_end_markers: end streams in order, but without the end marker.
-    :param stray_chunks: mix a late chunk of an old attempt and a doubled chunk into
-        streams.
-    :param slow_factor: how many times slower the engine is.
-    :param crash_marker: a request with this word in its prompt ends the engine.
-    :param leaving: whether the engine says that it is leaving, and refuses requests.
-    :param freeze_reports: whether reports stay as they are.
-    :param on_overcommit: what a load that exceeds the memory does.
+    """Body of ``POST /control``; fields that are left out keep their value.
+
+    A number sets how many of the next orders or requests the fault applies to.
+
+    :param drop_orders: close the connection without applying the order.
+    :param lose_order_replies: apply the order and close the connection without a
+        reply.
+    :param hold_orders: close the connection without a reply and hold the order until
+        ``release_orders``.
+    :param release_orders: apply all held and delayed orders now, in order of arrival.
+    :param delay_orders: close the connection without a reply and apply the order
+        after ``delay_orders_ms``.
+    :param delay_orders_ms: delay of ``delay_orders`` in ms.
+    :param refuse_requests: refuse the request before admission.
+    :param fail_requests: answer 500 without a run state.
+    :param break_requests: admit the request and close the connection without a reply.
+    :param break_streams: close the connection after ``break_after_tokens`` tokens.
+    :param break_after_tokens: number of tokens sent before ``break_streams`` applies.
+    :param skip_end_markers: end the stream normally, but without the end marker.
+    :param stray_chunks: insert a late chunk of an old attempt and a duplicate chunk
+        into the stream.
+    :param slow_factor: factor by which the engine is slower than normal.
+    :param crash_marker: a request whose prompt contains this word crashes the engine.
+    :param leaving: whether the engine reports that it is leaving and refuses requests.
+    :param freeze_reports: whether the engine keeps sending its last report.
+    :param on_overcommit: what the engine does with a load that exceeds its memory.
     """
 
     drop_orders: NonNegative | None = None
@@ -58,7 +61,7 @@
 
 
 class Faults(State):
-    """The faults that are set now; see :class:`Control`."""
+    """The faults that are currently set; see :class:`Control`."""
 
     drop_orders: int = 0
     lose_order_replies: int = 0
@@ -78,12 +81,12 @@
 
 
 class RunCount(Message, frozen=True, omit_defaults=False):
-    """What became of one request at this engine, over all its attempts.
+    """Counters of one request at this engine, over all its attempts.
 
     :param admitted: attempts that were admitted.
-    :param begun: times it was run from its first token.
-    :param resumed: times it was run from a later token.
-    :param finished: times it was run to its last token.
+    :param begun: runs that started at the first token.
+    :param resumed: runs that started at a later token.
+    :param finished: runs that reached the last token.
     :param withdrawn: attempts that were cancelled or lost their connection.
     """
 
@@ -95,15 +98,16 @@
 
 
 class Counters(Message, frozen=True, omit_defaults=False):
-    """What ``GET /control/counters`` returns.
+    """Body of the reply to ``GET /control/counters``.
 
-    :param worst_memory_mib: most memory that was ever occupied at once.
+    :param worst_memory_mib: peak memory use.
     :param overcommitted: load orders that would have exceeded the memory.
-    :param loads: loads begun; with ``unloads`` the moves of this engine.
+    :param loads: loads that were started; ``loads`` and ``unloads`` together are the
+        moves of this engine.
     :param refused: requests refused before admission.
-    :param runs: by request id.
-    :param begun_by_prompt: times a prompt was run from its first token, by digest.
-    :param orders: those applied or refused, the oldest first.
+    :param runs: counters by request id.
+    :param begun_by_prompt: runs that started at the first token, by prompt digest.
+    :param orders: orders that were applied or refused, oldest first.
     """
 
     server: str
--- a/src/arbutuspulley/standins/engine_http.py
+++ b/src/arbutuspulley/standins/engine_http.py
@@ -1,20 +1,20 @@
-"""The engine stand-in's HTTP paths.
+"""HTTP paths of the engine stand-in.
 
 ``POST /v1/chat/completions``, ``POST /v1/completions``
-    Always streamed as server-sent events with ``id: <attempt>:<offset>``; see
-    :mod:`arbutuspulley.adapters.engine_messages` for the headers. Comments are sent
-    while there is no token to send.
+    Run an inference request. The answer is always a stream of server-sent events with
+    ``id: <attempt>:<offset>``; see :mod:`arbutuspulley.adapters.engine_messages` for
+    the headers. Comments keep the connection alive while there is no token to send.
 
 ``POST /orders``, ``POST /cancel``, ``GET /report``, ``GET /cache-events?after=``
-    The rest of the engines port.
+    The other calls of the engines port.
 
 ``POST /control``
-    Sets faults; the JSON keys are those of
-    :class:`~arbutuspulley.standins.engine_control.Control`. 400 if the body is
-    wrong, and then nothing is changed.
+    Set faults; the JSON keys are those of
+    :class:`~arbutuspulley.standins.engine_control.Control`. Answers 400 and changes
+    nothing if the body is invalid.
 
 ``GET /control/counters``
-    :class:`~arbutuspulley.standins.engine_control.Counters`.
+    Return :class:`~arbutuspulley.standins.engine_control.Counters`.
 """
 
 import queue
@@ -49,11 +49,11 @@
 HEARTBEAT_MS = 500
 """Time without a token after which a comment is sent.
 
-A comment to a caller that is gone fails, and the attempt is cancelled.
+Writing a comment to a closed connection fails, and the attempt is then cancelled.
 """
 
 ADMISSION_LINE_PREFIX = "admitted"
-"""Begins a line on standard output for each admission: prompt's digest, offset."""
+"""First word of the line written to stdout per admission: prefix, digest, offset."""
 
 _COMMENT = b": waiting\n\n"
 
@@ -61,9 +61,9 @@
 
 
 class _StreamFaults(Value, frozen=True):
-    """The faults of one answer.
+    """Faults that apply to one answer; see :class:`.engine_control.Control`.
 
-    :param break_after: tokens after which it breaks off.
+    :param break_after: number of tokens after which the connection is closed.
     """
 
     unanswered: bool = False
@@ -73,7 +73,10 @@
 
 
 class _Answer(Value, frozen=True):
-    """One answer that is being streamed."""
+    """One answer that is being streamed.
+
+    :param first: offset of the first token to send.
+    """
 
     run: Run
     prompt: Prompt
@@ -83,7 +86,7 @@
 
 
 def build_routes(runtime: EngineRuntime) -> Routes:
-    """Return the handlers of an engine."""
+    """Return the request handlers of an engine."""
     return {
         ("POST", answer.CHAT_PATH): lambda incoming: _infer(runtime, incoming),
         ("POST", answer.COMPLETION_PATH): lambda incoming: _infer(runtime, incoming),
@@ -116,7 +119,8 @@
         missing = tokens.missing
         busy = HTTPStatus.SERVICE_UNAVAILABLE
         return _refuse(HTTPStatus.NOT_FOUND if missing else busy, tokens)
-    # Written before the first token leaves: unlike the counters, it survives SIGKILL.
+    # Written before the first token is sent: unlike the counters, the line survives a
+    # SIGKILL of the engine.
     print(f"{ADMISSION_LINE_PREFIX} {run.digest} {first}\n", end="", flush=True)
     faults = runtime.run_locked(lambda state, _now: _consume_faults(state))
     if faults.unanswered:
@@ -170,9 +174,10 @@
 
 
 def _stream(runtime: EngineRuntime, streamed: _Answer) -> Generator[bytes, None, None]:
-    """Send what is there, and take the attempt back if the caller goes away."""
+    """Stream an answer and cancel the attempt if the caller disconnects."""
     try:
-        # The first bytes carry the status: they tell that the run is admitted.
+        # The first bytes send the status line, which tells the caller that the run is
+        # admitted.
         yield _COMMENT
         yield from _stream_tokens(streamed)
     finally:
@@ -212,7 +217,7 @@
 
 
 def _build_stray_events(streamed: _Answer, offset: int) -> bytes:
-    """Build a late event of another attempt in the next place, and a doubled one."""
+    """Build a late event of an old attempt at the next offset, and a duplicate."""
     data = answer.build_token_data(
         request_id=streamed.run.request_id,
         item="another",
--- a/src/arbutuspulley/standins/engine_memory.py
+++ b/src/arbutuspulley/standins/engine_memory.py
@@ -1,7 +1,7 @@
-"""The engine stand-in's memory: which items it holds and how it takes orders.
+"""Memory of the engine stand-in: loaded items, and load and unload orders.
 
-An engine that checks orders refuses old fencing numbers and old order numbers. One
-that doesn't applies whatever arrives, in the order of arrival.
+An engine that checks orders rejects stale fencing tokens and stale order numbers. An
+engine that doesn't applies every order, in order of arrival.
 """
 
 import enum
@@ -20,11 +20,14 @@
 )
 
 MAX_RECORDED_ORDERS = 10_000
-"""Orders remembered for the counters."""
+"""Maximum number of orders kept for the counters."""
 
 
 class OnOvercommit(enum.StrEnum):
-    """What an engine does with a load that exceeds its memory."""
+    """How an engine reacts to a load that exceeds its memory.
+
+    ``REFUSE`` refuses the order, ``DIE`` crashes the engine, ``FLAG`` only counts it.
+    """
 
     REFUSE = "refuse"
     DIE = "die"
@@ -34,7 +37,10 @@
 class HeldItem(State):
     """One item that occupies memory.
 
-    :param ready_at: when its load ends; ``None`` until the weight store admits it.
+    :param number: number of the last order for the item.
+    :param base: model that the adapter extends; empty for a model.
+    :param ready_at: time in ms at which the load ends; ``None`` until the weight
+        store has admitted it.
     """
 
     item: str
@@ -46,7 +52,7 @@
 
 
 class SeenOrder(Message, frozen=True, omit_defaults=False):
-    """An order that was applied or refused, for the counters."""
+    """An order that was applied or refused, as shown in the counters."""
 
     kind: OrderKind
     item: str
@@ -57,13 +63,17 @@
 
 
 class MemoryState(State):
-    """Everything about memory and orders.
+    """Loaded items, the last order and counters.
 
-    :param worst_mib: most memory that was ever occupied at once.
+    :param fence: highest fencing token seen, if orders are checked.
+    :param last_order: highest order number that was not stale.
+    :param last_applied: last order that was not stale.
+    :param seen: the latest orders, for the counters.
+    :param peak_mib: peak memory use.
     :param overcommitted: load orders that would have exceeded the memory.
-    :param died: whether one of them ended the engine.
-    :param loads: loads that were begun.
-    :param unloads: items that were dropped.
+    :param died: whether one of these orders crashed the engine.
+    :param loads: number of loads that were started.
+    :param unloads: number of items that were unloaded.
     """
 
     total_mib: int
@@ -82,7 +92,7 @@
 
 
 def apply_order(memory: MemoryState, order: Order) -> OrderReply:
-    """Take an order and remember it."""
+    """Check and apply an order, and record it for the counters."""
     reply = _check_order(memory, order) or _apply(memory, order)
     if reply.outcome is not OrderOutcome.STALE:
         memory.last_order = max(memory.last_order, order.number)
@@ -115,7 +125,11 @@
 def begin_load(
     memory: MemoryState, *, item: str, number: int, now: int, duration_ms: int
 ) -> None:
-    """Note that the weight store admitted a load, unless it was undone meanwhile."""
+    """Start a load that the weight store admitted.
+
+    Does nothing if the item was unloaded or ordered again since, or if its load has
+    started already.
+    """
     held = memory.held.get(item)
     if held is None or held.number != number or held.ready_at is not None:
         return
@@ -125,9 +139,10 @@
 def finish_transitions(
     memory: MemoryState, *, in_use: Container[str], now: int
 ) -> tuple[str, ...]:
-    """End the loads that are due, and the unloads of items that no run uses.
+    """Finish loads that are due, and unloads of items that no run uses.
 
-    :return: the items that were dropped.
+    :param in_use: items of the runs in flight.
+    :return: items that were unloaded.
     """
     dropped = []
     for held in list(memory.held.values()):
@@ -141,18 +156,18 @@
 
 
 def is_loaded(memory: MemoryState, item: str) -> bool:
-    """Tell whether an item answers."""
+    """Return whether an item is loaded and can serve requests."""
     held = memory.held.get(item)
     return held is not None and held.state is ItemState.LOADED
 
 
 def sum_memory(memory: MemoryState) -> int:
-    """Return the occupied memory in MiB."""
+    """Return the memory in use, in MiB."""
     return sum(held.memory_mib for held in memory.held.values())
 
 
 def list_items(memory: MemoryState) -> tuple[ReportedItem, ...]:
-    """Return the items as a report shows them."""
+    """Return the items in memory, as sent in reports."""
     return tuple(
         ReportedItem(
             item=held.item,
@@ -165,7 +180,10 @@
 
 
 def _check_order(memory: MemoryState, order: Order) -> OrderReply | None:
-    """Refuse an old order, or recognise a doubled one, if orders are checked."""
+    """Reject a stale order or accept a duplicate, if orders are checked.
+
+    :return: the reply, or ``None`` if the order is to be applied.
+    """
     if not memory.checks_orders:
         return None
     if order.fence < memory.fence:
--- a/src/arbutuspulley/standins/engine_runtime.py
+++ b/src/arbutuspulley/standins/engine_runtime.py
@@ -1,8 +1,8 @@
-"""Drives the engine model: the time, the batch steps and the loads of weights.
+"""Runtime of the engine stand-in: steps the model and starts loads of weights.
 
-One thread steps the model and hands tokens to the workers that stream them; another
-one asks the weight store for permission to load. All of them share the model under
-one lock.
+One thread steps the model and passes tokens to the worker threads that stream them.
+Another thread asks the weight store for permission to load. All threads share the
+model under one lock.
 """
 
 import os
@@ -36,30 +36,30 @@
 )
 
 IDLE_STEP_MS = 20
-"""Longest time between two looks at what is due."""
+"""Maximum time between two steps of the model."""
 
 LOAD_POLL_MS = 20
-"""Time between two looks at loads that wait for the weight store."""
+"""Interval at which loads that wait for the weight store are checked."""
 
 LOAD_RETRY_MS = 200
-"""When to ask a weight store again that did not answer."""
+"""Retry interval after the weight store did not answer a load request."""
 
 CRASH_EXIT_STATUS = 70
-"""Exit status of an engine that a request or an order ended."""
+"""Exit status of an engine that was crashed by a request or an order."""
 
 _Result = TypeVar("_Result")
 
 Tokens = queue.SimpleQueue[Token | None]
-"""Tokens of one attempt, in order; ``None`` ends them."""
+"""Tokens of one attempt, in order; ``None`` marks the end of a cancelled attempt."""
 
 
 class EngineRuntime:
-    """The model, its lock and its threads.
+    """The model with its lock and threads.
 
-    :param state: the model; touch it only by :meth:`run_locked`.
-    :param platform: ``host:port`` of the weight store; empty if loads need none.
-    :param load_ms: how long a load takes without a weight store.
-    :param crash: ends the process.
+    :param state: the model; access it only through :meth:`run_locked`.
+    :param platform: ``host:port`` of the weight store; empty to load without one.
+    :param load_ms: duration of a load without a weight store.
+    :param crash: called when the engine crashes; by default the process exits.
     """
 
     __slots__ = (
@@ -98,25 +98,28 @@
         boot(state, now=self._clock.now())
 
     def start(self) -> None:
-        """Begin to step and to load."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop the threads and wait for them."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
 
     def run_locked(self, work: Callable[[EngineState, int], _Result]) -> _Result:
-        """Do a quick piece of work on the model under the lock."""
+        """Call a short function with the model and the time in ms, under the lock."""
         with self._changed:
             result = work(self._state, self._clock.now())
             self._changed.notify_all()
             return result
 
     def submit(self, run: Run) -> Tokens | Refusal:
-        """Admit an attempt and return its tokens, or say why not."""
+        """Admit an attempt.
+
+        :return: the queue of its tokens, or the refusal.
+        """
         tokens: Tokens = queue.SimpleQueue()
 
         def work(state: EngineState, _now: int) -> Refusal | None:
@@ -128,7 +131,7 @@
         return self.run_locked(work) or tokens
 
     def cancel(self, attempt_id: str) -> None:
-        """Stop an attempt; its tokens end. One that has ended stays as it is."""
+        """Cancel an attempt and end its token queue; does nothing if it has ended."""
 
         def work(state: EngineState, _now: int) -> None:
             cancel(state, attempt_id)
@@ -139,7 +142,7 @@
         self.run_locked(work)
 
     def drain(self, *, timeout_ms: int) -> None:
-        """Refuse new requests and wait until those in flight have ended."""
+        """Refuse new requests and wait until the attempts in flight have ended."""
 
         def work(state: EngineState, _now: int) -> None:
             state.stopping = True
@@ -185,7 +188,10 @@
                     next_request_at[held.number] = now + self._request_load(held)
 
     def _request_load(self, held: HeldItem) -> int:
-        """Begin a load if the weight store admits it; return when to ask again."""
+        """Start a load if the weight store admits it.
+
+        :return: time in ms after which to ask again; 0 if the load was started.
+        """
         reply = LoadReply(duration_ms=self._load_ms)
         if self._weight_store is not None:
             reply = request_load(self._weight_store, held)
@@ -206,7 +212,10 @@
 
 
 def request_load(pool: HTTPConnectionPool, held: HeldItem) -> LoadReply:
-    """Ask for an item's weights; a store that is down counts as not admitting."""
+    """Ask the weight store to admit a load.
+
+    If the store is unavailable or fails, the load counts as not admitted.
+    """
     body = msgspec.json.encode(LoadRequest(memory_mib=held.memory_mib))
     try:
         response = pool.urlopen("POST", f"{WEIGHTS_PATH}/{held.item}", body=body)
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -1,6 +1,6 @@
-"""The pure model of the engine stand-in: memory, batch, cache, reports and faults.
+"""Model of the engine stand-in: memory, batch, cache, reports and faults.
 
-Nothing here reads a clock or does I/O; :mod:`.engine_runtime` drives it.
+The functions are pure: no I/O and no clock reads. :mod:`.engine_runtime` calls them.
 """
 
 import random
@@ -22,20 +22,20 @@
 from arbutuspulley.standins.engine_memory import MemoryState
 
 SNAPSHOTS_PER_LAG = 4
-"""Reports prepared during the time by which they lag."""
+"""Number of report snapshots taken per report lag."""
 
 
 class Snapshot(Value, frozen=True):
-    """A report and when its numbers were true."""
+    """A report and the time in ms at which it was taken."""
 
     taken_at: int
     report: Report
 
 
 class DeferredOrder(Value, frozen=True):
-    """An order that is applied late.
+    """An order that is applied later.
 
-    :param due_at: when; ``None`` means when it is released.
+    :param due_at: time in ms; ``None`` if the order is held until it is released.
     """
 
     order: Order
@@ -43,9 +43,11 @@
 
 
 class Refusal(Value, frozen=True):
-    """Why an attempt was not admitted.
+    """Reason why an attempt was not admitted.
 
-    :param missing: whether the item is not loaded here.
+    :param retry_after_ms: time after which a slot is expected to be free.
+    :param leaving: whether the engine is leaving.
+    :param missing: whether the item is not loaded on this engine.
     """
 
     message: str
@@ -55,12 +57,19 @@
 
 
 class EngineState(State):
-    """Everything that an engine knows; a restart begins with a new one.
-
-    :param report_lag_ms: how old reports are, at least.
-    :param stopping: whether it ends once its runs are finished.
-    :param crashed: whether a request or an order has ended it.
-    :param snapshots: reports that are not old enough, behind one that is.
+    """The full state of an engine; lost when the engine restarts.
+
+    :param boot_id: id of this start of the engine.
+    :param report_lag_ms: minimum age of the reports that are sent.
+    :param stopping: whether the engine refuses requests and stops after its runs.
+    :param crashed: whether a request or an order has crashed the engine.
+    :param deferred_orders: orders that were held or delayed by a fault.
+    :param snapshots: one report that is old enough to be sent, followed by newer ones.
+    :param sequence: sequence number of the last report.
+    :param tokens: number of tokens produced.
+    :param refused: number of requests refused before admission.
+    :param runs: counters by request id.
+    :param begun_by_prompt: runs that started at the first token, by prompt digest.
     """
 
     server: str
@@ -83,7 +92,7 @@
 
 
 def boot(state: EngineState, *, now: int) -> None:
-    """Begin: until now the memory was empty, so an old report says just that."""
+    """Initialise the reports: before the boot, the memory was empty."""
     empty = _build_snapshot(state, now)
     state.snapshots = [
         Snapshot(taken_at=now - state.report_lag_ms, report=empty.report)
@@ -91,9 +100,9 @@
 
 
 def receive_order(state: EngineState, order: Order, *, now: int) -> OrderReply | None:
-    """Take an order as the faults allow.
+    """Apply an order, subject to the faults that are set.
 
-    :return: the reply, or ``None`` if it is lost.
+    :return: the reply, or ``None`` if a fault suppresses it.
     """
     faults = state.faults
     if consume_fault(faults, "drop_orders"):
@@ -110,9 +119,11 @@
 
 
 def admit(state: EngineState, run: Run) -> Refusal | None:
-    """Admit an attempt, or say why not.
+    """Admit an attempt and queue its run.
+
+    An attempt whose offset lies behind the last token is admitted, but not run.
 
-    An attempt that wants only events without a token is admitted and not run.
+    :return: the refusal, or ``None`` if the attempt was admitted.
     """
     refusal = _find_refusal(state, run)
     if refusal is not None:
@@ -126,7 +137,10 @@
 
 
 def cancel(state: EngineState, attempt_id: str) -> bool:
-    """Stop an attempt, wherever it is; tell whether it was there."""
+    """Cancel an attempt that is queued or running.
+
+    :return: whether there was such an attempt.
+    """
     run = engine_batch.cancel(state.batch, attempt_id)
     if run is None:
         return False
@@ -135,7 +149,7 @@
 
 
 def advance(state: EngineState, *, now: int) -> tuple[Token, ...]:
-    """Do everything that is due: late orders, loads, unloads and one batch step."""
+    """Do all work that is due: delayed orders, loads, unloads and one batch step."""
     _apply_due_orders(state, now)
     _finish_transitions(state, now)
     _fill_batch(state, now)
@@ -153,7 +167,7 @@
 
 
 def read_report(state: EngineState, *, now: int) -> Report:
-    """Return the newest report that is old enough."""
+    """Return the newest report that is at least as old as the report lag."""
     if state.report_lag_ms == 0 and not state.faults.freeze_reports:
         state.snapshots = [_build_snapshot(state, now)]
     _drop_outdated_snapshots(state, now)
@@ -162,7 +176,7 @@
 
 
 def apply_control(state: EngineState, control: Control, *, now: int) -> None:
-    """Set faults and limits."""
+    """Set faults and limits, and apply deferred orders if they are released."""
     if control.freeze_reports:
         read_report(state, now=now)
     apply_set_fields(control, state.faults)
@@ -230,8 +244,8 @@
 
 def _apply_order(state: EngineState, order: Order, now: int) -> OrderReply:
     reply = engine_memory.apply_order(state.memory, order)
-    # An item that no run uses is gone with its unload order, so that the effect of
-    # a sequence of orders does not hang on when the next batch step happens.
+    # An item that no run uses is unloaded at once, so that the result of a sequence of
+    # orders does not depend on the timing of the batch steps.
     _finish_transitions(state, now)
     return reply
 
@@ -259,7 +273,7 @@
         cached = engine_cache.cache_prompt(
             state.cache, item=run.item, words=run.words, now=now, chance=state.chance
         )
-        # A resumed run reads in the part of the answer that exists already.
+        # A resumed run also needs a prefill of the tokens that exist already.
         uncached = len(run.words) - cached + run.offset
         engine_batch.begin_prefill(state.batch, run, uncached_words=uncached, now=now)
 
@@ -274,7 +288,7 @@
 
 
 def _drop_outdated_snapshots(state: EngineState, now: int) -> None:
-    """Keep one snapshot that is old enough, and all younger ones."""
+    """Drop all snapshots older than the newest one that is old enough to be sent."""
     if state.faults.freeze_reports:
         return
     while len(state.snapshots) > 1:
--- a/src/arbutuspulley/standins/fleet_server.py
+++ b/src/arbutuspulley/standins/fleet_server.py
@@ -1,6 +1,6 @@
-"""A small stand-in for a backend server of the users' platform.
+"""Minimal stand-in for a backend server of the users' platform.
 
-It runs streams of a model, or plain requests, and takes orders as a compare-and-set.
+It serves streams of a model or plain requests. Orders are compare-and-set operations.
 """
 
 import asyncio
@@ -14,20 +14,28 @@
 
 
 class ServerStandin:
-    """One start of a server. It keeps the headers of what it ran by attempt.
-
-    :param models: models at the start; empty for a plain service.
-    :param memory_mb: room for models of 10 MB each.
-    :param load_s: how long a load takes.
-
-    Faults: ``breaks_after`` events of a stream the connection is reset, and
-    ``on_break`` is called before; ``sheds`` refuses every request as not run;
-    ``crashes_on``: a body with these bytes resets its connection as it runs, and
-    ``on_break`` is called; ``delay_s`` delays answers; ``loses_orders`` drops orders
-    and ``loses_order_answers`` carries them out, both without an answer;
-    ``limit_per_s`` is named in answers to requests.
-
-    ``arrivals`` has the time of each request, in s of the loop's clock.
+    """One incarnation of a server.
+
+    :param models: models that are loaded at the start; empty for a plain service.
+    :param memory_mb: memory for models; each model takes 10 MB.
+    :param load_s: duration of a load.
+
+    Tests set these attributes to inject faults:
+
+    - ``breaks_after``: number of events after which a stream's connection is reset;
+      ``on_break`` is called before the reset.
+    - ``sheds``: refuse every request as not run.
+    - ``fails``: answer every request with 500, after calling ``on_break``.
+    - ``crashes_on``: a request whose body contains these bytes is counted as run, its
+      connection is reset, and ``on_break`` is called.
+    - ``delay_s``: delay before the answer to a request.
+    - ``loses_orders``: reset the connection of an order without applying it.
+    - ``loses_order_answers``: apply an order and reset its connection.
+    - ``limit_per_s``: rate limit that is announced in answers to requests.
+
+    Tests read ``runs`` (number of runs by attempt id), ``headers`` (request headers by
+    attempt id), ``overcommitted`` (loads that exceeded the memory) and ``arrivals``
+    (time of each request, in s of the event loop's clock).
     """
 
     __slots__ = (
@@ -88,7 +96,7 @@
         self.loses_order_answers = False
 
     def describe(self, *, state: str = "ready") -> dict:
-        """Return the server's row in the store."""
+        """Return the server's row in the metadata store."""
         return {
             "Service": self.service,
             "Address": self.address,
@@ -101,7 +109,7 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a request, a report or an order."""
+        """Answer an inference or service request, a report call or an order."""
         expected = request.headers.get(names.EXPECT_INSTANCE)
         if expected not in (None, self.incarnation):
             return web.Response(status=421)
--- a/src/arbutuspulley/standins/fleet_store.py
+++ b/src/arbutuspulley/standins/fleet_store.py
@@ -1,7 +1,7 @@
-"""A small stand-in for the users' metadata store: rows, conditions, feeds, faults.
+"""Minimal stand-in for the users' metadata store: rows, conditional writes, feeds.
 
-It keeps rows in memory, in one part, and a history of bounded length. Faults are
-switched on by attributes, which tests set.
+Rows are kept in memory, in a single part, with a bounded history of changes. Tests set
+attributes to inject faults.
 """
 
 import asyncio
@@ -15,20 +15,23 @@
 from arbutuspulley.platform import names
 
 MAX_ROWS = 500
-"""Most rows in an answer; the store's own bound."""
+"""Maximum number of rows in an answer; the limit of the users' store."""
 
 MAX_WAIT_S = 30.0
-"""Longest wait of a feed call, in s; the store's own bound."""
+"""Maximum wait of a feed call, in s; the limit of the users' store."""
 
 
 class StoreStandin:
-    """The store.
+    """An in-memory metadata store.
 
-    :param history: changes that are kept for feeds.
+    :param history: maximum number of changes kept for feeds.
 
-    Faults: ``is_down`` answers 503 to all; ``loses_answers`` carries writes out and
-    drops the connection; ``delay_s`` answers late; ``on_read`` is called after each
-    page that was read.
+    Tests set these attributes to inject faults:
+
+    - ``is_down``: answer every call with 503.
+    - ``loses_answers``: apply a write and reset its connection.
+    - ``delay_s``: delay before each call is handled.
+    - ``on_read``: called after each page that is read.
     """
 
     __slots__ = (
@@ -59,25 +62,25 @@
         self.on_read: Callable[[], None] = lambda: None
 
     def put(self, table: str, key: str, value: object) -> None:
-        """Write a row as the operator or a server does."""
+        """Write a row unconditionally, as the operator or a server does."""
         self._write([(table, key, msgspec.json.encode(value))])
 
     def remove(self, table: str, key: str) -> None:
-        """Remove a row."""
+        """Remove a row unconditionally."""
         self._write([(table, key, None)])
 
     def get(self, table: str, key: str) -> bytes | None:
-        """Return a row's value."""
+        """Return the value of a row, or ``None`` if there is no such row."""
         row = self._rows.get((table, key))
         return row[1] if row else None
 
     def discard_history(self) -> None:
-        """Forget all changes; feeds that wait for older ones get 410."""
+        """Discard all kept changes; feeds that need them are answered with 410."""
         self._feed.clear()
         self._last_discarded = self.version
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a call."""
+        """Answer a read, feed or transaction call."""
         self.calls += 1
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
--- a/src/arbutuspulley/standins/platform.py
+++ b/src/arbutuspulley/standins/platform.py
@@ -1,17 +1,16 @@
 """Stand-in for the platform: ``arbutus-standin-platform``.
 
-It keeps a table, objects, an instance list and a weight store in memory, and
-forgets them when it ends. Paths are in
-:mod:`arbutuspulley.adapters.platform_messages`; besides:
+It keeps a table, objects, an instance list and a weight store in memory; they are lost
+when the process ends. The paths of the platform are described in
+:mod:`arbutuspulley.adapters.platform_messages`. In addition:
 
 ``POST /control``
-    Sets faults, limits and the instance list; the JSON keys are those of
-    :class:`~arbutuspulley.standins.platform_control.Control`. 400 if the body is
-    wrong, and then nothing is changed.
+    Set faults, limits and the instance list; the JSON keys are those of
+    :class:`~arbutuspulley.standins.platform_control.Control`. Answers 400 and changes
+    nothing if the body is invalid.
 
 ``GET /control/counters``
-    What has been done so far, as
-    :class:`~arbutuspulley.standins.platform_control.Counters`.
+    Return :class:`~arbutuspulley.standins.platform_control.Counters`.
 """
 
 import threading
@@ -66,7 +65,7 @@
 from arbutuspulley.web import WebServer
 
 DEFAULT_SCAN_LIMIT = 1_000
-"""Rows of a page if the reader names no limit."""
+"""Maximum number of rows in a page if the reader sets no limit."""
 
 _Result = TypeVar("_Result")
 
@@ -78,9 +77,9 @@
 
 
 class PlatformStandin:
-    """One stand-in's state behind a lock, and its CherryPy handlers.
+    """The CherryPy handlers of a stand-in, and its state behind a lock.
 
-    :param clock: the time that lag and weight store go by.
+    :param clock: clock of the instance list's lag and of the weight store.
     """
 
     def __init__(self, *, clock: Clock | None = None) -> None:
@@ -93,7 +92,7 @@
 
     @cherrypy.expose
     def objects(self, name: str) -> bytes:
-        """Read an object, or write it if there is none."""
+        """Return an object (GET), or store it unless it exists (PUT)."""
         if cherrypy.request.method == "PUT":
             return self._put_object(name, self.read_counted_body())
         found = self.run_with_faults(
@@ -105,7 +104,7 @@
 
     @cherrypy.expose
     def instances(self) -> bytes:
-        """Return the instance list as it was a lag ago."""
+        """Return the instance list, delayed by the configured lag."""
         listing = self.run_with_faults(
             lambda state, now: list_instances(state.instances, now=now), "reads"
         )
@@ -113,7 +112,7 @@
 
     @cherrypy.expose
     def weights(self, item: str) -> bytes:
-        """Admit a load of an item, or say when to come back."""
+        """Admit a load of an item, or answer 429 with the time to retry after."""
         request = _decode(self.read_counted_body(), LoadRequest)
         reply = self.run_with_faults(
             lambda state, now: _admit_load(state, request, now)
@@ -127,7 +126,13 @@
     def run_with_faults(
         self, work: Callable[[PlatformState, int], _Result], counter: str = ""
     ) -> _Result:
-        """Do a piece of work under the lock, as outage and slowness allow."""
+        """Call a function with the state and the time in ms, under the lock.
+
+        Applies the faults ``outage`` and ``slow_ms``.
+
+        :param counter: name of the counter to increment if the call succeeds.
+        :raises cherrypy.HTTPError: 503 during an outage.
+        """
         with self._lock:
             faults = self._state.faults
             if faults.outage:
@@ -142,23 +147,23 @@
         return result
 
     def run_locked(self, work: Callable[[PlatformState, int], _Result]) -> _Result:
-        """Do a piece of work under the lock whatever faults are set."""
+        """Call a function with the state and the time in ms, ignoring faults."""
         with self._lock:
             return work(self._state, self._clock.now())
 
     def read_counted_body(self) -> bytes:
-        """Return the request's body and count it."""
+        """Return the request's body and add its size to the counters."""
         body = read_body()
         self.run_locked(lambda state, _now: increment(state, "bytes_in", len(body)))
         return body
 
     def send_body(self, body: bytes) -> bytes:
-        """Return an answer's body and count it."""
+        """Return a reply's body and add its size to the counters."""
         self.run_locked(lambda state, _now: increment(state, "bytes_out", len(body)))
         return body
 
     def send_json(self, value: Any) -> bytes:
-        """Return an answer in JSON and count it."""
+        """Return a reply's body in JSON and add its size to the counters."""
         cherrypy.response.headers["Content-Type"] = "application/json"
         return self.send_body(msgspec.json.encode(value))
 
@@ -195,7 +200,7 @@
 
     @cherrypy.expose
     def scan(self, prefix: str, after: str = "0", limit: str = "") -> bytes:
-        """Return a page of rows that changed after a revision."""
+        """Return a page of the rows that changed after a revision."""
         min_revision = _parse_number(after)
         max_rows = _parse_number(limit) if limit else DEFAULT_SCAN_LIMIT
         page = self._standin.run_with_faults(
@@ -208,7 +213,7 @@
 
     @cherrypy.expose
     def transactions(self) -> bytes:
-        """Write all of a transaction, or nothing."""
+        """Apply a transaction atomically."""
         request = _decode(self._standin.read_counted_body(), TransactRequest)
 
         def write(state: PlatformState, _now: int) -> tuple[Committed | Conflict, bool]:
@@ -249,7 +254,7 @@
 
     @cherrypy.expose
     def counters(self) -> bytes:
-        """Return what has been done so far."""
+        """Return the counters."""
         cherrypy.response.headers["Content-Type"] = "application/json"
         return msgspec.json.encode(
             self._standin.run_locked(lambda state, _now: _count(state))
@@ -292,8 +297,8 @@
 ) -> WebServer:
     """Return a stand-in that can be started in this process.
 
-    :param port: 0 takes a free one.
-    :param clock: the time that lag and weight store go by.
+    :param port: port to listen on; 0 picks a free one.
+    :param clock: clock of the instance list's lag and of the weight store.
     """
     return build_standin_server(root=PlatformStandin(clock=clock), host=host, port=port)
 
--- a/src/arbutuspulley/standins/platform_control.py
+++ b/src/arbutuspulley/standins/platform_control.py
@@ -19,18 +19,19 @@
 
 
 class Control(Document, frozen=True):
-    """What ``POST /control`` may set; what is left out stays as it is.
-
-    :param outage: answer everything but ``/control`` with 503.
-    :param slow_ms: wait before each answer, after the work was done.
-    :param lose_replies: let that many next transactions and object writes take
-        effect, and close their connections without an answer.
-    :param restore_revision: put the table back to this revision, once.
-    :param instances: the instance list, seen after the lag.
-    :param instance_lag_ms: how far the list lags.
-    :param loads_per_minute: the weight store's rate.
-    :param loads_at_once: loads that the weight store serves at full speed.
-    :param load_ms_per_gib: how long an undisturbed load takes.
+    """Body of ``POST /control``; fields that are left out keep their value.
+
+    :param outage: answer all paths except ``/control`` with 503.
+    :param slow_ms: delay of each reply, after the call has taken effect.
+    :param lose_replies: number of the next transactions and object writes that take
+        effect, but whose connections are closed without a reply.
+    :param restore_revision: restore the table to this revision, once.
+    :param instances: the instance list; readers see it after the lag.
+    :param instance_lag_ms: lag of the instance list.
+    :param loads_per_minute: rate limit of the weight store.
+    :param loads_at_once: number of concurrent loads that the weight store serves at
+        full speed.
+    :param load_ms_per_gib: duration of a load at full speed, in ms per GiB.
     """
 
     outage: bool | None = None
@@ -45,18 +46,20 @@
 
 
 class Counters(Message, frozen=True, omit_defaults=False):
-    """What the stand-in has done since it began (``GET /control/counters``).
-
-    :param reads: rows, scans, objects and lists asked for.
-    :param writes: transactions and objects that took effect.
-    :param conflicts: transactions refused by a precondition.
-    :param replies_lost: effects whose answer was withheld.
-    :param refused: calls answered 503.
-    :param bytes_in: body bytes taken.
-    :param bytes_out: body bytes of answers.
+    """Counters since the start of the stand-in (``GET /control/counters``).
+
+    :param reads: reads of rows, scans, objects and instance lists.
+    :param writes: transactions and object writes that took effect.
+    :param conflicts: transactions rejected by a precondition.
+    :param replies_lost: writes that took effect without a reply.
+    :param refused: calls answered with 503.
+    :param bytes_in: bytes of request bodies.
+    :param bytes_out: bytes of reply bodies.
     :param loads: loads admitted by the weight store.
-    :param loads_refused: loads answered 429.
-    :param loads_peak: most loads served at once.
+    :param loads_refused: loads answered with 429.
+    :param loads_peak: maximum number of concurrent loads.
+    :param revision: current revision of the table.
+    :param table_id: current id of the table's history.
     """
 
     reads: int = 0
@@ -74,7 +77,7 @@
 
 
 class Faults(State):
-    """The faults that are set now; see :class:`Control`."""
+    """The faults that are currently set; see :class:`Control`."""
 
     outage: bool = False
     slow_ms: int = 0
@@ -82,9 +85,9 @@
 
 
 class PlatformState(State):
-    """All that the stand-in keeps.
+    """The full state of the stand-in.
 
-    :param counts: counters by their name in :class:`Counters`.
+    :param counts: counters by their field name in :class:`Counters`.
     """
 
     table: TableState
@@ -96,7 +99,7 @@
 
 
 def apply_control(state: PlatformState, control: Control, *, now: int) -> None:
-    """Set faults and limits.
+    """Set faults, limits and the instance list, and restore the table if asked to.
 
     :raises RestoreError: if the revision can't be restored; nothing is changed.
     """
@@ -111,12 +114,12 @@
 
 
 def increment(state: PlatformState, name: str, amount: int = 1) -> None:
-    """Raise a counter."""
+    """Increment a counter."""
     state.counts[name] = state.counts.get(name, 0) + amount
 
 
 def consume_reply_loss(state: PlatformState) -> bool:
-    """Tell whether the answer to an effect is to be withheld, and count it."""
+    """Return whether the reply to a write is to be lost, and count the loss."""
     if state.faults.lose_replies == 0:
         return False
     state.faults.lose_replies -= 1
--- a/src/arbutuspulley/standins/platform_state.py
+++ b/src/arbutuspulley/standins/platform_state.py
@@ -1,4 +1,4 @@
-"""State of the platform stand-in: pure functions, no I/O and no clock reads."""
+"""State of the platform stand-in, as pure functions without I/O or clock reads."""
 
 import msgspec
 
@@ -14,28 +14,27 @@
 )
 
 MINUTE_MS = 60_000
-"""Milliseconds in a minute."""
-
 MAX_UNDO_TRANSACTIONS = 20_000
-"""How many transactions back the table can be restored."""
+"""Maximum number of transactions that a restore can undo."""
 
 DEFAULT_LOAD_MS_PER_GIB = 50
-"""How long an undisturbed load takes by default."""
+"""Default duration of a load at full speed, in ms per GiB."""
 
 
 class _Undo(Value, frozen=True):
-    """What a transaction's rows were before it (``None``: no trace of a row)."""
+    """Rows of a transaction before it was applied; ``None`` if a row never existed."""
 
     revision: int
     rows: tuple[tuple[str, Row | None], ...]
 
 
 class TableState(State):
-    """The table.
+    """The table and its undo log.
 
-    :param rows: in order of revision, deletions included: a row that is written
-        moves to the end.
-    :param restores: how often it was restored; part of the table's id.
+    :param rows: rows by key in order of revision, including deleted ones; a row that
+        is written moves to the end.
+    :param undo: undo records of the latest transactions.
+    :param restores: number of restores; part of the table's id.
     """
 
     name: str
@@ -46,9 +45,10 @@
 
 
 class InstancesState(State):
-    """The instance list with its lag.
+    """The versions of the instance list, and its lag.
 
-    :param versions: ``(set at, listing)``, oldest first.
+    :param versions: pairs of the time in ms at which a list was set and the list,
+        oldest first.
     """
 
     lag_ms: int = 0
@@ -58,11 +58,11 @@
 
 
 class WeightsState(State):
-    """The weight store's limits and what it is serving.
+    """The limits of the weight store and its loads in progress.
 
-    :param begun_at: when recent loads began.
-    :param ends_at: when the loads that are being served end.
-    :param peak: most loads that were ever served at once.
+    :param begun_at: start times in ms of recent loads.
+    :param ends_at: end times in ms of the loads in progress.
+    :param peak: maximum number of concurrent loads so far.
     """
 
     loads_per_minute: int = 60
@@ -84,15 +84,15 @@
 
 
 def build_table_id(table: TableState) -> str:
-    """Return the name of the table's history."""
+    """Return the id of the table's history; it changes with each restore."""
     return f"{table.name}-{table.restores}"
 
 
 def scan_rows(table: TableState, *, prefix: str, after: int, limit: int) -> Page:
-    """Return rows below a prefix that changed after a revision.
+    """Return rows with a key prefix that changed after a revision.
 
-    Rows of one transaction stay on one page, even above the limit: a reader goes
-    on after a revision and would miss the rest of it.
+    Rows of one transaction are never split across pages, even if that exceeds the
+    limit: a reader continues after the revision of a page and would miss the rest.
     """
     found = _list_changed(table, prefix=prefix, after=after)
     if len(found) <= limit:
@@ -106,7 +106,7 @@
 
 
 def transact(table: TableState, request: TransactRequest) -> Committed | Conflict:
-    """Write all of a transaction, or nothing if a precondition fails."""
+    """Apply a transaction atomically, or return the first precondition that fails."""
     for expected in request.preconditions:
         row = read_row(table, expected.key)
         revision = ABSENT if row is None else row.revision
@@ -128,9 +128,9 @@
 
 
 def restore(table: TableState, revision: int) -> None:
-    """Put the table back to an earlier revision, as a backup would.
+    """Restore the table to an earlier revision, as from a backup.
 
-    :raises RestoreError: if that revision isn't known any more.
+    :raises RestoreError: if the revision is unknown or no longer in the undo log.
     """
     oldest = table.undo[0].revision - 1 if table.undo else table.revision
     if not oldest <= revision <= table.revision:
@@ -146,12 +146,12 @@
 def set_instances(
     state: InstancesState, listing: tuple[InstanceListing, ...], *, now: int
 ) -> None:
-    """Change the instance list; readers see it after the lag."""
+    """Set the instance list; readers see it after the lag."""
     state.versions.append((now, listing))
 
 
 def list_instances(state: InstancesState, *, now: int) -> tuple[InstanceListing, ...]:
-    """Return the list as it was a lag ago."""
+    """Return the instance list as of the configured lag ago."""
     seen: tuple[InstanceListing, ...] = ()
     for set_at, listing in state.versions:
         if set_at <= now - state.lag_ms:
@@ -160,11 +160,11 @@
 
 
 def begin_load(state: WeightsState, *, memory_mib: int, now: int) -> LoadReply | None:
-    """Admit a load, or return ``None`` if too many began within the last minute.
+    """Admit a load, or return ``None`` if it would exceed the rate limit.
 
-    The rate is spread evenly: at most ``loads_at_once`` may begin together, and
-    after that one for each ``60 s / loads_per_minute``. Loads beyond
-    ``loads_at_once`` are served, but each takes longer in proportion.
+    The rate limit is spread evenly over the minute: a burst of ``loads_at_once`` loads
+    may start together, further ones at intervals of ``60 s / loads_per_minute``. Loads
+    above ``loads_at_once`` in progress are served, but take proportionally longer.
     """
     if get_load_wait_ms(state, now=now) > 0:
         return None
@@ -183,7 +183,7 @@
 
 
 def get_load_wait_ms(state: WeightsState, *, now: int) -> int:
-    """Return how long until the rate allows another load to begin, in ms."""
+    """Return the time in ms until the rate limit allows another load to start."""
     window = MINUTE_MS // state.loads_per_minute * state.loads_at_once
     recent = sorted(begun for begun in state.begun_at if begun > now - window)
     if len(recent) < state.loads_at_once:
--- a/src/arbutuspulley/standins/routes.py
+++ b/src/arbutuspulley/standins/routes.py
@@ -1,8 +1,9 @@
 """Typed requests and replies for stand-ins, in place of CherryPy's globals.
 
-A stand-in gives a table of routes; its handlers are plain functions from
-:class:`Incoming` to :class:`Outgoing`. :func:`build_root` makes of the table what
-:func:`~arbutuspulley.standins.server.build_standin_server` mounts.
+A stand-in defines a table of routes. Its handlers are plain functions that take an
+:class:`Incoming` and return an :class:`Outgoing`. :func:`build_root` converts the table
+to the root object for
+:func:`~arbutuspulley.standins.server.build_standin_server`.
 """
 
 from collections.abc import Callable, Generator, Mapping
@@ -14,15 +15,15 @@
 from arbutuspulley.standins.server import break_connection, read_body
 
 ANY = "*"
-"""Method or path of a route that takes whatever has no route of its own."""
+"""Wildcard method or path of a route; more specific routes have precedence."""
 
 
 class Incoming(Value, frozen=True):
-    """One request as it came in.
+    """A request to a stand-in.
 
-    :param path: without the query, URL-decoded.
-    :param target: path and query exactly as the caller wrote them.
-    :param headers: by lower-case name.
+    :param path: path without the query, URL-decoded.
+    :param target: path and query exactly as the caller sent them.
+    :param headers: headers by lower-case name.
     """
 
     method: str
@@ -36,9 +37,9 @@
 class Outgoing(Value, frozen=True):
     """The reply to a request.
 
-    :param body: all bytes, or a generator of parts that are sent one by one; it is
-        closed early if the caller goes away.
-    :param cut: whether to close the connection without any reply.
+    :param body: the full body, or a generator of chunks that are streamed; the
+        generator is closed early if the caller disconnects.
+    :param cut: whether to close the connection without a reply.
     """
 
     status: int = HTTPStatus.OK
@@ -49,26 +50,26 @@
 
 
 Handler = Callable[[Incoming], Outgoing]
-"""Answers a request; called on a worker thread."""
+"""Function that answers a request; called on a worker thread."""
 
 Routes = Mapping[tuple[str, str], Handler]
 """Handlers by method and path; see :data:`ANY`."""
 
 
 def build_root(routes: Routes) -> object:
-    """Return CherryPy's entry object for a table of routes."""
+    """Return the CherryPy root object for a table of routes."""
     return _Root(routes=routes)
 
 
 class _Root:
-    """Hands every request to its route."""
+    """CherryPy root object that dispatches every request to its route."""
 
     def __init__(self, *, routes: Routes) -> None:
         self._routes = routes
 
     @cherrypy.expose
     def default(self, *_segments: str, **_params: str) -> object:
-        """Answer any path."""
+        """Dispatch a request for any path."""
         incoming = _read_incoming()
         handler = _find_handler(self._routes, incoming)
         if handler is None:
--- a/src/arbutuspulley/standins/server.py
+++ b/src/arbutuspulley/standins/server.py
@@ -1,4 +1,4 @@
-"""How a stand-in serves HTTP until it is stopped."""
+"""HTTP server of the stand-ins."""
 
 import json
 import signal
@@ -15,13 +15,13 @@
 from arbutuspulley.web import Limits, WebServer, build_application, get_connection
 
 STOP_TIMEOUT_MS = 2 * SECOND_MS
-"""How long a stopping server waits for requests in flight."""
+"""Maximum time that a stopping server waits for requests in flight."""
 
 STOP_POLL_MS = 50
-"""How often an idle server looks whether it was stopped."""
+"""Interval at which an idle server checks whether it was stopped."""
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Largest request body taken."""
+"""Maximum size of a request body."""
 
 _LIMITS = Limits(threads=32, stop_timeout_ms=STOP_TIMEOUT_MS, poll_ms=STOP_POLL_MS)
 
@@ -29,11 +29,11 @@
 def build_standin_server(
     *, root: object, host: str = "127.0.0.1", port: int = 0, threads: int = 32
 ) -> WebServer:
-    """Return one stand-in's HTTP server.
+    """Return the HTTP server of a stand-in.
 
-    :param root: CherryPy handlers.
-    :param port: 0 takes a free one.
-    :param threads: requests handled at once.
+    :param root: CherryPy root object with the handlers.
+    :param port: port to listen on; 0 picks a free one.
+    :param threads: maximum number of requests handled concurrently.
     """
     return WebServer(
         application=build_application(root, show_error=_show_error),
@@ -48,8 +48,8 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT.
 
-    :param drain: called after the signal, before the server stops; it returns when
-        no request is in flight any more.
+    :param drain: called after the signal, before the server stops; returns once no
+        request is in flight.
     """
     stopping = threading.Event()
 
@@ -66,9 +66,10 @@
 
 
 def read_body() -> bytes:
-    """Return the current request's body.
+    """Return the body of the current request.
 
-    :raises cherrypy.HTTPError: 413 if it is too large.
+    :raises cherrypy.HTTPError: 413 if the declared size exceeds
+        :data:`MAX_BODY_BYTES`.
     """
     declared = cherrypy.request.headers.get("Content-Length", "0")
     if int(declared) > MAX_BODY_BYTES:
@@ -78,7 +79,7 @@
 
 
 def break_connection() -> None:
-    """Close the current request's connection without an answer."""
+    """Close the connection of the current request without a reply."""
     get_connection().shutdown(socket.SHUT_RDWR)
 
 
--- a/src/arbutuspulley/standins/service.py
+++ b/src/arbutuspulley/standins/service.py
@@ -1,18 +1,19 @@
 """Stand-in for a plain service: ``arbutus-standin-service``.
 
 ``POST /bookings``
-    Runs a booking and counts it by ``Idempotency-Key`` and by body; it does not
-    look for doubled ones, so that a doubled run shows. 201 with :class:`Booking`.
+    Run a booking and count it by ``Idempotency-Key`` and by body. Duplicates are not
+    suppressed, so that tests can detect duplicate runs. Answers 201 with
+    :class:`Booking`.
 
 ``POST /control``
-    Sets faults; the JSON keys are those of :class:`Control`. 400 if the body is
-    wrong, and then nothing is changed.
+    Set faults; the JSON keys are those of :class:`Control`. Answers 400 and changes
+    nothing if the body is invalid.
 
 ``GET /control/counters``
-    :class:`Counters`.
+    Return :class:`Counters`.
 
 Any other path and method
-    200 with :class:`Echo`.
+    Answer 200 with :class:`Echo`.
 """
 
 import hashlib
@@ -50,15 +51,16 @@
 
 
 class Control(Document, frozen=True):
-    """What ``POST /control`` may set; what is left out stays as it is.
+    """Body of ``POST /control``; fields that are left out keep their value.
 
-    Faults with a number apply to so many next requests, bookings and others.
+    Except for ``slow_ms``, a number sets how many of the next requests (bookings and
+    others) the fault applies to.
 
-    :param refuse: refuse before the run, and say so.
-    :param cut_before_run: close the connection without a run.
-    :param cut_after_run: run, and close the connection unanswered.
-    :param fail: run, and answer 500.
-    :param slow_ms: wait before each run.
+    :param refuse: answer 503 with run state "not run", without running the request.
+    :param cut_before_run: close the connection without running the request.
+    :param cut_after_run: run the request and close the connection without a reply.
+    :param fail: run the request and answer 500.
+    :param slow_ms: delay in ms before each request is handled.
     """
 
     refuse: NonNegative | None = None
@@ -69,10 +71,11 @@
 
 
 class Booking(Message, frozen=True, omit_defaults=False):
-    """Answer to a booking.
+    """Reply to a booking.
 
-    :param number: counts the bookings of this service.
-    :param runs: how often a booking was run under the same key.
+    :param number: sequence number of the booking at this service.
+    :param key: idempotency key of the booking.
+    :param runs: number of bookings run with the same key.
     """
 
     service: str
@@ -82,9 +85,9 @@
 
 
 class Echo(Message, frozen=True, omit_defaults=False):
-    """Answer to anything else.
+    """Reply to any other request: the request as it was received.
 
-    :param target: path and query as they came in.
+    :param target: path and query exactly as the caller sent them.
     """
 
     service: str
@@ -95,13 +98,13 @@
 
 
 class Counters(Message, frozen=True, omit_defaults=False):
-    """What the service has run.
+    """Counters of the service.
 
-    :param runs: all requests that were run.
+    :param runs: requests that were run, including bookings.
     :param refused: requests refused before the run.
-    :param bookings: runs of bookings.
-    :param by_key: bookings by idempotency key.
-    :param by_body: bookings by hex SHA-256 of the body.
+    :param bookings: bookings that were run.
+    :param by_key: number of bookings by idempotency key.
+    :param by_body: number of bookings by hex SHA-256 of the body.
     """
 
     runs: int
@@ -112,7 +115,7 @@
 
 
 class ServiceState(State):
-    """Faults that are set and what was counted."""
+    """The faults that are set, and the counters."""
 
     name: str
     refuse: int = 0
@@ -129,14 +132,14 @@
 def build_service(*, name: str, host: str = "127.0.0.1", port: int = 0) -> WebServer:
     """Return a service that can be started in this process.
 
-    :param port: 0 takes a free one.
+    :param port: port to listen on; 0 picks a free one.
     """
     root = build_root(build_routes(ServiceState(name=name)))
     return build_standin_server(root=root, host=host, port=port)
 
 
 def build_routes(state: ServiceState) -> Routes:
-    """Return the handlers of a service."""
+    """Return the request handlers of a service."""
     lock = threading.Lock()
 
     def handle(incoming: Incoming) -> Outgoing:
@@ -238,7 +241,7 @@
 ) -> None:
     """Serve until SIGTERM.
 
-    :param name: name of the service, as the configuration has it.
+    :param name: name of the service in the configuration.
     :param listen: ``host:port`` to listen on.
     :param log_format: ``json`` or ``text``.
     :param log_level: ``debug``, ``info``, ``warning`` or ``error``.
