--- a/src/arbutuspulley/bench/__init__.py
+++ b/src/arbutuspulley/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The bench: compares policies under load, with real processes on loopback."""
+"""Compares policies under load, with real processes on the loopback interface."""
--- a/src/arbutuspulley/bench/client.py
+++ b/src/arbutuspulley/bench/client.py
@@ -1,4 +1,4 @@
-"""One try of one request, timed: through an entry, or at an engine itself."""
+"""Clients of the bench: send a request to an entry or an engine and time it."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -25,14 +25,14 @@
 
 
 class CallerAttempt(State):
-    """What one try brought.
-
-    :param code: the numbered result code, 0 if there is none.
-    :param refused: whether it certainly was not run.
-    :param first_at: when the first token came, or ``None``.
-    :param complete: whether the answer came to its end.
-    :param correct: whether it was the answer to this request, each token once.
-    :param surplus_tokens: tokens beyond those that were asked for.
+    """Result of one attempt of a caller to send a request. Times are in ms.
+
+    :param code: numeric result code; 0 if there is none.
+    :param refused: whether the request was certainly not run.
+    :param first_at: time of the first token; ``None`` if there was none.
+    :param complete: whether the answer was received up to its end.
+    :param correct: whether the answer has exactly the expected tokens, each once.
+    :param surplus_tokens: number of tokens received beyond the requested ones.
     """
 
     began_at: float
@@ -58,12 +58,12 @@
 
 
 def read_clock() -> float:
-    """Return the time in milliseconds."""
+    """Return the monotonic time in ms."""
     return time.monotonic() * SECOND_MS
 
 
 def build_body(arrival: Arrival, *, run: str) -> bytes:
-    """Return the JSON of a request; its prompt differs from all others.
+    """Return the JSON body of a request; the prompt is unique to the run and request.
 
     :param run: name of the run.
     """
@@ -78,7 +78,7 @@
 
 
 def send_to_entry(address: str, arrival: Arrival, *, run: str) -> CallerAttempt:
-    """Ask once through an entry."""
+    """Send a request once to an entry."""
     attempt = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     host, _, port = address.rpartition(":")
@@ -108,7 +108,10 @@
 def send_to_engine(
     engines: Engines, address: str, arrival: Arrival, *, run: str, attempt_number: int
 ) -> CallerAttempt:
-    """Ask once at an engine itself."""
+    """Send a request once directly to an engine.
+
+    :param attempt_number: number of the attempt, unique per request.
+    """
     attempt = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     request = InferenceRequest(
@@ -178,4 +181,4 @@
 
 
 SendAttempt = Callable[[Arrival, int], CallerAttempt]
-"""Makes one try; takes the request and how many tries it has had."""
+"""Function that makes one attempt; takes the request and the number of earlier ones."""
--- a/src/arbutuspulley/bench/figures.py
+++ b/src/arbutuspulley/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures of runs: what each brought, and the ratios between them."""
+"""Figures of runs: summary of each run, and ratios between runs."""
 
 from collections.abc import Sequence
 
@@ -9,10 +9,10 @@
 from arbutuspulley.data import Value
 
 WARM_UP_MS = 4 * SECOND_MS
-"""Requests that arrive before this are asked, but not counted."""
+"""Warm-up; requests that arrive earlier are sent, but not counted."""
 
 REFUSED_CODES = frozenset({2001, 2002, 2003, 2004, 2005, 2009})
-"""Result codes of tries that were not admitted."""
+"""Result codes of attempts that were not admitted."""
 
 _MAX_MS = 600_000
 
@@ -20,7 +20,7 @@
 class Run(Value, frozen=True):
     """One run of a policy.
 
-    :param engine_attempts: attempts at engines, as the engines' callers counted them.
+    :param engine_attempts: attempts sent to engines, as counted by the senders.
     """
 
     name: str
@@ -30,16 +30,23 @@
 
 
 class Summary(Value, frozen=True):
-    """What a run brought.
-
-    :param attainment: part of the requests that met their targets, from the first
-        try on.
-    :param met: requests that met them, counted from their last try.
-    :param met_first: the same, counted from the first.
-    :param amplification: attempts at engines over tries that were admitted.
-    :param lost: requests that ended neither whole and right nor with an error that
-        says how far they got.
-    :param doubled: tokens that came beyond those that were asked for.
+    """Summary of a run.
+
+    :param offered: number of counted requests.
+    :param attainment: fraction of the requests that met their targets, with the first
+        token timed from the first attempt.
+    :param met: number of requests that met their targets, with the first token timed
+        from the last attempt.
+    :param met_first: the same, timed from the first attempt.
+    :param refused: number of requests without a complete answer.
+    :param tries: mean number of attempts per request.
+    :param first_token_p50_ms: median time from the first attempt to the first token.
+    :param first_token_p95_ms: the same, 95th percentile.
+    :param between_p95_ms: 95th percentile of the requests' mean time between tokens.
+    :param amplification: ratio of attempts sent to engines to admitted attempts.
+    :param lost: number of requests that ended neither with a complete and correct
+        answer nor with an error that tells how far they got.
+    :param doubled: number of tokens received beyond the requested ones.
     """
 
     name: str
@@ -59,7 +66,11 @@
 
 
 def count_met(run: Run, *, caller: str = "", from_first: bool = False) -> int:
-    """Return how many counted requests of a caller, or of all, met their targets."""
+    """Return the number of counted requests that met their targets.
+
+    :param caller: counts only requests of this caller; empty for all callers.
+    :param from_first: see :meth:`.load.RequestRecord.meets_targets`.
+    """
     return sum(
         record.meets_targets(from_first=from_first)
         for record in list_counted(run, caller=caller)
@@ -67,10 +78,11 @@
 
 
 def count_goodput(run: Run, *, from_first: bool = False) -> int:
-    """Return the answers that met their targets and began in the counted time.
+    """Return the number of answers in the counted time that met their targets.
 
-    What arrived earlier counts too: under overload, callers that come back take the
-    place of new ones. What begins after the last arrival does not.
+    An answer counts if its first token came between the warm-up and the last arrival.
+    Requests that arrived during the warm-up count too, because under overload,
+    retries of earlier requests take the place of new ones.
     """
     last_at = max((record.arrival.at for record in run.requests), default=0)
     return sum(
@@ -81,7 +93,7 @@
 
 
 def measure_attainment(run: Run, *, caller: str = "", from_first: bool = True) -> float:
-    """Return the part of the counted requests that met their targets."""
+    """Return the fraction of the counted requests that met their targets."""
     counted = list_counted(run, caller=caller)
     met = count_met(run, caller=caller, from_first=from_first)
     return met / len(counted) if counted else 0.0
@@ -97,7 +109,7 @@
 
 
 def build_first_token_histogram(run: Run) -> HdrHistogram:
-    """Return the histogram of times from the first try to the first token, in ms."""
+    """Return the histogram of times from first attempt to first token, in ms."""
     histogram = HdrHistogram(1, _MAX_MS, 3)
     for record in list_counted(run):
         last = record.attempts[-1] if record.attempts else None
@@ -107,7 +119,7 @@
 
 
 def summarise(run: Run) -> Summary:
-    """Return what a run brought."""
+    """Return the summary of a run."""
     counted = list_counted(run)
     first = build_first_token_histogram(run)
     admitted = sum(_count_admitted(record) for record in run.requests)
@@ -137,12 +149,12 @@
 
 
 def divide(part: float, whole: float) -> float | None:
-    """Return a ratio, or ``None`` if there is nothing to compare with."""
+    """Return a ratio, or ``None`` if the divisor is 0."""
     return round(part / whole, 3) if whole else None
 
 
 def _get_first_token_time(record: RequestRecord) -> float:
-    """Return when an answer's first token came, after the start of the run."""
+    """Return the time of an answer's first token, in ms after the start of the run."""
     first_at = record.attempts[-1].first_at
     assert first_at is not None
     return first_at - record.due_at + record.arrival.at
@@ -156,7 +168,7 @@
 
 
 def _build_token_intervals(counted: Sequence[RequestRecord]) -> HdrHistogram:
-    """Return the histogram of mean times between tokens, in hundredths of a ms."""
+    """Return the histogram of the mean times between tokens, in hundredths of a ms."""
     histogram = HdrHistogram(1, 100 * _MAX_MS, 3)
     for record in counted:
         last = record.attempts[-1] if record.attempts else None
--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests are asked when they arrive, however the others fare."""
+"""Open-loop load: requests are sent at their arrival times, whatever the latency."""
 
 import heapq
 import threading
@@ -19,16 +19,17 @@
 from arbutuspulley.data import State
 
 WORKERS = 400
-"""Requests that the load tool has open at most."""
+"""Maximum number of requests in flight."""
 
 END_TIMEOUT_S = 60.0
-"""Longest wait for the last answers."""
+"""Maximum time to wait for answers after the last arrival."""
 
 
 class RequestRecord(State):
-    """One request and all its tries.
+    """One request and all its attempts.
 
-    :param due_at: when it arrived, on the clock of the run.
+    :param due_at: arrival time in ms, on the clock of :func:`.client.read_clock`.
+    :param ended: whether no further attempt will be made.
     """
 
     arrival: Arrival
@@ -37,22 +38,25 @@
     ended: bool = False
 
     def is_complete(self) -> bool:
-        """Whether its answer came."""
+        """Return whether the last attempt received a complete answer."""
         return bool(self.attempts) and self.attempts[-1].complete
 
     def is_lost(self) -> bool:
-        """Whether it ended neither whole and right nor with a plain refusal."""
+        """Return whether the request has neither a correct answer nor a clear error.
+
+        A request that has not ended is lost, too.
+        """
         if not self.ended or not self.attempts:
             return True
         last = self.attempts[-1]
         return not last.correct if last.complete else not (last.refused or last.code)
 
     def meets_targets(self, *, from_first: bool) -> bool:
-        """Whether its answer met the targets.
+        """Return whether the answer is correct and met the latency targets.
 
-        :param from_first: count the first token from the first try; else from the
-            last one, since a refused caller is answered at once and told when to
-            come back.
+        :param from_first: time the first token from the first attempt; otherwise from
+            the last one, because a refused caller gets its answer at once and is told
+            when to retry.
         """
         if not self.is_complete() or not self.attempts[-1].correct:
             return False
@@ -65,7 +69,7 @@
 
 
 class _Schedule:
-    """Requests that are due at some time, by time."""
+    """Priority queue of requests by the time of their next attempt."""
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
@@ -79,7 +83,11 @@
 
 
 def offer_load(arrivals: Sequence[Arrival], send: SendAttempt) -> list[RequestRecord]:
-    """Ask all requests at their times and return them once the last has ended."""
+    """Send all requests at their arrival times and return them when all have ended.
+
+    Retries are sent at the time that the refusal names. Requests that have not ended
+    :data:`END_TIMEOUT_S` after the last arrival are returned as they are.
+    """
     start = read_clock()
     records = [
         RequestRecord(arrival=arrival, due_at=start + arrival.at)
@@ -129,7 +137,7 @@
 
 
 def _get_retry_time(record: RequestRecord, attempt: CallerAttempt) -> float | None:
-    """Return when the caller comes back, or ``None`` if it does not."""
+    """Return the time of the caller's retry, or ``None`` if it does not retry."""
     if (
         attempt.complete
         or attempt.retry_after_ms is None
--- a/src/arbutuspulley/bench/model.py
+++ b/src/arbutuspulley/bench/model.py
@@ -1,11 +1,12 @@
-"""A tiny model of entries and servers, to compare admission decisions under load.
+"""Discrete-time simulation of entries and servers, to test admission under load.
 
-No processes and no clock: it drives :mod:`arbutuspulley.admission.queue` alone, so a
-run of minutes takes seconds and the same seed gives the same figures.
+The simulation uses neither processes nor a clock. It calls only
+:mod:`arbutuspulley.admission.queue`, so a run of minutes takes seconds, and the same
+seed gives the same figures.
 
-Time goes in steps of 50 ms. A server runs what it is given; a request takes two
-seconds on average. Reports are half a second old when entries read them. A refused
-request comes back once, when it was told to.
+Time advances in steps of 50 ms. A server runs all requests that it is sent; a request
+takes two seconds on average. Reports are half a second old when entries read them. A
+refused request is retried once, at the time that the refusal names.
 """
 
 import random
@@ -19,16 +20,16 @@
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary, View
 
 STEP_MS = 50
-"""Time between two steps."""
+"""Length of a step."""
 
 VIEW_MS = 500
-"""Time between two views, and the age of the reports in them."""
+"""Interval between two views, and the age of the reports in them."""
 
 MEAN_DURATION_MS = 2_000
-"""Mean time that a request runs."""
+"""Mean duration of a run."""
 
 TARGET_MS = 1_100
-"""Longest time to the first token of a request that counts as met."""
+"""Latency target: maximum time from the last attempt to admission."""
 
 COST = 100
 """Token cost of each request."""
@@ -37,15 +38,17 @@
 """Time from admission to the first token."""
 
 ITEM = "m@1"
-"""The one item that all requests ask for."""
+"""The item that all requests use."""
 
 
 class Offer(Value, frozen=True):
-    """What a caller asks.
+    """The load that a caller offers.
 
-    :param rate: requests a second.
-    :param entries: numbers of the entries that it uses.
-    :param start: when it begins, in ms.
+    :param rate: requests per second.
+    :param entries: indexes of the entries that the caller uses.
+    :param start: time in ms at which the caller starts to send.
+    :param live: whether its requests are live: their deadline is
+        :attr:`Model.target_ms` instead of 60 s.
     """
 
     caller: str
@@ -56,10 +59,15 @@
 
 
 class SimulatedRequest(State):
-    """One request.
-
-    :param server_overloaded: whether its server then ran more than an
-        eighth above its slots.
+    """One request. Times are in ms.
+
+    :param at: time of arrival.
+    :param attempts: number of attempts so far.
+    :param last_at: time of the last attempt.
+    :param entry: index of the entry that received the request.
+    :param admitted_at: time of admission; ``None`` if it was not admitted.
+    :param server_overloaded: whether its server, on admission, ran more than 9/8 of
+        its slots.
     """
 
     caller: str
@@ -72,17 +80,17 @@
     server_overloaded: bool = False
 
     def meets_targets(self) -> bool:
-        """Tell whether it was admitted in time, where there was room for it."""
+        """Return whether a server without overload admitted the request in time."""
         if self.admitted_at is None or self.server_overloaded:
             return False
         return self.admitted_at - self.last_at < TARGET_MS
 
 
 class Model:
-    """Some entries before some servers.
+    """A simulated system of entries and servers.
 
-    :param slots: requests that each server runs at once within the targets.
-    :param target_ms: how long live requests wait to be admitted.
+    :param slots: number of requests that a server runs concurrently within the targets.
+    :param target_ms: time in ms after which the deadline of live requests expires.
     """
 
     def __init__(
@@ -106,7 +114,7 @@
         self._due: dict[int, list[Callable[[int], None]]] = {}
 
     def run(self, offers: Sequence[Offer], *, until: int) -> list[SimulatedRequest]:
-        """Run to a time in ms and return all requests that were asked."""
+        """Simulate up to a time in ms and return all requests that arrived."""
         for now in range(0, until, STEP_MS):
             if now % VIEW_MS == 0:
                 self._send_views(now)
@@ -215,10 +223,11 @@
     since: int = 10_000,
     until: int = 1_000_000,
 ) -> float:
-    """Return the share of requests that were met.
+    """Return the fraction of requests that met the targets.
 
-    :param caller: whose requests; all callers' if ``None``.
-    :param since: leaves out requests before this time in ms.
+    :param caller: counts only requests of this caller; ``None`` for all callers.
+    :param since: ignores requests that arrived before this time in ms.
+    :param until: ignores requests that arrived at this time in ms or later.
     """
     chosen = [
         request
--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -1,10 +1,10 @@
-"""The policies that are compared, by name.
+"""The policies that the bench compares.
 
-``arbutuspulley``: callers ask an entry which address to use and go there.
+``arbutuspulley``: callers ask an entry for addresses and send requests to these.
 
-``round-robin``: the plain baseline. Callers know all engines and which copies are
-loaded, take them in turn and try three more at once when one fails or refuses. It
-has one hop less than the system, and no admission.
+``round-robin``: the baseline. Callers know all engines and their loaded copies, use
+them in turn, and retry three times at once if an engine fails or refuses. Compared
+with the system, the baseline has one hop less and no admission control.
 """
 
 import itertools
@@ -30,19 +30,19 @@
 from arbutuspulley.data import Message, State
 
 IMMEDIATE_RETRIES = 3
-"""Tries that the baseline makes at once after the first."""
+"""Number of immediate retries of the baseline after the first attempt."""
 
 DEVICES = 4
-"""Devices that callers use; each keeps its own address answers."""
+"""Number of simulated caller devices; each has its own cache of addresses."""
 
 RETRY_INTERVAL_MS = SECOND_MS
-"""When a caller that was told no time comes back."""
+"""Retry interval of a caller whose refusal names no time."""
 
 
 class Counts(State):
-    """What a policy's callers did, besides the tries themselves.
+    """Counters of a policy's callers.
 
-    :param engine_attempts: attempts at engines that the caller made itself.
+    :param engine_attempts: attempts that callers sent directly to engines.
     """
 
     engine_attempts: int = 0
@@ -59,9 +59,10 @@
 
 
 def build_entry_policy(entries: Sequence[str], *, run: str, seed: int) -> SendAttempt:
-    """Return how callers ask through entries.
+    """Return a function that sends requests through entries.
 
-    :param entries: addresses that every caller was given once.
+    :param entries: addresses of entries that every caller has from the start.
+    :param run: name of the run.
     """
     pool = urllib3.PoolManager(timeout=2.0, retries=False, maxsize=32)
     cache: dict[tuple[int, str], _CachedAddresses] = {}
@@ -80,7 +81,7 @@
             cache[key] = found
         return found
 
-    def attempt(arrival: Arrival, _tried: int) -> CallerAttempt:
+    def send(arrival: Arrival, _tried: int) -> CallerAttempt:
         known = get_addresses(arrival)
         address = known.addresses[0]
         result = send_to_entry(address, arrival, run=run)
@@ -89,15 +90,17 @@
             result.retry_after_ms = 0
         return result
 
-    return attempt
+    return send
 
 
 def build_round_robin(
     addresses: Sequence[str], *, run: str, counts: Counts
 ) -> SendAttempt:
-    """Return how callers ask engines in turn.
+    """Return a function that sends requests to engines in round-robin order.
 
-    :param addresses: all engines'.
+    :param addresses: addresses of all engines.
+    :param run: name of the run.
+    :param counts: counters to update.
     """
     engines = connect_engines(connections=64)
     holders: dict[str, list[str]] = {}
@@ -108,7 +111,7 @@
         item: _build_rotation(known) for item, known in holders.items()
     }
 
-    def attempt(arrival: Arrival, tried: int) -> CallerAttempt:
+    def send(arrival: Arrival, tried: int) -> CallerAttempt:
         item = build_item_key(name=arrival.model, version=VERSION)
         began_at = read_clock()
         for number in range(1 + IMMEDIATE_RETRIES):
@@ -127,7 +130,7 @@
         result.retry_after_ms = None if result.complete else RETRY_INTERVAL_MS
         return result
 
-    return attempt
+    return send
 
 
 def _build_rotation(addresses: Sequence[str]) -> Callable[[], str]:
--- a/src/arbutuspulley/bench/report.py
+++ b/src/arbutuspulley/bench/report.py
@@ -1,4 +1,4 @@
-"""The report of a bench: a page that a person can read, with one plot."""
+"""Report of a bench run: a Markdown page with one plot."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -35,10 +35,10 @@
 
 
 class Figures(Message, frozen=True, omit_defaults=False):
-    """The last line of a bench; ``None`` where nothing was measured.
+    """Figures that the bench prints as its last line; ``None`` if not measured.
 
-    Where a name ends in ``_baseline``, it is the baseline's figure for comparison;
-    ``_first``: with the first token counted from the first try.
+    Names that end in ``_baseline`` are the baseline's figures for comparison. Names
+    that end in ``_first`` time the first token from the first attempt.
     """
 
     seed: int
@@ -61,7 +61,7 @@
 def write_report(directory: Path, runs: Sequence[Run], figures: Figures) -> Path:
     """Write the page and its plot.
 
-    :return: the page.
+    :return: path of the page.
     """
     _plot(directory / PLOT_NAME, runs)
     lines = ["# Bench", "", f"Seed {figures.seed}.", ""]
@@ -93,7 +93,7 @@
 
 
 def _plot(path: Path, runs: Sequence[Run]) -> None:
-    """Plot which part of the requests had its first token after how long."""
+    """Plot the cumulative distribution of the time to the first token."""
     figure, axes = pyplot.subplots(figsize=(9, 5))
     for run in runs:
         histogram = build_first_token_histogram(run)
--- a/src/arbutuspulley/bench/workloads.py
+++ b/src/arbutuspulley/bench/workloads.py
@@ -1,21 +1,21 @@
-"""The two workloads, scaled down, and when their requests arrive.
-
-Assumptions, all to be confirmed by the users or changed here:
-
-- Sizes of models are taken as thousands of MiB; the brief leaves the unit open.
-- Ten engines stand for Lestari's 25 and Kurzeme's 19, so that all processes of a run
-  fit on a shared machine of 12 cores.
-- An engine runs 6 requests at once within the targets. Alone, a stream has a token
-  each 24 ms, and 6 streams have one each 32 ms; the target is 37 ms.
-- Answers have 100 tokens on average (exponential, 8 to 300). Users' own answers are
-  longer: that scales the rates, not the ratios.
-- Popularity of models falls with their rank to the power of 0.9; a model has copies
-  on as many engines as its part of the load needs two and a half times, three at least.
-- In two seconds of each eight, 1.6 times as many requests arrive as on average, in
-  the others 0.8 times.
-- A refused caller comes back when it was told to, three times at most and within
-  six seconds.
-- The weight store is faster than the users' own, so that a run begins sooner.
+"""The two workloads of the users, scaled down, and the arrivals of their requests.
+
+Assumptions, to be confirmed by the users or changed here:
+
+- Model sizes are in thousands of MiB; the users' brief does not name the unit.
+- Ten engines represent Lestari's 25 and Kurzeme's 19, so that all processes of a run
+  fit on a shared machine with 12 cores.
+- An engine runs 6 concurrent requests within the targets. A single stream gets a token
+  every 24 ms, each of 6 streams one every 32 ms; the target is 37 ms.
+- Answers have 100 tokens on average (exponential distribution, 8 to 300 tokens). The
+  users' answers are longer, which scales the rates, but not the ratios.
+- The popularity of a model is proportional to 1 / rank ** 0.9. A model has copies on
+  2.5 times as many engines as its fraction of the load requires, and at least three.
+- Arrivals are bursty: 1.6 times the mean rate during two of every eight seconds, 0.8
+  times the mean rate in between.
+- A refused caller retries at the time that the refusal names, at most three times and
+  within six seconds of the arrival.
+- The weight store is faster than that of the users, to shorten the start of a run.
 """
 
 import math
@@ -51,8 +51,9 @@
 class ModelPlan(Value, frozen=True):
     """A model of a workload.
 
-    :param fraction: its part of all requests.
-    :param adapter: name of its adapter, empty if it has none.
+    :param fraction: fraction of all requests that use the model or its adapter.
+    :param copies: number of engines that have the model loaded.
+    :param adapter: name of the adapter; empty if the model has none.
     """
 
     name: str
@@ -63,7 +64,7 @@
 
 
 class Workload(Value, frozen=True):
-    """What one of the users runs."""
+    """The models and callers of one user."""
 
     name: str
     models: tuple[ModelPlan, ...]
@@ -71,10 +72,11 @@
 
 
 class Arrival(Value, frozen=True):
-    """One request that a caller asks for.
+    """Arrival of one request.
 
-    :param at: when, in milliseconds after the start of the run.
-    :param model: name of a model or adapter.
+    :param at: arrival time in ms after the start of the run.
+    :param model: name of the model or adapter.
+    :param tokens: length of the answer, in tokens.
     """
 
     number: int
@@ -85,19 +87,19 @@
 
 
 def build_lestari() -> Workload:
-    """Return the cottage trust's workload: 13 models, three kinds of callers."""
+    """Return the workload of the cottage trust: 13 models, three kinds of callers."""
     models = _build_models("assistant", count=13, min_size=34, max_size=72)
     return Workload(name="lestari", models=models, callers=("guests", "hosts", "desk"))
 
 
 def build_kurzeme() -> Workload:
-    """Return the trail timing's workload: 26 models, two competing organisers."""
+    """Return the workload of the trail timing: 26 models, two competing organisers."""
     models = _build_models("race", count=26, min_size=16, max_size=34)
     return Workload(name="kurzeme", models=models, callers=("gauja", "kemeri"))
 
 
 def compute_capacity() -> float:
-    """Return the requests a second that all engines finish within the targets."""
+    """Return the requests per second that all engines can finish within the targets."""
     duration_ms = FIRST_TOKEN_MS + MEAN_TOKENS * _FULL_STEP_MS
     return ENGINES * SLOTS * SECOND_MS / duration_ms
 
@@ -105,14 +107,14 @@
 def build_arrivals(
     workload: Workload, *, rates: dict[str, float], duration_ms: int, seed: int
 ) -> list[Arrival]:
-    """Return what callers ask, in order of time.
+    """Return the arrivals of a run, in order of time.
 
-    :param rates: requests a second, by caller.
+    :param rates: mean requests per second, by caller.
     """
     arrivals: list[Arrival] = []
     for caller, rate in rates.items():
-        # Each caller has its own numbers, so that its requests stay the same
-        # whoever else asks in the same run.
+        # Each caller has its own random numbers, so that its requests don't depend on
+        # the other callers of the run.
         chance = random.Random(f"{seed}/{workload.name}/{caller}")
         arrivals += _draw_arrivals(workload, caller, rate, duration_ms, chance)
     arrivals.sort(key=lambda one: (one.at, one.caller))
