--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench's own arithmetic: arrivals, targets and figures."""
+"""Arithmetic of the bench: arrivals, targets and figures."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     return CallerAttempt(began_at=105_000, refused=True, code=2002, **fields)
 
 
-def test_arrivals_are_seeded_and_keep_their_rate():
+def test_arrivals_are_reproducible_and_have_the_given_rate():
     kurzeme = workloads.build_kurzeme()
     rates = {"gauja": 5.0, "kemeri": 10.0}
     both = workloads.build_arrivals(kurzeme, rates=rates, duration_ms=400_000, seed=1)
@@ -40,8 +40,8 @@
     alone = workloads.build_arrivals(
         kurzeme, rates={"gauja": 5.0}, duration_ms=400_000, seed=1
     )
-    mine = [(one.at, one.model) for one in both if one.caller == "gauja"]
-    assert [(one.at, one.model) for one in alone] == mine
+    gauja_arrivals = [(one.at, one.model) for one in both if one.caller == "gauja"]
+    assert [(one.at, one.model) for one in alone] == gauja_arrivals
 
 
 @pytest.mark.parametrize(
@@ -57,14 +57,14 @@
         ([], False, False, True),
     ],
 )
-def test_a_request_meets_its_targets_or_is_lost(tries, met_first, met, lost):
+def test_requests_are_classified_as_within_targets_or_lost(tries, met_first, met, lost):
     asked = build_asked(*tries)
     assert asked.meets_targets(from_first=True) is met_first
     assert asked.meets_targets(from_first=False) is met
     assert asked.is_lost() is lost
 
 
-def test_figures_leave_out_the_warm_up_and_count_attempts():
+def test_figures_exclude_the_warm_up_and_count_attempts():
     early = build_asked(build_try(began_at=101_000), at=1_000, due_at=101_000)
     run = figures.Run(
         name="n",
@@ -78,12 +78,12 @@
     assert figures.count_goodput(run) == 0  # the last arrival is before the first token
 
 
-def test_refused_requests_are_asked_again_when_told():
-    told = []
+def test_refused_requests_are_retried_after_the_named_delay():
+    attempt_counts = []
 
-    def attempt(arrival, tried):
-        told.append(tried)
-        if tried:
+    def attempt(arrival, earlier_attempts):
+        attempt_counts.append(earlier_attempts)
+        if earlier_attempts:
             return build_try()
         return build_refusal(retry_after_ms=10)
 
@@ -91,5 +91,5 @@
         Arrival(number=n, at=n, caller="a", model="m", tokens=1) for n in (0, 1)
     ]
     asked = offer_load(arrivals, attempt)
-    assert sorted(told) == [0, 0, 1, 1]
+    assert sorted(attempt_counts) == [0, 0, 1, 1]
     assert all(one.ended and one.is_complete() for one in asked)
--- a/tests/test_engine_state.py
+++ b/tests/test_engine_state.py
@@ -1,4 +1,4 @@
-"""The pure model of the engine stand-in: memory, orders, batch, cache, reports."""
+"""Model of the engine stand-in: memory, orders, batch, cache and reports."""
 
 import random
 
@@ -89,7 +89,7 @@
 
 
 def run_until(state, end, *, start=0):
-    """Return each token with the time it was produced at."""
+    """Return all tokens produced until ``end``, each with its time."""
     return [
         (now, token)
         for now in range(start, end + 1)
@@ -127,7 +127,7 @@
     assert read_report(state, now=1).last_order == 9
 
 
-def test_a_model_stays_while_an_adapter_needs_it():
+def test_unloading_a_model_with_a_loaded_adapter_is_refused():
     state = build_engine()
     order(state, number=2, **ADAPTER)
     assert order(state, "unload", number=3).outcome is OrderOutcome.REFUSED
@@ -141,7 +141,9 @@
         (OnOvercommit.DIE, "accepted", 105, True),
     ],
 )
-def test_overcommitment_shows(policy, outcome, worst_mib, crashed):
+def test_overcommitment_is_counted_and_handled_by_its_policy(
+    policy, outcome, worst_mib, crashed
+):
     state = build_engine()
     apply_control(state, Control(on_overcommit=policy), now=0)
     assert order(state, item="n@1", number=2, mib=95).outcome.value == outcome
@@ -151,7 +153,7 @@
     assert state.crashed is crashed
 
 
-def test_a_load_counts_from_its_order_and_answers_when_it_ends():
+def test_a_load_occupies_memory_at_once_and_serves_when_finished():
     state = build_engine(loaded=())
     order(state, number=1, mib=60)
     settle_loads(state, now=0, duration_ms=50)
@@ -163,7 +165,7 @@
     assert admit(state, build_run("r")) is None
 
 
-def test_a_permission_for_an_undone_load_counts_for_nothing():
+def test_permission_for_a_replaced_load_is_ignored():
     state = build_engine(loaded=())
     order(state, number=1)
     order(state, "unload", number=2)
@@ -173,7 +175,7 @@
     assert list_waiting_loads(state.memory)
 
 
-def test_an_unload_waits_for_runs_and_admits_no_more():
+def test_an_unload_waits_for_runs_and_refuses_new_ones():
     state = build_engine()
     admit(state, build_run("r", tokens=2))
     order(state, "unload", number=2)
@@ -199,7 +201,7 @@
 
 
 @given(orders=ORDERS, checks=st.booleans())
-def test_memory_holds_and_checked_orders_only_grow(orders, checks):
+def test_memory_is_not_exceeded_and_checked_orders_are_monotonic(orders, checks):
     state = build_engine(loaded=(), checks=checks)
     for each in orders:
         receive_order(state, each, now=0)
@@ -222,7 +224,7 @@
     return (times[-1] - times[-10]) / 9
 
 
-def test_a_stream_slows_with_the_batch_and_the_batch_gains():
+def test_a_larger_batch_slows_each_stream_and_raises_throughput():
     gaps = [measure_gaps(streams) for streams in (1, 17, 33)]
     assert gaps == [TOKEN_MS, 2 * TOKEN_MS, 3 * TOKEN_MS]
     assert 33 / gaps[2] > 17 / gaps[1] > 1 / gaps[0]
@@ -231,14 +233,14 @@
 @pytest.mark.parametrize(
     ("words", "offset", "first_at"), [(0, 0, 100), (512, 0, 200), (0, 512, 200)]
 )
-def test_the_first_token_waits_for_the_prompt(words, offset, first_at):
+def test_the_first_token_waits_for_the_prefill(words, offset, first_at):
     state = build_engine()
     run = build_run("r", words=map(str, range(words)), offset=offset, tokens=600)
     admit(state, run)
     assert run_until(state, 1_000)[0][0] == first_at
 
 
-def test_priority_goes_first_and_the_waiting_room_is_limited():
+def test_the_queue_is_ordered_by_priority_and_bounded():
     state = build_engine(max_batch=1, max_waiting=2)
     assert admit(state, build_run("first", tokens=1)) is None
     assert admit(state, build_run("low", tokens=1)) is None
@@ -251,7 +253,7 @@
 
 
 @pytest.mark.parametrize(("started", "begun"), [(False, 0), (True, 1)])
-def test_a_withdrawn_run_produces_nothing_more(started, begun):
+def test_a_cancelled_run_produces_no_more_tokens(started, begun):
     state = build_engine()
     admit(state, build_run("r"))
     if started:
@@ -263,7 +265,7 @@
     assert (counted.begun, counted.withdrawn, counted.finished) == (begun, 1, 0)
 
 
-def test_poison_ends_the_engine_once_its_prompt_is_read():
+def test_a_poison_request_crashes_the_engine_after_its_prefill():
     state = build_engine()
     apply_control(state, Control(crash_marker="poison"), now=0)
     admit(state, build_run("good"))
@@ -273,7 +275,7 @@
     assert {token.request_id for _, token in tokens} == {"good"}
 
 
-def test_orders_held_and_delayed_are_applied_in_their_time():
+def test_held_orders_wait_for_release_and_delayed_ones_for_their_delay():
     state = build_engine(loaded=())
     apply_control(
         state, Control(hold_orders=1, delay_orders=1, delay_orders_ms=30), now=0
@@ -301,7 +303,7 @@
 
 
 @pytest.mark.parametrize("lag_ms", [0, 20])
-def test_frozen_reports_stay_as_they_are(lag_ms):
+def test_frozen_reports_do_not_change(lag_ms):
     state = build_engine(loaded=(), lag_ms=lag_ms)
     apply_control(state, Control(freeze_reports=True), now=0)
     order(state, number=1)
@@ -313,25 +315,27 @@
     assert read_report(state, now=200).items
 
 
-def use(cache, words, *, now=0, chance=None):
+def cache_words(cache, words, *, now=0, chance=None):
     chance = chance or random.Random(0)
     return cache_prompt(cache, item=ITEM, words=words, now=now, chance=chance)
 
 
-def test_a_cached_prefix_is_read_once():
+def test_a_cached_prefix_is_reused_until_it_is_evicted():
     cache = CacheState(limit=3)
     words = [str(index) for index in range(2 * BLOCK_WORDS + 3)]
-    assert use(cache, words) == 0
-    assert use(cache, words) == 2 * BLOCK_WORDS
-    assert use(cache, [*words[:BLOCK_WORDS], *words]) == BLOCK_WORDS
+    assert cache_words(cache, words) == 0
+    assert cache_words(cache, words) == 2 * BLOCK_WORDS
+    assert cache_words(cache, [*words[:BLOCK_WORDS], *words]) == BLOCK_WORDS
     assert len(cache.blocks) == 3
     evict_item(cache, ITEM, now=0, chance=random.Random(0))
     assert cache.blocks == {}
 
 
-def test_cache_events_come_late_and_with_gaps():
+def test_cache_events_are_delayed_and_some_are_lost():
     cache = CacheState()
-    use(cache, list(map(str, range(400 * BLOCK_WORDS))), chance=random.Random(1))
+    cache_words(
+        cache, list(map(str, range(400 * BLOCK_WORDS))), chance=random.Random(1)
+    )
     assert read_events(cache, after=0, now=EVENT_LAG_MS - 1) == ()
     events = read_events(cache, after=0, now=EVENT_LAG_MS)
     lost = cache.sequence - len(events)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The port to the platform: what any adapter must do, with and without faults."""
+"""Contract of the platform port for every adapter, with and without faults."""
 
 import os
 import signal
@@ -36,8 +36,8 @@
 SHORT_MS = 300
 
 
-class Bench:
-    """A stand-in in this process, reached through a proxy that can break."""
+class PlatformHarness:
+    """A platform stand-in in this process, behind a proxy that can inject faults."""
 
     def __init__(self, stack):
         self.now = 0
@@ -46,32 +46,37 @@
         stack.callback(self.server.stop)
         self.proxy = stack.enter_context(FaultProxy(target=self.server.address))
         self.platform = connect_platform(address=self.proxy.address)
-        self.hasty = connect_platform(address=self.proxy.address, timeout_ms=SHORT_MS)
+        self.short_timeout = connect_platform(
+            address=self.proxy.address, timeout_ms=SHORT_MS
+        )
         self.direct = connect_platform(address=self.server.address)
 
-    def ask(self, method, path, body=b""):
+    def request(self, method, path, body=b""):
         return urllib3.request(
             method, f"http://{self.server.address}{path}", body=body, retries=False
         )
 
     def control(self, **settings):
-        assert self.ask("POST", "/control", msgspec.json.encode(settings)).status == 200
+        assert (
+            self.request("POST", "/control", msgspec.json.encode(settings)).status
+            == 200
+        )
 
     def count(self):
-        return msgspec.json.decode(self.ask("GET", "/control/counters").data)
+        return msgspec.json.decode(self.request("GET", "/control/counters").data)
 
 
 @pytest.fixture
-def bench():
+def harness():
     with ExitStack() as stack:
-        yield Bench(stack)
+        yield PlatformHarness(stack)
 
 
 @pytest.fixture(params=["http", "fake"])
 def table(request):
     if request.param == "fake":
         return FakePlatform().platform.table
-    return request.getfixturevalue("bench").platform.table
+    return request.getfixturevalue("harness").platform.table
 
 
 def build(token="t", *, expect=None, **values):
@@ -116,7 +121,7 @@
         assert table.read(key).value == value
 
 
-def test_rows_tell_who_wrote_them_over_what(table):
+def test_rows_have_the_token_and_the_replaced_revision_of_their_write(table):
     assert table.read("a") is None
     table.transact(build("first", expect={"a": 0}, a=b"1", b=b"1"))
     table.transact(build("second", expect={"a": 1}, a=b"2"))
@@ -126,8 +131,9 @@
 
 
 def test_a_late_duplicate_changes_nothing(table):
-    """A write is taken, and a copy of it that hung in the network arrives after
-    a newer one. The old value must not come back, also when the row is gone.
+    """A duplicate of a write is delayed in the network and arrives after a newer write.
+
+    It must not restore the old value, even if the row has been deleted since.
     """
     old = build("old", expect={"a": 1}, a=b"old")
     table.transact(build("first", a=b"1"))
@@ -138,7 +144,7 @@
     assert table.transact(old) == Conflict(key="a", revision=0)
 
 
-def test_scan_goes_on_from_a_revision_with_deletions(table):
+def test_scan_continues_after_a_revision_and_returns_deletions(table):
     table.transact(build(**{"x/1": b"1", "x/2": b"2", "y/1": b"3"}))
     first = table.scan("x/", 0, 10)
     assert [row.key for row in first.rows] == ["x/1", "x/2"]
@@ -158,9 +164,10 @@
 
 
 def test_a_page_never_splits_a_transaction(table):
-    """A change and its snapshot's name are written together; a reader that follows
-    page by page goes on after a revision. Were the page cut between the two, it
-    would never see the second one.
+    """A reader continues after the revision of the last page.
+
+    A change and the name of its snapshot are written in one transaction. If a page
+    ended between these two rows, the reader would never see the second one.
     """
     table.transact(build(a=b"1", b=b"1", c=b"1"))
     table.transact(build(d=b"1"))
@@ -170,16 +177,17 @@
     assert [row.key for row in table.scan("", 1, 2).rows] == ["d"]
 
 
-def test_a_restored_table_has_another_id(bench):
-    """The platform's operators put a backup back. Rows are old again, revisions
-    run backwards and are used again; a reader that follows by revision sees
-    nothing new and must notice it by the table's id.
+def test_a_restored_table_has_another_id(harness):
+    """After a restore from a backup, revisions go back and are used again.
+
+    A reader that follows the table by revision would see no changes. The new table id
+    tells it about the restore.
     """
-    table = bench.platform.table
+    table = harness.platform.table
     for number in range(3):
         table.transact(build(f"t{number}", a=b"%d" % number, **{f"k{number}": b""}))
     before = table.scan("", 0, 10)
-    bench.control(restore_revision=1)
+    harness.control(restore_revision=1)
     after = table.scan("", before.revision, 10)
     assert (after.rows, after.revision) == ((), 1)
     assert after.table_id != before.table_id
@@ -188,8 +196,8 @@
     assert table.transact(build("again", expect={"a": 1}, a=b"x")).revision == 2
 
 
-def test_an_object_is_never_replaced(bench):
-    objects = bench.platform.objects
+def test_an_object_is_never_replaced(harness):
+    objects = harness.platform.objects
     assert objects.get("a/b c") is None
     assert objects.put_if_absent("a/b c", b"\0\xff") is True
     assert objects.put_if_absent("a/b c", b"other") is False
@@ -198,22 +206,22 @@
     assert objects.get("empty") == b""
 
 
-def test_the_instance_list_lags(bench):
-    """An instance is leaving, and the platform goes on listing it as live."""
+def test_the_instance_list_lags(harness):
+    """The platform still lists an instance as live after it has started to leave."""
     live = InstanceListing(name="e1", address="127.0.0.1", state=InstanceState.LIVE)
     leaving = msgspec.structs.replace(live, state=InstanceState.LEAVING)
-    assert bench.platform.list_instances() == ()
-    bench.control(instances=[msgspec.to_builtins(live)])
-    bench.control(instance_lag_ms=1_000)
-    bench.now += 1_000
-    bench.control(instances=[msgspec.to_builtins(leaving)])
-    bench.now += 999
-    assert bench.platform.list_instances() == (live,)
-    bench.now += 1
-    assert bench.platform.list_instances() == (leaving,)
-
-
-VERBS = {
+    assert harness.platform.list_instances() == ()
+    harness.control(instances=[msgspec.to_builtins(live)])
+    harness.control(instance_lag_ms=1_000)
+    harness.now += 1_000
+    harness.control(instances=[msgspec.to_builtins(leaving)])
+    harness.now += 999
+    assert harness.platform.list_instances() == (live,)
+    harness.now += 1
+    assert harness.platform.list_instances() == (leaving,)
+
+
+CALLS = {
     "read": lambda platform: platform.table.read("a"),
     "scan": lambda platform: platform.table.scan("", 0, 10),
     "get": lambda platform: platform.objects.get("a"),
@@ -221,14 +229,14 @@
     "transact": lambda platform: platform.table.transact(build(a=b"1")),
     "put": lambda platform: platform.objects.put_if_absent("a", b"1"),
 }
-CHANGES = ("transact", "put")
+WRITES = ("transact", "put")
 
-UNSENT, UNKNOWN = PlatformUnavailableError, OutcomeUnknownError
+NOT_APPLIED, UNKNOWN = PlatformUnavailableError, OutcomeUnknownError
 
 FAULTS = {
-    # name: (set it, what a change raises, whether the change takes effect)
-    "outage": (lambda b: b.control(outage=True), UNSENT, False),
-    "connection refused": (lambda b: b.proxy.cut(), UNSENT, False),
+    # name: (function that sets it, error of a write, whether the write takes effect)
+    "outage": (lambda b: b.control(outage=True), NOT_APPLIED, False),
+    "connection refused": (lambda b: b.proxy.cut(), NOT_APPLIED, False),
     "reply lost": (lambda b: b.proxy.lose_replies(), UNKNOWN, True),
     "request lost": (lambda b: b.proxy.drop(Direction.TO_TARGET), UNKNOWN, False),
     "replies dropped": (lambda b: b.proxy.drop(Direction.TO_CLIENT), UNKNOWN, True),
@@ -236,10 +244,10 @@
 }
 SILENT = ("request lost", "replies dropped", "too slow")
 CASES = [
-    (fault, verb)
+    (fault, call_name)
     for fault in FAULTS
-    for verb in VERBS
-    if verb in (*CHANGES, "read") or fault not in SILENT
+    for call_name in CALLS
+    if call_name in (*WRITES, "read") or fault not in SILENT
 ]
 
 
@@ -250,25 +258,26 @@
         time.sleep(0.01)
 
 
-@pytest.mark.parametrize(("fault", "verb"), CASES)
-def test_each_fault_is_told_as_what_it_proves(bench, fault, verb):
-    """The platform breaks at some point of a call. A read may be made again
-    whatever happened. A change is "certainly not done" only if nothing left the
-    process or the platform said so; were a lost reply told as "not done", its
-    caller would write twice.
+@pytest.mark.parametrize(("fault", "call_name"), CASES)
+def test_errors_tell_whether_a_write_may_have_taken_effect(harness, fault, call_name):
+    """The platform fails at different points of a call.
+
+    A read may always be retried. A write has certainly not taken effect only if
+    nothing was sent or the platform refused it. If a lost reply were reported as "not
+    done", the caller would write twice.
     """
-    call = VERBS[verb]
+    call = CALLS[call_name]
     set_fault, error, effect = FAULTS[fault]
     if fault not in SILENT:
-        bench.platform.list_instances()
-    set_fault(bench)
-    with pytest.raises(error if verb in CHANGES else PlatformUnavailableError):
-        call(bench.hasty if fault in SILENT else bench.platform)
-    bench.control(outage=False, slow_ms=0)
-    if verb in CHANGES:
-        wait_until(lambda: bench.count()["writes"] == effect)
-    bench.proxy.heal()
-    call(bench.platform)
+        harness.platform.list_instances()
+    set_fault(harness)
+    with pytest.raises(error if call_name in WRITES else PlatformUnavailableError):
+        call(harness.short_timeout if fault in SILENT else harness.platform)
+    harness.control(outage=False, slow_ms=0)
+    if call_name in WRITES:
+        wait_until(lambda: harness.count()["writes"] == effect)
+    harness.proxy.heal()
+    call(harness.platform)
 
 
 def build_reply(status, body=b"", *, length=None):
@@ -277,8 +286,8 @@
     return f"{head}\r\nContent-Length: {length}\r\n\r\n".encode() + body
 
 
-PROOFS = [build_reply(status) for status in (400, 404, 413, 429, 503)]
-NO_PROOFS = [
+CLEAR_REFUSALS = [build_reply(status) for status in (400, 404, 413, 429, 503)]
+UNCLEAR_ANSWERS = [
     *[build_reply(status) for status in (202, 307, 500, 502, 504)],
     build_reply(200, b"hello"),
     build_reply(200, b"{", length=9),
@@ -288,11 +297,12 @@
 ]
 
 
-@pytest.mark.parametrize("reply", PROOFS + NO_PROOFS)
-def test_an_odd_answer_is_no_proof_and_sends_nothing_again(reply):
-    """Something before the platform answers in its place, or cuts its answer
-    short. Only a clear refusal proves that nothing was written, and the client
-    must not send the same change again on its own.
+@pytest.mark.parametrize("reply", CLEAR_REFUSALS + UNCLEAR_ANSWERS)
+def test_an_unexpected_answer_leaves_the_outcome_unknown_and_is_not_retried(reply):
+    """A proxy in front of the platform answers in its place or truncates its answer.
+
+    Only a clear refusal proves that nothing was written. In all other cases the
+    outcome is unknown, and the client must not retry the write on its own.
     """
     requests = []
 
@@ -310,35 +320,36 @@
         threading.Thread(target=answer, args=(listener,), daemon=True).start()
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         platform = connect_platform(address=address)
-        proven = reply in PROOFS
-        with pytest.raises(UNSENT if proven else UNKNOWN):
-            VERBS["transact"](platform)
+        is_refusal = reply in CLEAR_REFUSALS
+        with pytest.raises(NOT_APPLIED if is_refusal else UNKNOWN):
+            CALLS["transact"](platform)
         assert len(requests) == 1
         listener.shutdown(socket.SHUT_RDWR)
 
 
-def test_commit_settles_a_request_that_was_held_up(bench):
-    """The network holds a write back for longer than its writer waits. It arrives
-    after all, just as the writer reads back and sends it again. The row is written
-    once, and the writer hears that it was.
+def test_commit_resolves_a_delayed_write(harness):
+    """The network delays a write beyond the writer's timeout.
+
+    The write arrives while the writer reads back and retries. The row is written
+    exactly once, and the writer learns that its write was committed.
     """
-    bench.proxy.freeze()
+    harness.proxy.freeze()
     outcome = commit(
-        bench.hasty.table,
+        harness.short_timeout.table,
         build("own", expect={"a": 0}, a=b"1"),
         max_attempts=20,
-        pause=lambda _longest_ms: bench.proxy.heal(),
+        pause=lambda _longest_ms: harness.proxy.heal(),
     )
     assert outcome == Committed(revision=1)
-    assert bench.count()["writes"] == 1
+    assert harness.count()["writes"] == 1
 
 
-def test_commit_finds_a_write_whose_reply_was_lost(bench):
-    """The platform writes, and its answer is lost on the way."""
-    bench.control(lose_replies=1)
+def test_commit_detects_a_write_whose_reply_was_lost(harness):
+    """The platform applies the write, but its reply is lost."""
+    harness.control(lose_replies=1)
     transaction = build("own", expect={"a": 0}, a=b"1")
-    assert commit(bench.platform.table, transaction) == Committed(revision=1)
-    counts = bench.count()
+    assert commit(harness.platform.table, transaction) == Committed(revision=1)
+    counts = harness.count()
     assert (counts["writes"], counts["replies_lost"]) == (1, 1)
 
 
@@ -356,17 +367,20 @@
         ("POST", "/weights/m@1", b"{}", 400),
     ],
 )
-def test_the_standin_refuses_bad_input_and_goes_on(bench, method, path, body, status):
-    before = bench.count()
-    assert bench.ask(method, path, body).status == status
-    after = bench.count()
+def test_the_standin_rejects_invalid_input_and_keeps_serving(
+    harness, method, path, body, status
+):
+    before = harness.count()
+    assert harness.request(method, path, body).status == status
+    after = harness.count()
     assert (after["revision"], after["table_id"]) == (0, before["table_id"])
-    assert bench.platform.table.read("a") is None
+    assert harness.platform.table.read("a") is None
 
 
 def test_the_weight_store_limits_rate_and_speed():
-    """Two loads at once run at full speed, and one may begin each second. Loads
-    that begin too fast are put off; a third one beside two slows down.
+    """Two concurrent loads run at full speed, and one load may start per second.
+
+    Loads above the rate limit are rejected; a third concurrent load is slower.
     """
     state = platform_state.WeightsState(load_ms_per_gib=1_000)
     load = platform_state.begin_load
@@ -383,17 +397,17 @@
     assert state.peak == 3
 
 
-def test_a_load_that_is_put_off_says_for_how_long(bench):
+def test_a_rejected_load_carries_its_retry_delay(harness):
     body = msgspec.json.encode({"memory_mib": 1})
-    replies = [bench.ask("POST", "/weights/m@1", body) for _ in range(3)]
+    replies = [harness.request("POST", "/weights/m@1", body) for _ in range(3)]
     assert [reply.status for reply in replies] == [200, 200, 429]
     assert replies[2].headers["Retry-After"] == "2"
     assert msgspec.json.decode(replies[2].data) == {"retry_after_ms": 2_000}
-    counts = bench.count()
+    counts = harness.count()
     assert (counts["loads"], counts["loads_refused"]) == (2, 1)
 
 
-def answers(platform):
+def is_answering(platform):
     try:
         platform.list_instances()
     except PlatformUnavailableError:
@@ -414,7 +428,7 @@
         stderr=subprocess.PIPE,
     ) as process:
         platform = connect_platform(address=address)
-        wait_until(lambda: answers(platform))
+        wait_until(lambda: is_answering(platform))
         assert platform.table.transact(build(a=b"1")) == Committed(revision=1)
         process.send_signal(signal.SIGTERM)
         out, log = process.communicate(timeout=BOUND_S)
@@ -422,7 +436,7 @@
     assert log.count(b"\n") == 2
 
 
-def test_the_program_names_every_wrong_setting():
+def test_the_program_reports_every_invalid_setting():
     words = ["--listen", "here", "--log-format", "xml", "--log-level", "loud"]
     done = subprocess.run(
         [sys.executable, "-c", PROGRAM, *words], capture_output=True, timeout=BOUND_S
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Contract of calls to plain services: what was run, and what a failure proves."""
+"""Calls to plain services: what was run, and what a failure says about the run."""
 
 import msgspec
 import pytest
@@ -43,11 +43,14 @@
         ("fail", None, 500, 1),
     ],
 )
-def test_what_a_failed_call_proves(service, method, fault, error, status, runs):
-    """A booking service breaks off after it has run; the guest sees an error.
-
-    Sent again by the client library, unasked, the booking ran twice. Each call
-    reaches the service once, and only its own refusal proves that nothing ran.
+def test_only_a_refusal_proves_that_a_failed_call_was_not_run(
+    service, method, fault, error, status, runs
+):
+    """A client library that retries on its own runs a booking twice.
+
+    If a service closes the connection after the run, the caller sees an error although
+    the booking was made. Each call must reach the service exactly once, and only an
+    explicit refusal by the service proves that nothing ran.
     """
     call(service, method="GET", path="/warm-up")
     set_faults(service, **{fault: 1})
@@ -62,14 +65,14 @@
     assert call(service, method=method).status in (200, 201)
 
 
-def test_a_refusal_says_when_to_come_back(service):
+def test_a_refusal_carries_its_retry_delay(service):
     set_faults(service, refuse=1)
     with pytest.raises(RefusedError) as caught:
         call(service)
     assert caught.value.retry_after_ms == 1_000
 
 
-def test_doubled_bookings_are_counted(service):
+def test_duplicate_bookings_are_counted(service):
     for expected in (1, 2):
         assert msgspec.json.decode(call(service).body)["runs"] == expected
     counted = read_counters(service)
@@ -79,7 +82,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "PATCH"])
 @pytest.mark.parametrize("path", ["/", "/a%20b//c?x=1&x=%2F", "/bookings?y"])
-def test_a_call_arrives_as_it_was_sent(service, method, path):
+def test_a_call_is_forwarded_unchanged(service, method, path):
     reply = call(service, method=method, path=path, body=b"text", traceparent="t")
     seen = msgspec.json.decode(reply.body)
     assert (reply.status, seen["method"], seen["target"]) == (200, method, path)
@@ -91,6 +94,6 @@
     assert not names & {"connection", "transfer-encoding", "content-length"}
 
 
-def test_nobody_listening_proves_that_nothing_ran():
+def test_a_refused_connection_proves_that_nothing_ran():
     with pytest.raises(NotSentError):
         call(find_free_address())
