--- a/src/arbutuspulley/bench/figures.py
+++ b/src/arbutuspulley/bench/figures.py
@@ -148,9 +148,9 @@
     )
 
 
-def divide(part: float, whole: float) -> float | None:
+def divide(dividend: float, divisor: float) -> float | None:
     """Return a ratio, or ``None`` if the divisor is 0."""
-    return round(part / whole, 3) if whole else None
+    return round(dividend / divisor, 3) if divisor else None
 
 
 def _get_first_token_time(record: RequestRecord) -> float:
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -92,7 +92,7 @@
 
 
 def boot(state: EngineState, *, now: int) -> None:
-    """Initialise the reports: before the boot, the memory was empty."""
+    """Initialise the reports with one of the empty memory, old enough to be sent."""
     empty = _build_snapshot(state, now)
     state.snapshots = [
         Snapshot(taken_at=now - state.report_lag_ms, report=empty.report)
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -10,14 +10,14 @@
 ARRIVAL = Arrival(number=0, at=5_000, caller="a", model="m", tokens=10)
 
 
-def build_asked(*tries, at=5_000, due_at=105_000):
+def build_record(*attempts, at=5_000, due_at=105_000):
     arrival = Arrival(number=0, at=at, caller="a", model="m", tokens=10)
     return RequestRecord(
-        arrival=arrival, due_at=due_at, attempts=list(tries), ended=True
+        arrival=arrival, due_at=due_at, attempts=list(attempts), ended=True
     )
 
 
-def build_try(began_at=105_000, first=100, between=30, **fields):
+def build_attempt(began_at=105_000, first=100, between=30, **fields):
     first_at = began_at + first
     times = {"first_at": first_at, "ended_at": first_at + 10 * between}
     values = {"complete": True, "correct": True, **times, **fields}
@@ -45,31 +45,33 @@
 
 
 @pytest.mark.parametrize(
-    ("tries", "met_first", "met", "lost"),
+    ("attempts", "met_first", "met", "lost"),
     [
-        ([build_try()], True, True, False),
-        ([build_try(first=1_200)], False, False, False),
-        ([build_try(between=40)], False, False, False),
+        ([build_attempt()], True, True, False),
+        ([build_attempt(first=1_200)], False, False, False),
+        ([build_attempt(between=40)], False, False, False),
         ([build_refusal()], False, False, False),
-        ([build_refusal(), build_try(began_at=108_000)], False, True, False),
-        ([build_try(correct=False)], False, False, True),
-        ([build_try(complete=False, correct=False)], False, False, True),
+        ([build_refusal(), build_attempt(began_at=108_000)], False, True, False),
+        ([build_attempt(correct=False)], False, False, True),
+        ([build_attempt(complete=False, correct=False)], False, False, True),
         ([], False, False, True),
     ],
 )
-def test_requests_are_classified_as_within_targets_or_lost(tries, met_first, met, lost):
-    asked = build_asked(*tries)
-    assert asked.meets_targets(from_first=True) is met_first
-    assert asked.meets_targets(from_first=False) is met
-    assert asked.is_lost() is lost
+def test_requests_are_classified_as_within_targets_or_lost(
+    attempts, met_first, met, lost
+):
+    record = build_record(*attempts)
+    assert record.meets_targets(from_first=True) is met_first
+    assert record.meets_targets(from_first=False) is met
+    assert record.is_lost() is lost
 
 
 def test_figures_exclude_the_warm_up_and_count_attempts():
-    early = build_asked(build_try(began_at=101_000), at=1_000, due_at=101_000)
+    early = build_record(build_attempt(began_at=101_000), at=1_000, due_at=101_000)
     run = figures.Run(
         name="n",
         policy="p",
-        requests=(early, build_asked(build_try()), build_asked(build_refusal())),
+        requests=(early, build_record(build_attempt()), build_record(build_refusal())),
         engine_attempts=3,
     )
     summary = figures.summarise(run)
@@ -84,12 +86,12 @@
     def attempt(arrival, earlier_attempts):
         attempt_counts.append(earlier_attempts)
         if earlier_attempts:
-            return build_try()
+            return build_attempt()
         return build_refusal(retry_after_ms=10)
 
     arrivals = [
         Arrival(number=n, at=n, caller="a", model="m", tokens=1) for n in (0, 1)
     ]
-    asked = offer_load(arrivals, attempt)
+    records = offer_load(arrivals, attempt)
     assert sorted(attempt_counts) == [0, 0, 1, 1]
-    assert all(one.ended and one.is_complete() for one in asked)
+    assert all(one.ended and one.is_complete() for one in records)
