--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -85,8 +85,9 @@
 def offer_load(arrivals: Sequence[Arrival], send: SendAttempt) -> list[RequestRecord]:
     """Send all requests at their arrival times and return them when all have ended.
 
-    Retries are sent at the time that the refusal names. Requests that have not ended
-    :data:`END_TIMEOUT_S` after the last arrival are returned as they are.
+    Retries are sent at the time that the refusal names. No attempt starts later than
+    :data:`END_TIMEOUT_S` after the last arrival; requests that have not ended by then
+    are returned without further attempts.
     """
     start = read_clock()
     records = [
