--- a/src/arbutuspulley/bench/asking.py
+++ b/src/arbutuspulley/bench/client.py
@@ -1,4 +1,4 @@
-"""One try of one request, timed: through an entry, or at an engine itself."""
+"""Clients of the bench: send a request to an entry or an engine and time it."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -24,15 +24,15 @@
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=30.0)
 
 
-class Try(State):
-    """What one try brought.
+class CallerAttempt(State):
+    """Result of one attempt of a caller to send a request. Times are in ms.
 
-    :param code: the numbered result code, 0 if there is none.
-    :param refused: whether it certainly was not run.
-    :param first_at: when the first token came, or ``None``.
-    :param whole: whether the answer came to its end.
-    :param correct: whether it was the answer to this request, each token once.
-    :param doubled: tokens beyond those that were asked for.
+    :param code: numeric result code; 0 if there is none.
+    :param refused: whether the request was certainly not run.
+    :param first_at: time of the first token; ``None`` if there was none.
+    :param complete: whether the answer was received up to its end.
+    :param correct: whether the answer has exactly the expected tokens, each once.
+    :param surplus_tokens: number of tokens received beyond the requested ones.
     """
 
     began_at: float
@@ -41,9 +41,9 @@
     retry_after_ms: int | None = None
     first_at: float | None = None
     ended_at: float = 0.0
-    whole: bool = False
+    complete: bool = False
     correct: bool = False
-    doubled: int = 0
+    surplus_tokens: int = 0
 
 
 class _Choice(msgspec.Struct):
@@ -58,12 +58,12 @@
 
 
 def read_clock() -> float:
-    """Return the time in milliseconds."""
+    """Return the monotonic time in ms."""
     return time.monotonic() * SECOND_MS
 
 
 def build_body(arrival: Arrival, *, run: str) -> bytes:
-    """Return the JSON of a request; its prompt differs from all others.
+    """Return the JSON body of a request; the prompt is unique to the run and request.
 
     :param run: name of the run.
     """
@@ -77,9 +77,9 @@
     )
 
 
-def ask_entry(address: str, arrival: Arrival, *, run: str) -> Try:
-    """Ask once through an entry."""
-    one = Try(began_at=read_clock())
+def send_to_entry(address: str, arrival: Arrival, *, run: str) -> CallerAttempt:
+    """Send a request once to an entry."""
+    attempt = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     host, _, port = address.rpartition(":")
     headers = {
@@ -96,48 +96,56 @@
                 retries=False,
                 preload_content=False,
             )
-            _read_response(one, response, arrival, body)
+            _read_response(attempt, response, arrival, body)
         except urllib3.exceptions.NewConnectionError:
-            one.refused = True
+            attempt.refused = True
         except urllib3.exceptions.HTTPError:
             pass
-    one.ended_at = read_clock()
-    return one
+    attempt.ended_at = read_clock()
+    return attempt
 
 
-def ask_engine(
-    engines: Engines, address: str, arrival: Arrival, *, run: str, attempt: int
-) -> Try:
-    """Ask once at an engine itself."""
-    one = Try(began_at=read_clock())
+def send_to_engine(
+    engines: Engines, address: str, arrival: Arrival, *, run: str, attempt_number: int
+) -> CallerAttempt:
+    """Send a request once directly to an engine.
+
+    :param attempt_number: number of the attempt, unique per request.
+    """
+    attempt = CallerAttempt(began_at=read_clock())
     body = build_body(arrival, run=run)
     request = InferenceRequest(
         request_id=f"{run}-{arrival.number}",
-        attempt_id=f"{run}-{arrival.number}-{attempt}",
+        attempt_id=f"{run}-{arrival.number}-{attempt_number}",
         path=answer.COMPLETION_PATH,
         item=build_item_key(name=arrival.model, version=VERSION),
         body=body,
     )
     try:
         chunks = engines.infer(address, request)
-        _collect(one, (chunk.data for chunk in chunks if not chunk.last), arrival, body)
-        one.whole = True
+        _collect(
+            attempt, (chunk.data for chunk in chunks if not chunk.last), arrival, body
+        )
+        attempt.complete = True
     except BrokenError:
         pass
     except ArbutusError:
-        one.refused = True
-    one.ended_at = read_clock()
-    return one
+        attempt.refused = True
+    attempt.ended_at = read_clock()
+    return attempt
 
 
 def _read_response(
-    one: Try, response: urllib3.BaseHTTPResponse, arrival: Arrival, body: bytes
+    attempt: CallerAttempt,
+    response: urllib3.BaseHTTPResponse,
+    arrival: Arrival,
+    body: bytes,
 ) -> None:
-    one.code = int(response.headers.get("X-Arbutus-Code", "0"))
+    attempt.code = int(response.headers.get("X-Arbutus-Code", "0"))
     if response.status != HTTPStatus.OK:
-        one.refused = response.headers.get("X-Arbutus-Run-State") == "not_run"
+        attempt.refused = response.headers.get("X-Arbutus-Run-State") == "not_run"
         after = response.headers.get("Retry-After", "")
-        one.retry_after_ms = int(after) * SECOND_MS if after.isdigit() else None
+        attempt.retry_after_ms = int(after) * SECOND_MS if after.isdigit() else None
         return
     buffer = EventBuffer()
     events: list[SentEvent] = []
@@ -149,16 +157,18 @@
                 if event.data != _END_MARKER:
                     yield event.data
 
-    _collect(one, read(), arrival, body)
-    one.whole = bool(events) and events[-1].data == _END_MARKER
+    _collect(attempt, read(), arrival, body)
+    attempt.complete = bool(events) and events[-1].data == _END_MARKER
 
 
-def _collect(one: Try, parts: Iterable[bytes], arrival: Arrival, body: bytes) -> None:
+def _collect(
+    attempt: CallerAttempt, parts: Iterable[bytes], arrival: Arrival, body: bytes
+) -> None:
     text = ""
     tokens = 0
     for data in parts:
-        if one.first_at is None:
-            one.first_at = read_clock()
+        if attempt.first_at is None:
+            attempt.first_at = read_clock()
         if data == _END_MARKER:
             continue
         part = "".join(choice.text for choice in _DECODER.decode(data).choices)
@@ -166,9 +176,9 @@
         tokens += bool(part)
     prompt = answer.read_prompt(path=answer.COMPLETION_PATH, body=body)
     item = build_item_key(name=arrival.model, version=VERSION)
-    one.doubled = max(0, tokens - arrival.tokens)
-    one.correct = text == answer.build_answer(item=item, prompt=prompt)
+    attempt.surplus_tokens = max(0, tokens - arrival.tokens)
+    attempt.correct = text == answer.build_answer(item=item, prompt=prompt)
 
 
-Attempt = Callable[[Arrival, int], Try]
-"""Makes one try; takes the request and how many tries it has had."""
+SendAttempt = Callable[[Arrival, int], CallerAttempt]
+"""Function that makes one attempt; takes the request and the number of earlier ones."""
--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests are asked when they arrive, however the others fare."""
+"""Open-loop load: requests are sent at their arrival times, whatever the latency."""
 
 import heapq
 import threading
@@ -7,125 +7,143 @@
 
 import msgspec
 
-from arbutuspulley.bench.asking import Attempt, Try, read_clock
+from arbutuspulley.bench.client import CallerAttempt, SendAttempt, read_clock
 from arbutuspulley.bench.workloads import (
     BETWEEN_TOKENS_TARGET_MS,
     FIRST_TOKEN_TARGET_MS,
-    MOST_TRIES,
-    PATIENCE_MS,
+    MAX_ATTEMPTS,
+    RETRY_DEADLINE_MS,
     Arrival,
 )
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.data import State
 
 WORKERS = 400
-"""Requests that the load tool has open at most."""
+"""Maximum number of requests in flight."""
 
 END_TIMEOUT_S = 60.0
-"""Longest wait for the last answers."""
+"""Maximum time to wait for answers after the last arrival."""
 
 
-class Asked(State):
-    """One request and all its tries.
+class RequestRecord(State):
+    """One request and all its attempts.
 
-    :param due_at: when it arrived, on the clock of the run.
+    :param due_at: arrival time in ms, on the clock of :func:`.client.read_clock`.
+    :param ended: whether no further attempt will be made.
     """
 
     arrival: Arrival
     due_at: float
-    tries: list[Try] = msgspec.field(default_factory=list)
+    attempts: list[CallerAttempt] = msgspec.field(default_factory=list)
     ended: bool = False
 
-    def is_whole(self) -> bool:
-        """Whether its answer came."""
-        return bool(self.tries) and self.tries[-1].whole
+    def is_complete(self) -> bool:
+        """Return whether the last attempt received a complete answer."""
+        return bool(self.attempts) and self.attempts[-1].complete
 
     def is_lost(self) -> bool:
-        """Whether it ended neither whole and right nor with a plain refusal."""
-        if not self.ended or not self.tries:
+        """Return whether the request has neither a correct answer nor a clear error.
+
+        A request that has not ended is lost, too.
+        """
+        if not self.ended or not self.attempts:
             return True
-        last = self.tries[-1]
-        return not last.correct if last.whole else not (last.refused or last.code)
+        last = self.attempts[-1]
+        return not last.correct if last.complete else not (last.refused or last.code)
 
-    def is_met(self, *, from_first: bool) -> bool:
-        """Whether its answer met the targets.
+    def meets_targets(self, *, from_first: bool) -> bool:
+        """Return whether the answer is correct and met the latency targets.
 
-        :param from_first: count the first token from the first try; else from the
-            last one, since a refused caller is answered at once and told when to
-            come back.
+        :param from_first: time the first token from the first attempt; otherwise from
+            the last one, because a refused caller gets its answer at once and is told
+            when to retry.
         """
-        if not self.is_whole() or not self.tries[-1].correct:
+        if not self.is_complete() or not self.attempts[-1].correct:
             return False
-        last = self.tries[-1]
+        last = self.attempts[-1]
         assert last.first_at is not None
-        since = self.due_at if from_first or len(self.tries) == 1 else last.began_at
+        since = self.due_at if from_first or len(self.attempts) == 1 else last.began_at
         between_ms = (last.ended_at - last.first_at) / self.arrival.tokens
         is_prompt = last.first_at - since <= FIRST_TOKEN_TARGET_MS
         return is_prompt and between_ms <= BETWEEN_TOKENS_TARGET_MS
 
 
-class _Plan:
-    """Requests that are due at some time, by time."""
+class _Schedule:
+    """Priority queue of requests by the time of their next attempt."""
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
-        self.due: list[tuple[float, int, Asked]] = []
-        self.open = 0
+        self.due: list[tuple[float, int, RequestRecord]] = []
+        self.open_requests = 0
 
-    def add(self, at: float, asked: Asked) -> None:
+    def add(self, at: float, record: RequestRecord) -> None:
         with self.lock:
-            heapq.heappush(self.due, (at, asked.arrival.number, asked))
+            heapq.heappush(self.due, (at, record.arrival.number, record))
             self.lock.notify_all()
 
 
-def offer_load(arrivals: Sequence[Arrival], attempt: Attempt) -> list[Asked]:
-    """Ask all requests at their times and return them once the last has ended."""
+def offer_load(arrivals: Sequence[Arrival], send: SendAttempt) -> list[RequestRecord]:
+    """Send all requests at their arrival times and return them when all have ended.
+
+    Retries are sent at the time that the refusal names. No attempt starts later than
+    :data:`END_TIMEOUT_S` after the last arrival; requests that have not ended by then
+    are returned without further attempts.
+    """
     start = read_clock()
-    everything = [Asked(arrival=one, due_at=start + one.at) for one in arrivals]
-    plan = _Plan()
-    plan.open = len(everything)
-    for asked in everything:
-        plan.add(asked.due_at, asked)
-    give_up_at = start + max(one.at for one in arrivals) + END_TIMEOUT_S * SECOND_MS
+    records = [
+        RequestRecord(arrival=arrival, due_at=start + arrival.at)
+        for arrival in arrivals
+    ]
+    schedule = _Schedule()
+    schedule.open_requests = len(records)
+    for record in records:
+        schedule.add(record.due_at, record)
+    deadline = (
+        start + max(arrival.at for arrival in arrivals) + END_TIMEOUT_S * SECOND_MS
+    )
     with ThreadPoolExecutor(WORKERS) as pool:
-        while plan.open and read_clock() < give_up_at:
-            chosen = _take_due(plan)
+        while schedule.open_requests and read_clock() < deadline:
+            chosen = _pop_due(schedule)
             if chosen is not None:
-                pool.submit(_ask, plan, chosen, attempt)
-    return everything
+                pool.submit(_send, schedule, chosen, send)
+    return records
 
 
-def _take_due(plan: _Plan) -> Asked | None:
-    with plan.lock:
-        if plan.due:
-            wait_ms = plan.due[0][0] - read_clock()
+def _pop_due(schedule: _Schedule) -> RequestRecord | None:
+    with schedule.lock:
+        if schedule.due:
+            wait_ms = schedule.due[0][0] - read_clock()
             if wait_ms <= 0:
-                return heapq.heappop(plan.due)[2]
-            plan.lock.wait(min(wait_ms / SECOND_MS, 0.1))
+                return heapq.heappop(schedule.due)[2]
+            schedule.lock.wait(min(wait_ms / SECOND_MS, 0.1))
         else:
-            plan.lock.wait(0.1)
+            schedule.lock.wait(0.1)
     return None
 
 
-def _ask(plan: _Plan, asked: Asked, attempt: Attempt) -> None:
-    one = Try(began_at=read_clock())
+def _send(schedule: _Schedule, record: RequestRecord, send: SendAttempt) -> None:
+    attempt = CallerAttempt(began_at=read_clock())
     try:
-        one = attempt(asked.arrival, len(asked.tries))
+        attempt = send(record.arrival, len(record.attempts))
     finally:
-        asked.tries.append(one)
-        again_at = _choose_return(asked, one)
-        if again_at is not None:
-            plan.add(again_at, asked)
+        record.attempts.append(attempt)
+        retry_at = _get_retry_time(record, attempt)
+        if retry_at is not None:
+            schedule.add(retry_at, record)
         else:
-            asked.ended = True
-            with plan.lock:
-                plan.open -= 1
-                plan.lock.notify_all()
-
-
-def _choose_return(asked: Asked, one: Try) -> float | None:
-    """Return when the caller comes back, or ``None`` if it does not."""
-    if one.whole or one.retry_after_ms is None or len(asked.tries) >= MOST_TRIES:
+            record.ended = True
+            with schedule.lock:
+                schedule.open_requests -= 1
+                schedule.lock.notify_all()
+
+
+def _get_retry_time(record: RequestRecord, attempt: CallerAttempt) -> float | None:
+    """Return the time of the caller's retry, or ``None`` if it does not retry."""
+    if (
+        attempt.complete
+        or attempt.retry_after_ms is None
+        or len(record.attempts) >= MAX_ATTEMPTS
+    ):
         return None
-    again_at = read_clock() + one.retry_after_ms
-    return again_at if again_at <= asked.due_at + PATIENCE_MS else None
+    retry_at = read_clock() + attempt.retry_after_ms
+    return retry_at if retry_at <= record.due_at + RETRY_DEADLINE_MS else None
--- a/src/arbutuspulley/bench/model.py
+++ b/src/arbutuspulley/bench/model.py
@@ -1,11 +1,12 @@
-"""A tiny model of entries and servers, to compare admission decisions under load.
+"""Discrete-time simulation of entries and servers, to test admission under load.
 
-No processes and no clock: it drives :mod:`arbutuspulley.admission.queue` alone, so a
-run of minutes takes seconds and the same seed gives the same figures.
+The simulation uses neither processes nor a clock. It calls only
+:mod:`arbutuspulley.admission.queue`, so a run of minutes takes seconds, and the same
+seed gives the same figures.
 
-Time goes in steps of 50 ms. A server runs what it is given; a request takes two
-seconds on average. Reports are half a second old when entries read them. A refused
-request comes back once, when it was told to.
+Time advances in steps of 50 ms. A server runs all requests that it is sent; a request
+takes two seconds on average. Reports are half a second old when entries read them. A
+refused request is retried once, at the time that the refusal names.
 """
 
 import random
@@ -19,16 +20,16 @@
 from arbutuspulley.rpc.messages import EntryAddress, ServerSummary, View
 
 STEP_MS = 50
-"""Time between two steps."""
+"""Length of a step."""
 
 VIEW_MS = 500
-"""Time between two views, and the age of the reports in them."""
+"""Interval between two views, and the age of the reports in them."""
 
-DURATION_MS = 2_000
-"""Mean time that a request runs."""
+MEAN_DURATION_MS = 2_000
+"""Mean duration of a run."""
 
 TARGET_MS = 1_100
-"""Longest time to the first token of a request that counts as met."""
+"""Latency target: maximum time from the last attempt to admission."""
 
 COST = 100
 """Token cost of each request."""
@@ -37,15 +38,17 @@
 """Time from admission to the first token."""
 
 ITEM = "m@1"
-"""The one item that all requests ask for."""
+"""The item that all requests use."""
 
 
 class Offer(Value, frozen=True):
-    """What a caller asks.
+    """The load that a caller offers.
 
-    :param rate: requests a second.
-    :param entries: numbers of the entries that it uses.
-    :param start: when it begins, in ms.
+    :param rate: requests per second.
+    :param entries: indexes of the entries that the caller uses.
+    :param start: time in ms at which the caller starts to send.
+    :param live: whether its requests are live: their deadline is
+        :attr:`Model.target_ms` instead of 60 s.
     """
 
     caller: str
@@ -55,33 +58,39 @@
     live: bool = True
 
 
-class Asked(State):
-    """One request.
+class SimulatedRequest(State):
+    """One request. Times are in ms.
 
-    :param crowded: whether its server then ran more than an eighth above its slots.
+    :param at: time of arrival.
+    :param attempts: number of attempts so far.
+    :param last_at: time of the last attempt.
+    :param entry: index of the entry that received the request.
+    :param admitted_at: time of admission; ``None`` if it was not admitted.
+    :param server_overloaded: whether its server, on admission, ran more than 9/8 of
+        its slots.
     """
 
     caller: str
     at: int
     live: bool = True
-    tries: int = 0
+    attempts: int = 0
     last_at: int = 0
     entry: int = 0
     admitted_at: int | None = None
-    crowded: bool = False
+    server_overloaded: bool = False
 
-    def is_met(self) -> bool:
-        """Tell whether it was admitted in time, where there was room for it."""
-        if self.admitted_at is None or self.crowded:
+    def meets_targets(self) -> bool:
+        """Return whether a server without overload admitted the request in time."""
+        if self.admitted_at is None or self.server_overloaded:
             return False
         return self.admitted_at - self.last_at < TARGET_MS
 
 
 class Model:
-    """Some entries before some servers.
+    """A simulated system of entries and servers.
 
-    :param slots: requests that each server runs at once within the targets.
-    :param target_ms: how long live requests wait to be admitted.
+    :param slots: number of requests that a server runs concurrently within the targets.
+    :param target_ms: time in ms after which the deadline of live requests expires.
     """
 
     def __init__(
@@ -98,75 +107,77 @@
         self.target_ms = target_ms
         self.entries = [queue.AdmissionState(own=f"e{n}") for n in range(entries)]
         self.running = {f"s{n}": 0 for n in range(servers)}
-        self.capacity = servers * slots * 1_000 / DURATION_MS
-        self.known = dict(self.running)
-        self.asked: list[Asked] = []
-        self._tickets: dict[str, Asked] = {}
+        self.capacity = servers * slots * 1_000 / MEAN_DURATION_MS
+        self.reported = dict(self.running)
+        self.requests: list[SimulatedRequest] = []
+        self._tickets: dict[str, SimulatedRequest] = {}
         self._due: dict[int, list[Callable[[int], None]]] = {}
 
-    def run(self, offers: Sequence[Offer], *, until: int) -> list[Asked]:
-        """Run to a time in ms and return all requests that were asked."""
+    def run(self, offers: Sequence[Offer], *, until: int) -> list[SimulatedRequest]:
+        """Simulate up to a time in ms and return all requests that arrived."""
         for now in range(0, until, STEP_MS):
             if now % VIEW_MS == 0:
                 self._send_views(now)
             for action in self._due.pop(now, ()):
                 action(now)
             for offer in offers:
-                self._ask(offer, now)
+                self._generate_requests(offer, now)
             for number, entry in enumerate(self.entries):
                 self._apply(number, queue.tick(entry, now=now), now)
-        return self.asked
+        return self.requests
 
-    def _ask(self, offer: Offer, now: int) -> None:
+    def _generate_requests(self, offer: Offer, now: int) -> None:
         expected = offer.rate * STEP_MS / 1_000
         while now >= offer.start and expected > 0:
             if self.chance.random() < expected:
-                one = Asked(caller=offer.caller, at=now, live=offer.live)
-                one.entry = self.chance.choice(offer.entries)
-                self.asked.append(one)
-                self._submit(one, now)
+                request = SimulatedRequest(caller=offer.caller, at=now, live=offer.live)
+                request.entry = self.chance.choice(offer.entries)
+                self.requests.append(request)
+                self._submit(request, now)
             expected -= 1
 
-    def _submit(self, one: Asked, now: int) -> None:
-        one.tries, one.last_at = one.tries + 1, now
+    def _submit(self, request: SimulatedRequest, now: int) -> None:
+        request.attempts, request.last_at = request.attempts + 1, now
         name = f"{len(self._tickets)}"
-        self._tickets[name] = one
+        self._tickets[name] = request
         ticket = queue.Ticket(
             request_id=name,
-            caller=one.caller,
+            caller=request.caller,
             item=ITEM,
             cost=COST,
             arrived_at=now,
-            deadline=now + (self.target_ms if one.live else 60_000),
-            live=one.live,
+            deadline=now + (self.target_ms if request.live else 60_000),
+            live=request.live,
         )
-        effects = queue.submit(self.entries[one.entry], ticket, now=now)
-        self._apply(one.entry, effects, now)
+        effects = queue.submit(self.entries[request.entry], ticket, now=now)
+        self._apply(request.entry, effects, now)
 
     def _apply(self, number: int, effects: Sequence[queue.Effect], now: int) -> None:
         for effect in effects:
-            one = self._tickets[effect.request_id]
+            request = self._tickets[effect.request_id]
             if isinstance(effect, queue.Admit):
                 self._start(number, effect.request_id, now)
-            elif one.tries < 2:
-                self._plan(now + effect.retry_after_ms, partial(self._submit, one))
+            elif request.attempts < 2:
+                self._schedule(
+                    now + effect.retry_after_ms, partial(self._submit, request)
+                )
 
     def _start(self, number: int, name: str, now: int) -> None:
-        one, entry = self._tickets[name], self.entries[number]
+        request, entry = self._tickets[name], self.entries[number]
         server = entry.running[name].server
         self.running[server] += 1
-        one.admitted_at = now
-        one.crowded = self.running[server] > self.slots * 9 // 8
+        request.admitted_at = now
+        request.server_overloaded = self.running[server] > self.slots * 9 // 8
         queue.record_first_token(entry, name, now=now + FIRST_TOKEN_MS)
-        ends = now + self.chance.expovariate(1 / DURATION_MS)
-        self._plan(ends, partial(self._finish, number, name, server))
+        ends = now + self.chance.expovariate(1 / MEAN_DURATION_MS)
+        self._schedule(ends, partial(self._finish, number, name, server))
 
     def _finish(self, number: int, name: str, server: str, now: int) -> None:
         self.running[server] -= 1
         effects = queue.finish(self.entries[number], name, tokens=COST, now=now)
         self._apply(number, effects, now)
 
-    def _plan(self, at: float, action: Callable[[int], None]) -> None:
+    def _schedule(self, at: float, action: Callable[[int], None]) -> None:
         step = (int(at) // STEP_MS + 1) * STEP_MS
         self._due.setdefault(step, []).append(action)
 
@@ -188,7 +199,7 @@
             )
             effects = queue.apply_view(entry, view=view, now=now)
             self._apply(number, effects, now)
-        self.known = dict(self.running)
+        self.reported = dict(self.running)
 
     def _report(self) -> tuple[ServerSummary, ...]:
         return tuple(
@@ -201,23 +212,26 @@
                 slots=self.slots,
                 age_ms=VIEW_MS,
             )
-            for name, running in self.known.items()
+            for name, running in self.reported.items()
         )
 
 
 def measure_met(
-    asked: Sequence[Asked],
+    requests: Sequence[SimulatedRequest],
     *,
     caller: str | None = None,
     since: int = 10_000,
     until: int = 1_000_000,
 ) -> float:
-    """Return the share of requests that were met.
+    """Return the fraction of requests that met the targets.
 
-    :param caller: whose requests; all callers' if ``None``.
-    :param since: leaves out requests before this time in ms.
+    :param caller: counts only requests of this caller; ``None`` for all callers.
+    :param since: ignores requests that arrived before this time in ms.
+    :param until: ignores requests that arrived at this time in ms or later.
     """
     chosen = [
-        one for one in asked if caller in (None, one.caller) and since <= one.at < until
+        request
+        for request in requests
+        if caller in (None, request.caller) and since <= request.at < until
     ]
-    return sum(one.is_met() for one in chosen) / len(chosen)
+    return sum(request.meets_targets() for request in chosen) / len(chosen)
--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -1,10 +1,10 @@
-"""The policies that are compared, by name.
+"""The policies that the bench compares.
 
-``arbutuspulley``: callers ask an entry which address to use and go there.
+``arbutuspulley``: callers ask an entry for addresses and send requests to these.
 
-``round-robin``: the plain baseline. Callers know all engines and which copies are
-loaded, take them in turn and try three more at once when one fails or refuses. It
-has one hop less than the system, and no admission.
+``round-robin``: the baseline. Callers know all engines and their loaded copies, use
+them in turn, and retry three times at once if an engine fails or refuses. Compared
+with the system, the baseline has one hop less and no admission control.
 """
 
 import itertools
@@ -16,13 +16,13 @@
 import urllib3
 
 from arbutuspulley.adapters.engines import connect_engines
-from arbutuspulley.bench.asking import (
+from arbutuspulley.bench.client import (
     VERSION,
-    Attempt,
-    Try,
-    ask_engine,
-    ask_entry,
+    CallerAttempt,
+    SendAttempt,
     read_clock,
+    send_to_engine,
+    send_to_entry,
 )
 from arbutuspulley.bench.workloads import Arrival
 from arbutuspulley.clock import SECOND_MS
@@ -30,22 +30,22 @@
 from arbutuspulley.data import Message, State
 
 IMMEDIATE_RETRIES = 3
-"""Tries that the baseline makes at once after the first."""
+"""Number of immediate retries of the baseline after the first attempt."""
 
 DEVICES = 4
-"""Devices that callers use; each keeps its own address answers."""
+"""Number of simulated caller devices; each has its own cache of addresses."""
 
-PAUSE_MS = SECOND_MS
-"""When a caller that was told no time comes back."""
+RETRY_INTERVAL_MS = SECOND_MS
+"""Retry interval of a caller whose refusal names no time."""
 
 
 class Counts(State):
-    """What a policy's callers did, besides the tries themselves.
+    """Counters of a policy's callers.
 
-    :param attempts: attempts at engines that the caller made itself.
+    :param engine_attempts: attempts that callers sent directly to engines.
     """
 
-    attempts: int = 0
+    engine_attempts: int = 0
 
 
 class _Addresses(Message, frozen=True):
@@ -53,97 +53,108 @@
     lifetime_s: float = 0.0
 
 
-class _Kept(State):
+class _CachedAddresses(State):
     addresses: list[str]
     until: float
 
 
-def build_entry_policy(entries: Sequence[str], *, run: str, seed: int) -> Attempt:
-    """Return how callers ask through entries.
+def build_entry_policy(entries: Sequence[str], *, run: str, seed: int) -> SendAttempt:
+    """Return a function that sends requests through entries.
 
-    :param entries: addresses that every caller was given once.
+    :param entries: addresses of entries that every caller has from the start.
+    :param run: name of the run.
     """
     pool = urllib3.PoolManager(timeout=2.0, retries=False, maxsize=32)
-    kept: dict[tuple[int, str], _Kept] = {}
+    cache: dict[tuple[int, str], _CachedAddresses] = {}
     chance = random.Random(seed)
     lock = threading.Lock()
 
-    def find(arrival: Arrival) -> _Kept:
-        place = (arrival.number % DEVICES, arrival.model)
+    def get_addresses(arrival: Arrival) -> _CachedAddresses:
+        key = (arrival.number % DEVICES, arrival.model)
         with lock:
-            known = kept.get(place)
+            known = cache.get(key)
             shuffled = chance.sample(list(entries), len(entries))
         if known and known.addresses and read_clock() < known.until:
             return known
         found = _fetch_addresses(pool, shuffled, arrival.model)
         with lock:
-            kept[place] = found
+            cache[key] = found
         return found
 
-    def attempt(arrival: Arrival, _tried: int) -> Try:
-        known = find(arrival)
+    def send(arrival: Arrival, _tried: int) -> CallerAttempt:
+        known = get_addresses(arrival)
         address = known.addresses[0]
-        one = ask_entry(address, arrival, run=run)
-        if one.refused and one.retry_after_ms is None:
+        result = send_to_entry(address, arrival, run=run)
+        if result.refused and result.retry_after_ms is None:
             known.addresses = [*known.addresses[1:], address]
-            one.retry_after_ms = 0
-        return one
+            result.retry_after_ms = 0
+        return result
 
-    return attempt
+    return send
 
 
-def build_round_robin(addresses: Sequence[str], *, run: str, counts: Counts) -> Attempt:
-    """Return how callers ask engines in turn.
+def build_round_robin(
+    addresses: Sequence[str], *, run: str, counts: Counts
+) -> SendAttempt:
+    """Return a function that sends requests to engines in round-robin order.
 
-    :param addresses: all engines'.
+    :param addresses: addresses of all engines.
+    :param run: name of the run.
+    :param counts: counters to update.
     """
     engines = connect_engines(connections=64)
     holders: dict[str, list[str]] = {}
     for address in addresses:
         for item in engines.report(address).items:
             holders.setdefault(item.item, []).append(address)
-    turns: Mapping[str, Callable[[], str]] = {
-        item: _take_turns(known) for item, known in holders.items()
+    rotations: Mapping[str, Callable[[], str]] = {
+        item: _build_rotation(known) for item, known in holders.items()
     }
 
-    def attempt(arrival: Arrival, tried: int) -> Try:
+    def send(arrival: Arrival, tried: int) -> CallerAttempt:
         item = build_item_key(name=arrival.model, version=VERSION)
         began_at = read_clock()
         for number in range(1 + IMMEDIATE_RETRIES):
-            counts.attempts += 1
-            name = tried * (1 + IMMEDIATE_RETRIES) + number
-            one = ask_engine(engines, turns[item](), arrival, run=run, attempt=name)
-            one.began_at = began_at
-            if one.whole:
+            counts.engine_attempts += 1
+            attempt_number = tried * (1 + IMMEDIATE_RETRIES) + number
+            result = send_to_engine(
+                engines,
+                rotations[item](),
+                arrival,
+                run=run,
+                attempt_number=attempt_number,
+            )
+            result.began_at = began_at
+            if result.complete:
                 break
-        one.retry_after_ms = None if one.whole else PAUSE_MS
-        return one
+        result.retry_after_ms = None if result.complete else RETRY_INTERVAL_MS
+        return result
 
-    return attempt
+    return send
 
 
-def _take_turns(addresses: Sequence[str]) -> Callable[[], str]:
-    turns = itertools.cycle(addresses)
+def _build_rotation(addresses: Sequence[str]) -> Callable[[], str]:
+    rotation = itertools.cycle(addresses)
     lock = threading.Lock()
 
-    def take() -> str:
+    def take_next() -> str:
         with lock:
-            return next(turns)
+            return next(rotation)
 
-    return take
+    return take_next
 
 
 def _fetch_addresses(
     pool: urllib3.PoolManager, entries: Sequence[str], model: str
-) -> _Kept:
+) -> _CachedAddresses:
     for entry in entries:
         url = f"http://{entry}/v1/addresses?model={model}"
         try:
             reply = pool.request("GET", url)
-            told = msgspec.json.decode(reply.data, type=_Addresses)
+            answer = msgspec.json.decode(reply.data, type=_Addresses)
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError):
             continue
-        if reply.status == 200 and told.addresses:
-            until = read_clock() + told.lifetime_s * SECOND_MS
-            return _Kept(addresses=list(told.addresses), until=until)
-    return _Kept(addresses=list(entries), until=0.0)
+        if reply.status == 200 and answer.addresses:
+            until = read_clock() + answer.lifetime_s * SECOND_MS
+            return _CachedAddresses(addresses=list(answer.addresses), until=until)
+    return _CachedAddresses(addresses=list(entries), until=0.0)
--- a/src/arbutuspulley/bench/report.py
+++ b/src/arbutuspulley/bench/report.py
@@ -1,4 +1,4 @@
-"""The report of a bench: a page that a person can read, with one plot."""
+"""Report of a bench run: a Markdown page with one plot."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -10,14 +10,19 @@
 
 from matplotlib import pyplot
 
-from arbutuspulley.bench.figures import Run, Summary, build_first_tokens, summarise
+from arbutuspulley.bench.figures import (
+    Run,
+    Summary,
+    build_first_token_histogram,
+    summarise,
+)
 from arbutuspulley.bench.workloads import FIRST_TOKEN_TARGET_MS
 from arbutuspulley.data import Message
 
 PLOT_NAME = "first-token.svg"
 PAGE_NAME = "report.md"
 
-AIMS = {
+TARGETS = {
     "attainment_vs_baseline": "at least 1.2",
     "goodput_2x_over_1x": "at least 0.95",
     "quiet_caller_share": "at least 0.95",
@@ -30,10 +35,10 @@
 
 
 class Figures(Message, frozen=True, omit_defaults=False):
-    """The last line of a bench; ``None`` where nothing was measured.
+    """Figures that the bench prints as its last line; ``None`` if not measured.
 
-    Where a name ends in ``_baseline``, it is the baseline's figure for comparison;
-    ``_first``: with the first token counted from the first try.
+    Names that end in ``_baseline`` are the baseline's figures for comparison. Names
+    that end in ``_first`` time the first token from the first attempt.
     """
 
     seed: int
@@ -56,7 +61,7 @@
 def write_report(directory: Path, runs: Sequence[Run], figures: Figures) -> Path:
     """Write the page and its plot.
 
-    :return: the page.
+    :return: path of the page.
     """
     _plot(directory / PLOT_NAME, runs)
     lines = ["# Bench", "", f"Seed {figures.seed}.", ""]
@@ -74,7 +79,7 @@
         if name == "seed":
             continue
         shown = "not measured" if value is None else value
-        lines.append(f"| {name} | {shown} | {AIMS.get(name, '')} |")
+        lines.append(f"| {name} | {shown} | {TARGETS.get(name, '')} |")
     return lines
 
 
@@ -88,20 +93,20 @@
 
 
 def _plot(path: Path, runs: Sequence[Run]) -> None:
-    """Plot which part of the requests had its first token after how long."""
+    """Plot the cumulative distribution of the time to the first token."""
     figure, axes = pyplot.subplots(figsize=(9, 5))
     for run in runs:
-        histogram = build_first_tokens(run)
-        total = len([one for one in run.asked if one.tries])
+        histogram = build_first_token_histogram(run)
+        total = len([one for one in run.requests if one.attempts])
         if not total or not histogram.get_total_count():
             continue
-        part = histogram.get_total_count() / total
+        fraction = histogram.get_total_count() / total
         steps = range(101)
         times = [max(1, histogram.get_value_at_percentile(step)) for step in steps]
         style = "-" if run.policy == "arbutuspulley" else "--"
         axes.plot(
             times,
-            [step * part for step in steps],
+            [step * fraction for step in steps],
             style,
             label=f"{run.name} ({run.policy})",
         )
--- a/src/arbutuspulley/standins/engine_http.py
+++ b/src/arbutuspulley/standins/engine_http.py
@@ -1,20 +1,20 @@
-"""The engine stand-in's HTTP paths.
+"""HTTP paths of the engine stand-in.
 
 ``POST /v1/chat/completions``, ``POST /v1/completions``
-    Always streamed as server-sent events with ``id: <attempt>:<offset>``; see
-    :mod:`arbutuspulley.adapters.engine_messages` for the headers. Comments are sent
-    while there is no token to send.
+    Run an inference request. The answer is always a stream of server-sent events with
+    ``id: <attempt>:<offset>``; see :mod:`arbutuspulley.adapters.engine_messages` for
+    the headers. Comments keep the connection alive while there is no token to send.
 
 ``POST /orders``, ``POST /cancel``, ``GET /report``, ``GET /cache-events?after=``
-    The rest of the engines port.
+    The other calls of the engines port.
 
 ``POST /control``
-    Sets faults; the JSON keys are those of
-    :class:`~arbutuspulley.standins.engine_control.Control`. 400 if the body is
-    wrong, and then nothing is changed.
+    Set faults; the JSON keys are those of
+    :class:`~arbutuspulley.standins.engine_control.Control`. Answers 400 and changes
+    nothing if the body is invalid.
 
 ``GET /control/counters``
-    :class:`~arbutuspulley.standins.engine_control.Counters`.
+    Return :class:`~arbutuspulley.standins.engine_control.Counters`.
 """
 
 import queue
@@ -31,7 +31,7 @@
 from arbutuspulley.results import RunState
 from arbutuspulley.standins import answer, engine_cache
 from arbutuspulley.standins.answer import BadBodyError, Prompt
-from arbutuspulley.standins.control import take
+from arbutuspulley.standins.control import consume_fault
 from arbutuspulley.standins.engine_batch import Run
 from arbutuspulley.standins.engine_control import Control
 from arbutuspulley.standins.engine_runtime import EngineRuntime, Tokens
@@ -39,9 +39,9 @@
     EngineState,
     Refusal,
     apply_control,
-    count,
+    build_counters,
     read_report,
-    take_order,
+    receive_order,
 )
 from arbutuspulley.standins.routes import Incoming, Outgoing, Routes
 from arbutuspulley.standins.server import break_connection
@@ -49,11 +49,11 @@
 HEARTBEAT_MS = 500
 """Time without a token after which a comment is sent.
 
-A comment to a caller that is gone fails, and the attempt is cancelled.
+Writing a comment to a closed connection fails, and the attempt is then cancelled.
 """
 
-ADMITTED = "admitted"
-"""Begins a line on standard output for each admission: prompt's digest, offset."""
+ADMISSION_LINE_PREFIX = "admitted"
+"""First word of the line written to stdout per admission: prefix, digest, offset."""
 
 _COMMENT = b": waiting\n\n"
 
@@ -61,9 +61,9 @@
 
 
 class _StreamFaults(Value, frozen=True):
-    """The faults of one answer.
+    """Faults that apply to one answer; see :class:`.engine_control.Control`.
 
-    :param break_after: tokens after which it breaks off.
+    :param break_after: number of tokens after which the connection is closed.
     """
 
     unanswered: bool = False
@@ -73,7 +73,10 @@
 
 
 class _Answer(Value, frozen=True):
-    """One answer that is being streamed."""
+    """One answer that is being streamed.
+
+    :param first: offset of the first token to send.
+    """
 
     run: Run
     prompt: Prompt
@@ -83,19 +86,19 @@
 
 
 def build_routes(runtime: EngineRuntime) -> Routes:
-    """Return the handlers of an engine."""
+    """Return the request handlers of an engine."""
     return {
         ("POST", answer.CHAT_PATH): lambda incoming: _infer(runtime, incoming),
         ("POST", answer.COMPLETION_PATH): lambda incoming: _infer(runtime, incoming),
         ("POST", "/orders"): lambda incoming: _order(runtime, incoming),
         ("POST", "/cancel"): lambda incoming: _cancel(runtime, incoming),
         ("GET", "/report"): lambda _incoming: _send_json(
-            runtime.perform(lambda state, now: read_report(state, now=now))
+            runtime.run_locked(lambda state, now: read_report(state, now=now))
         ),
         ("GET", "/cache-events"): lambda incoming: _read_cache(runtime, incoming),
         ("POST", "/control"): lambda incoming: _control(runtime, incoming),
         ("GET", "/control/counters"): lambda _incoming: _send_json(
-            runtime.perform(lambda state, _now: count(state))
+            runtime.run_locked(lambda state, _now: build_counters(state))
         ),
     }
 
@@ -106,7 +109,9 @@
         run = _build_run(incoming, prompt)
     except (BadBodyError, ValueError) as error:
         return _refuse(HTTPStatus.BAD_REQUEST, Refusal(message=str(error)))
-    if runtime.perform(lambda state, _now: take(state.faults, "fail_requests")):
+    if runtime.run_locked(
+        lambda state, _now: consume_fault(state.faults, "fail_requests")
+    ):
         return Outgoing(status=HTTPStatus.INTERNAL_SERVER_ERROR)
     first = run.offset
     tokens = runtime.submit(run)
@@ -114,9 +119,10 @@
         missing = tokens.missing
         busy = HTTPStatus.SERVICE_UNAVAILABLE
         return _refuse(HTTPStatus.NOT_FOUND if missing else busy, tokens)
-    # Written before the first token leaves: unlike the counters, it survives SIGKILL.
-    print(f"{ADMITTED} {run.digest} {first}\n", end="", flush=True)
-    faults = runtime.perform(lambda state, _now: _take_faults(state))
+    # Written before the first token is sent: unlike the counters, the line survives a
+    # SIGKILL of the engine.
+    print(f"{ADMISSION_LINE_PREFIX} {run.digest} {first}\n", end="", flush=True)
+    faults = runtime.run_locked(lambda state, _now: _consume_faults(state))
     if faults.unanswered:
         return Outgoing(cut=True)
     streamed = _Answer(
@@ -156,25 +162,26 @@
     )
 
 
-def _take_faults(state: EngineState) -> _StreamFaults:
+def _consume_faults(state: EngineState) -> _StreamFaults:
     faults = state.faults
-    breaks = take(faults, "break_streams")
+    breaks = consume_fault(faults, "break_streams")
     return _StreamFaults(
-        unanswered=take(faults, "break_requests"),
+        unanswered=consume_fault(faults, "break_requests"),
         break_after=faults.break_after_tokens if breaks else None,
-        skip_end_marker=take(faults, "skip_end_markers"),
-        stray_chunks=take(faults, "stray_chunks"),
+        skip_end_marker=consume_fault(faults, "skip_end_markers"),
+        stray_chunks=consume_fault(faults, "stray_chunks"),
     )
 
 
 def _stream(runtime: EngineRuntime, streamed: _Answer) -> Generator[bytes, None, None]:
-    """Send what is there, and take the attempt back if the caller goes away."""
+    """Stream an answer and cancel the attempt if the caller disconnects."""
     try:
-        # The first bytes carry the status: they tell that the run is admitted.
+        # The first bytes send the status line, which tells the caller that the run is
+        # admitted.
         yield _COMMENT
         yield from _stream_tokens(streamed)
     finally:
-        runtime.withdraw(streamed.run.attempt_id)
+        runtime.cancel(streamed.run.attempt_id)
 
 
 def _stream_tokens(streamed: _Answer) -> Generator[bytes, None, None]:
@@ -210,7 +217,7 @@
 
 
 def _build_stray_events(streamed: _Answer, offset: int) -> bytes:
-    """Build a late event of another attempt in the next place, and a doubled one."""
+    """Build a late event of an old attempt at the next offset, and a duplicate."""
     data = answer.build_token_data(
         request_id=streamed.run.request_id,
         item="another",
@@ -241,7 +248,7 @@
     order = _decode(incoming.body, Order)
     if order is None:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    reply = runtime.perform(lambda state, now: take_order(state, order, now=now))
+    reply = runtime.run_locked(lambda state, now: receive_order(state, order, now=now))
     return Outgoing(cut=True) if reply is None else _send_json(reply)
 
 
@@ -249,7 +256,7 @@
     request = _decode(incoming.body, wire.CancelRequest)
     if request is None:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    runtime.withdraw(request.attempt_id)
+    runtime.cancel(request.attempt_id)
     return _send_json({})
 
 
@@ -258,7 +265,7 @@
     if not after.isdecimal():
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
     return _send_json(
-        runtime.perform(
+        runtime.run_locked(
             lambda state, now: engine_cache.read_events(
                 state.cache, after=int(after), now=now
             )
@@ -270,7 +277,7 @@
     control = _decode(incoming.body, Control)
     if control is None:
         return Outgoing(status=HTTPStatus.BAD_REQUEST)
-    runtime.perform(lambda state, now: apply_control(state, control, now=now))
+    runtime.run_locked(lambda state, now: apply_control(state, control, now=now))
     return _send_json({})
 
 
--- a/src/arbutuspulley/standins/engine_memory.py
+++ b/src/arbutuspulley/standins/engine_memory.py
@@ -1,7 +1,7 @@
-"""The engine stand-in's memory: which items it holds and how it takes orders.
+"""Memory of the engine stand-in: loaded items, and load and unload orders.
 
-An engine that checks orders refuses old fencing numbers and old order numbers. One
-that doesn't applies whatever arrives, in the order of arrival.
+An engine that checks orders rejects stale fencing tokens and stale order numbers. An
+engine that doesn't applies every order, in order of arrival.
 """
 
 import enum
@@ -19,22 +19,28 @@
     ReportedItem,
 )
 
-ORDERS_KEPT = 10_000
-"""Orders remembered for the counters."""
+MAX_RECORDED_ORDERS = 10_000
+"""Maximum number of orders kept for the counters."""
 
 
 class OnOvercommit(enum.StrEnum):
-    """What an engine does with a load that exceeds its memory."""
+    """How an engine reacts to a load that exceeds its memory.
+
+    ``REFUSE`` refuses the order, ``DIE`` crashes the engine, ``FLAG`` only counts it.
+    """
 
     REFUSE = "refuse"
     DIE = "die"
     FLAG = "flag"
 
 
-class Held(State):
+class HeldItem(State):
     """One item that occupies memory.
 
-    :param ready_at: when its load ends; ``None`` until the weight store admits it.
+    :param number: number of the last order for the item.
+    :param base: model that the adapter extends; empty for a model.
+    :param ready_at: time in ms at which the load ends; ``None`` until the weight
+        store has admitted it.
     """
 
     item: str
@@ -46,7 +52,7 @@
 
 
 class SeenOrder(Message, frozen=True, omit_defaults=False):
-    """An order that was applied or refused, for the counters."""
+    """An order that was applied or refused, as shown in the counters."""
 
     kind: OrderKind
     item: str
@@ -57,24 +63,28 @@
 
 
 class MemoryState(State):
-    """Everything about memory and orders.
+    """Loaded items, the last order and counters.
 
-    :param worst_mib: most memory that was ever occupied at once.
+    :param fence: highest fencing token seen, if orders are checked.
+    :param last_order: highest order number that was not stale.
+    :param last_applied: last order that was not stale.
+    :param seen: the latest orders, for the counters.
+    :param peak_mib: peak memory use.
     :param overcommitted: load orders that would have exceeded the memory.
-    :param died: whether one of them ended the engine.
-    :param loads: loads that were begun.
-    :param unloads: items that were dropped.
+    :param died: whether one of these orders crashed the engine.
+    :param loads: number of loads that were started.
+    :param unloads: number of items that were unloaded.
     """
 
     total_mib: int
     checks_orders: bool
     on_overcommit: OnOvercommit = OnOvercommit.REFUSE
-    held: dict[str, Held] = msgspec.field(default_factory=dict)
+    held: dict[str, HeldItem] = msgspec.field(default_factory=dict)
     fence: int = 0
     last_order: int = 0
     last_applied: Order | None = None
     seen: list[SeenOrder] = msgspec.field(default_factory=list)
-    worst_mib: int = 0
+    peak_mib: int = 0
     overcommitted: int = 0
     died: bool = False
     loads: int = 0
@@ -82,8 +92,8 @@
 
 
 def apply_order(memory: MemoryState, order: Order) -> OrderReply:
-    """Take an order and remember it."""
-    reply = _judge(memory, order) or _apply(memory, order)
+    """Check and apply an order, and record it for the counters."""
+    reply = _check_order(memory, order) or _apply(memory, order)
     if reply.outcome is not OrderOutcome.STALE:
         memory.last_order = max(memory.last_order, order.number)
         memory.last_applied = order
@@ -99,11 +109,11 @@
             detail=reply.detail,
         )
     )
-    del memory.seen[:-ORDERS_KEPT]
+    del memory.seen[:-MAX_RECORDED_ORDERS]
     return reply
 
 
-def list_waiting_loads(memory: MemoryState) -> tuple[Held, ...]:
+def list_waiting_loads(memory: MemoryState) -> tuple[HeldItem, ...]:
     """Return the loads that the weight store has not admitted yet."""
     return tuple(
         held
@@ -115,17 +125,24 @@
 def begin_load(
     memory: MemoryState, *, item: str, number: int, now: int, duration_ms: int
 ) -> None:
-    """Note that the weight store admitted a load, unless it was undone meanwhile."""
+    """Start a load that the weight store admitted.
+
+    Does nothing if the item was unloaded or ordered again since, or if its load has
+    started already.
+    """
     held = memory.held.get(item)
     if held is None or held.number != number or held.ready_at is not None:
         return
     held.ready_at = now + duration_ms
 
 
-def settle(memory: MemoryState, *, in_use: Container[str], now: int) -> tuple[str, ...]:
-    """End the loads that are due, and the unloads of items that no run uses.
+def finish_transitions(
+    memory: MemoryState, *, in_use: Container[str], now: int
+) -> tuple[str, ...]:
+    """Finish loads that are due, and unloads of items that no run uses.
 
-    :return: the items that were dropped.
+    :param in_use: items of the runs in flight.
+    :return: items that were unloaded.
     """
     dropped = []
     for held in list(memory.held.values()):
@@ -139,18 +156,18 @@
 
 
 def is_loaded(memory: MemoryState, item: str) -> bool:
-    """Tell whether an item answers."""
+    """Return whether an item is loaded and can serve requests."""
     held = memory.held.get(item)
     return held is not None and held.state is ItemState.LOADED
 
 
 def sum_memory(memory: MemoryState) -> int:
-    """Return the occupied memory in MiB."""
+    """Return the memory in use, in MiB."""
     return sum(held.memory_mib for held in memory.held.values())
 
 
 def list_items(memory: MemoryState) -> tuple[ReportedItem, ...]:
-    """Return the items as a report shows them."""
+    """Return the items in memory, as sent in reports."""
     return tuple(
         ReportedItem(
             item=held.item,
@@ -162,8 +179,11 @@
     )
 
 
-def _judge(memory: MemoryState, order: Order) -> OrderReply | None:
-    """Refuse an old order, or recognise a doubled one, if orders are checked."""
+def _check_order(memory: MemoryState, order: Order) -> OrderReply | None:
+    """Reject a stale order or accept a duplicate, if orders are checked.
+
+    :return: the reply, or ``None`` if the order is to be applied.
+    """
     if not memory.checks_orders:
         return None
     if order.fence < memory.fence:
@@ -196,14 +216,14 @@
         memory.died = memory.on_overcommit is OnOvercommit.DIE
         if memory.on_overcommit is OnOvercommit.REFUSE:
             return _refuse(f"{needed} MiB needed of {memory.total_mib}")
-    memory.held[order.item] = Held(
+    memory.held[order.item] = HeldItem(
         item=order.item,
         memory_mib=order.memory_mib,
         number=order.number,
         base=order.base,
     )
     memory.loads += 1
-    memory.worst_mib = max(memory.worst_mib, needed)
+    memory.peak_mib = max(memory.peak_mib, needed)
     return _accept()
 
 
@@ -218,7 +238,7 @@
     return _accept()
 
 
-def _is_load_due(held: Held, now: int) -> bool:
+def _is_load_due(held: HeldItem, now: int) -> bool:
     loading = held.state is ItemState.LOADING
     return loading and held.ready_at is not None and held.ready_at <= now
 
--- a/src/arbutuspulley/standins/engine_runtime.py
+++ b/src/arbutuspulley/standins/engine_runtime.py
@@ -1,8 +1,8 @@
-"""Drives the engine model: the time, the batch steps and the loads of weights.
+"""Runtime of the engine stand-in: steps the model and starts loads of weights.
 
-One thread steps the model and hands tokens to the workers that stream them; another
-one asks the weight store for permission to load. All of them share the model under
-one lock.
+One thread steps the model and passes tokens to the worker threads that stream them.
+Another thread asks the weight store for permission to load. All threads share the
+model under one lock.
 """
 
 import os
@@ -25,41 +25,41 @@
 from arbutuspulley.clock import SECOND_MS, Clock
 from arbutuspulley.standins import engine_batch, engine_memory
 from arbutuspulley.standins.engine_batch import Run, Token
-from arbutuspulley.standins.engine_memory import Held
+from arbutuspulley.standins.engine_memory import HeldItem
 from arbutuspulley.standins.engine_state import (
     EngineState,
     Refusal,
     admit,
     advance,
     boot,
-    withdraw,
+    cancel,
 )
 
 IDLE_STEP_MS = 20
-"""Longest time between two looks at what is due."""
+"""Maximum time between two steps of the model."""
 
 LOAD_POLL_MS = 20
-"""Time between two looks at loads that wait for the weight store."""
+"""Interval at which loads that wait for the weight store are checked."""
 
 LOAD_RETRY_MS = 200
-"""When to ask a weight store again that did not answer."""
+"""Retry interval after the weight store did not answer a load request."""
 
 CRASH_EXIT_STATUS = 70
-"""Exit status of an engine that a request or an order ended."""
+"""Exit status of an engine that was crashed by a request or an order."""
 
 _Result = TypeVar("_Result")
 
 Tokens = queue.SimpleQueue[Token | None]
-"""Tokens of one attempt, in order; ``None`` ends them."""
+"""Tokens of one attempt, in order; ``None`` marks the end of a cancelled attempt."""
 
 
 class EngineRuntime:
-    """The model, its lock and its threads.
+    """The model with its lock and threads.
 
-    :param state: the model; touch it only by :meth:`perform`.
-    :param platform: ``host:port`` of the weight store; empty if loads need none.
-    :param load_ms: how long a load takes without a weight store.
-    :param crash: ends the process.
+    :param state: the model; access it only through :meth:`run_locked`.
+    :param platform: ``host:port`` of the weight store; empty to load without one.
+    :param load_ms: duration of a load without a weight store.
+    :param crash: called when the engine crashes; by default the process exits.
     """
 
     __slots__ = (
@@ -71,7 +71,7 @@
         "_stopping",
         "_streams",
         "_threads",
-        "_weights",
+        "_weight_store",
     )
 
     def __init__(
@@ -87,7 +87,7 @@
         self._clock = clock or Clock()
         self._crash = crash or _end_process
         self._load_ms = load_ms
-        self._weights = build_pool(address=platform) if platform else None
+        self._weight_store = build_pool(address=platform) if platform else None
         self._changed = threading.Condition()
         self._stopping = threading.Event()
         self._streams: dict[str, Tokens] = {}
@@ -98,25 +98,28 @@
         boot(state, now=self._clock.now())
 
     def start(self) -> None:
-        """Begin to step and to load."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop the threads and wait for them."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
 
-    def perform(self, work: Callable[[EngineState, int], _Result]) -> _Result:
-        """Do a quick piece of work on the model under the lock."""
+    def run_locked(self, work: Callable[[EngineState, int], _Result]) -> _Result:
+        """Call a short function with the model and the time in ms, under the lock."""
         with self._changed:
             result = work(self._state, self._clock.now())
             self._changed.notify_all()
             return result
 
     def submit(self, run: Run) -> Tokens | Refusal:
-        """Admit an attempt and return its tokens, or say why not."""
+        """Admit an attempt.
+
+        :return: the queue of its tokens, or the refusal.
+        """
         tokens: Tokens = queue.SimpleQueue()
 
         def work(state: EngineState, _now: int) -> Refusal | None:
@@ -125,26 +128,26 @@
                 self._streams[run.attempt_id] = tokens
             return refusal
 
-        return self.perform(work) or tokens
+        return self.run_locked(work) or tokens
 
-    def withdraw(self, attempt_id: str) -> None:
-        """Stop an attempt; its tokens end. One that has ended stays as it is."""
+    def cancel(self, attempt_id: str) -> None:
+        """Cancel an attempt and end its token queue; does nothing if it has ended."""
 
         def work(state: EngineState, _now: int) -> None:
-            withdraw(state, attempt_id)
+            cancel(state, attempt_id)
             tokens = self._streams.pop(attempt_id, None)
             if tokens is not None:
                 tokens.put(None)
 
-        self.perform(work)
+        self.run_locked(work)
 
     def drain(self, *, timeout_ms: int) -> None:
-        """Refuse new requests and wait until those in flight have ended."""
+        """Refuse new requests and wait until the attempts in flight have ended."""
 
         def work(state: EngineState, _now: int) -> None:
             state.stopping = True
 
-        self.perform(work)
+        self.run_locked(work)
         with self._changed:
             self._changed.wait_for(
                 lambda: not self._streams, timeout=timeout_ms / SECOND_MS
@@ -154,7 +157,7 @@
         while not self._stopping.is_set():
             with self._changed:
                 self._step()
-                self._changed.wait(self._find_pause_ms() / SECOND_MS)
+                self._changed.wait(self._get_wait_ms() / SECOND_MS)
 
     def _step(self) -> None:
         for token in advance(self._state, now=self._clock.now()):
@@ -167,28 +170,31 @@
             self._stopping.set()
             self._crash()
 
-    def _find_pause_ms(self) -> int:
+    def _get_wait_ms(self) -> int:
         due = engine_batch.find_next_due(self._state.batch)
         if due is None:
             return IDLE_STEP_MS
         return max(0, min(IDLE_STEP_MS, due - self._clock.now()))
 
     def _run_loads(self) -> None:
-        ask_at: dict[int, int] = {}
+        next_request_at: dict[int, int] = {}
         while not self._stopping.wait(LOAD_POLL_MS / SECOND_MS):
-            waiting = self.perform(
+            waiting = self.run_locked(
                 lambda state, _now: engine_memory.list_waiting_loads(state.memory)
             )
             now = self._clock.now()
             for held in waiting:
-                if ask_at.get(held.number, 0) <= now:
-                    ask_at[held.number] = now + self._ask_for_load(held)
+                if next_request_at.get(held.number, 0) <= now:
+                    next_request_at[held.number] = now + self._request_load(held)
+
+    def _request_load(self, held: HeldItem) -> int:
+        """Start a load if the weight store admits it.
 
-    def _ask_for_load(self, held: Held) -> int:
-        """Begin a load if the weight store admits it; return when to ask again."""
+        :return: time in ms after which to ask again; 0 if the load was started.
+        """
         reply = LoadReply(duration_ms=self._load_ms)
-        if self._weights is not None:
-            reply = ask_weight_store(self._weights, held)
+        if self._weight_store is not None:
+            reply = request_load(self._weight_store, held)
         if reply.retry_after_ms:
             return reply.retry_after_ms
 
@@ -201,12 +207,15 @@
                 duration_ms=reply.duration_ms,
             )
 
-        self.perform(work)
+        self.run_locked(work)
         return 0
 
 
-def ask_weight_store(pool: HTTPConnectionPool, held: Held) -> LoadReply:
-    """Ask for an item's weights; a store that is down counts as not admitting."""
+def request_load(pool: HTTPConnectionPool, held: HeldItem) -> LoadReply:
+    """Ask the weight store to admit a load.
+
+    If the store is unavailable or fails, the load counts as not admitted.
+    """
     body = msgspec.json.encode(LoadRequest(memory_mib=held.memory_mib))
     try:
         response = pool.urlopen("POST", f"{WEIGHTS_PATH}/{held.item}", body=body)
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -1,6 +1,6 @@
-"""The pure model of the engine stand-in: memory, batch, cache, reports and faults.
+"""Model of the engine stand-in: memory, batch, cache, reports and faults.
 
-Nothing here reads a clock or does I/O; :mod:`.engine_runtime` drives it.
+The functions are pure: no I/O and no clock reads. :mod:`.engine_runtime` calls them.
 """
 
 import random
@@ -10,7 +10,7 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.ports.engines import Order, OrderReply, Report
 from arbutuspulley.standins import engine_batch, engine_cache, engine_memory
-from arbutuspulley.standins.control import copy_set, take
+from arbutuspulley.standins.control import apply_set_fields, consume_fault
 from arbutuspulley.standins.engine_batch import BatchState, Run, Token
 from arbutuspulley.standins.engine_cache import CacheState
 from arbutuspulley.standins.engine_control import (
@@ -22,20 +22,20 @@
 from arbutuspulley.standins.engine_memory import MemoryState
 
 SNAPSHOTS_PER_LAG = 4
-"""Reports prepared during the time by which they lag."""
+"""Number of report snapshots taken per report lag."""
 
 
 class Snapshot(Value, frozen=True):
-    """A report and when its numbers were true."""
+    """A report and the time in ms at which it was taken."""
 
     taken_at: int
     report: Report
 
 
-class HeldOrder(Value, frozen=True):
-    """An order that is applied late.
+class DeferredOrder(Value, frozen=True):
+    """An order that is applied later.
 
-    :param due_at: when; ``None`` means when it is released.
+    :param due_at: time in ms; ``None`` if the order is held until it is released.
     """
 
     order: Order
@@ -43,9 +43,11 @@
 
 
 class Refusal(Value, frozen=True):
-    """Why an attempt was not admitted.
+    """Reason why an attempt was not admitted.
 
-    :param missing: whether the item is not loaded here.
+    :param retry_after_ms: time after which a slot is expected to be free.
+    :param leaving: whether the engine is leaving.
+    :param missing: whether the item is not loaded on this engine.
     """
 
     message: str
@@ -55,12 +57,19 @@
 
 
 class EngineState(State):
-    """Everything that an engine knows; a restart begins with a new one.
-
-    :param report_lag_ms: how old reports are, at least.
-    :param stopping: whether it ends once its runs are finished.
-    :param crashed: whether a request or an order has ended it.
-    :param snapshots: reports that are not old enough, behind one that is.
+    """The full state of an engine; lost when the engine restarts.
+
+    :param boot_id: id of this start of the engine.
+    :param report_lag_ms: minimum age of the reports that are sent.
+    :param stopping: whether the engine refuses requests and stops after its runs.
+    :param crashed: whether a request or an order has crashed the engine.
+    :param deferred_orders: orders that were held or delayed by a fault.
+    :param snapshots: one report that is old enough to be sent, followed by newer ones.
+    :param sequence: sequence number of the last report.
+    :param tokens: number of tokens produced.
+    :param refused: number of requests refused before admission.
+    :param runs: counters by request id.
+    :param begun_by_prompt: runs that started at the first token, by prompt digest.
     """
 
     server: str
@@ -73,7 +82,7 @@
     faults: Faults = msgspec.field(default_factory=Faults)
     stopping: bool = False
     crashed: bool = False
-    held_orders: list[HeldOrder] = msgspec.field(default_factory=list)
+    deferred_orders: list[DeferredOrder] = msgspec.field(default_factory=list)
     snapshots: list[Snapshot] = msgspec.field(default_factory=list)
     sequence: int = 0
     tokens: int = 0
@@ -83,36 +92,38 @@
 
 
 def boot(state: EngineState, *, now: int) -> None:
-    """Begin: until now the memory was empty, so an old report says just that."""
+    """Initialise the reports with one of the empty memory, old enough to be sent."""
     empty = _build_snapshot(state, now)
     state.snapshots = [
         Snapshot(taken_at=now - state.report_lag_ms, report=empty.report)
     ]
 
 
-def take_order(state: EngineState, order: Order, *, now: int) -> OrderReply | None:
-    """Take an order as the faults allow.
+def receive_order(state: EngineState, order: Order, *, now: int) -> OrderReply | None:
+    """Apply an order, subject to the faults that are set.
 
-    :return: the reply, or ``None`` if it is lost.
+    :return: the reply, or ``None`` if a fault suppresses it.
     """
     faults = state.faults
-    if take(faults, "drop_orders"):
+    if consume_fault(faults, "drop_orders"):
         return None
-    if take(faults, "hold_orders"):
-        state.held_orders.append(HeldOrder(order=order, due_at=None))
+    if consume_fault(faults, "hold_orders"):
+        state.deferred_orders.append(DeferredOrder(order=order, due_at=None))
         return None
-    if take(faults, "delay_orders"):
+    if consume_fault(faults, "delay_orders"):
         due_at = now + faults.delay_orders_ms
-        state.held_orders.append(HeldOrder(order=order, due_at=due_at))
+        state.deferred_orders.append(DeferredOrder(order=order, due_at=due_at))
         return None
     reply = _apply_order(state, order, now)
-    return None if take(faults, "lose_order_replies") else reply
+    return None if consume_fault(faults, "lose_order_replies") else reply
 
 
 def admit(state: EngineState, run: Run) -> Refusal | None:
-    """Admit an attempt, or say why not.
+    """Admit an attempt and queue its run.
+
+    An attempt whose offset lies behind the last token is admitted, but not run.
 
-    An attempt that wants only events without a token is admitted and not run.
+    :return: the refusal, or ``None`` if the attempt was admitted.
     """
     refusal = _find_refusal(state, run)
     if refusal is not None:
@@ -125,9 +136,12 @@
     return None
 
 
-def withdraw(state: EngineState, attempt_id: str) -> bool:
-    """Stop an attempt, wherever it is; tell whether it was there."""
-    run = engine_batch.withdraw(state.batch, attempt_id)
+def cancel(state: EngineState, attempt_id: str) -> bool:
+    """Cancel an attempt that is queued or running.
+
+    :return: whether there was such an attempt.
+    """
+    run = engine_batch.cancel(state.batch, attempt_id)
     if run is None:
         return False
     _count_run(state, run.request_id, "withdrawn")
@@ -135,9 +149,9 @@
 
 
 def advance(state: EngineState, *, now: int) -> tuple[Token, ...]:
-    """Do everything that is due: late orders, loads, unloads and one batch step."""
+    """Do all work that is due: delayed orders, loads, unloads and one batch step."""
     _apply_due_orders(state, now)
-    _settle(state, now)
+    _finish_transitions(state, now)
     _fill_batch(state, now)
     ready = [run for run in state.batch.batch if run.ready_at <= now]
     state.crashed |= state.memory.died or any(run.poison for run in ready)
@@ -148,34 +162,34 @@
     for token in tokens:
         if token.last:
             _count_run(state, token.request_id, "finished")
-    _take_snapshot(state, now)
+    _record_snapshot(state, now)
     return tokens
 
 
 def read_report(state: EngineState, *, now: int) -> Report:
-    """Return the newest report that is old enough."""
+    """Return the newest report that is at least as old as the report lag."""
     if state.report_lag_ms == 0 and not state.faults.freeze_reports:
         state.snapshots = [_build_snapshot(state, now)]
-    _drop_outdated(state, now)
+    _drop_outdated_snapshots(state, now)
     oldest = state.snapshots[0]
     return msgspec.structs.replace(oldest.report, age_ms=now - oldest.taken_at)
 
 
 def apply_control(state: EngineState, control: Control, *, now: int) -> None:
-    """Set faults and limits."""
+    """Set faults and limits, and apply deferred orders if they are released."""
     if control.freeze_reports:
         read_report(state, now=now)
-    copy_set(control, state.faults)
-    copy_set(control, state.memory)
-    copy_set(control, state.batch)
+    apply_set_fields(control, state.faults)
+    apply_set_fields(control, state.memory)
+    apply_set_fields(control, state.batch)
     if not control.release_orders:
         return
-    released, state.held_orders = state.held_orders, []
+    released, state.deferred_orders = state.deferred_orders, []
     for held in released:
         _apply_order(state, held.order, now)
 
 
-def count(state: EngineState) -> Counters:
+def build_counters(state: EngineState) -> Counters:
     """Return the counters."""
     memory = state.memory
     return Counters(
@@ -183,7 +197,7 @@
         boot_id=state.boot_id,
         memory_total_mib=memory.total_mib,
         memory_used_mib=engine_memory.sum_memory(memory),
-        worst_memory_mib=memory.worst_mib,
+        worst_memory_mib=memory.peak_mib,
         overcommitted=memory.overcommitted,
         loads=memory.loads,
         unloads=memory.unloads,
@@ -203,13 +217,13 @@
     if any(run.attempt_id == other.attempt_id for other in _list_runs(state)):
         return Refusal(message="the attempt is in flight")
     full = not engine_batch.has_room(state.batch)
-    if full or take(state.faults, "refuse_requests"):
-        wait_ms = engine_batch.estimate_wait(state.batch)
+    if full or consume_fault(state.faults, "refuse_requests"):
+        wait_ms = engine_batch.estimate_wait_ms(state.batch)
         return Refusal(message="no room", retry_after_ms=wait_ms)
     return None
 
 
-def _count_begin(state: EngineState, run: Run) -> None:
+def _count_start(state: EngineState, run: Run) -> None:
     if run.offset > 0:
         _count_run(state, run.request_id, "resumed")
         return
@@ -230,51 +244,51 @@
 
 def _apply_order(state: EngineState, order: Order, now: int) -> OrderReply:
     reply = engine_memory.apply_order(state.memory, order)
-    # An item that no run uses is gone with its unload order, so that the effect of
-    # a sequence of orders does not hang on when the next batch step happens.
-    _settle(state, now)
+    # An item that no run uses is unloaded at once, so that the result of a sequence of
+    # orders does not depend on the timing of the batch steps.
+    _finish_transitions(state, now)
     return reply
 
 
-def _settle(state: EngineState, now: int) -> None:
+def _finish_transitions(state: EngineState, now: int) -> None:
     in_use = {run.item for run in _list_runs(state)}
-    for item in engine_memory.settle(state.memory, in_use=in_use, now=now):
-        engine_cache.drop_item(state.cache, item, now=now, chance=state.chance)
+    for item in engine_memory.finish_transitions(state.memory, in_use=in_use, now=now):
+        engine_cache.evict_item(state.cache, item, now=now, chance=state.chance)
 
 
 def _apply_due_orders(state: EngineState, now: int) -> None:
     due = [
         held
-        for held in state.held_orders
+        for held in state.deferred_orders
         if held.due_at is not None and held.due_at <= now
     ]
     for held in due:
-        state.held_orders.remove(held)
+        state.deferred_orders.remove(held)
         _apply_order(state, held.order, now)
 
 
 def _fill_batch(state: EngineState, now: int) -> None:
-    while (run := engine_batch.take_next(state.batch)) is not None:
-        _count_begin(state, run)
-        cached = engine_cache.use_prefix(
+    while (run := engine_batch.schedule_next(state.batch)) is not None:
+        _count_start(state, run)
+        cached = engine_cache.cache_prompt(
             state.cache, item=run.item, words=run.words, now=now, chance=state.chance
         )
-        # A resumed run reads in the part of the answer that exists already.
+        # A resumed run also needs a prefill of the tokens that exist already.
         uncached = len(run.words) - cached + run.offset
-        engine_batch.begin_reading(state.batch, run, uncached_words=uncached, now=now)
+        engine_batch.begin_prefill(state.batch, run, uncached_words=uncached, now=now)
 
 
-def _take_snapshot(state: EngineState, now: int) -> None:
+def _record_snapshot(state: EngineState, now: int) -> None:
     if state.faults.freeze_reports or state.report_lag_ms == 0:
         return
     spacing = state.report_lag_ms // SNAPSHOTS_PER_LAG
     if state.snapshots[-1].taken_at + spacing <= now:
         state.snapshots.append(_build_snapshot(state, now))
-    _drop_outdated(state, now)
+    _drop_outdated_snapshots(state, now)
 
 
-def _drop_outdated(state: EngineState, now: int) -> None:
-    """Keep one snapshot that is old enough, and all younger ones."""
+def _drop_outdated_snapshots(state: EngineState, now: int) -> None:
+    """Drop all snapshots older than the newest one that is old enough to be sent."""
     if state.faults.freeze_reports:
         return
     while len(state.snapshots) > 1:
--- a/src/arbutuspulley/standins/fleet_server.py
+++ b/src/arbutuspulley/standins/fleet_server.py
@@ -1,6 +1,6 @@
-"""A small stand-in for a backend server of the users' platform.
+"""Minimal stand-in for a backend server of the users' platform.
 
-It runs streams of a model, or plain requests, and takes orders as a compare-and-set.
+It serves streams of a model or plain requests. Orders are compare-and-set operations.
 """
 
 import asyncio
@@ -14,20 +14,28 @@
 
 
 class ServerStandin:
-    """One start of a server. It keeps the headers of what it ran by attempt.
-
-    :param models: models at the start; empty for a plain service.
-    :param memory_mb: room for models of 10 MB each.
-    :param load_s: how long a load takes.
-
-    Faults: ``breaks_after`` events of a stream the connection is reset, and
-    ``on_break`` is called before; ``sheds`` refuses every request as not run;
-    ``crashes_on``: a body with these bytes resets its connection as it runs, and
-    ``on_break`` is called; ``holds_s`` delays answers; ``loses_orders`` drops orders
-    and ``loses_order_answers`` carries them out, both without an answer;
-    ``limit_per_s`` is named in answers to requests.
-
-    ``arrivals`` has the time of each request, in s of the loop's clock.
+    """One incarnation of a server.
+
+    :param models: models that are loaded at the start; empty for a plain service.
+    :param memory_mb: memory for models; each model takes 10 MB.
+    :param load_s: duration of a load.
+
+    Tests set these attributes to inject faults:
+
+    - ``breaks_after``: number of events after which a stream's connection is reset;
+      ``on_break`` is called before the reset.
+    - ``sheds``: refuse every request as not run.
+    - ``fails``: answer every request with 500, after calling ``on_break``.
+    - ``crashes_on``: a request whose body contains these bytes is counted as run, its
+      connection is reset, and ``on_break`` is called.
+    - ``delay_s``: delay before the answer to a request.
+    - ``loses_orders``: reset the connection of an order without applying it.
+    - ``loses_order_answers``: apply an order and reset its connection.
+    - ``limit_per_s``: rate limit that is announced in answers to requests.
+
+    Tests read ``runs`` (number of runs by attempt id), ``headers`` (request headers by
+    attempt id), ``overcommitted`` (loads that exceeded the memory) and ``arrivals``
+    (time of each request, in s of the event loop's clock).
     """
 
     __slots__ = (
@@ -35,10 +43,10 @@
         "arrivals",
         "breaks_after",
         "crashes_on",
+        "delay_s",
         "fails",
         "fence",
         "headers",
-        "holds_s",
         "incarnation",
         "is_busy",
         "limit_per_s",
@@ -81,14 +89,14 @@
         self.on_break: Callable[[], None] = lambda: None
         self.sheds = False
         self.fails = False
-        self.holds_s = 0.0
+        self.delay_s = 0.0
         self.limit_per_s: float | None = None
         self.arrivals: list[float] = []
         self.loses_orders = False
         self.loses_order_answers = False
 
     def describe(self, *, state: str = "ready") -> dict:
-        """Return the server's row in the store."""
+        """Return the server's row in the metadata store."""
         return {
             "Service": self.service,
             "Address": self.address,
@@ -101,7 +109,7 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a request, a report or an order."""
+        """Answer an inference or service request, a report call or an order."""
         expected = request.headers.get(names.EXPECT_INSTANCE)
         if expected not in (None, self.incarnation):
             return web.Response(status=421)
@@ -113,7 +121,7 @@
 
     async def _answer_order(self, request: web.BaseRequest) -> web.Response:
         order = msgspec.json.decode(await request.read())
-        answer = web.Response() if self.loses_orders else self._take_order(order)
+        answer = web.Response() if self.loses_orders else self._apply_order(order)
         is_lost = self.loses_orders or self.loses_order_answers
         if is_lost and request.transport is not None:
             request.transport.abort()
@@ -136,7 +144,7 @@
             for name, adapters in self.models.items()
         ]
 
-    def _take_order(self, order: dict) -> web.Response:
+    def _apply_order(self, order: dict) -> web.Response:
         if order["FencingToken"] < self.fence:
             return web.Response(status=412)
         if self.is_busy or order.get("Expected", self.orders) != self.orders:
@@ -155,10 +163,10 @@
             if 10 * (len(self.models) + 1) > self.memory_mb:
                 self.overcommitted += 1
             self.is_busy = True
-            asyncio.get_running_loop().call_later(self.load_s, self._finish, model)
+            asyncio.get_running_loop().call_later(self.load_s, self._finish_load, model)
         return web.Response(status=202)
 
-    def _finish(self, model: str) -> None:
+    def _finish_load(self, model: str) -> None:
         self.models[model] = set()
         self.is_busy = False
 
@@ -166,14 +174,14 @@
         body = await request.read()
         self.arrivals.append(asyncio.get_running_loop().time())
         attempt = request.headers.get(names.ATTEMPT_ID, "")
-        named = self._name_limit()
+        limit_header = self._build_limit_header()
         model, _, adapter = request.headers.get(names.MODEL, "").partition("/")
-        lacks = model and adapter not in {"", *self.models.get(model, ())}
-        if self.sheds or (model and model not in self.models) or lacks:
+        lacks_adapter = model and adapter not in {"", *self.models.get(model, ())}
+        if self.sheds or (model and model not in self.models) or lacks_adapter:
             headers = {
                 names.NOT_EXECUTED: "1",
                 names.ATTEMPT_ID: attempt,
-                **named,
+                **limit_header,
             }
             return web.Response(status=503, headers=headers)
         self.runs[attempt] += 1
@@ -182,12 +190,12 @@
             request.transport.abort()
             self.on_break()
             return web.Response()
-        if self.holds_s:
-            await asyncio.sleep(self.holds_s)
+        if self.delay_s:
+            await asyncio.sleep(self.delay_s)
         headers = {
             names.ATTEMPT_ID: attempt,
             names.SEAL: f"seal.{self.incarnation}",
-            **named,
+            **limit_header,
         }
         if self.fails:
             self.on_break()
@@ -196,7 +204,7 @@
             return web.Response(body=b"done:" + body, headers=headers)
         return await self._stream(request, headers)
 
-    def _name_limit(self) -> dict[str, str]:
+    def _build_limit_header(self) -> dict[str, str]:
         if self.limit_per_s is None:
             return {}
         return {names.SERVER_LIMIT: str(self.limit_per_s)}
--- a/src/arbutuspulley/standins/platform_control.py
+++ b/src/arbutuspulley/standins/platform_control.py
@@ -14,49 +14,52 @@
     set_instances,
 )
 
-Whole = Annotated[int, msgspec.Meta(ge=0)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 Positive = Annotated[int, msgspec.Meta(ge=1)]
 
 
 class Control(Document, frozen=True):
-    """What ``POST /control`` may set; what is left out stays as it is.
-
-    :param outage: answer everything but ``/control`` with 503.
-    :param slow_ms: wait before each answer, after the work was done.
-    :param lose_replies: let that many next transactions and object writes take
-        effect, and close their connections without an answer.
-    :param restore_revision: put the table back to this revision, once.
-    :param instances: the instance list, seen after the lag.
-    :param instance_lag_ms: how far the list lags.
-    :param loads_per_minute: the weight store's rate.
-    :param loads_at_once: loads that the weight store serves at full speed.
-    :param load_ms_per_gib: how long an undisturbed load takes.
+    """Body of ``POST /control``; fields that are left out keep their value.
+
+    :param outage: answer all paths except ``/control`` with 503.
+    :param slow_ms: delay of each reply, after the call has taken effect.
+    :param lose_replies: number of the next transactions and object writes that take
+        effect, but whose connections are closed without a reply.
+    :param restore_revision: restore the table to this revision, once.
+    :param instances: the instance list; readers see it after the lag.
+    :param instance_lag_ms: lag of the instance list.
+    :param loads_per_minute: rate limit of the weight store.
+    :param loads_at_once: number of concurrent loads that the weight store serves at
+        full speed.
+    :param load_ms_per_gib: duration of a load at full speed, in ms per GiB.
     """
 
     outage: bool | None = None
-    slow_ms: Whole | None = None
-    lose_replies: Whole | None = None
-    restore_revision: Whole | None = None
+    slow_ms: NonNegative | None = None
+    lose_replies: NonNegative | None = None
+    restore_revision: NonNegative | None = None
     instances: tuple[InstanceListing, ...] | None = None
-    instance_lag_ms: Whole | None = None
+    instance_lag_ms: NonNegative | None = None
     loads_per_minute: Positive | None = None
     loads_at_once: Positive | None = None
-    load_ms_per_gib: Whole | None = None
+    load_ms_per_gib: NonNegative | None = None
 
 
 class Counters(Message, frozen=True, omit_defaults=False):
-    """What the stand-in has done since it began (``GET /control/counters``).
-
-    :param reads: rows, scans, objects and lists asked for.
-    :param writes: transactions and objects that took effect.
-    :param conflicts: transactions refused by a precondition.
-    :param replies_lost: effects whose answer was withheld.
-    :param refused: calls answered 503.
-    :param bytes_in: body bytes taken.
-    :param bytes_out: body bytes of answers.
+    """Counters since the start of the stand-in (``GET /control/counters``).
+
+    :param reads: reads of rows, scans, objects and instance lists.
+    :param writes: transactions and object writes that took effect.
+    :param conflicts: transactions rejected by a precondition.
+    :param replies_lost: writes that took effect without a reply.
+    :param refused: calls answered with 503.
+    :param bytes_in: bytes of request bodies.
+    :param bytes_out: bytes of reply bodies.
     :param loads: loads admitted by the weight store.
-    :param loads_refused: loads answered 429.
-    :param loads_peak: most loads served at once.
+    :param loads_refused: loads answered with 429.
+    :param loads_peak: maximum number of concurrent loads.
+    :param revision: current revision of the table.
+    :param table_id: current id of the table's history.
     """
 
     reads: int = 0
@@ -74,7 +77,7 @@
 
 
 class Faults(State):
-    """The faults that are set now; see :class:`Control`."""
+    """The faults that are currently set; see :class:`Control`."""
 
     outage: bool = False
     slow_ms: int = 0
@@ -82,9 +85,9 @@
 
 
 class PlatformState(State):
-    """All that the stand-in keeps.
+    """The full state of the stand-in.
 
-    :param counts: counters by their name in :class:`Counters`.
+    :param counts: counters by their field name in :class:`Counters`.
     """
 
     table: TableState
@@ -96,35 +99,35 @@
 
 
 def apply_control(state: PlatformState, control: Control, *, now: int) -> None:
-    """Set faults and limits.
+    """Set faults, limits and the instance list, and restore the table if asked to.
 
     :raises RestoreError: if the revision can't be restored; nothing is changed.
     """
     if control.restore_revision is not None:
         restore(state.table, control.restore_revision)
-    _copy_set(control, state.faults)
-    _copy_set(control, state.weights)
+    _apply_set_fields(control, state.faults)
+    _apply_set_fields(control, state.weights)
     if control.instance_lag_ms is not None:
         state.instances.lag_ms = control.instance_lag_ms
     if control.instances is not None:
         set_instances(state.instances, control.instances, now=now)
 
 
-def add(state: PlatformState, name: str, amount: int = 1) -> None:
-    """Raise a counter."""
+def increment(state: PlatformState, name: str, amount: int = 1) -> None:
+    """Increment a counter."""
     state.counts[name] = state.counts.get(name, 0) + amount
 
 
-def take_loss(state: PlatformState) -> bool:
-    """Tell whether the answer to an effect is to be withheld, and count it."""
+def consume_reply_loss(state: PlatformState) -> bool:
+    """Return whether the reply to a write is to be lost, and count the loss."""
     if state.faults.lose_replies == 0:
         return False
     state.faults.lose_replies -= 1
-    add(state, "replies_lost")
+    increment(state, "replies_lost")
     return True
 
 
-def _copy_set(control: Control, target: State) -> None:
+def _apply_set_fields(control: Control, target: State) -> None:
     for name in target.__struct_fields__:
         value = getattr(control, name, None)
         if value is not None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -159,7 +159,7 @@
 
     async def scenario(fleet, session):
         for server in fleet.servers[2:]:
-            server.holds_s = 2
+            server.delay_s = 2
         front = fleet.addresses["n1"]["Frontend"]
         status, _, _ = await ask(
             session,
@@ -194,7 +194,7 @@
 
     async def scenario(fleet, session):
         full, sound = fleet.servers[2:]
-        full.sheds, sound.holds_s = True, 0.05
+        full.sheds, sound.delay_s = True, 0.05
         front = fleet.addresses["n1"]["Frontend"]
         begun_s = time.monotonic()
         for number in range(12):
@@ -213,7 +213,7 @@
 
     async def scenario(fleet, session):
         for server in fleet.servers[2:]:
-            server.holds_s = 1.2
+            server.delay_s = 1.2
         front = fleet.addresses["n1"]["Frontend"]
         answers = []
         for wave in range(3):
@@ -338,11 +338,11 @@
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
         fleet.store.is_down = True
-        fleet.store.forget_history()
+        fleet.store.discard_history()
         fleet.store.put("op", "config", build_configuration(9))
         status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m0")
         assert (status, body) == (200, WHOLE)
-        fleet.store.forget_history()
+        fleet.store.discard_history()
         fleet.store.is_down = False
         await fleet.wait_log("n1", '"version":9')
 
@@ -390,7 +390,7 @@
     once, and it exits by itself with status 0."""
 
     async def scenario(fleet, session):
-        fleet.servers[2].holds_s = fleet.servers[3].holds_s = 0.5
+        fleet.servers[2].delay_s = fleet.servers[3].delay_s = 0.5
         front = fleet.addresses["n1"]["Frontend"]
         before = asyncio.create_task(ask(session, front, "/book/1", attempt="a1"))
         await asyncio.sleep(0.2)
