--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -15,7 +15,7 @@
 
 from arbutuspulley.configuration import schema
 from scripts import demo_load, fleet
-from scripts.asking import Ending
+from scripts.client import Ending
 from scripts.demo_load import RunCounts, Tally
 from scripts.fleet import Fleet, InstancePlan, Plan, ServerPlan
 from scripts.launcher import Launcher, WaitError, fetch, open_launcher, wait_until
--- a/scripts/demo_load.py
+++ b/scripts/demo_load.py
@@ -15,7 +15,7 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.standins import answer
 from arbutuspulley.standins.engine_http import ADMITTED
-from scripts.asking import AddressBook, Ask, Ending, Outcome, ask
+from scripts.client import AddressBook, Ask, Ending, Outcome, ask
 
 WORKERS = 8
 """Callers that ask at once."""
--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from scripts.platform_stage import WHOLE, Fleet, ask
+from scripts.platform_testbed import WHOLE, Fleet, ask
 
 ROUNDS = 10
 """Rounds of requests; each asks for four models, two adapters and two bookings."""
--- a/tests/proxied_nodes.py
+++ b/tests/proxied_nodes.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from scripts.platform_stage import Fleet
+from scripts.platform_testbed import Fleet
 from tests.proxy import FaultProxy
 
 
--- a/tests/stack.py
+++ b/tests/stack.py
@@ -12,7 +12,7 @@
 from arbutuspulley.data import State
 from arbutuspulley.standins import answer
 from scripts import fleet
-from scripts.asking import AddressBook, Ask, ask, ask_once
+from scripts.client import AddressBook, Ask, ask, ask_once
 from scripts.demo_load import count_admissions
 from scripts.fleet import Fleet, InstancePlan, Plan, ServerPlan
 from scripts.launcher import fetch, open_launcher, wait_until
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -9,7 +9,7 @@
 from arbutuspulley.node.store_watch import activate_configuration
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.routing.route_table import find_route
-from scripts.platform_stage import HOST, build_configuration, build_route
+from scripts.platform_testbed import HOST, build_configuration, build_route
 from tests.node_states import build_state
 
 KEY = "X-Arbutuspulley-Key"
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -24,7 +24,7 @@
 from arbutuspulley.platform.requests import decode_request
 from arbutuspulley.ports.fleet import AttemptOutcome, LoadedModel, ServerEntry
 from arbutuspulley.routing.route_table import find_route
-from scripts.platform_stage import HOST, build_configuration
+from scripts.platform_testbed import HOST, build_configuration
 from tests.node_states import build_state
 
 ENTRY = ServerEntry(
--- a/tests/test_demo_load.py
+++ b/tests/test_demo_load.py
@@ -7,7 +7,7 @@
 
 from arbutuspulley.adapters.sse import SentEvent
 from arbutuspulley.standins import answer
-from scripts.asking import Answer, Ask, Ending, Outcome
+from scripts.client import Answer, Ask, Ending, Outcome
 from scripts.demo_load import RunCounts, judge
 
 ITEMS = {"assistant": "1"}
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,7 +7,7 @@
 from arbutuspulley.clock import Clock
 from arbutuspulley.node.directory import ROSTER_TIMEOUT_MS, Directory
 from arbutuspulley.node.store_watch import activate_configuration
-from scripts.platform_stage import build_configuration
+from scripts.platform_testbed import build_configuration
 from tests.node_states import build_info, build_state
 
 
--- a/tests/test_failures_control.py
+++ b/tests/test_failures_control.py
@@ -9,7 +9,7 @@
 from arbutuspulley.events import Event
 from arbutuspulley.results import Code
 from scripts import fleet
-from scripts.asking import Ending, ask_once
+from scripts.client import Ending, ask_once
 from scripts.launcher import wait_until
 from tests import stack as running
 
--- a/tests/test_failures_delivery.py
+++ b/tests/test_failures_delivery.py
@@ -6,7 +6,7 @@
 import pytest
 
 from arbutuspulley.results import Code
-from scripts.asking import Ending, ask_once
+from scripts.client import Ending, ask_once
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
--- a/tests/test_failures_entries.py
+++ b/tests/test_failures_entries.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scripts.asking import AddressBook, Ending, ask
+from scripts.client import AddressBook, Ending, ask
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -10,7 +10,7 @@
 from arbutuspulley.node.peers import Peers
 from arbutuspulley.node.relay import Relay
 from arbutuspulley.node.store_watch import activate_configuration
-from scripts.platform_stage import build_configuration
+from scripts.platform_testbed import build_configuration
 from tests.node_states import build_info, build_state
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 import pytest
 
 from arbutuspulley.standins.fleet_server import ServerStandin
-from scripts.platform_stage import WHOLE, Fleet, ask, build_configuration, wait_until
+from scripts.platform_testbed import WHOLE, Fleet, ask, build_configuration, wait_until
 
 
 def play(folder, scenario, *, nodes=("n1",)):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,7 +22,7 @@
 )
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import StoredRow
-from scripts.platform_stage import build_configuration, build_route
+from scripts.platform_testbed import build_configuration, build_route
 from tests.node_states import build_info, build_state
 
 IN_FORCE_WITHIN_MS = 2_000
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -24,7 +24,7 @@
 from arbutuspulley.ports.fleet import LoadedModel, ModelNeed, RetryPolicy
 from arbutuspulley.results import SettingError
 from arbutuspulley.settings import SettingsError
-from scripts.platform_stage import build_configuration
+from scripts.platform_testbed import build_configuration
 
 
 def encode(value):
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -17,7 +17,7 @@
 from arbutuspulley.results import OutcomeUnknownError, PlatformUnavailableError
 from arbutuspulley.standins.fleet_server import ServerStandin
 from arbutuspulley.standins.fleet_store import StoreStandin
-from scripts.platform_stage import listen
+from scripts.platform_testbed import listen
 from tests.ports import find_free_address
 
 TABLE = "t"
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from arbutuspulley.data import State
-from scripts.asking import Answer, Ask, Ending, Outcome, ask_once
+from scripts.client import Answer, Ask, Ending, Outcome, ask_once
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -32,7 +32,7 @@
 )
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import RowsAnswer, StoredRow
-from scripts.platform_stage import build_configuration
+from scripts.platform_testbed import build_configuration
 from tests.node_states import build_info, build_state
 
 IN_FORCE_WITHIN_MS = 2_000
--- a/tests/test_relayed_changes.py
+++ b/tests/test_relayed_changes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from scripts.platform_stage import (
+from scripts.platform_testbed import (
     ask,
     build_configuration,
     build_route,
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scripts.platform_stage import ask
+from scripts.platform_testbed import ask
 from tests.proxied_nodes import play_on_nodes
 from tests.proxy import Direction
 
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -17,7 +17,7 @@
 from arbutuspulley.platform import names
 from arbutuspulley.platform.store import HistoryLostError, RowsAnswer, StoredRow
 from arbutuspulley.results import PlatformUnavailableError
-from scripts.platform_stage import build_configuration
+from scripts.platform_testbed import build_configuration
 from tests.node_states import build_state
 
 
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from scripts.platform_stage import (
+from scripts.platform_testbed import (
     WHOLE,
     Fleet,
     ask,
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,7 +11,7 @@
     encode_frame,
 )
 from arbutuspulley.node.versions import MOST_KEPT, MOST_KEPT_BYTES, Versions
-from scripts.platform_stage import build_configuration, build_route
+from scripts.platform_testbed import build_configuration, build_route
 
 
 def build_routes(numbers, **changes):
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -8,7 +8,7 @@
 from arbutuspulley.configuration import schema
 from arbutuspulley.results import Code
 from scripts import fleet
-from scripts.asking import ask_once
+from scripts.client import ask_once
 from scripts.launcher import fetch
 from tests import stack as running
 
