--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from scripts.platform_testbed import WHOLE, Fleet, ask
+from scripts.platform_testbed import FULL_STREAM, Fleet, send_request
 
 ROUNDS = 10
 """Rounds of requests; each asks for four models, two adapters and two bookings."""
@@ -59,11 +59,15 @@
     session: aiohttp.ClientSession, front: str, number: int
 ) -> list[str]:
     streams = [
-        ask(session, front, "/chat/x", attempt=f"s{number}-{model}", model=model)
+        send_request(
+            session, front, "/chat/x", attempt=f"s{number}-{model}", model=model
+        )
         for model in MODELS
     ]
     bookings = [
-        ask(session, front, "/book/x", attempt=f"b{number}-{one}", body=b"night")
+        send_request(
+            session, front, "/book/x", attempt=f"b{number}-{one}", body=b"night"
+        )
         for one in range(2)
     ]
     answers = await asyncio.gather(*streams, *bookings)
@@ -71,7 +75,7 @@
 
 
 def _judge(status: int, body: bytes) -> str:
-    if status == 200 and body in (WHOLE, b"done:night"):
+    if status == 200 and body in (FULL_STREAM, b"done:night"):
         return "whole"
     return "refused" if status == 503 else "other"
 
--- a/scripts/platform_testbed.py
+++ b/scripts/platform_testbed.py
@@ -24,7 +24,7 @@
 BOUND_S = 15
 """How long anything may take before it counts as stuck, in s."""
 
-WHOLE = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 7))
+FULL_STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 7))
 """A whole stream of a model."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -253,7 +253,7 @@
         raise AssertionError(f"waited {BOUND_S} s for {what}") from None
 
 
-async def ask(
+async def send_request(
     session: aiohttp.ClientSession,
     address: str,
     path: str,
--- a/src/arbutuspulley/programs/console_errors.py
+++ b/src/arbutuspulley/programs/console_errors.py
@@ -27,7 +27,7 @@
 """HTTP status of each code; 400 for all others."""
 
 
-def explain(error: Exception) -> tuple[ErrorReply, HTTPStatus]:
+def build_error_reply(error: Exception) -> tuple[ErrorReply, HTTPStatus]:
     """Return what an operator is told of an error, and the HTTP status.
 
     Unexpected errors are logged and told as internal, without their text.
--- a/src/arbutuspulley/programs/console_http.py
+++ b/src/arbutuspulley/programs/console_http.py
@@ -17,7 +17,7 @@
 
 from arbutuspulley.data import Message, Value
 from arbutuspulley.events import Event, log_event
-from arbutuspulley.programs.console_errors import explain
+from arbutuspulley.programs.console_errors import build_error_reply
 from arbutuspulley.programs.console_messages import ErrorLine, ErrorReply
 from arbutuspulley.programs.console_page import Page
 from arbutuspulley.results import ArbutusError, Code
@@ -157,7 +157,7 @@
                 reply = route.handle(call)
             status = HTTPStatus.OK
         except Exception as error:
-            reply, status = explain(error)
+            reply, status = build_error_reply(error)
         operation = route.name if route else "none"
         if isinstance(reply, ErrorReply):
             code = reply.errors[0].code
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -48,7 +48,7 @@
         self.fake = FakePlatform()
         self.down = False
         self.lost_replies = 0
-        self.after_death = None
+        self.after_death_report = None
         self.reports = []
         self.settled = []
         self.port = Controller(
@@ -89,11 +89,11 @@
         return Acknowledged()
 
     async def _report_death(self, report):
-        hook, self.after_death = self.after_death, None
+        hook, self.after_death_report = self.after_death_report, None
         table = self.fake.platform.table
         reply = self._answer(lambda: trials.record_deaths(table, report))
         if hook:
-            await run_aside(hook)
+            await run_in_executor(hook)
         return reply
 
     async def _clear_suspicion(self, report):
@@ -143,7 +143,7 @@
     process: subprocess.Popen
 
 
-class Bench:
+class EntryHarness:
     """Entries, engines and their one controller."""
 
     def __init__(self, stack):
@@ -177,7 +177,7 @@
         self.entries.append(entry)
         return entry
 
-    def spread(self, *entries, **changes):
+    def push_view(self, *entries, **changes):
         """Give all entries, or these, the view that a controller would have now."""
         self.number += 1
         view = View(
@@ -219,20 +219,20 @@
 
 
 @contextlib.contextmanager
-def run_bench(*, engines=("e1",), entries=1, services=(), **settings):
+def run_entries(*, engines=("e1",), entries=1, services=(), **settings):
     """Yield a bench with engines that hold the model, and entries that know it."""
     with contextlib.ExitStack() as stack:
-        bench = Bench(stack)
+        bench = EntryHarness(stack)
         bench.services = list(services)
         for name in engines:
             bench.add_engine(name, **settings)
         for _ in range(entries):
             bench.add_entry()
-        bench.spread()
+        bench.push_view()
         yield bench
 
 
-async def run_aside(function):
+async def run_in_executor(function):
     """Run what waits for a loop, from that loop."""
     await asyncio.get_running_loop().run_in_executor(None, function)
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -6,7 +6,7 @@
 
 from arbutuspulley.delivery.failures import build_failure
 from arbutuspulley.events import Event
-from arbutuspulley.programs.console_errors import explain
+from arbutuspulley.programs.console_errors import build_error_reply
 from arbutuspulley.results import Code, ConfigurationError
 
 DOCS = Path(__file__).parents[1] / "docs"
@@ -36,4 +36,4 @@
             assert shown == str(build_failure(code, "").status), code
         elif shown.isdigit():
             error = ConfigurationError(code=code, detail="")
-            assert shown == str(explain(error)[1].value), code
+            assert shown == str(build_error_reply(error)[1].value), code
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -9,12 +9,12 @@
 from arbutuspulley.results import Code
 from arbutuspulley.standins.service import build_service
 from tests.backends import set_faults, wait_until
-from tests.entries import CHAT, MAX_BODY_BYTES, build_chat, run_bench
+from tests.entries import CHAT, MAX_BODY_BYTES, build_chat, run_entries
 
 
 @pytest.fixture(scope="module")
 def bench():
-    with run_bench(engines=("e1",)) as running:
+    with run_entries(engines=("e1",)) as running:
         yield running
 
 
@@ -78,7 +78,7 @@
 def test_a_plain_service_gets_the_call_as_it_was_sent():
     service = build_service(name="b")
     service.start()
-    with run_bench(engines=(), services=[service.address]) as bench:
+    with run_entries(engines=(), services=[service.address]) as bench:
         parent = f"00-{'a' * 32}-{'b' * 16}-01"
         path = "/services/booking/x%2Fy/z?q=1&q=2"
         answer = bench.entries[0].ask(b"body", path, "PUT", Traceparent=parent, A="b")
@@ -142,7 +142,7 @@
     The caller must read each token once and in order, as if nothing had happened; an
     answer without its end marker must not pass for a whole one.
     """
-    with run_bench(engines=("e1", "e2")) as bench:
+    with run_entries(engines=("e1", "e2")) as bench:
         entry = bench.entries[0]
         expected = entry.connect().chat.completions.create(**build_chat(tokens=6))
         set_faults(bench.engines["e1"].address, **faults)
@@ -165,7 +165,7 @@
 
 
 def test_a_stream_that_cannot_become_whole_says_so():
-    with run_bench(engines=("e1",)) as bench:
+    with run_entries(engines=("e1",)) as bench:
         address = bench.engines["e1"].address
         set_faults(address, break_streams=9, break_after_tokens=1)
         answer = bench.entries[0].ask(build_chat(tokens=9, stream=True))
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -11,7 +11,7 @@
 from arbutuspulley.results import Code
 from arbutuspulley.standins.service import build_service
 from tests.backends import read_counters, set_faults, wait_until
-from tests.entries import UNREPEATABLE, build_chat, run_bench
+from tests.entries import UNREPEATABLE, build_chat, run_entries
 
 BOOKING = "/services/booking/bookings"
 SENT = {name.replace("-", "_"): value for name, value in UNREPEATABLE.items()}
@@ -43,7 +43,7 @@
     Through the same entry or another one, the guest must get one confirmation, and
     the volunteer the answer of the first run.
     """
-    with run_bench(engines=("e1", "e2"), entries=2) as bench:
+    with run_entries(engines=("e1", "e2"), entries=2) as bench:
         first, second = bench.entries
         body = build_chat(stream=stream)
         answers = [entry.ask(body, **SENT) for entry in (first, first, second)]
@@ -88,7 +88,7 @@
     the caller comes back through another entry. In the second it certainly did not,
     and the key is given back.
     """
-    with run_bench(engines=("e1",), entries=2) as bench:
+    with run_entries(engines=("e1",), entries=2) as bench:
         set_faults(bench.engines["e1"].address, **faults)
         answer = bench.entries[0].ask(build_chat(), **SENT)
         assert show(answer) == first
@@ -104,7 +104,7 @@
     Without a claim a booking could run at two entries. It is refused at once, as not
     run, and all other requests are served on.
     """
-    with run_bench() as bench:
+    with run_entries() as bench:
         entry, controller = bench.entries[0], bench.controller
         for name, owner in (("down", controller.fake), ("down", controller)):
             setattr(owner, name, True)
@@ -125,7 +125,7 @@
     First it must wait; then nobody can tell how the booking ended, and asking for
     ever would be in vain.
     """
-    with run_bench(entries=2, token_ms=20) as bench:
+    with run_entries(entries=2, token_ms=20) as bench:
         first, second = bench.entries
         slow = build_chat(tokens=100)
         asking = threading.Thread(target=lambda: first.ask(slow, **SENT))
@@ -134,16 +134,16 @@
         answer = second.ask(slow, **SENT)
         assert show(answer) == (409, "IN_PROGRESS", "unknown")
         assert answer.headers["Retry-After"] == "1"
-        bench.spread(entries=())
+        bench.push_view(entries=())
         assert show(second.ask(slow, **SENT)) == (409, "OUTCOME_UNKNOWN", "unknown")
         asking.join()
-        bench.spread()
+        bench.push_view()
         assert show(second.ask(slow, **SENT)) == (200, "OK", "run")
 
 
 def test_the_answer_goes_out_although_it_cannot_be_stored():
     """The store fails between the run of a booking and the record of its answer."""
-    with run_bench(token_ms=5) as bench:
+    with run_entries(token_ms=5) as bench:
         entry, controller = bench.entries[0], bench.controller
         answers = []
         asking = threading.Thread(
@@ -169,7 +169,7 @@
     Nobody reads it any more, so the engine is freed. A confirmation is run to its
     end: the guest comes back with the same key and finds it.
     """
-    with run_bench(token_ms=10) as bench:
+    with run_entries(token_ms=10) as bench:
         entry, engine = bench.entries[0], bench.engines["e1"]
         body = build_chat(tokens=100, stream=stream)
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -215,7 +215,7 @@
     for service in services:
         service.start()
     addresses = [service.address for service in services]
-    with run_bench(services=addresses) as bench:
+    with run_entries(services=addresses) as bench:
         entry = bench.entries[0]
         set_faults(addresses[0], **{fault: 1})
         entry.call(lambda state: state.failed_addresses.update({addresses[1]: 1 << 60}))
@@ -235,21 +235,21 @@
     the first death before its answer goes out, and of no other. Two servers are lost;
     a bystander that ran on the first one gets its whole answer.
     """
-    with run_bench(engines=(), entries=3) as bench:
+    with run_entries(engines=(), entries=3) as bench:
         first = bench.entries[0]
         for number in range(4):
             bench.add_engine_process(f"e{number}", marker="poison")
-        bench.spread()
-        bench.spread(first, servers=bench.list_servers("e0"))
+        bench.push_view()
+        bench.push_view(first, servers=bench.list_servers("e0"))
 
         def tell_first_death():
             told = [
                 replace(one, deaths=tuple(d for d in one.deaths if d.startswith("e0")))
                 for one in bench.controller.list_suspicions()
             ]
-            bench.spread(suspicions=tuple(told))
+            bench.push_view(suspicions=tuple(told))
 
-        bench.controller.after_death = tell_first_death
+        bench.controller.after_death_report = tell_first_death
         endings = []
         bystander = threading.Thread(
             target=lambda: endings.append(first.ask(build_chat("bystander", tokens=60)))
@@ -273,12 +273,12 @@
 
     No trial can be written down, so other entries could try the request as well.
     """
-    with run_bench(engines=("e1",)) as bench:
+    with run_entries(engines=("e1",)) as bench:
         entry, fake = bench.entries[0], bench.controller.fake
         bench.add_engine_process("e0", marker="poison")
-        bench.spread(servers=bench.list_servers("e0"))
+        bench.push_view(servers=bench.list_servers("e0"))
         assert entry.ask(build_chat("a poison request")).status == 503
-        bench.spread()
+        bench.push_view()
         fake.down = True
         answer = entry.ask(build_chat("a poison request"))
         assert show(answer) == (503, "STORE_UNAVAILABLE", "not_run")
@@ -292,15 +292,15 @@
     The death reaches no other instance, so a retry could cost each of them a server.
     The request ends at once with when to come back, and runs once that is over.
     """
-    with run_bench(engines=("e1",)) as bench:
+    with run_entries(engines=("e1",)) as bench:
         entry, controller = bench.entries[0], bench.controller
         bench.add_engine_process("e0", marker="poison")
-        bench.spread(servers=bench.list_servers("e0"))
+        bench.push_view(servers=bench.list_servers("e0"))
         owner = controller if failing == "controller" else controller.fake
         owner.down = True
         body = build_chat("a poison request")
         assert show(entry.ask(body)) == (503, "STORE_UNAVAILABLE", "unknown")
-        bench.spread()
+        bench.push_view()
         answer = entry.ask(body)
         assert show(answer) == (503, "STORE_UNAVAILABLE", "not_run")
         assert "Retry-After" in answer.headers
@@ -312,9 +312,9 @@
 
 def test_a_full_entry_refuses_at_once():
     """Each call keeps a worker thread; when all are taken nobody would be answered."""
-    with run_bench(token_ms=20) as bench:
+    with run_entries(token_ms=20) as bench:
         entry = bench.add_entry(most_in_flight=1)
-        bench.spread()
+        bench.push_view()
         asking = threading.Thread(target=lambda: entry.ask(build_chat(tokens=100)))
         asking.start()
         wait_until(lambda: entry.call(lambda state: state.ongoing))
@@ -331,7 +331,7 @@
     Each leaves the address answers, serves on for as long as callers may keep them,
     then refuses what is new as not run, and cuts off no answer.
     """
-    with run_bench(entries=3, token_ms=20) as bench:
+    with run_entries(entries=3, token_ms=20) as bench:
         stopping, staying = bench.entries[:2], bench.entries[2]
         endings = []
 
@@ -346,7 +346,7 @@
         drained = [one.runtime.loop.submit(drain(one.runtime)) for one in stopping]
         for entry in stopping:
             wait_until(lambda one=entry: one.call(lambda state: state.draining))
-        bench.spread()
+        bench.push_view()
         told = staying.ask(b"", "/v1/addresses?model=m", "GET").json()
         own = staying.runtime.settings.address
         assert (told["addresses"], told["lifetime_s"]) == ([own], 1)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,13 @@
 import pytest
 
 from arbutuspulley.standins.fleet_server import ServerStandin
-from scripts.platform_testbed import WHOLE, Fleet, ask, build_configuration, wait_until
+from scripts.platform_testbed import (
+    FULL_STREAM,
+    Fleet,
+    build_configuration,
+    send_request,
+    wait_until,
+)
 
 
 def play(folder, scenario, *, nodes=("n1",)):
@@ -39,16 +45,16 @@
 def test_requests_of_each_kind_come_back_whole(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
-        status, body, headers = await ask(
+        status, body, headers = await send_request(
             session, front, "/chat/x?y=1", attempt="a1", model="m0"
         )
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, FULL_STREAM)
         assert headers["X-Arbutuspulley-Server-Seal"].startswith("seal.e")
-        status, body, _ = await ask(
+        status, body, _ = await send_request(
             session, front, "/book/1", attempt="a2", body=b"night"
         )
         assert (status, body) == (200, b"done:night")
-        status, _, _ = await ask(session, front, "/nowhere/", attempt="a3")
+        status, _, _ = await send_request(session, front, "/nowhere/", attempt="a3")
         assert status == 404
 
     play(tmp_path, scenario)
@@ -59,11 +65,13 @@
         front = fleet.addresses["n1"]["Frontend"]
         answers = await asyncio.gather(
             *(
-                ask(session, front, "/chat/x", attempt=f"a{n}", model=f"m{n}")
+                send_request(session, front, "/chat/x", attempt=f"a{n}", model=f"m{n}")
                 for n in (0, 1, 2, 3)
             )
         )
-        assert [(status, body) for status, body, _ in answers] == [(200, WHOLE)] * 4
+        assert [(status, body) for status, body, _ in answers] == [
+            (200, FULL_STREAM)
+        ] * 4
         assert sum(server.overcommitted for server in fleet.servers) == 0
 
     play(tmp_path, scenario)
@@ -72,10 +80,10 @@
 def test_an_adapter_is_loaded_as_it_is_asked_for(tmp_path):
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
-        status, body, _ = await ask(
+        status, body, _ = await send_request(
             session, front, "/chat/x", attempt="a1", model="m0/a7"
         )
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, FULL_STREAM)
 
     play(tmp_path, scenario)
 
@@ -98,18 +106,18 @@
             server.breaks_after = 3
             server.on_break = mend
         front = fleet.addresses["n1"]["Frontend"]
-        status, body, _ = await ask(
+        status, body, _ = await send_request(
             session, front, "/resumed/x", attempt="a1", model="m0"
         )
         assert sorted(server.runs["a1"] for server in engines) == [1, 1]
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, FULL_STREAM)
 
     play(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
     ("path", "expected", "runs"),
-    [("/resumed/x", (200, WHOLE), [1, 1]), ("/chat/x", (500, b""), [0, 1])],
+    [("/resumed/x", (200, FULL_STREAM), [1, 1]), ("/chat/x", (500, b""), [0, 1])],
 )
 def test_a_stream_that_may_run_again_does_so_after_a_servers_error(
     tmp_path, path, expected, runs
@@ -129,7 +137,9 @@
             server.fails = True
             server.on_break = mend_the_other
         front = fleet.addresses["n1"]["Frontend"]
-        status, body, _ = await ask(session, front, path, attempt="a1", model="m0")
+        status, body, _ = await send_request(
+            session, front, path, attempt="a1", model="m0"
+        )
         assert (status, body) == expected
         assert sorted(server.runs["a1"] for server in engines) == runs
 
@@ -144,7 +154,7 @@
             server.breaks_after = 3
         front = fleet.addresses["n1"]["Frontend"]
         with pytest.raises(aiohttp.ClientError):
-            await ask(session, front, "/chat/x", attempt="a1", model="m0")
+            await send_request(session, front, "/chat/x", attempt="a1", model="m0")
         assert sum(server.runs["a1"] for server in fleet.servers) == 1
 
     play(tmp_path, scenario)
@@ -161,7 +171,7 @@
         for server in fleet.servers[2:]:
             server.holds_s = 2
         front = fleet.addresses["n1"]["Frontend"]
-        status, _, _ = await ask(
+        status, _, _ = await send_request(
             session,
             front,
             "/book/1",
@@ -179,7 +189,7 @@
         for server in fleet.servers[2:]:
             server.sheds = True
         front = fleet.addresses["n1"]["Frontend"]
-        status, _, headers = await ask(session, front, "/book/1", attempt="a1")
+        status, _, headers = await send_request(session, front, "/book/1", attempt="a1")
         assert status == 503
         assert float(headers["Retry-After"]) > 0
         assert sum(server.runs["a1"] for server in fleet.servers) == 0
@@ -198,7 +208,9 @@
         front = fleet.addresses["n1"]["Frontend"]
         begun_s = time.monotonic()
         for number in range(12):
-            status, _, _ = await ask(session, front, "/book/1", attempt=f"a{number}")
+            status, _, _ = await send_request(
+                session, front, "/book/1", attempt=f"a{number}"
+            )
             assert status == 200
         # After 0, 0.1, 0.3 and 0.7 s, and then each 0.8 s.
         most = 4 + (time.monotonic() - begun_s) / 0.8
@@ -219,7 +231,7 @@
         for wave in range(3):
             answers = await asyncio.gather(
                 *(
-                    ask(session, front, "/book/1", attempt=f"a{wave}.{number}")
+                    send_request(session, front, "/book/1", attempt=f"a{wave}.{number}")
                     for number in range(20)
                 )
             )
@@ -241,7 +253,7 @@
 
     async def scenario(fleet, session):
         front = fleet.addresses["n1"]["Frontend"]
-        status, body, _ = await ask(
+        status, body, _ = await send_request(
             session,
             front,
             "/book/1",
@@ -260,7 +272,7 @@
         fleet.store.put("op", "config", {**build_configuration(2), "Limits": limits})
 
         async def send(attempt, *, header=0, body=0):
-            status, _, _ = await ask(
+            status, _, _ = await send_request(
                 session,
                 front,
                 "/book/1",
@@ -302,7 +314,9 @@
 
         async def send(number, body=b"poison"):
             address, attempt = fronts[number % 2], f"{body.decode()}{number}"
-            return await ask(session, address, "/book/1", attempt=attempt, body=body)
+            return await send_request(
+                session, address, "/book/1", attempt=attempt, body=body
+            )
 
         seen = []
         for number in range(7):
@@ -323,7 +337,7 @@
         fleet.store.put("op", "config", build_configuration(5, routes=[added]))
 
         async def is_there():
-            status, _, _ = await ask(session, front, "/new/1", attempt="a1")
+            status, _, _ = await send_request(session, front, "/new/1", attempt="a1")
             return status == 200
 
         await wait_until(is_there, "the new route")
@@ -340,8 +354,10 @@
         fleet.store.is_down = True
         fleet.store.forget_history()
         fleet.store.put("op", "config", build_configuration(9))
-        status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m0")
-        assert (status, body) == (200, WHOLE)
+        status, body, _ = await send_request(
+            session, front, "/chat/x", attempt="a1", model="m0"
+        )
+        assert (status, body) == (200, FULL_STREAM)
         fleet.store.forget_history()
         fleet.store.is_down = False
         await fleet.wait_log("n1", '"version":9')
@@ -356,7 +372,9 @@
         fleet.store.put("servers", "p1", leaving.describe(state="draining"))
         await fleet.wait_log("n1", "server_leaving")
         for number in range(6):
-            status, _, _ = await ask(session, front, "/sync/", attempt=f"b{number}")
+            status, _, _ = await send_request(
+                session, front, "/sync/", attempt=f"b{number}"
+            )
             assert status == 200
         assert not leaving.runs
 
@@ -375,10 +393,14 @@
         new = "n2" if old == "n1" else "n1"
         fleet.nodes[old].send_signal(signal.SIGKILL)
         front = fleet.addresses[new]["Frontend"]
-        status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m0")
-        assert (status, body) == (200, WHOLE)
-        status, body, _ = await ask(session, front, "/chat/x", attempt="a2", model="m3")
-        assert (status, body) == (200, WHOLE)
+        status, body, _ = await send_request(
+            session, front, "/chat/x", attempt="a1", model="m0"
+        )
+        assert (status, body) == (200, FULL_STREAM)
+        status, body, _ = await send_request(
+            session, front, "/chat/x", attempt="a2", model="m3"
+        )
+        assert (status, body) == (200, FULL_STREAM)
         assert max(server.fence for server in fleet.servers) == 2
 
     play(tmp_path, scenario, nodes=("n1", "n2"))
@@ -392,7 +414,9 @@
     async def scenario(fleet, session):
         fleet.servers[2].holds_s = fleet.servers[3].holds_s = 0.5
         front = fleet.addresses["n1"]["Frontend"]
-        before = asyncio.create_task(ask(session, front, "/book/1", attempt="a1"))
+        before = asyncio.create_task(
+            send_request(session, front, "/book/1", attempt="a1")
+        )
         await asyncio.sleep(0.2)
         fleet.nodes["n1"].send_signal(signal.SIGTERM)
         await fleet.wait_log("n1", "draining")
@@ -404,7 +428,7 @@
                 return front not in (await answer.json())["Addresses"]
 
         await wait_until(is_out, "the other node's directory")
-        after = await ask(session, front, "/book/2", attempt="a2")
+        after = await send_request(session, front, "/book/2", attempt="a2")
         assert (await before)[:2] == (200, b"done:")
         assert after[:2] == (200, b"done:")
         assert await asyncio.wait_for(fleet.nodes["n1"].wait(), 5) == 0
@@ -422,8 +446,10 @@
         fleet.nodes[old].send_signal(signal.SIGTERM)
         await fleet.wait_log(old, "coordination_ended")
         front = fleet.addresses[old]["Frontend"]
-        status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m3")
-        assert (status, body) == (200, WHOLE)
+        status, body, _ = await send_request(
+            session, front, "/chat/x", attempt="a1", model="m3"
+        )
+        assert (status, body) == (200, FULL_STREAM)
 
     play(tmp_path, scenario, nodes=("n1", "n2"))
 
@@ -443,7 +469,7 @@
         await fleet.wait_log("n1", '"version":2')
         front = fleet.addresses["n1"]["Frontend"]
         waiting = asyncio.create_task(
-            ask(session, front, "/patient/x", attempt="a1", model="m3")
+            send_request(session, front, "/patient/x", attempt="a1", model="m3")
         )
         await asyncio.sleep(0.3)
         fleet.nodes["n1"].send_signal(signal.SIGTERM)
@@ -464,8 +490,10 @@
         await fleet.start_node("n2", seeds=("n1",))
         await fleet.wait_ready("n2")
         front = fleet.addresses["n2"]["Frontend"]
-        status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m0")
-        assert (status, body) == (200, WHOLE)
+        status, body, _ = await send_request(
+            session, front, "/chat/x", attempt="a1", model="m0"
+        )
+        assert (status, body) == (200, FULL_STREAM)
 
     play(tmp_path, scenario)
 
@@ -480,7 +508,7 @@
         path.write_text(good.replace("GraceS: 3", "GraceS: 4"))
         await fleet.wait_log("n1", '"changed":["grace_ms"]')
         front = fleet.addresses["n1"]["Frontend"]
-        status, _, _ = await ask(session, front, "/book/1", attempt="a1")
+        status, _, _ = await send_request(session, front, "/book/1", attempt="a1")
         assert status == 200
 
     play(tmp_path, scenario)
@@ -497,16 +525,18 @@
 
         async def keep_busy(front):
             for number in range(250):
-                await ask(session, front, "/chat/x", attempt=f"{number}", model="m0")
+                await send_request(
+                    session, front, "/chat/x", attempt=f"{number}", model="m0"
+                )
 
         busy = [asyncio.create_task(keep_busy(front)) for front in fronts * 3]
         await asyncio.sleep(3)
-        status, body, _ = await ask(
+        status, body, _ = await send_request(
             session, fronts[0], "/chat/x", attempt="a1", model="m3"
         )
         for task in busy:
             task.cancel()
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, FULL_STREAM)
         assert max(server.fence for server in fleet.servers) == 1
 
     play(tmp_path, scenario, nodes=("n1", "n2"))
@@ -526,8 +556,10 @@
         fleet.nodes[old].send_signal(signal.SIGTERM)
         await fleet.wait_log(old, "draining")
         front = fleet.addresses[other]["Frontend"]
-        status, body, _ = await ask(session, front, "/chat/x", attempt="a1", model="m3")
-        assert (status, body) == (200, WHOLE)
+        status, body, _ = await send_request(
+            session, front, "/chat/x", attempt="a1", model="m3"
+        )
+        assert (status, body) == (200, FULL_STREAM)
         fleet.store.is_down = False
         await fleet.wait_log(other, "lease_taken")
         assert await asyncio.wait_for(fleet.nodes[old].wait(), 5) == 0
@@ -551,7 +583,7 @@
         fleet.nodes[old].send_signal(signal.SIGKILL)
         front = fleet.addresses[other]["Frontend"]
         begun = asyncio.get_running_loop().time()
-        status, _, headers = await ask(
+        status, _, headers = await send_request(
             session, front, "/chat/x", attempt="a1", model="m3"
         )
         took = asyncio.get_running_loop().time() - begun
--- a/tests/test_relayed_changes.py
+++ b/tests/test_relayed_changes.py
@@ -6,9 +6,9 @@
 import pytest
 
 from scripts.platform_testbed import (
-    ask,
     build_configuration,
     build_route,
+    send_request,
     wait_until,
 )
 from tests.proxied_nodes import play_on_nodes
@@ -51,7 +51,9 @@
 
     async def is_served():
         attempt = f"a{time.monotonic_ns()}"
-        status, _, _ = await ask(session, front, prefix, attempt=attempt, method="GET")
+        status, _, _ = await send_request(
+            session, front, prefix, attempt=attempt, method="GET"
+        )
         return status == 200
 
     await wait_until(is_served, f"version {version} at {name}")
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scripts.platform_testbed import ask
+from scripts.platform_testbed import send_request
 from tests.proxied_nodes import play_on_nodes
 from tests.proxy import Direction
 
@@ -55,7 +55,9 @@
         if loop.time() >= until:
             break
         front = fleet.addresses[name]["Frontend"]
-        one = ask(session, front, path, attempt=f"{model}{path}{number}", model=model)
+        one = send_request(
+            session, front, path, attempt=f"{model}{path}{number}", model=model
+        )
         asked.append(asyncio.create_task(one))
         await asyncio.sleep(ASK_EVERY_S)
     ends = await asyncio.gather(*asked, return_exceptions=True)
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -5,11 +5,11 @@
 import aiohttp
 
 from scripts.platform_testbed import (
-    WHOLE,
+    FULL_STREAM,
     Fleet,
-    ask,
     build_configuration,
     build_route,
+    send_request,
     wait_until,
 )
 
@@ -68,7 +68,7 @@
     if model:
         headers["X-Arbutuspulley-Model"] = model
         headers["X-Arbutuspulley-Token-Usage"] = tokens
-    return ask(session, address, path, attempt=attempt, **headers)
+    return send_request(session, address, path, attempt=attempt, **headers)
 
 
 def find_headers(fleet, attempt):
@@ -84,7 +84,7 @@
         status, body, _ = await send(
             session, address, "/chat/1", "a2", "k2", model="m0"
         )
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, FULL_STREAM)
         assert (await send(session, address, "/open/1", "a3"))[0] == 200
         for attempt, team in (("a1", "one"), ("a2", "two"), ("a3", None)):
             headers = find_headers(fleet, attempt)
