--- a/scripts/client.py
+++ b/scripts/client.py
@@ -18,7 +18,7 @@
 IN_PROGRESS = 3001
 """Result code: the same unrepeatable request still runs."""
 
-TRY_PAUSE_S = 0.2
+RETRY_DELAY_S = 0.2
 """Pause before the next try when the answer names none."""
 
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=30.0)
@@ -26,7 +26,7 @@
 _WHOLE_STATUSES = (200, 201)
 
 
-class Ask(Value, frozen=True):
+class ClientRequest(Value, frozen=True):
     """One request.
 
     :param name: differs for each request; it is the idempotency key too.
@@ -43,10 +43,10 @@
     model: str = ""
     streamed: bool = False
     unrepeatable: bool = False
-    bound_s: float = 20.0
+    timeout_s: float = 20.0
 
 
-class Answer(Value, frozen=True):
+class AttemptResult(Value, frozen=True):
     """What one try brought.
 
     :param status: HTTP status; 0 if no answer began.
@@ -83,13 +83,13 @@
     :param last: the last try.
     """
 
-    ask: Ask
+    request: ClientRequest
     ending: Ending
     body: bytes
     events: tuple[SentEvent, ...]
     entries: tuple[str, ...]
-    last: Answer
-    cuts: int = 0
+    last: AttemptResult
+    broken_attempts: int = 0
 
 
 class AddressBook(State):
@@ -100,45 +100,47 @@
     """
 
     seeds: tuple[str, ...]
-    kept: dict[str, tuple[tuple[str, ...], float]] = {}
+    cached: dict[str, tuple[tuple[str, ...], float]] = {}
 
 
-def ask(book: AddressBook, request: Ask) -> Outcome:
+def send(book: AddressBook, request: ClientRequest) -> Outcome:
     """Ask until there is an answer, or until the bound."""
-    give_up_at = time.monotonic() + request.bound_s
+    deadline = time.monotonic() + request.timeout_s
     events: list[SentEvent] = []
     entries: list[str] = []
-    cuts = 0
+    broken_attempts = 0
     certain = True
     while True:
-        address = _choose_address(book, request.model, tried=len(entries))
+        address = _choose_address(book, request.model, attempt_count=len(entries))
         entries.append(address)
         last_id = events[-1].id if events else ""
-        answer = ask_once(address, request, last_event_id=last_id)
+        answer = send_once(address, request, last_event_id=last_id)
         events += answer.events
-        cuts += answer.sent and not answer.ended
+        broken_attempts += answer.sent and not answer.ended
         certain = certain and _is_certainly_not_run(answer)
         if answer.ended and answer.status in _WHOLE_STATUSES:
             ending = Ending.WHOLE
             break
-        _learn(book, request.model, address, answer)
-        pause_s = _choose_pause(request, answer)
-        if pause_s is None or time.monotonic() + pause_s > give_up_at:
+        _demote_address(book, request.model, address, answer)
+        delay_s = _choose_retry_delay(request, answer)
+        if delay_s is None or time.monotonic() + delay_s > deadline:
             ending = Ending.REFUSED if certain else Ending.UNKNOWN
             break
-        time.sleep(pause_s)
+        time.sleep(delay_s)
     return Outcome(
-        ask=request,
+        request=request,
         ending=ending,
         body=answer.body,
         events=tuple(events),
         entries=tuple(entries),
         last=answer,
-        cuts=cuts,
+        broken_attempts=broken_attempts,
     )
 
 
-def ask_once(address: str, request: Ask, *, last_event_id: str = "") -> Answer:
+def send_once(
+    address: str, request: ClientRequest, *, last_event_id: str = ""
+) -> AttemptResult:
     """Send a request to one entry and read what comes."""
     headers = {
         "Authorization": f"Bearer {request.key}",
@@ -161,13 +163,13 @@
                 preload_content=False,
             )
         except urllib3.exceptions.NewConnectionError:
-            return Answer(sent=False, run_state="not_run")
+            return AttemptResult(sent=False, run_state="not_run")
         except urllib3.exceptions.HTTPError:
-            return Answer()
+            return AttemptResult()
         return _read(response, streamed=request.streamed)
 
 
-def _read(response: urllib3.BaseHTTPResponse, *, streamed: bool) -> Answer:
+def _read(response: urllib3.BaseHTTPResponse, *, streamed: bool) -> AttemptResult:
     body = b""
     events: list[SentEvent] = []
     buffer = EventBuffer()
@@ -185,7 +187,7 @@
     if events and events[-1].data == END_MARKER:
         events.pop()
         ended = True
-    return Answer(
+    return AttemptResult(
         status=response.status,
         code=int(response.headers.get("X-Arbutus-Code", "0")),
         run_state=response.headers.get("X-Arbutus-Run-State", "unknown"),
@@ -205,20 +207,22 @@
     return float(value) if value.isdigit() else None
 
 
-def _is_certainly_not_run(answer: Answer) -> bool:
+def _is_certainly_not_run(answer: AttemptResult) -> bool:
     return not answer.sent or answer.run_state == "not_run"
 
 
-def _choose_address(book: AddressBook, model: str, *, tried: int) -> str:
-    addresses, until = book.kept.get(model, ((), 0.0))
+def _choose_address(book: AddressBook, model: str, *, attempt_count: int) -> str:
+    addresses, until = book.cached.get(model, ((), 0.0))
     if not addresses or time.monotonic() > until:
-        addresses = _fetch_addresses(book, model, tried=tried)
+        addresses = _fetch_addresses(book, model, attempt_count=attempt_count)
     return addresses[0]
 
 
-def _fetch_addresses(book: AddressBook, model: str, *, tried: int) -> tuple[str, ...]:
+def _fetch_addresses(
+    book: AddressBook, model: str, *, attempt_count: int
+) -> tuple[str, ...]:
     """Ask one entry after the other, the next one first at each try."""
-    first = tried % len(book.seeds)
+    first = attempt_count % len(book.seeds)
     seeds = book.seeds[first:] + book.seeds[:first]
     for seed in seeds:
         reply = fetch("GET", seed, f"/v1/addresses?model={model}")
@@ -228,24 +232,26 @@
         addresses = tuple(answer["addresses"])
         if addresses:
             until = time.monotonic() + answer["lifetime_s"]
-            book.kept[model] = (addresses, until)
+            book.cached[model] = (addresses, until)
             return addresses
     return seeds
 
 
-def _learn(book: AddressBook, model: str, address: str, answer: Answer) -> None:
+def _demote_address(
+    book: AddressBook, model: str, address: str, answer: AttemptResult
+) -> None:
     """Put an address that did not serve behind the others, or forget the answer."""
-    addresses, until = book.kept.get(model, ((), 0.0))
+    addresses, until = book.cached.get(model, ((), 0.0))
     rest = tuple(one for one in addresses if one != address)
     if answer.sent and answer.retry_after_s:
         return
     if rest:
-        book.kept[model] = ((*rest, address), until)
+        book.cached[model] = ((*rest, address), until)
     else:
-        book.kept.pop(model, None)
+        book.cached.pop(model, None)
 
 
-def _choose_pause(request: Ask, answer: Answer) -> float | None:
+def _choose_retry_delay(request: ClientRequest, answer: AttemptResult) -> float | None:
     """Return when to try again, or ``None`` if trying again is no use or not safe."""
     if answer.status and answer.status < 500 and answer.status not in (200, 409, 429):
         return None
@@ -254,4 +260,4 @@
     is_final = answer.status and answer.ended and answer.code != IN_PROGRESS
     if is_final and request.unrepeatable:
         return None
-    return TRY_PAUSE_S
+    return RETRY_DELAY_S
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -78,7 +78,7 @@
 
 def _run(launcher: Launcher, directory: Path) -> Tally:
     system = fleet.build_fleet(PLAN, launcher)
-    _say("starting stand-ins, controllers, entries and the console")
+    _print_progress("starting stand-ins, controllers, entries and the console")
     fleet.start_standins(system)
     fleet.start_programs(system)
     controllers = [f"controller-{one.name}" for one in PLAN.instances]
@@ -91,8 +91,8 @@
         what="all models and adapters to be loaded",
         timeout_s=LOAD_TIMEOUT_S,
     )
-    _say(f"asking {REQUESTS} requests through both entries")
-    asks = demo_load.build_asks(items, count=REQUESTS, key="key-of-desk")
+    _print_progress(f"asking {REQUESTS} requests through both entries")
+    requests = demo_load.build_requests(items, count=REQUESTS, key="key-of-desk")
     seeds = tuple(system.addresses[name] for name in fleet.list_all_entries(system))
     with ThreadPoolExecutor() as pool:
         steps: list[Future[None]] = []
@@ -102,17 +102,17 @@
             if step is not None:
                 steps.append(pool.submit(step, system))
 
-        outcomes = demo_load.ask_all(asks, seeds, on_begun=interfere)
+        outcomes = demo_load.send_all(requests, seeds, on_start=interfere)
         for step in steps:
             step.result()
-    tally = demo_load.judge(asks, outcomes, _read_counts(system), items)
+    tally = demo_load.judge(requests, outcomes, _read_counts(system), items)
     _check_entries(tally, seeds)
     _stop(launcher)
     return tally
 
 
 def _approve(system: Fleet, directory: Path) -> None:
-    _say("proposing and approving the configuration")
+    _print_progress("proposing and approving the configuration")
     files = [str(path) for path in fleet.write_files(system, directory)]
     proposal = json.loads(_run_cli(system, "propose", *files, "--json"))["proposal"]
     base = str(proposal.get("base_version", 0))
@@ -149,15 +149,15 @@
 
 
 def _drain(system: Fleet) -> None:
-    _say(f"draining {DRAINED_ENTRY}")
+    _print_progress(f"draining {DRAINED_ENTRY}")
     status = system.launcher.stop(DRAINED_ENTRY)[DRAINED_ENTRY]
-    _say(f"{DRAINED_ENTRY} has ended with exit status {status}")
+    _print_progress(f"{DRAINED_ENTRY} has ended with exit status {status}")
     if status:
         raise DemoError(f"{DRAINED_ENTRY} ended with {status}")
 
 
 def _kill(system: Fleet) -> None:
-    _say(f"killing {KILLED_ENGINE}")
+    _print_progress(f"killing {KILLED_ENGINE}")
     system.launcher.kill(KILLED_ENGINE)
 
 
@@ -184,7 +184,7 @@
 
 
 def _stop(launcher: Launcher) -> None:
-    _say("stopping everything")
+    _print_progress("stopping everything")
     statuses = launcher.stop_all()
     wrong = [f"{name} {status}" for name, status in statuses.items() if status]
     if wrong:
@@ -200,7 +200,7 @@
     )
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"demo: {text}", flush=True)
 
 
--- a/scripts/demo_load.py
+++ b/scripts/demo_load.py
@@ -15,7 +15,7 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.standins import answer
 from arbutuspulley.standins.engine_http import ADMITTED
-from scripts.client import AddressBook, Ask, Ending, Outcome, ask
+from scripts.client import AddressBook, ClientRequest, Ending, Outcome, send
 
 WORKERS = 8
 """Callers that ask at once."""
@@ -37,7 +37,7 @@
     entries: Counter[str] = msgspec.field(default_factory=Counter)
     lost: int = 0
     doubled: int = 0
-    untrue: int = 0
+    false_refusals: int = 0
     faults: list[str] = msgspec.field(default_factory=list)
 
 
@@ -52,30 +52,32 @@
     bookings: Counter[str]
 
 
-def build_asks(items: dict[str, str], *, count: int, key: str) -> list[Ask]:
+def build_requests(
+    items: dict[str, str], *, count: int, key: str
+) -> list[ClientRequest]:
     """Return requests of all kinds, in turn.
 
     :param items: versions of models and adapters by name.
     """
     names = sorted(items)
     return [
-        _build_ask(number, names[number // _KINDS % len(names)], key)
+        _build_request(number, names[number // _KINDS % len(names)], key)
         for number in range(count)
     ]
 
 
-def ask_all(
-    asks: Sequence[Ask],
+def send_all(
+    requests: Sequence[ClientRequest],
     seeds: tuple[str, ...],
     *,
-    on_begun: Callable[[int], None] = lambda _number: None,
+    on_start: Callable[[int], None] = lambda _number: None,
 ) -> list[Outcome]:
     """Ask from several threads at once and return the outcomes.
 
     :param seeds: addresses of entries that callers know.
     :param on_begun: called with the number of requests begun so far.
     """
-    waiting = list(enumerate(asks, start=1))[::-1]
+    waiting = list(enumerate(requests, start=1))[::-1]
     outcomes: list[Outcome] = []
     lock = threading.Lock()
 
@@ -87,8 +89,8 @@
                 if not waiting:
                     return
                 number, request = waiting.pop()
-                on_begun(number)
-            outcome = ask(book, request)
+                on_start(number)
+            outcome = send(book, request)
             with lock:
                 outcomes.append(outcome)
 
@@ -114,15 +116,15 @@
 
 
 def judge(
-    asks: Sequence[Ask],
+    requests: Sequence[ClientRequest],
     outcomes: Sequence[Outcome],
     counts: RunCounts,
     items: dict[str, str],
 ) -> Tally:
     """Compare what was asked, what came back and what was run."""
     tally = Tally()
-    by_name = {outcome.ask.name: outcome for outcome in outcomes}
-    for request in asks:
+    by_name = {outcome.request.name: outcome for outcome in outcomes}
+    for request in requests:
         outcome = by_name.get(request.name)
         if outcome is None:
             tally.lost += 1
@@ -140,24 +142,24 @@
     repeated = len(offsets) - len(set(offsets))
     if repeated:
         tally.doubled += repeated
-        tally.faults.append(f"{outcome.ask.name}: {repeated} events came twice")
+        tally.faults.append(f"{outcome.request.name}: {repeated} events came twice")
     if outcome.ending is not Ending.WHOLE:
         return
     problem = find_problem(outcome, items)
     if problem:
         tally.lost += 1
-        tally.faults.append(f"{outcome.ask.name}: {problem}")
+        tally.faults.append(f"{outcome.request.name}: {problem}")
 
 
 def _judge_runs(tally: Tally, outcome: Outcome, runs: int) -> None:
-    name = outcome.ask.name
-    if outcome.ask.unrepeatable and runs > 1:
+    name = outcome.request.name
+    if outcome.request.unrepeatable and runs > 1:
         tally.doubled += runs - 1
         tally.faults.append(f"{name}: unrepeatable, run {runs} times")
     if outcome.ending is Ending.REFUSED and runs:
-        tally.untrue += 1
+        tally.false_refusals += 1
         tally.faults.append(f"{name}: refused as not run, run {runs} times")
-    if outcome.ending is Ending.WHOLE and outcome.ask.unrepeatable and not runs:
+    if outcome.ending is Ending.WHOLE and outcome.request.unrepeatable and not runs:
         tally.lost += 1
         tally.faults.append(f"{name}: answered, and no stand-in ran it")
 
@@ -168,7 +170,7 @@
     Engine stand-ins answer with text that follows from item and prompt, so a missing,
     doubled or foreign token shows.
     """
-    request = outcome.ask
+    request = outcome.request
     if not request.model:
         return _find_service_problem(outcome)
     prompt = answer.read_prompt(path=request.path, body=request.body)
@@ -184,9 +186,9 @@
 
 def _find_service_problem(outcome: Outcome) -> str:
     reply = json.loads(outcome.body)
-    if outcome.ask.unrepeatable:
-        return "" if reply["key"] == outcome.ask.name else f"foreign reply {reply}"
-    expected = outcome.ask.path.partition("/services/booking")[2]
+    if outcome.request.unrepeatable:
+        return "" if reply["key"] == outcome.request.name else f"foreign reply {reply}"
+    expected = outcome.request.path.partition("/services/booking")[2]
     return "" if reply["target"] == expected else f"foreign reply {reply}"
 
 
@@ -196,23 +198,25 @@
     return str(part.get("content") or part.get("text") or "")
 
 
-def _count_runs(request: Ask, counts: RunCounts) -> int:
+def _count_runs(request: ClientRequest, counts: RunCounts) -> int:
     if not request.model:
         return counts.bookings[request.name]
     prompt = answer.read_prompt(path=request.path, body=request.body)
     return counts.prompts[prompt.digest]
 
 
-def _build_ask(number: int, model: str, key: str) -> Ask:
+def _build_request(number: int, model: str, key: str) -> ClientRequest:
     name = f"ask-{number:03d}"
     kind = number % _KINDS
     if kind == 8:
         body = json.dumps({"guest": name}).encode()
         path = "/services/booking/bookings"
-        return Ask(name=name, path=path, body=body, key=key, unrepeatable=True)
+        return ClientRequest(
+            name=name, path=path, body=body, key=key, unrepeatable=True
+        )
     if kind == 9:
         path = f"/services/booking/stays?guest={name}"
-        return Ask(name=name, path=path, body=b"", key=key, method="GET")
+        return ClientRequest(name=name, path=path, body=b"", key=key, method="GET")
     return _build_inference(
         name,
         model,
@@ -225,7 +229,7 @@
 
 def _build_inference(
     name: str, model: str, key: str, *, chat: bool, streamed: bool, unrepeatable: bool
-) -> Ask:
+) -> ClientRequest:
     prompt = f"Draft a reply to guest {name}."
     asked = {"messages": [{"role": "user", "content": prompt}]}
     body = {
@@ -234,7 +238,7 @@
         "stream": streamed,
         **(asked if chat else {"prompt": prompt}),
     }
-    return Ask(
+    return ClientRequest(
         name=name,
         path="/v1/chat/completions" if chat else "/v1/completions",
         body=json.dumps(body).encode(),
--- a/scripts/platform_testbed.py
+++ b/scripts/platform_testbed.py
@@ -21,7 +21,7 @@
 HOST = "shop.example"
 """Host name of all routes."""
 
-BOUND_S = 15
+WAIT_TIMEOUT_S = 15
 """How long anything may take before it counts as stuck, in s."""
 
 FULL_STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 7))
@@ -246,11 +246,11 @@
     :raises AssertionError: if it never did.
     """
     try:
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not await condition():
                 await asyncio.sleep(0.02)
     except TimeoutError:
-        raise AssertionError(f"waited {BOUND_S} s for {what}") from None
+        raise AssertionError(f"waited {WAIT_TIMEOUT_S} s for {what}") from None
 
 
 async def send_request(
--- a/src/arbutuspulley/programs/causes.py
+++ b/src/arbutuspulley/programs/causes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from arbutuspulley.clock import SECOND_MS
-from arbutuspulley.programs.log_lines import Line, open_sources, read_lines
+from arbutuspulley.programs.log_lines import LogLine, open_sources, read_lines
 
 IN_TIME = "in time"
 
@@ -20,7 +20,7 @@
 _REFUSED = "request_refused"
 
 
-def count_causes(lines: Iterable[Line]) -> Counter[tuple[str, str]]:
+def count_causes(lines: Iterable[LogLine]) -> Counter[tuple[str, str]]:
     """Count requests by the first part of their path and how they ended."""
     kept = [line for line in lines if line.name in (_ENDED, _LOST, _REFUSED)]
     refusals = {
@@ -31,28 +31,28 @@
         if line.name == _REFUSED:
             continue
         cause = (
-            _find_lateness(line.fields)
+            _classify_ended(line.fields)
             if line.name == _ENDED
-            else _find_loss(line.fields, refusals.get(line.fields.get("id")))
+            else _classify_lost(line.fields, refusals.get(line.fields.get("id")))
         )
         counts[_get_route(line), cause] += 1
     return counts
 
 
-def show_causes(counts: Counter[tuple[str, str]]) -> list[str]:
+def format_causes(counts: Counter[tuple[str, str]]) -> list[str]:
     """Return the counts as a table, one text a line, the most frequent first."""
     totals = Counter[str]()
     for (route, _cause), count in counts.items():
         totals[route] += count
-    told: list[str] = []
+    lines: list[str] = []
     for route, total in totals.most_common():
-        told.append(f"{route}  {total} requests")
+        lines.append(f"{route}  {total} requests")
         causes = Counter({c: n for (r, c), n in counts.items() if r == route})
-        told += [
+        lines += [
             f"  {count:>6}  {count / total:>6.1%}  {cause}"
             for cause, count in causes.most_common()
         ]
-    return told
+    return lines
 
 
 def print_causes(paths: list[Path], *, every_s: int) -> int:
@@ -61,16 +61,16 @@
     :param every_s: a table for each span of so many seconds; 0: one for all.
     :return: the exit status, 1 if no line tells of a request's end.
     """
-    spans: dict[int, list[Line]] = {}
+    spans: dict[int, list[LogLine]] = {}
     for line in read_lines(open_sources(paths)):
         span = line.time_ms // (every_s * SECOND_MS) if every_s else 0
         spans.setdefault(span, []).append(line)
     is_told = False
     for span in sorted(spans):
-        told = show_causes(count_causes(spans[span]))
-        if told and every_s:
+        lines = format_causes(count_causes(spans[span]))
+        if lines and every_s:
             print(f"from {(span - min(spans)) * every_s} s")
-        for text in told:
+        for text in lines:
             is_told = True
             print(text)
     if not is_told:
@@ -78,7 +78,7 @@
     return 0 if is_told else 1
 
 
-def _find_lateness(fields: dict[str, object]) -> str:
+def _classify_ended(fields: dict[str, object]) -> str:
     status = _get_number(fields, "status")
     if status >= 400:
         return f"the server's own {status}"
@@ -95,8 +95,8 @@
     return IN_TIME
 
 
-def _find_loss(fields: dict[str, object], refusal: dict[str, object] | None) -> str:
-    text = f"{fields.get('how')}: {fields.get('why') or 'no reason told'}"
+def _classify_lost(fields: dict[str, object], refusal: dict[str, object] | None) -> str:
+    text = f"{fields.get('how')}: {fields.get('why') or 'no reason lines'}"
     if refusal is None:
         return text
     if not _get_number(refusal, "copies"):
@@ -104,7 +104,7 @@
     return f"{text}, too many ahead"
 
 
-def _get_route(line: Line) -> str:
+def _get_route(line: LogLine) -> str:
     path = str(line.fields.get("path", ""))
     return "/" + path.strip("/").partition("/")[0]
 
--- a/src/arbutuspulley/programs/cli.py
+++ b/src/arbutuspulley/programs/cli.py
@@ -21,7 +21,7 @@
 from arbutuspulley.placement.fit import check_fit
 from arbutuspulley.programs import cli_output as output
 from arbutuspulley.programs.causes import print_causes
-from arbutuspulley.programs.cli_client import Console, RefusedError, call
+from arbutuspulley.programs.cli_client import ConsoleTarget, RefusedError, call
 from arbutuspulley.programs.console_messages import (
     ApprovalView,
     ApproveRequest,
@@ -36,7 +36,7 @@
     VersionList,
     VersionView,
 )
-from arbutuspulley.programs.story import print_story
+from arbutuspulley.programs.story import print_timeline
 from arbutuspulley.results import ConfigurationError, SettingError
 from arbutuspulley.settings import (
     SETTINGS_EXIT_STATUS,
@@ -87,7 +87,7 @@
     /,
 ) -> None:
     """Tell one request's story from the logs of the instances."""
-    raise SystemExit(print_story(request, list(logs)))
+    raise SystemExit(print_timeline(request, list(logs)))
 
 
 @app.command
@@ -132,7 +132,7 @@
         note=note,
         remove_sites=remove_site,
     )
-    target = _open(console, key)
+    target = _build_target(console, key)
     reply = call(target, "POST", "proposals", reply=ProposalView, body=request)
     _print(reply, output.describe_proposal, json=json)
 
@@ -152,7 +152,7 @@
         path = f"merged?proposal={quote(proposal, safe='')}"
     elif version is not None:
         path = f"merged?version={version}"
-    reply = call(_open(console, key), "GET", path, reply=MergedView)
+    reply = call(_build_target(console, key), "GET", path, reply=MergedView)
     _print(reply, lambda merged: merged.text.rstrip(), json=json)
 
 
@@ -166,8 +166,8 @@
     json: _Json = False,
 ) -> None:
     """Show what a waiting proposal, or an accepted version, changes."""
-    target = _open(console, key)
-    if proposal.isdigit() and len(proposal) <= _LONGEST_VERSION:
+    target = _build_target(console, key)
+    if proposal.isdigit() and len(proposal) <= _MAX_VERSION_DIGITS:
         path = f"versions/{proposal}"
         accepted = call(target, "GET", path, reply=VersionView)
         _print(accepted, output.describe_version, json=json)
@@ -180,7 +180,7 @@
 @app.command
 def proposals(*, console: _Url = "", key: _Key = "", json: _Json = False) -> None:
     """List the waiting proposals."""
-    reply = call(_open(console, key), "GET", "proposals", reply=ProposalList)
+    reply = call(_build_target(console, key), "GET", "proposals", reply=ProposalList)
     _print(reply, output.describe_proposals, json=json)
 
 
@@ -197,7 +197,7 @@
     """Accept a proposal. Doing it again, after a lost answer, is safe."""
     request = ApproveRequest(base_version=base)
     path = f"proposals/{quote(proposal, safe='')}/approve"
-    target = _open(console, key)
+    target = _build_target(console, key)
     reply = call(target, "POST", path, reply=ApprovalView, body=request)
     _print(reply, output.describe_approval, json=json)
 
@@ -213,7 +213,7 @@
 ) -> None:
     """Take a waiting proposal back."""
     path = f"proposals/{quote(proposal, safe='')}/withdraw"
-    reply = call(_open(console, key), "POST", path, reply=Done)
+    reply = call(_build_target(console, key), "POST", path, reply=Done)
     _print(reply, lambda done: done.detail, json=json)
 
 
@@ -228,7 +228,7 @@
 ) -> None:
     """Propose the content of an earlier version as the next one."""
     request = RollForwardRequest(version=version)
-    target = _open(console, key)
+    target = _build_target(console, key)
     reply = call(target, "POST", "roll-forward", reply=ProposalView, body=request)
     _print(reply, output.describe_proposal, json=json)
 
@@ -236,14 +236,14 @@
 @app.command
 def status(*, console: _Url = "", key: _Key = "", json: _Json = False) -> None:
     """Show what is in force where."""
-    reply = call(_open(console, key), "GET", "status", reply=StatusView)
+    reply = call(_build_target(console, key), "GET", "status", reply=StatusView)
     _print(reply, output.describe_status, json=json)
 
 
 @app.command
 def versions(*, console: _Url = "", key: _Key = "", json: _Json = False) -> None:
     """List the newest accepted versions."""
-    reply = call(_open(console, key), "GET", "versions", reply=VersionList)
+    reply = call(_build_target(console, key), "GET", "versions", reply=VersionList)
     _print(reply, output.describe_versions, json=json)
 
 
@@ -278,7 +278,7 @@
     return 0
 
 
-_LONGEST_VERSION = 10
+_MAX_VERSION_DIGITS = 10
 
 
 def _fail(message: str, exit_status: int) -> int:
@@ -286,9 +286,9 @@
     return exit_status
 
 
-def _open(url: str, key: str) -> Console:
+def _build_target(url: str, key: str) -> ConsoleTarget:
     check_all([check_present("--console", url), check_present("--key", key)])
-    return Console(url=url, key=key)
+    return ConsoleTarget(url=url, key=key)
 
 
 def _read_files(base: Path, overlays: list[Path]) -> FileSet:
--- a/src/arbutuspulley/programs/cli_client.py
+++ b/src/arbutuspulley/programs/cli_client.py
@@ -22,7 +22,7 @@
 _Reply = TypeVar("_Reply", bound=Message)
 
 
-class Console(Value, frozen=True):
+class ConsoleTarget(Value, frozen=True):
     """Where the console is, and the operator's key.
 
     :param url: ``http://host:port``.
@@ -41,7 +41,7 @@
 
 
 def call(
-    console: Console,
+    console: ConsoleTarget,
     method: str,
     path: str,
     *,
@@ -63,7 +63,7 @@
             timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S),
         )
     except HTTPError as error:
-        raise _explain(error) from error
+        raise _build_transport_error(error) from error
     try:
         if answer.status == _OK:
             return msgspec.json.decode(answer.data, type=reply)
@@ -74,7 +74,7 @@
     raise RefusedError(reply=refusal)
 
 
-def _explain(error: HTTPError) -> RefusedError:
+def _build_transport_error(error: HTTPError) -> RefusedError:
     kind = type(error).__name__
     if is_not_sent(error):
         return _refuse(Code.PEER_UNAVAILABLE, f"the console cannot be reached: {kind}")
--- a/src/arbutuspulley/programs/console.py
+++ b/src/arbutuspulley/programs/console.py
@@ -13,8 +13,8 @@
 from arbutuspulley.data import Value
 from arbutuspulley.events import Event, log_event
 from arbutuspulley.loop import LoopThread
-from arbutuspulley.programs.console_api import Backend
-from arbutuspulley.programs.console_routes import build_site
+from arbutuspulley.programs.console_api import ApiContext
+from arbutuspulley.programs.console_routes import build_web_root
 from arbutuspulley.programs.console_server import ControllerLink, build_server
 from arbutuspulley.results import SettingError
 from arbutuspulley.settings import (
@@ -76,13 +76,13 @@
     loop = LoopThread(name="console")
     loop.start()
     link = ControllerLink(address=settings.controller, key=settings.peer_key, loop=loop)
-    backend = Backend(
+    context = ApiContext(
         platform=connect_platform(address=settings.platform),
         fetch_status=link.fetch_status,
     )
     host, port = split_address(settings.listen)
-    site = build_site(backend, parse_operators(settings.operators))
-    server = build_server(site=site, host=host, port=port)
+    root = build_web_root(context, parse_operators(settings.operators))
+    server = build_server(root=root, host=host, port=port)
     stopping = threading.Event()
 
     def stop(_number: int, _frame: FrameType | None) -> None:
--- a/src/arbutuspulley/programs/console_api.py
+++ b/src/arbutuspulley/programs/console_api.py
@@ -36,7 +36,7 @@
 )
 from arbutuspulley.programs.console_views import (
     build_status_view,
-    choose_in_force,
+    choose_active_configuration,
     write_merged,
 )
 from arbutuspulley.results import (
@@ -48,17 +48,17 @@
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import FleetStatus
 
-LISTED_VERSIONS = 20
+MAX_LISTED_VERSIONS = 20
 """Accepted versions listed."""
 
-NO_CONFIGURATION = 2**62
+ABOVE_ALL_VERSIONS = 2**62
 """A version that none is above: the status comes without a configuration."""
 
 MAX_NOTE_CHARACTERS = 500
 """Longest note on a proposal."""
 
 
-class Backend(Value, frozen=True):
+class ApiContext(Value, frozen=True):
     """What the operations work with.
 
     :param fetch_status: ``fetch_status(version)`` asks the instance's controller for
@@ -70,7 +70,9 @@
     fetch_status: Callable[[int], FleetStatus]
 
 
-def propose(backend: Backend, operator: str, request: ProposeRequest) -> ProposalView:
+def propose(
+    context: ApiContext, operator: str, request: ProposeRequest
+) -> ProposalView:
     """Lay files down for approval and show what they change."""
     if len(request.note) > MAX_NOTE_CHARACTERS:
         raise ConfigurationError(
@@ -78,7 +80,7 @@
             detail=f"the note is longer than {MAX_NOTE_CHARACTERS} characters",
         )
     proposal = approval.propose(
-        backend.platform,
+        context.platform,
         files=FileSet(
             base=_build_file(request.base),
             overlays=tuple(_build_file(file) for file in request.overlays),
@@ -87,33 +89,33 @@
         now_ms=read_wall(),
         note=request.note,
         remove_sites=request.remove_sites,
-        in_force=_find_in_force(backend),
+        in_force=_find_active_configuration(context),
     )
     _log_proposal(proposal)
-    return show_proposal(backend, proposal.proposal)
+    return show_proposal(context, proposal.proposal)
 
 
 def roll_forward(
-    backend: Backend, operator: str, request: RollForwardRequest
+    context: ApiContext, operator: str, request: RollForwardRequest
 ) -> ProposalView:
     """Propose the content of an earlier version as the next one."""
     proposal = approval.roll_forward(
-        backend.platform,
+        context.platform,
         version=request.version,
         proposer=operator,
         now_ms=read_wall(),
-        in_force=_find_in_force(backend),
+        in_force=_find_active_configuration(context),
     )
     _log_proposal(proposal)
-    return show_proposal(backend, proposal.proposal)
+    return show_proposal(context, proposal.proposal)
 
 
-def show_proposal(backend: Backend, proposal: str) -> ProposalView:
+def show_proposal(context: ApiContext, proposal: str) -> ProposalView:
     """Show a waiting proposal with what it changes."""
-    record = store.read_proposal(backend.platform, proposal)
-    current = _find_current(backend)
-    base = store.find_base(backend.platform, record) or EMPTY
-    result = store.load_result(backend.platform, record.digest)
+    record = store.read_proposal(context.platform, proposal)
+    current = _find_current(context)
+    base = store.find_base(context.platform, record) or EMPTY
+    result = store.load_result(context.platform, record.digest)
     view = _build_view(record, current)
     return msgspec.structs.replace(
         view,
@@ -122,10 +124,10 @@
     )
 
 
-def list_proposals(backend: Backend) -> ProposalList:
+def list_proposals(context: ApiContext) -> ProposalList:
     """List the waiting proposals."""
-    current = _find_current(backend)
-    records = store.list_proposals(backend.platform)
+    current = _find_current(context)
+    records = store.list_proposals(context.platform)
     return ProposalList(
         current_version=current.configuration.version,
         proposals=tuple(_build_view(record, current) for record in records),
@@ -133,17 +135,17 @@
 
 
 def approve(
-    backend: Backend, operator: str, proposal: str, request: ApproveRequest
+    context: ApiContext, operator: str, proposal: str, request: ApproveRequest
 ) -> ApprovalView:
     """Accept a proposal."""
     try:
         outcome = approval.approve(
-            backend.platform,
+            context.platform,
             proposal=proposal,
             base_version=request.base_version,
             approver=operator,
             now_ms=read_wall(),
-            in_force=_find_in_force(backend),
+            in_force=_find_active_configuration(context),
         )
     except ArbutusError as error:
         log_event(
@@ -167,21 +169,21 @@
     )
 
 
-def withdraw(backend: Backend, proposal: str) -> Done:
+def withdraw(context: ApiContext, proposal: str) -> Done:
     """Take a waiting proposal back."""
-    approval.withdraw(backend.platform, proposal=proposal)
+    approval.withdraw(context.platform, proposal=proposal)
     return Done(detail=f"proposal {proposal} is withdrawn")
 
 
-def list_versions(backend: Backend) -> VersionList:
+def list_versions(context: ApiContext) -> VersionList:
     """List the newest accepted versions."""
-    found = store.list_changes(backend.platform, newest=LISTED_VERSIONS)
+    found = store.list_changes(context.platform, newest=MAX_LISTED_VERSIONS)
     return VersionList(versions=tuple(_strip_steps(change) for change in found))
 
 
-def show_version(backend: Backend, version: int) -> VersionView:
+def show_version(context: ApiContext, version: int) -> VersionView:
     """Show an accepted version and what it changed."""
-    platform = backend.platform
+    platform = context.platform
     change = store.read_change(platform, version)
     result = store.load_result(platform, change.digest)
     before = store.find_result(platform, change.base_digest)
@@ -191,10 +193,10 @@
 
 
 def show_merged(
-    backend: Backend, *, version: int | None, proposal: str | None
+    context: ApiContext, *, version: int | None, proposal: str | None
 ) -> MergedView:
     """Show a whole configuration: a version, a proposal's, or the newest one."""
-    platform = backend.platform
+    platform = context.platform
     if proposal is not None:
         record = store.read_proposal(platform, proposal)
         found = store.load_result(platform, record.digest)
@@ -202,31 +204,33 @@
         change = store.read_change(platform, version)
         found = store.load_result(platform, change.digest)
     else:
-        found = _find_current(backend).configuration
+        found = _find_current(context).configuration
     return MergedView(version=found.version, text=write_merged(found))
 
 
-def show_status(backend: Backend) -> StatusView:
+def show_status(context: ApiContext) -> StatusView:
     """Show what is in force where, as far as store and controller tell."""
     status: FleetStatus | None = None
     stored_version: int | None = None
     # The store is read last: a change accepted in between would otherwise look as
     # if the store had been restored to an older state.
     with contextlib.suppress(PeerUnavailableError):
-        status = backend.fetch_status(NO_CONFIGURATION)
+        status = context.fetch_status(ABOVE_ALL_VERSIONS)
     with contextlib.suppress(PlatformUnavailableError):
-        stored_version = store.read_head_version(backend.platform)
+        stored_version = store.read_head_version(context.platform)
     return build_status_view(status, stored_version=stored_version)
 
 
-def _find_in_force(backend: Backend) -> Configuration:
-    stored_version = store.read_head_version(backend.platform)
-    status = backend.fetch_status(stored_version)
-    return choose_in_force(status, stored_version=stored_version)
+def _find_active_configuration(context: ApiContext) -> Configuration:
+    stored_version = store.read_head_version(context.platform)
+    status = context.fetch_status(stored_version)
+    return choose_active_configuration(status, stored_version=stored_version)
 
 
-def _find_current(backend: Backend) -> Current:
-    return store.find_current(backend.platform, in_force=_find_in_force(backend))
+def _find_current(context: ApiContext) -> Current:
+    return store.find_current(
+        context.platform, in_force=_find_active_configuration(context)
+    )
 
 
 def _build_view(record: Proposal, current: Current) -> ProposalView:
--- a/src/arbutuspulley/programs/console_http.py
+++ b/src/arbutuspulley/programs/console_http.py
@@ -89,7 +89,7 @@
         return generate_latest(self._registry)
 
 
-class Site:
+class WebRoot:
     """CherryPy's root: the page, the API, health and metrics.
 
     :param routes: the operations below ``/api``.
@@ -148,7 +148,7 @@
         route: Route | None = None
         try:
             route, opened = _find_route(self._routes, cherrypy.request.method, names)
-            operator = find_operator(
+            operator = authenticate(
                 self._operators, cherrypy.request.headers.get("Authorization", "")
             )
             call = Call(operator=operator, names=opened, query=query, body=_read_body())
@@ -167,7 +167,7 @@
         return _write(reply, status)
 
 
-def find_operator(operators: Mapping[str, str], authorization: str) -> str:
+def authenticate(operators: Mapping[str, str], authorization: str) -> str:
     """Return the name of the operator whose key was sent.
 
     Every operator's hash is compared, in constant time, so that the time taken tells
--- a/src/arbutuspulley/programs/console_views.py
+++ b/src/arbutuspulley/programs/console_views.py
@@ -12,7 +12,9 @@
 from arbutuspulley.rpc.messages import FleetStatus, InstanceStatus
 
 
-def choose_in_force(status: FleetStatus, *, stored_version: int) -> Configuration:
+def choose_active_configuration(
+    status: FleetStatus, *, stored_version: int
+) -> Configuration:
     """Return the configuration in force if it is newer than the store's.
 
     After the store was restored to an older state the instances hold versions that
@@ -47,21 +49,21 @@
     fleet = status or FleetStatus(accepted_version=0)
     in_force = max(_list_versions(fleet), default=0)
     accepted = max(stored_version or 0, fleet.accepted_version, in_force)
-    has_it = [one.instance for one in fleet.instances if is_in_force(one, accepted)]
-    waits = [one.instance for one in fleet.instances if one.instance not in has_it]
+    active_on = [one.instance for one in fleet.instances if is_active(one, accepted)]
+    waiting = [one.instance for one in fleet.instances if one.instance not in active_on]
     alarms = _list_alarms(status, stored_version=stored_version, accepted=accepted)
     return StatusView(
-        summary=_summarise(accepted, has_it, waits),
+        summary=_summarise(accepted, active_on, waiting),
         accepted_version=accepted,
         stored_version=stored_version,
         instances=fleet.instances,
-        in_force_on=tuple(has_it),
-        waiting_for=tuple(waits),
+        in_force_on=tuple(active_on),
+        waiting_for=tuple(waiting),
         alarms=tuple(alarms),
     )
 
 
-def is_in_force(instance: InstanceStatus, version: int) -> bool:
+def is_active(instance: InstanceStatus, version: int) -> bool:
     """Return whether an instance and all its entries are at least at a version."""
     if not instance.reachable:
         return False
@@ -101,14 +103,14 @@
     return "an instance"
 
 
-def _summarise(accepted: int, has_it: list[str], waits: list[str]) -> str:
+def _summarise(accepted: int, active_on: list[str], waiting: list[str]) -> str:
     if accepted == 0:
         return "nothing accepted yet"
-    total = len(has_it) + len(waits)
+    total = len(active_on) + len(waiting)
     if total == 0:
         return f"accepted {accepted}: no instance known"
-    summary = f"accepted {accepted}: in force on {len(has_it)} of {total}"
-    return f"{summary}, waiting for {', '.join(waits)}" if waits else summary
+    summary = f"accepted {accepted}: in force on {len(active_on)} of {total}"
+    return f"{summary}, waiting for {', '.join(waiting)}" if waiting else summary
 
 
 def _list_alarms(
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -41,7 +41,7 @@
 STORE_TIMEOUT_MS = 2_000
 """Longest wait for the platform."""
 
-STORE_TIMEOUT_LEASE_PART = 5
+MIN_STORE_TIMEOUTS_PER_LEASE = 5
 """It is also at most this part of a lease, so that a renewal whose reply is lost can
 be read back and sent again before the lease is over."""
 
@@ -103,7 +103,7 @@
     log_event(Event.STARTED, program=PROGRAM, instance=settings.instance)
     stopping.wait()
     log_event(Event.DRAINING, program=PROGRAM, instance=settings.instance)
-    _bound_stop()
+    _start_exit_timer()
     loop.wait_for(running.stop())
     stop_health()
     loop.stop()
@@ -199,7 +199,7 @@
 
 
 def _choose_store_timeout(settings: ControllerSettings) -> int:
-    return min(STORE_TIMEOUT_MS, settings.lease_ms // STORE_TIMEOUT_LEASE_PART)
+    return min(STORE_TIMEOUT_MS, settings.lease_ms // MIN_STORE_TIMEOUTS_PER_LEASE)
 
 
 def _build_pools() -> Pools:
@@ -215,7 +215,7 @@
     )
 
 
-def _bound_stop() -> None:
+def _start_exit_timer() -> None:
     """End the process after :data:`STOP_TIMEOUT_MS` whatever its threads wait for.
 
     Python waits at exit for I/O threads; one that is blocked on a frozen server or
--- a/src/arbutuspulley/programs/log_lines.py
+++ b/src/arbutuspulley/programs/log_lines.py
@@ -9,7 +9,7 @@
 from arbutuspulley.data import State
 
 
-class Line(State):
+class LogLine(State):
     """One line of a log.
 
     :param time_ms: the instance's calendar time.
@@ -22,7 +22,7 @@
     fields: dict[str, object]
 
 
-def read_lines(sources: Iterable[Iterable[str]]) -> Iterator[Line]:
+def read_lines(sources: Iterable[Iterable[str]]) -> Iterator[LogLine]:
     """Read the lines of logs; what is no line of ours is passed over.
 
     Text before a line's opening brace, such as a time that a collector adds, is cut.
@@ -47,8 +47,8 @@
     return [path.read_text(errors="replace").splitlines() for path in paths]
 
 
-def _build_line(found: dict[str, object]) -> Line:
-    return Line(
+def _build_line(found: dict[str, object]) -> LogLine:
+    return LogLine(
         time_ms=int(str(found["time_ms"])),
         instance=str(found.get("instance", "")),
         event=int(str(found.get("event", 0))),
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -47,11 +47,11 @@
 
 PROGRAM = "arbutus-node"
 
-IDLE_CALLER_S = 75
+KEEPALIVE_TIMEOUT_S = 75
 """How long a caller's idle connection is kept, in s: far above any limit that a
 configuration has set, so that a caller never meets a close of ours."""
 
-MOST_HEADER_BYTES = 65_536
+MAX_HEADER_LINE_BYTES = 65_536
 """Longest header line that is read at all, in bytes; configurations allow less."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -152,7 +152,7 @@
         return link.status is None
 
     tasks = [
-        loop.create_task(_keep(work))
+        loop.create_task(_run_forever(work))
         for work in (
             lambda: follow_configuration(
                 state, is_store_relayed=is_store_relayed, is_starting=is_starting
@@ -220,9 +220,9 @@
     server = web.Server(
         handler,
         handler_cancellation=True,
-        keepalive_timeout=IDLE_CALLER_S,
-        max_line_size=MOST_HEADER_BYTES,
-        max_field_size=MOST_HEADER_BYTES,
+        keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+        max_line_size=MAX_HEADER_LINE_BYTES,
+        max_field_size=MAX_HEADER_LINE_BYTES,
         access_log=None,
     )
     return await asyncio.get_running_loop().create_server(
@@ -230,7 +230,7 @@
     )
 
 
-async def _keep(work: Callable[[], Awaitable[None]]) -> None:
+async def _run_forever(work: Callable[[], Awaitable[None]]) -> None:
     """Run something for ever; a fault of ours is told and it begins anew."""
     while True:
         try:
--- a/src/arbutuspulley/programs/story.py
+++ b/src/arbutuspulley/programs/story.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from arbutuspulley.programs.log_lines import Line, open_sources, read_lines
+from arbutuspulley.programs.log_lines import LogLine, open_sources, read_lines
 
 _ID_FIELD = "id"
 _HIDDEN = frozenset(("time_ms", "instance", "event", "name", _ID_FIELD))
@@ -16,38 +16,38 @@
 _STEPS = ("server_granted", "attempt_failed", "request_refused", "request_lost")
 
 
-def tell_story(lines: Iterable[Line], request_id: str) -> list[str]:
+def build_timeline(lines: Iterable[LogLine], request_id: str) -> list[str]:
     """Return what happened to a request, in order, one text a line.
 
     :param request_id: the id that its caller sent.
     """
     own = [line for line in lines if line.fields.get(_ID_FIELD) == request_id]
     own.sort(key=lambda line: line.time_ms)
-    ordered = _order_close(own)
+    ordered = _order_by_step(own)
     if not ordered:
         return []
-    begun = min(line.time_ms for line in ordered)
-    return [_show(line, begun) for line in ordered]
+    started_ms = min(line.time_ms for line in ordered)
+    return [_show(line, started_ms) for line in ordered]
 
 
-def print_story(request_id: str, paths: list[Path]) -> int:
+def print_timeline(request_id: str, paths: list[Path]) -> int:
     """Print a request's story from files, or from standard input without any.
 
     :return: the exit status, 1 if no line names the request.
     """
-    told = tell_story(read_lines(open_sources(paths)), request_id)
-    for text in told:
+    texts = build_timeline(read_lines(open_sources(paths)), request_id)
+    for text in texts:
         print(text)
-    if not told:
+    if not texts:
         print(f"no line names the request {request_id}", file=sys.stderr)
         return 1
     return 0
 
 
-def _order_close(lines: list[Line]) -> list[Line]:
+def _order_by_step(lines: list[LogLine]) -> list[LogLine]:
     """Put lines that are closer than clocks differ in the order of a request's life."""
-    ordered: list[Line] = []
-    group: list[Line] = []
+    ordered: list[LogLine] = []
+    group: list[LogLine] = []
     for line in lines:
         if group and line.time_ms - group[-1].time_ms > ORDER_SLACK_MS:
             ordered += sorted(group, key=_rank)
@@ -56,14 +56,14 @@
     return ordered + sorted(group, key=_rank)
 
 
-def _rank(line: Line) -> int:
+def _rank(line: LogLine) -> int:
     return _STEPS.index(line.name) if line.name in _STEPS else len(_STEPS) - 1
 
 
-def _show(line: Line, begun: int) -> str:
+def _show(line: LogLine, started_ms: int) -> str:
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
         if name not in _HIDDEN and value not in ("", None)
     )
-    return f"+{line.time_ms - begun:>6} ms  {line.instance}  {line.name}  {fields}"
+    return f"+{line.time_ms - started_ms:>6} ms  {line.instance}  {line.name}  {fields}"
--- a/tests/backends.py
+++ b/tests/backends.py
@@ -11,7 +11,7 @@
 from arbutuspulley.standins.routes import build_root
 from arbutuspulley.standins.server import build_standin_server
 
-BOUND_S = 10
+WAIT_TIMEOUT_S = 10
 ITEM = "m@1"
 
 
@@ -41,7 +41,7 @@
 
 def wait_until(condition):
     """Return the first true value of a condition."""
-    deadline = time.monotonic() + BOUND_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not (value := condition()):
         assert time.monotonic() < deadline, "the condition never came true"
         time.sleep(0.005)
--- a/tests/console_trial.py
+++ b/tests/console_trial.py
@@ -7,9 +7,9 @@
 
 from arbutuspulley.configuration.lookup import hash_key
 from arbutuspulley.configuration.schema import EMPTY
-from arbutuspulley.programs.console_api import Backend
+from arbutuspulley.programs.console_api import ApiContext
 from arbutuspulley.programs.console_messages import FileText, ProposeRequest
-from arbutuspulley.programs.console_routes import build_site
+from arbutuspulley.programs.console_routes import build_web_root
 from arbutuspulley.programs.console_server import build_server
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import FleetStatus, InstanceStatus
@@ -32,7 +32,7 @@
     )
 
 
-class Trial:
+class ConsoleHarness:
     """A console over a platform in memory, and an HTTP client for it.
 
     ``in_force`` is what its controller has in force.
@@ -41,10 +41,12 @@
     def __init__(self):
         self.fake = FakePlatform()
         self.reset()
-        backend = Backend(platform=self.fake.platform, fetch_status=self._fetch_status)
+        context = ApiContext(
+            platform=self.fake.platform, fetch_status=self._fetch_status
+        )
         operators = {name: hash_key(f"key-of-{name}") for name in ("ayu", "janis")}
-        site = build_site(backend, operators)
-        self.server = build_server(site=site, host="127.0.0.1", port=0)
+        root = build_web_root(context, operators)
+        self.server = build_server(root=root, host="127.0.0.1", port=0)
         self.server.start()
         self.url = f"http://{self.server.address}"
 
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -191,9 +191,11 @@
         )
         view = msgspec.structs.replace(view, **changes)
         for entry in entries or self.entries:
-            take = entry.runtime
-            take.loop.call(
-                lambda taking=take: take_view(taking, view, now=taking.clock.now())
+            runtime = entry.runtime
+            runtime.loop.call(
+                lambda runtime=runtime: take_view(
+                    runtime, view, now=runtime.clock.now()
+                )
             )
 
     def list_servers(self, *names):
--- a/tests/stack.py
+++ b/tests/stack.py
@@ -12,7 +12,7 @@
 from arbutuspulley.data import State
 from arbutuspulley.standins import answer
 from scripts import fleet
-from scripts.client import AddressBook, Ask, ask, ask_once
+from scripts.client import AddressBook, ClientRequest, send, send_once
 from scripts.demo_load import count_admissions
 from scripts.fleet import Fleet, InstancePlan, Plan, ServerPlan
 from scripts.launcher import fetch, open_launcher, wait_until
@@ -106,7 +106,7 @@
     return json.loads(ended.stdout)["proposal"]
 
 
-def press_approve(stack, proposal, *, operator="ayu"):
+def run_approve(stack, proposal, *, operator="ayu"):
     """Run ``arbutus approve`` and return the ended process."""
     base = str(proposal.get("base_version", 0))
     arguments = ("approve", proposal["proposal"], "--base", base, "--json")
@@ -115,7 +115,7 @@
 
 def approve(stack, proposal):
     """Approve a proposal and wait until it is in force everywhere."""
-    ended = press_approve(stack, proposal)
+    ended = run_approve(stack, proposal)
     assert ended.returncode == 0, ended.stderr
     stack.version = json.loads(ended.stdout)["version"]
     wait_in_force(stack, stack.version)
@@ -145,17 +145,19 @@
     """Wait until every entry answers requests to the models."""
     for entry in fleet.list_all_entries(stack.fleet):
         for model in models or stack.fleet.plan.models:
-            probe = build_ask("probe", model=model, tokens=1)
+            probe = build_inference("probe", model=model, tokens=1)
             wait_until(
                 lambda entry=entry, probe=probe: (
-                    ask_once(stack.addresses[entry], probe).status == 200
+                    send_once(stack.addresses[entry], probe).status == 200
                 ),
                 what=f"{model} to answer at {entry}",
                 timeout_s=40,
             )
 
 
-def build_ask(name, *, model="tracker", tokens=8, streamed=False, unrepeatable=False):
+def build_inference(
+    name, *, model="tracker", tokens=8, streamed=False, unrepeatable=False
+):
     """Return a request to a model; its prompt is its name."""
     body = {
         "model": model,
@@ -163,7 +165,7 @@
         "max_tokens": tokens,
         "stream": streamed,
     }
-    return Ask(
+    return ClientRequest(
         name=name,
         path="/v1/completions",
         body=json.dumps(body).encode(),
@@ -171,11 +173,11 @@
         model=model,
         streamed=streamed,
         unrepeatable=unrepeatable,
-        bound_s=30,
+        timeout_s=30,
     )
 
 
-def find_digest(request):
+def get_prompt_digest(request):
     """Return the digest by which engines count a prompt."""
     return answer.read_prompt(path=request.path, body=request.body).digest
 
@@ -185,20 +187,20 @@
     if not request.model:
         return read_counters(stack, "booking")["by_key"].get(request.name, 0)
     logs = [stack.launcher.read_log(name) for name in list_engines(stack)]
-    return count_admissions(logs)[find_digest(request)]
+    return count_admissions(logs)[get_prompt_digest(request)]
 
 
 def build_booking(name):
     """Return an unrepeatable call to the plain service."""
     body = json.dumps({"guest": name}).encode()
     path = "/services/booking/bookings"
-    return Ask(name=name, path=path, body=body, key=KEY, unrepeatable=True)
+    return ClientRequest(name=name, path=path, body=body, key=KEY, unrepeatable=True)
 
 
-def ask_patiently(stack, request, *, first=0):
+def send_with_retries(stack, request, *, first=0):
     """Ask as a well-behaved caller that knows all entries."""
     seeds = [stack.addresses[name] for name in fleet.list_all_entries(stack.fleet)]
-    return ask(AddressBook(seeds=(*seeds[first:], *seeds[:first])), request)
+    return send(AddressBook(seeds=(*seeds[first:], *seeds[:first])), request)
 
 
 def control(stack, name, **faults):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,20 +10,20 @@
 from arbutuspulley.ports import commit
 from arbutuspulley.programs.cli import run
 from arbutuspulley.results import Code
-from tests.console_trial import Trial
+from tests.console_trial import ConsoleHarness
 from tests.fakes import BASE, OVERLAY_A, OVERLAY_B
 from tests.ports import find_free_address
 
 
 @pytest.fixture(scope="module")
 def running():
-    trial = Trial()
-    yield trial
-    trial.server.stop()
+    console = ConsoleHarness()
+    yield console
+    console.server.stop()
 
 
 @pytest.fixture
-def trial(running, monkeypatch, tmp_path):
+def console(running, monkeypatch, tmp_path):
     monkeypatch.setattr(commit, "INITIAL_BACKOFF_MS", 0)
     monkeypatch.setenv("ARBUTUS_CONSOLE", running.url)
     monkeypatch.setenv("ARBUTUS_KEY", "key-of-ayu")
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def ask(trial, capsys):
+def ask(console, capsys):
     def ask(*arguments, status=0):
         assert run(list(arguments)) == status
         shown = capsys.readouterr()
@@ -115,7 +115,7 @@
     assert "accepted in between:" in shown
 
 
-def test_a_console_that_cannot_be_reached_is_told_from_a_lost_answer(ask, trial):
+def test_a_console_that_cannot_be_reached_is_told_from_a_lost_answer(ask, console):
     """An operator does not know whether the approval went through.
 
     If no connection stood it did not. If the answer was lost it may have, and the
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,22 +10,30 @@
 from arbutuspulley.ports import commit
 from arbutuspulley.programs import console_http
 from arbutuspulley.programs.console import app, parse_operators
-from arbutuspulley.programs.console_views import build_status_view, choose_in_force
+from arbutuspulley.programs.console_views import (
+    build_status_view,
+    choose_active_configuration,
+)
 from arbutuspulley.results import Code, ConfigurationError, SettingError
 from arbutuspulley.standins.platform_state import restore
-from tests.console_trial import Trial, build_fleet, build_instance, build_request
+from tests.console_trial import (
+    ConsoleHarness,
+    build_fleet,
+    build_instance,
+    build_request,
+)
 from tests.fakes import build_configuration
 
 
 @pytest.fixture(scope="module")
 def running():
-    trial = Trial()
-    yield trial
-    trial.server.stop()
+    console = ConsoleHarness()
+    yield console
+    console.server.stop()
 
 
 @pytest.fixture
-def trial(running, monkeypatch):
+def console(running, monkeypatch):
     monkeypatch.setattr(commit, "INITIAL_BACKOFF_MS", 0)
     running.reset()
     return running
@@ -98,81 +106,81 @@
     approval that does not know that would be numbered 8, below 12.
     """
     if expected is not None:
-        assert choose_in_force(fleet, stored_version=stored) == expected
+        assert choose_active_configuration(fleet, stored_version=stored) == expected
         return
     with pytest.raises(ConfigurationError) as refused:
-        choose_in_force(fleet, stored_version=stored)
+        choose_active_configuration(fleet, stored_version=stored)
     assert refused.value.code == Code.NOT_READY
 
 
-def approve(trial, proposal, base_version, key="key-of-ayu"):
+def approve(console, proposal, base_version, key="key-of-ayu"):
     path = f"proposals/{proposal}/approve"
-    return trial.ask("POST", path, {"base_version": base_version}, key=key)
+    return console.ask("POST", path, {"base_version": base_version}, key=key)
 
 
-def accept(trial, size_mib=9000):
-    _, view = trial.propose(size_mib)
+def accept(console, size_mib=9000):
+    _, view = console.propose(size_mib)
     record = view["proposal"]
-    status, reply = approve(trial, record["proposal"], record["base_version"])
+    status, reply = approve(console, record["proposal"], record["base_version"])
     assert status == 200
     return reply["version"]
 
 
-def test_a_change_goes_from_proposal_to_accepted(trial):
-    status, view = trial.propose()
+def test_a_change_goes_from_proposal_to_accepted(console):
+    status, view = console.propose()
     proposal = view["proposal"]["proposal"]
     assert status == 200
     assert view["differences"][0]["path"] == "sites.site-a"
-    _, listed = trial.ask("GET", "proposals")
+    _, listed = console.ask("GET", "proposals")
     assert listed["proposals"][0]["proposal"]["proposal"] == proposal
-    assert approve(trial, proposal, 0) == (200, {"version": 1, "approver": "ayu"})
+    assert approve(console, proposal, 0) == (200, {"version": 1, "approver": "ayu"})
     again = {"version": 1, "approver": "ayu", "repeated": True}
-    assert approve(trial, proposal, 0, key="key-of-janis") == (200, again)
-    assert accept(trial, 9100) == 2
-    _, versions = trial.ask("GET", "versions")
+    assert approve(console, proposal, 0, key="key-of-janis") == (200, again)
+    assert accept(console, 9100) == 2
+    _, versions = console.ask("GET", "versions")
     assert [one["version"] for one in versions["versions"]] == [2, 1]
-    _, version = trial.ask("GET", "versions/2")
+    _, version = console.ask("GET", "versions/2")
     assert version["differences"][0]["after"] == "9100"
-    status, view = trial.ask("POST", "roll-forward", {"version": 1})
+    status, view = console.ask("POST", "roll-forward", {"version": 1})
     assert (status, view["proposal"]["version"]) == (200, 3)
     path = f"proposals/{view['proposal']['proposal']}/withdraw"
-    assert trial.ask("POST", path)[0] == 200
-    _, status = trial.ask("GET", "status")
+    assert console.ask("POST", path)[0] == 200
+    _, status = console.ask("GET", "status")
     assert status["summary"].startswith("accepted 2")
 
 
-def test_a_stale_approval_is_told_what_was_accepted_in_between(trial):
-    accept(trial)
-    ours, theirs = trial.propose(9100)[1], trial.propose(9200)[1]
-    assert approve(trial, theirs["proposal"]["proposal"], 1)[0] == 200
-    status, reply = approve(trial, ours["proposal"]["proposal"], 1)
+def test_a_stale_approval_is_told_what_was_accepted_in_between(console):
+    accept(console)
+    ours, theirs = console.propose(9100)[1], console.propose(9200)[1]
+    assert approve(console, theirs["proposal"]["proposal"], 1)[0] == 200
+    status, reply = approve(console, ours["proposal"]["proposal"], 1)
     assert (status, reply["errors"][0]["code"]) == (409, Code.BASE_VERSION_STALE)
     assert reply["differences"][0]["after"] == "9200"
-    _, view = trial.ask("GET", f"proposals/{ours['proposal']['proposal']}")
+    _, view = console.ask("GET", f"proposals/{ours['proposal']['proposal']}")
     assert view["is_stale"]
     assert view["since"][0]["after"] == "9200"
 
 
-def test_a_change_is_based_on_what_is_in_force_after_the_store_was_restored(trial):
-    accept(trial)
-    backup = trial.fake.state.revision
-    accept(trial, 9100)
-    trial.in_force = build_configuration(version=2, size_mib=9100)
-    restore(trial.fake.state, backup)
-    _, status = trial.ask("GET", "status")
+def test_a_change_is_based_on_what_is_in_force_after_the_store_was_restored(console):
+    accept(console)
+    backup = console.fake.state.revision
+    accept(console, 9100)
+    console.in_force = build_configuration(version=2, size_mib=9100)
+    restore(console.fake.state, backup)
+    _, status = console.ask("GET", "status")
     assert "it was restored" in status["alarms"][0]
-    _, view = trial.ask("POST", "roll-forward", {"version": 2})
+    _, view = console.ask("POST", "roll-forward", {"version": 2})
     assert (view["proposal"]["base_version"], view["proposal"]["version"]) == (2, 3)
-    assert approve(trial, view["proposal"]["proposal"], 2)[1]["version"] == 3
+    assert approve(console, view["proposal"]["proposal"], 2)[1]["version"] == 3
 
 
-def test_keys_are_never_shown(trial):
-    accept(trial)
-    trial.propose(9100)
-    _, merged = trial.ask("GET", "merged")
+def test_keys_are_never_shown(console):
+    accept(console)
+    console.propose(9100)
+    _, merged = console.ask("GET", "merged")
     assert "(hidden)" in merged["text"]
     for path in ("merged", "merged?version=1", "versions", "versions/1", "proposals"):
-        status, reply = trial.ask("GET", path)
+        status, reply = console.ask("GET", path)
         assert status == 200
         assert "dddd" not in json.dumps(reply)
 
@@ -198,43 +206,43 @@
     ],
 )
 def test_a_wrong_request_is_refused_with_a_number(
-    trial, monkeypatch, method, path, body, headers, status, code
+    console, monkeypatch, method, path, body, headers, status, code
 ):
     monkeypatch.setattr(console_http, "MAX_BODY_BYTES", 1_500)
-    found, reply = trial.ask(method, path, body, **headers)
+    found, reply = console.ask(method, path, body, **headers)
     assert (found, reply["errors"][0]["code"]) == (status, code)
     assert "Traceback" not in json.dumps(reply)
-    assert trial.ask("GET", "proposals") == (200, {"current_version": 0})
+    assert console.ask("GET", "proposals") == (200, {"current_version": 0})
 
 
 @pytest.mark.parametrize(
     ("fault", "code"),
     [("platform", Code.PLATFORM_UNAVAILABLE), ("controller", Code.PEER_UNAVAILABLE)],
 )
-def test_nothing_is_approved_without_the_store_or_the_controller(trial, fault, code):
-    _, view = trial.propose()
+def test_nothing_is_approved_without_the_store_or_the_controller(console, fault, code):
+    _, view = console.propose()
     if fault == "platform":
-        trial.fake.down = True
+        console.fake.down = True
     else:
-        trial.controller_down = True
-    status, reply = approve(trial, view["proposal"]["proposal"], 0)
+        console.controller_down = True
+    status, reply = approve(console, view["proposal"]["proposal"], 0)
     assert (status, reply["errors"][0]["code"]) == (503, code)
-    assert trial.ask("GET", "status")[0] == 200
-    ready = urllib3.request("GET", f"{trial.url}/readyz", retries=False)
+    assert console.ask("GET", "status")[0] == 200
+    ready = urllib3.request("GET", f"{console.url}/readyz", retries=False)
     assert ready.status == 503
     assert str(code.value) in ready.data.decode()
 
 
-def test_a_fault_of_the_console_shows_no_detail(trial, monkeypatch):
-    monkeypatch.setattr(trial.fake, "state", None)
-    status, reply = trial.ask("GET", "versions")
+def test_a_fault_of_the_console_shows_no_detail(console, monkeypatch):
+    monkeypatch.setattr(console.fake, "state", None)
+    status, reply = console.ask("GET", "versions")
     assert (status, reply["errors"][0]["code"]) == (500, Code.INTERNAL)
     assert "NoneType" not in json.dumps(reply)
 
 
-def test_page_health_and_metrics_need_no_key(trial):
+def test_page_health_and_metrics_need_no_key(console):
     answers = {
-        path: urllib3.request("GET", trial.url + path, retries=False)
+        path: urllib3.request("GET", console.url + path, retries=False)
         for path in ("/", "/healthz", "/readyz", "/metrics")
     }
     assert [answer.status for answer in answers.values()] == [200] * 4
@@ -243,8 +251,8 @@
     policy = page.headers["Content-Security-Policy"]
     assert "'unsafe-inline'" not in policy
     assert not re.search(rb"(src|href)=", page.data)
-    trial.ask("GET", "status")
-    metrics = urllib3.request("GET", trial.url + "/metrics").data.decode()
+    console.ask("GET", "status")
+    metrics = urllib3.request("GET", console.url + "/metrics").data.decode()
     assert 'requests_total{operation="status",status="200"}' in metrics
 
 
--- a/tests/test_demo_load.py
+++ b/tests/test_demo_load.py
@@ -7,13 +7,13 @@
 
 from arbutuspulley.adapters.sse import SentEvent
 from arbutuspulley.standins import answer
-from scripts.client import Answer, Ask, Ending, Outcome
+from scripts.client import AttemptResult, ClientRequest, Ending, Outcome
 from scripts.demo_load import RunCounts, judge
 
 ITEMS = {"assistant": "1"}
 BODY = json.dumps({"model": "assistant", "prompt": "Hello", "max_tokens": 4}).encode()
 PROMPT = answer.read_prompt(path="/v1/completions", body=BODY)
-ASK = Ask(
+REQUEST = ClientRequest(
     name="ask-1",
     path="/v1/completions",
     body=BODY,
@@ -35,12 +35,17 @@
         for offset in offsets
     )
     return Outcome(
-        ask=ASK, ending=ending, body=b"", events=events, entries=(), last=Answer()
+        request=REQUEST,
+        ending=ending,
+        body=b"",
+        events=events,
+        entries=(),
+        last=AttemptResult(),
     )
 
 
 @pytest.mark.parametrize(
-    ("offsets", "ending", "runs", "lost", "doubled", "untrue"),
+    ("offsets", "ending", "runs", "lost", "doubled", "false_refusals"),
     [
         ([0, 1, 2, 3], Ending.WHOLE, 1, 0, 0, 0),
         ([0, 1, 3], Ending.WHOLE, 1, 1, 0, 0),
@@ -52,13 +57,17 @@
         ([], Ending.REFUSED, 1, 0, 0, 1),
     ],
 )
-def test_judge(offsets, ending, runs, lost, doubled, untrue):
+def test_judge(offsets, ending, runs, lost, doubled, false_refusals):
     counts = RunCounts(prompts=Counter({PROMPT.digest: runs}), bookings=Counter())
-    tally = judge([ASK], [_build_outcome(offsets, ending)], counts, ITEMS)
-    assert (tally.lost, tally.doubled, tally.untrue) == (lost, doubled, untrue)
-    assert bool(tally.faults) == bool(lost or doubled or untrue)
+    tally = judge([REQUEST], [_build_outcome(offsets, ending)], counts, ITEMS)
+    assert (tally.lost, tally.doubled, tally.false_refusals) == (
+        lost,
+        doubled,
+        false_refusals,
+    )
+    assert bool(tally.faults) == bool(lost or doubled or false_refusals)
 
 
 def test_a_request_without_any_ending_is_lost():
     counts = RunCounts(prompts=Counter(), bookings=Counter())
-    assert judge([ASK], [], counts, ITEMS).lost == 1
+    assert judge([REQUEST], [], counts, ITEMS).lost == 1
--- a/tests/test_failures_control.py
+++ b/tests/test_failures_control.py
@@ -9,7 +9,7 @@
 from arbutuspulley.events import Event
 from arbutuspulley.results import Code
 from scripts import fleet
-from scripts.client import Ending, ask_once
+from scripts.client import Ending, send_once
 from scripts.launcher import wait_until
 from tests import stack as running
 
@@ -67,20 +67,20 @@
     booking = running.build_booking("during-outage")
     for number in (0, 1):
         entry = running.get_entry(stack, number)
-        plain = running.build_ask(f"outage-{number}", streamed=True)
-        assert ask_once(entry, plain).ended
-        refused = ask_once(entry, booking)
+        plain = running.build_inference(f"outage-{number}", streamed=True)
+        assert send_once(entry, plain).ended
+        refused = send_once(entry, booking)
         assert (refused.status, refused.code) == (503, Code.STORE_UNAVAILABLE)
         assert (refused.run_state, bool(refused.retry_after_s)) == ("not_run", True)
-    pressed = running.press_approve(stack, proposal)
+    pressed = running.run_approve(stack, proposal)
     assert pressed.returncode == 1
     assert f"error {Code.PLATFORM_UNAVAILABLE.value}" in pressed.stderr
     assert running.count_runs(stack, booking) == 0
     running.control(stack, "platform", outage=False)
-    assert running.ask_patiently(stack, booking).ending is Ending.WHOLE
+    assert running.send_with_retries(stack, booking).ending is Ending.WHOLE
     assert running.count_runs(stack, booking) == 1
     wait_until(
-        lambda: running.press_approve(stack, proposal).returncode == 0,
+        lambda: running.run_approve(stack, proposal).returncode == 0,
         what="the approval to be taken",
     )
     stack.version += 1
@@ -101,7 +101,9 @@
     for process in processes:
         stack.launcher.restart(process)
     stack.launcher.wait_ready(*processes)
-    answer = ask_once(running.get_entry(stack, 1), running.build_ask("new-instance"))
+    answer = send_once(
+        running.get_entry(stack, 1), running.build_inference("new-instance")
+    )
     assert (answer.status, answer.ended) == (200, True)
     assert running.has_logged(stack, name, Event.CONFIGURATION_FROM_PEER)
 
@@ -115,10 +117,10 @@
     proposal = running.propose(stack, **_build_change(2))
     stack.proxies["cli", "console"].lose_replies(1)
     running.control(stack, "platform", lose_replies=1)
-    first = running.press_approve(stack, proposal)
+    first = running.run_approve(stack, proposal)
     assert first.returncode == 1
     assert f"error {Code.PLATFORM_OUTCOME_UNKNOWN.value}" in first.stderr
-    again = running.press_approve(stack, proposal)
+    again = running.run_approve(stack, proposal)
     assert again.returncode == 0, again.stderr
     accepted = json.loads(again.stdout)
     assert (accepted["version"], accepted["repeated"]) == (stack.version + 1, True)
@@ -135,7 +137,7 @@
     proposals = [running.propose(stack, **_build_change(number)) for number in (3, 4)]
     with ThreadPoolExecutor() as pool:
         pressed = [
-            pool.submit(running.press_approve, stack, proposal, operator=operator)
+            pool.submit(running.run_approve, stack, proposal, operator=operator)
             for proposal, operator in zip(proposals, fleet.OPERATORS, strict=True)
         ]
         ended = sorted(
--- a/tests/test_failures_delivery.py
+++ b/tests/test_failures_delivery.py
@@ -6,14 +6,14 @@
 import pytest
 
 from arbutuspulley.results import Code
-from scripts.client import Ending, ask_once
+from scripts.client import Ending, send_once
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
 
 ITEMS = {"tracker": "1"}
 POISON = "poison"
-MOST_DEAD = 2
+MAX_DEAD_ENGINES = 2
 
 
 @pytest.fixture(scope="module")
@@ -36,12 +36,12 @@
         (running.build_booking("confirm-1"), {"cut_after_run": 1}, 1),
         (running.build_booking("confirm-2"), {"cut_before_run": 1}, 0),
         (
-            running.build_ask("split-1", unrepeatable=True),
+            running.build_inference("split-1", unrepeatable=True),
             {"break_requests": 1},
             1,
         ),
         (
-            running.build_ask("split-2", unrepeatable=True, streamed=True),
+            running.build_inference("split-2", unrepeatable=True, streamed=True),
             {"break_streams": 1},
             1,
         ),
@@ -56,18 +56,18 @@
     be turned away. The same key for another booking is refused.
     """
     _break_next(stack, request_, fault)
-    first = ask_once(running.get_entry(stack, 0), request_)
+    first = send_once(running.get_entry(stack, 0), request_)
     if request_.streamed:
         assert not first.ended
     else:
         assert (first.run_state, first.code) == ("unknown", Code.OUTCOME_UNKNOWN)
     for name in running.list_engines(stack):
         running.control(stack, name, break_requests=0, break_streams=0)
-    again = ask_once(running.get_entry(stack, 1), request_)
+    again = send_once(running.get_entry(stack, 1), request_)
     assert (again.status, again.run_state) == (409, "unknown")
     changed = request_.body.replace(request_.name.encode(), b"another")
     other = msgspec.structs.replace(request_, body=changed)
-    reused = ask_once(running.get_entry(stack, 2), other)
+    reused = send_once(running.get_entry(stack, 2), other)
     assert (reused.status, reused.code) == (422, Code.KEY_REUSED)
     assert running.count_runs(stack, request_) == runs
 
@@ -78,8 +78,8 @@
     She presses again, on another entry, and gets the very same reply.
     """
     request = running.build_booking("confirm-3")
-    first = ask_once(running.get_entry(stack, 0), request)
-    again = ask_once(running.get_entry(stack, 1), request)
+    first = send_once(running.get_entry(stack, 0), request)
+    again = send_once(running.get_entry(stack, 1), request)
     assert first.status == 201
     assert (again.status, again.body) == (first.status, first.body)
     assert running.count_runs(stack, request) == 1
@@ -96,14 +96,14 @@
     engines = running.list_engines(stack)
     for name in engines:
         running.control(stack, name, crash_marker=f"{POISON}?")
-    poison = running.build_ask(POISON, tokens=20)
+    poison = running.build_inference(POISON, tokens=20)
     bystanders = [
-        running.build_ask(f"near-{number}", tokens=250, streamed=True)
+        running.build_inference(f"near-{number}", tokens=250, streamed=True)
         for number in range(3)
     ]
     with ThreadPoolExecutor(max_workers=12) as pool:
         others = [
-            pool.submit(running.ask_patiently, stack, request, first=number % 3)
+            pool.submit(running.send_with_retries, stack, request, first=number % 3)
             for number, request in enumerate(bystanders)
         ]
         wait_until(
@@ -111,21 +111,21 @@
             what="the others to be running",
         )
         entries = [running.get_entry(stack, number % 3) for number in range(5)]
-        answers = [ask_once(entry, poison) for entry in entries]
+        answers = [send_once(entry, poison) for entry in entries]
         outcomes = [other.result() for other in others]
     dead = [name for name in engines if not stack.launcher.is_running(name)]
-    assert 1 <= len(dead) <= MOST_DEAD
+    assert 1 <= len(dead) <= MAX_DEAD_ENGINES
     assert {answer.status for answer in answers} == {503}
     assert all(answer.retry_after_s for answer in answers)
     wait_until(
         lambda: all(
-            ask_once(entry, poison).code == Code.QUARANTINED for entry in entries[:3]
+            send_once(entry, poison).code == Code.QUARANTINED for entry in entries[:3]
         ),
         what="the quarantine to hold at all entries",
     )
     assert {outcome.ending for outcome in outcomes} == {Ending.WHOLE}
     assert [find_problem(outcome, ITEMS) for outcome in outcomes] == [""] * 3
     for number, request in enumerate(bystanders):
-        again = running.ask_patiently(stack, request, first=number % 3)
+        again = running.send_with_retries(stack, request, first=number % 3)
         assert again.ending is Ending.WHOLE
     assert len([n for n in engines if not stack.launcher.is_running(n)]) == len(dead)
--- a/tests/test_failures_entries.py
+++ b/tests/test_failures_entries.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scripts.client import AddressBook, Ending, ask
+from scripts.client import AddressBook, Ending, send
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
@@ -45,20 +45,20 @@
     second time, though nobody can tell her how far the first run came.
     """
     addresses = tuple(running.get_entry(stack, number) for number in (0, 1))
-    book = AddressBook(seeds=addresses, kept={"tracker": (addresses, float("inf"))})
-    request = running.build_ask(
+    book = AddressBook(seeds=addresses, cached={"tracker": (addresses, float("inf"))})
+    request = running.build_inference(
         f"cut-{unrepeatable}", tokens=150, streamed=True, unrepeatable=unrepeatable
     )
     before = _count_tokens(stack)
     with ThreadPoolExecutor() as pool:
-        asking = pool.submit(ask, book, request)
+        asking = pool.submit(send, book, request)
         wait_until(
             lambda: _count_tokens(stack) > before + 30, what="a part of the answer"
         )
         stopped.append(f"entry-{running.list_names(stack)[0]}")
         stack.launcher.kill(stopped[0])
         outcome = asking.result()
-    assert outcome.cuts >= 1
+    assert outcome.broken_attempts >= 1
     assert len(outcome.events) > 0
     if unrepeatable:
         assert outcome.ending is Ending.UNKNOWN
@@ -70,12 +70,12 @@
 
 def _build_long_request(number):
     """Return a request whose answer takes longer than anything waits by a timeout."""
-    return running.build_ask(f"long-{number}", tokens=600, streamed=number == 0)
+    return running.build_inference(f"long-{number}", tokens=600, streamed=number == 0)
 
 
-def _ask_at(address, request):
-    kept = {request.model: ((address,), float("inf"))}
-    return ask(AddressBook(seeds=(address,), kept=kept), request)
+def _send_to(address, request):
+    cached = {request.model: ((address,), float("inf"))}
+    return send(AddressBook(seeds=(address,), cached=cached), request)
 
 
 def test_two_entries_stop_gracefully_under_load(stack, stopped):
@@ -89,21 +89,21 @@
     addresses = [stack.addresses[name] for name in stopping]
     ended = threading.Event()
 
-    def keep_asking(caller):
+    def keep_sending(caller):
         outcomes = []
         while not ended.is_set():
-            request = running.build_ask(
+            request = running.build_inference(
                 f"busy-{caller}-{len(outcomes)}", tokens=30, streamed=caller % 2 == 0
             )
-            outcome = running.ask_patiently(stack, request, first=caller % 3)
+            outcome = running.send_with_retries(stack, request, first=caller % 3)
             outcomes.append(outcome)
         return outcomes
 
     with ThreadPoolExecutor(max_workers=14) as pool:
         before = _count_tokens(stack)
-        callers = [pool.submit(keep_asking, caller) for caller in range(12)]
+        callers = [pool.submit(keep_sending, caller) for caller in range(12)]
         long_streams = [
-            pool.submit(_ask_at, address, _build_long_request(number))
+            pool.submit(_send_to, address, _build_long_request(number))
             for number, address in enumerate(addresses)
         ]
         wait_until(lambda: _count_tokens(stack) > before + 500, what="load")
@@ -116,5 +116,7 @@
         outcomes += [outcome for caller in callers for outcome in caller.result()]
     assert statuses == [0, 0]
     assert {outcome.ending for outcome in outcomes} == {Ending.WHOLE}
-    assert [find_problem(outcome, ITEMS) for outcome in outcomes if outcome.cuts] == []
-    assert sum(outcome.cuts for outcome in outcomes) == 0
+    assert [
+        find_problem(outcome, ITEMS) for outcome in outcomes if outcome.broken_attempts
+    ] == []
+    assert sum(outcome.broken_attempts for outcome in outcomes) == 0
--- a/tests/test_failures_orders.py
+++ b/tests/test_failures_orders.py
@@ -53,8 +53,8 @@
     return ()
 
 
-def _press(stack, models):
-    ended = running.press_approve(stack, running.propose(stack, models=models))
+def _approve_models(stack, models):
+    ended = running.run_approve(stack, running.propose(stack, models=models))
     assert ended.returncode == 0, ended.stderr
 
 
@@ -70,13 +70,13 @@
     owner = wait_until(lambda: running.find_owner(stack, SERVER), what="an owner")
     successor = next(one for one in running.list_names(stack) if one != owner)
     running.control(stack, SERVER, hold_orders=1)
-    _press(stack, BEFORE)
+    _approve_models(stack, BEFORE)
     wait_until(
         lambda: running.has_logged(stack, owner, Event.ORDER_UNKNOWN), what="the order"
     )
     stack.launcher.send(f"controller-{owner}", signal.SIGSTOP)
     wanted = {f"{name}@1" for name in AFTER}
-    _press(stack, AFTER)
+    _approve_models(stack, AFTER)
     wait_until(
         lambda: SERVER in _list_owned(stack, successor), what="the server to move"
     )
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from arbutuspulley.data import State
-from scripts.client import Answer, Ask, Ending, Outcome, ask_once
+from scripts.client import AttemptResult, ClientRequest, Ending, Outcome, send_once
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
@@ -17,7 +17,7 @@
 
 LINK = ("controller-hall-b-1", "platform")
 MODELS = {"tracker": running.MODEL, "recap": running.MODEL}
-PATIENCE_S = 60
+WAIT_TIMEOUT_S = 60
 
 
 class World(State):
@@ -29,7 +29,7 @@
     stack: running.Stack
     server: str = ""
     outcomes: list[Outcome] = []
-    answers: list[tuple[Ask, Answer]] = []
+    answers: list[tuple[ClientRequest, AttemptResult]] = []
     long: object = None
     statuses: dict[str, int] = {}
 
@@ -97,15 +97,15 @@
     return holders[0]
 
 
-def _ask_all(pool, world, count, model, **kind):
+def _send_all(pool, world, count, model, **kind):
     requests = [
-        running.build_ask(
+        running.build_inference(
             f"{model}-{id(world)}-{number}", tokens=20, streamed=number % 2 == 0, **kind
         )
         for number in range(count)
     ]
     asking = [
-        pool.submit(running.ask_patiently, world.stack, request, first=number % 2)
+        pool.submit(running.send_with_retries, world.stack, request, first=number % 2)
         for number, request in enumerate(requests)
     ]
     world.outcomes = [one.result() for one in asking]
@@ -138,8 +138,8 @@
 
 @given(parsers.parse('a long answer is being streamed from an engine with "{model}"'))
 def _begin_long(world, pool, model):
-    request = running.build_ask(f"long-{id(world)}", tokens=400, streamed=True)
-    world.long = pool.submit(running.ask_patiently, world.stack, request)
+    request = running.build_inference(f"long-{id(world)}", tokens=400, streamed=True)
+    world.long = pool.submit(running.send_with_retries, world.stack, request)
     wait_until(
         lambda: running.count_runs(world.stack, request),
         what="the long answer to begin",
@@ -169,23 +169,25 @@
 
 
 @when(parsers.parse('{count:d} callers ask "{model}" at once'))
-def _ask_many(world, pool, count, model):
-    _ask_all(pool, world, count, model)
+def _send_many(world, pool, count, model):
+    _send_all(pool, world, count, model)
 
 
 @when(
     parsers.parse('{count:d} callers ask "{model}" at once for something unrepeatable')
 )
-def _ask_unrepeatable(world, pool, count, model):
-    _ask_all(pool, world, count, model, unrepeatable=True)
+def _send_unrepeatable(world, pool, count, model):
+    _send_all(pool, world, count, model, unrepeatable=True)
 
 
 @when(parsers.parse('{count:d} callers ask "{model}" one by one, without patience'))
-def _ask_impatiently(world, count, model):
+def _send_without_retries(world, count, model):
     for number in range(len(world.answers), len(world.answers) + count):
-        request = running.build_ask(f"now-{number}", model=model, unrepeatable=True)
+        request = running.build_inference(
+            f"now-{number}", model=model, unrepeatable=True
+        )
         entry = running.get_entry(world.stack, number % 2)
-        world.answers.append((request, ask_once(entry, request)))
+        world.answers.append((request, send_once(entry, request)))
 
 
 @when(parsers.parse("{source} says that this engine leaves"))
@@ -267,7 +269,8 @@
 @then("each was run at most once, and exactly once if its answer is whole")
 def _check_runs(world):
     runs = [
-        (one.ending, running.count_runs(world.stack, one.ask)) for one in world.outcomes
+        (one.ending, running.count_runs(world.stack, one.request))
+        for one in world.outcomes
     ]
     assert set(runs) <= {(Ending.WHOLE, 1), (Ending.UNKNOWN, 1), (Ending.UNKNOWN, 0)}
     assert (Ending.UNKNOWN, 1) in runs
@@ -279,7 +282,7 @@
     wait_until(
         lambda: set(running.list_holders(world.stack, item)) - {world.server},
         what="another copy",
-        timeout_s=PATIENCE_S,
+        timeout_s=WAIT_TIMEOUT_S,
     )
 
 
@@ -287,7 +290,7 @@
 def _check_nothing_more(world, pool):
     def ask_and_count():
         before = _count_admitted(world)
-        _ask_all(pool, world, 6, "tracker")
+        _send_all(pool, world, 6, "tracker")
         assert {one.ending for one in world.outcomes} == {Ending.WHOLE}
         return _count_admitted(world) == before
 
@@ -304,7 +307,7 @@
 def _check_long(world):
     outcome = world.long.result()
     items = dict.fromkeys(MODELS, world.stack.item_version)
-    assert (outcome.ending, outcome.cuts) == (Ending.WHOLE, 0)
+    assert (outcome.ending, outcome.broken_attempts) == (Ending.WHOLE, 0)
     assert find_problem(outcome, items) == ""
 
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -10,7 +10,7 @@
 
 from tests.proxy import Direction, FaultProxy
 
-BOUND_S = 5
+TIMEOUT_S = 5
 
 
 class Echo:
@@ -44,7 +44,7 @@
         end.close()
 
     def wait_for(self, data: bytes) -> bool:
-        end = time.monotonic() + BOUND_S
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             if self.seen == data:
                 return True
@@ -72,7 +72,7 @@
 
 
 def open_end(proxy: FaultProxy) -> socket.socket:
-    return socket.create_connection(("127.0.0.1", proxy.port), timeout=BOUND_S)
+    return socket.create_connection(("127.0.0.1", proxy.port), timeout=TIMEOUT_S)
 
 
 def ask(end: socket.socket, data: bytes = b"a") -> bytes:
@@ -87,7 +87,7 @@
     except TimeoutError:
         return True
     finally:
-        end.settimeout(BOUND_S)
+        end.settimeout(TIMEOUT_S)
     return False
 
 
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -5,7 +5,7 @@
 import pytest
 
 from arbutuspulley.programs.log_lines import read_lines
-from arbutuspulley.programs.story import print_story, tell_story
+from arbutuspulley.programs.story import build_timeline, print_timeline
 
 
 def build(time_ms, instance, name, **fields):
@@ -14,7 +14,7 @@
 
 
 def tell(*lines, request="r1"):
-    return tell_story(read_lines([list(lines)]), request)
+    return build_timeline(read_lines([list(lines)]), request)
 
 
 def test_lines_of_one_request_come_in_order():
@@ -57,6 +57,6 @@
 def test_a_request_that_no_line_names_is_said(tmp_path, capsys):
     path = tmp_path / "log"
     path.write_text(build(1, "n1", "request_lost", id="r1"))
-    assert print_story("r9", [path]) == 1
+    assert print_timeline("r9", [path]) == 1
     assert "r9" in capsys.readouterr().err
-    assert print_story("r1", [path]) == 0
+    assert print_timeline("r1", [path]) == 0
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -8,7 +8,7 @@
 from arbutuspulley.configuration import schema
 from arbutuspulley.results import Code
 from scripts import fleet
-from scripts.client import ask_once
+from scripts.client import send_once
 from scripts.launcher import fetch
 from tests import stack as running
 
@@ -101,7 +101,7 @@
     assert (reply.status, error["arbutus_code"]) == (status, code)
     assert error["run_state"] == reply.headers["X-Arbutus-Run-State"] == "not_run"
     assert b"Traceback" not in reply.data
-    assert ask_once(entry, running.build_ask("after")).status == 200
+    assert send_once(entry, running.build_inference("after")).status == 200
 
 
 def test_half_written_overlay_is_refused_and_nothing_changes(stack):
