--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 from arbutuspulley.ports import commit
 from arbutuspulley.programs.cli import run
 from arbutuspulley.results import Code
-from tests.console_trial import ConsoleHarness
+from tests.console_harness import ConsoleHarness
 from tests.fakes import BASE, OVERLAY_A, OVERLAY_B
 from tests.ports import find_free_address
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,7 +16,7 @@
 )
 from arbutuspulley.results import Code, ConfigurationError, SettingError
 from arbutuspulley.standins.platform_state import restore
-from tests.console_trial import (
+from tests.console_harness import (
     ConsoleHarness,
     build_fleet,
     build_instance,
