--- a/scripts/bench_access.py
+++ b/scripts/bench_access.py
@@ -74,9 +74,9 @@
 
 def measure(work: Callable[[], None]) -> float:
     """Return how long something takes, in s."""
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     work()
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_s
 
 
 if __name__ == "__main__":
--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -47,10 +47,10 @@
 CHANGES_PER_SERVER_S = 0.2
 """Changes a second of what one server holds, under load."""
 
-REPLACED_A_DAY = 0.86
+RESTARTS_PER_DAY = 0.86
 """Starts of each instance a day: 310 of 360."""
 
-TEAMS_PER_BEAT = 3
+TEAMS_PER_HEARTBEAT = 3
 """Teams that an instance pays for between two beats, at ten requests a second."""
 
 DAY_S = 86_400
@@ -58,7 +58,7 @@
 app = cyclopts.App(help="Sum what instances say to each other for control.")
 
 
-class Sums(Value, frozen=True):
+class ControlTraffic(Value, frozen=True):
     """Bytes a second, and of one event.
 
     :param down: from the coordinator to one instance, each second.
@@ -71,7 +71,7 @@
     down: float
     up: float
     coordinator: float
-    whole: int
+    full_roster: int
     change: int
 
 
@@ -85,14 +85,15 @@
     """Print a line for each number of instances."""
     print("instances  down B/s  up B/s  coordinator kB/s  whole list B  change B")
     for count in instances:
-        sums = sum_control(count)
+        traffic = sum_control_traffic(count)
         print(
-            f"{count:>9}  {sums.down:>8.0f}  {sums.up:>6.0f}"
-            f"  {sums.coordinator / 1_000:>16.1f}  {sums.whole:>12}  {sums.change:>8}"
+            f"{count:>9}  {traffic.down:>8.0f}  {traffic.up:>6.0f}"
+            f"  {traffic.coordinator / 1_000:>16.1f}"
+            f"  {traffic.full_roster:>12}  {traffic.change:>8}"
         )
 
 
-def sum_control(instances: int) -> Sums:
+def sum_control_traffic(instances: int) -> ControlTraffic:
     """Work out the bytes of control for a fleet.
 
     :param instances: one of :data:`SITES`.
@@ -102,12 +103,12 @@
     infos = [_build_info(number, sites) for number in range(linked)]
     roster = RosterState(site="site-0", version=1)
     update_roster(roster, select_view(infos, site="site-0"))
-    whole = _count(build_full_roster(roster))
+    full_roster = _count_frame_bytes(build_full_roster(roster))
     joined = _build_info(linked * sites, sites)
     change = update_roster(roster, select_view([*infos, joined], site="site-0"))
-    changed = _count(change) if change is not None else 0
-    beats = SECOND_MS / HEARTBEAT_MS
-    digest = CoordinatorStatus(
+    changed = _count_frame_bytes(change) if change is not None else 0
+    heartbeats_per_s = SECOND_MS / HEARTBEAT_MS
+    status = CoordinatorStatus(
         is_holder=True,
         instances=linked,
         takers=linked,
@@ -119,7 +120,7 @@
         number=10_000,
         fresh_beat=10_000,
     )
-    beat = Heartbeat(
+    heartbeat = Heartbeat(
         is_ready=True,
         follows_store=True,
         roster=500,
@@ -127,32 +128,36 @@
         number=10_000,
         vouches=10_000,
     )
-    spent = TEAMS_PER_BEAT * len(
+    quota_usage = TEAMS_PER_HEARTBEAT * len(
         msgspec.msgpack.encode(QuotaUsage(team="team-1000", cost=10_000))
     )
     servers = SERVERS_PER_INSTANCE[instances] * instances
     if instances == 360:
         servers = 580
-    told = min(
+    changed_servers = min(
         servers, servers * CHANGES_PER_SERVER_S * DEFERRED_INTERVAL_MS / SECOND_MS
     )
-    news = (
-        min(told * ROW_BYTES, DEFERRED_BATCH_BYTES) * SECOND_MS / DEFERRED_INTERVAL_MS
+    store_update_rate = (
+        min(changed_servers * ROW_BYTES, DEFERRED_BATCH_BYTES)
+        * SECOND_MS
+        / DEFERRED_INTERVAL_MS
     )
-    starts = linked * REPLACED_A_DAY / DAY_S * 2 * changed
-    down = beats * _count(digest) + news + starts
-    up = beats * (_count(beat) + spent)
-    learnt = SUCCESSOR_COUNT * _count(_build_learnt(int(servers * MODELS_PER_SERVER)))
-    return Sums(
+    starts = linked * RESTARTS_PER_DAY / DAY_S * 2 * changed
+    down = heartbeats_per_s * _count_frame_bytes(status) + store_update_rate + starts
+    up = heartbeats_per_s * (_count_frame_bytes(heartbeat) + quota_usage)
+    estimates = SUCCESSOR_COUNT * _count_frame_bytes(
+        _build_estimates(int(servers * MODELS_PER_SERVER))
+    )
+    return ControlTraffic(
         down=down,
         up=up,
-        coordinator=(linked - 1) * (down + up) + learnt,
-        whole=whole,
+        coordinator=(linked - 1) * (down + up) + estimates,
+        full_roster=full_roster,
         change=changed,
     )
 
 
-def _count(
+def _count_frame_bytes(
     message: Heartbeat | CoordinatorStatus | CoordinatorEstimates | RosterChange,
 ) -> int:
     return len(msgspec.msgpack.encode([message])) + FRAME_BYTES
@@ -170,7 +175,7 @@
     )
 
 
-def _build_learnt(models: int) -> CoordinatorEstimates:
+def _build_estimates(models: int) -> CoordinatorEstimates:
     demand = {f"model{number}": 1_000.5 for number in range(models)}
     return CoordinatorEstimates(
         speeds={"service": {"16100/14": 30.5}}, demand={"service": demand}
--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -27,10 +27,10 @@
 RUNS_PER_SERVER = 9
 """Requests that wait and run, to a server of 12 slots in a surge."""
 
-ASKED = 2_000
+PRIOR_REQUESTS = 2_000
 """Requests that were asked for before, 2 ms apart: more than a half-life of demand."""
 
-PASSES = 3
+SAMPLES = 3
 """Passes of which the median is told."""
 
 app = cyclopts.App(help="Time the coordinator's decisions.")
@@ -47,28 +47,28 @@
     """Print a line for each number of servers."""
     print("servers  models  waiting  grants ms  orders ms  orders ms, nothing new")
     for count in servers:
-        grants, first, again = time_passes(count, seed=seed)
+        grants, first, repeated = time_cycles(count, seed=seed)
         waiting = count * WAITING_PER_SERVER
         models = int(count * MODELS_PER_SERVER)
         print(
             f"{count:>7}  {models:>6}  {waiting:>7}"
-            f"  {grants:>9.1f}  {first:>9.1f}  {again:>9.1f}"
+            f"  {grants:>9.1f}  {first:>9.1f}  {repeated:>9.1f}"
         )
 
 
-def time_passes(servers: int, *, seed: int) -> tuple[float, float, float]:
+def time_cycles(servers: int, *, seed: int) -> tuple[float, float, float]:
     """Return the medians of one pass of grants and two of orders, in ms."""
     samples: list[tuple[float, float, float]] = []
-    for number in range(PASSES):
+    for number in range(SAMPLES):
         pool, now = build_pool(servers, chance=random.Random(seed + number))
         grants = _time(functools.partial(plan_grants, pool, now=now))
         first = _time(functools.partial(plan_orders, pool, now=now))
-        again = _time(functools.partial(plan_orders, pool, now=now + 1))
-        samples.append((grants, first, again))
-    grants, first, again = (
+        repeated = _time(functools.partial(plan_orders, pool, now=now + 1))
+        samples.append((grants, first, repeated))
+    grants, first, repeated = (
         statistics.median(one) for one in zip(*samples, strict=True)
     )
-    return grants, first, again
+    return grants, first, repeated
 
 
 def build_pool(servers: int, *, chance: random.Random) -> tuple[PoolState, int]:
@@ -80,14 +80,14 @@
         server = _build_server(number, names, chance)
         pool.servers[server.incarnation] = server
     now = 0
-    for _ in range(ASKED):
+    for _ in range(PRIOR_REQUESTS):
         now += 2
-        record_demand(pool, _pick(names, chance), 800, now=now)
+        record_demand(pool, _draw_model(names, chance), 800, now=now)
     for number in range(servers * WAITING_PER_SERVER):
         pool.waiting[f"w{number}"] = WaitingRequest(
             key=f"w{number}",
             origin="n1",
-            need=_build_need(_pick(names, chance)),
+            need=_build_need(_draw_model(names, chance)),
             zone="z1",
             priority=0,
             arrived_at=now,
@@ -145,7 +145,7 @@
     return ModelNeed(model=model, adapter="", prompt_tokens=800, output_tokens=400)
 
 
-def _pick(names: list[str], chance: random.Random) -> str:
+def _draw_model(names: list[str], chance: random.Random) -> str:
     busy = max(1, len(names) // 10)
     if chance.random() < 0.75:
         return names[chance.randrange(busy)]
@@ -153,9 +153,9 @@
 
 
 def _time(decide: Callable[[], object]) -> float:
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     decide()
-    return (time.perf_counter() - begun) * 1_000
+    return (time.perf_counter() - started_s) * 1_000
 
 
 if __name__ == "__main__":
--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -43,7 +43,7 @@
     size_per_s: float
 
 
-class Lost(Value, frozen=True):
+class LostModel(Value, frozen=True):
     """A model to load again, in sequence of its loss.
 
     :param demand: requests a second for it.
@@ -59,10 +59,10 @@
 
     mean_wait: float
     missed: float
-    last: float
+    last_wait: float
 
 
-Sequence = Callable[[Lost], tuple[float, ...]]
+Sequence = Callable[[LostModel], tuple[float, ...]]
 
 SEQUENCES: dict[str, Sequence] = {
     "first-come": lambda lost: (lost.number,),
@@ -113,10 +113,10 @@
 )
 
 
-def build_lost(workload: Workload, chance: random.Random) -> list[Lost]:
+def draw_lost_models(workload: Workload, chance: random.Random) -> list[LostModel]:
     """Draw sizes evenly and demand with a long tail, as bursts make it."""
     return [
-        Lost(
+        LostModel(
             number=number,
             size=chance.randint(workload.smallest, workload.largest),
             demand=chance.lognormvariate(0, 1.2),
@@ -125,19 +125,19 @@
     ]
 
 
-def run(workload: Workload, lost: list[Lost], sequence: Sequence) -> Outcome:
+def run(workload: Workload, lost: list[LostModel], sequence: Sequence) -> Outcome:
     """Load all in one sequence over the store's slots."""
     hold_s = measure_hold_ms(workload.store) / SECOND_MS
     free_at = [0.0] * workload.store.loads_at_once
     waits: dict[int, float] = {}
     for model in sorted(lost, key=sequence):
-        begun = heapq.heappop(free_at)
-        waits[model.number] = begun + model.size / workload.size_per_s
-        heapq.heappush(free_at, max(waits[model.number], begun + hold_s))
+        started_s = heapq.heappop(free_at)
+        waits[model.number] = started_s + model.size / workload.size_per_s
+        heapq.heappush(free_at, max(waits[model.number], started_s + hold_s))
     return Outcome(
         mean_wait=statistics.fmean(waits.values()),
         missed=sum(model.demand * waits[model.number] for model in lost),
-        last=max(waits.values()),
+        last_wait=max(waits.values()),
     )
 
 
@@ -145,7 +145,7 @@
     """Return what each sequence gave over first-come, one ratio for each seed."""
     ratios: dict[str, list[Outcome]] = {name: [] for name in SEQUENCES}
     for seed in SEEDS:
-        lost = build_lost(workload, random.Random(seed))
+        lost = draw_lost_models(workload, random.Random(seed))
         base = run(workload, lost, SEQUENCES["first-come"])
         for name, sequence in SEQUENCES.items():
             outcome = run(workload, lost, sequence)
@@ -153,13 +153,13 @@
                 Outcome(
                     mean_wait=outcome.mean_wait / base.mean_wait,
                     missed=outcome.missed / base.missed,
-                    last=outcome.last / base.last,
+                    last_wait=outcome.last_wait / base.last_wait,
                 )
             )
     return ratios
 
 
-def show(values: list[float]) -> str:
+def format_range(values: list[float]) -> str:
     """Return mean, least and most as text."""
     return f"{statistics.fmean(values):.2f} ({min(values):.2f}-{max(values):.2f})"
 
@@ -172,8 +172,8 @@
         print(f"{'sequence':20} {'mean wait':>18} {'missed':>18} {'last':>18}")
         for name, outcomes in compare(workload).items():
             columns = [
-                show([getattr(outcome, field) for outcome in outcomes])
-                for field in ("mean_wait", "missed", "last")
+                format_range([getattr(outcome, field) for outcome in outcomes])
+                for field in ("mean_wait", "missed", "last_wait")
             ]
             print(f"{name:20} {columns[0]:>18} {columns[1]:>18} {columns[2]:>18}")
 
--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -47,8 +47,8 @@
 STEP_S = 5
 HOURS = 3
 LOAD_S = 30
-SHIFT = 10.0
-SHIFT_S = 3600
+DEMAND_RANGE = 10.0
+DEMAND_SHIFT_S = 3600
 
 
 class Pool(Value, frozen=True):
@@ -158,16 +158,16 @@
     weights = [chance.lognormvariate(0, 0.7) for _ in range(pool.models)]
     capacity = pool.servers * 16 * moves.SLOT_TOKENS_PER_S
 
-    def ask(now_s: int) -> dict[str, float]:
-        angle = math.pi * now_s / SHIFT_S
+    def get_demand(now_s: int) -> dict[str, float]:
+        angle = math.pi * now_s / DEMAND_SHIFT_S
         shares = [
-            weight * SHIFT ** (0.5 * math.sin(angle + phase))
+            weight * DEMAND_RANGE ** (0.5 * math.sin(angle + phase))
             for weight, phase in zip(weights, phases, strict=True)
         ]
         scale = pool.load * capacity / sum(shares)
         return {f"m{n}@1": share * scale for n, share in enumerate(shares)}
 
-    return ask
+    return get_demand
 
 
 def build_planner(*, with_moves: bool) -> Decide:
@@ -198,7 +198,7 @@
 
 
 def _move_on_miss(run: Run) -> tuple[Action, ...]:
-    layout = _see(run)
+    layout = _read_layout(run)
     loads = moves.measure_loads(layout, run.demand)
     late = [
         name
@@ -231,7 +231,7 @@
     return ()
 
 
-def _see(run: Run) -> Layout:
+def _read_layout(run: Run) -> Layout:
     return build_layout(
         configuration=run.configuration, ledgers=run.ledgers, usable=run.summaries
     )
@@ -246,17 +246,17 @@
     )
     for action in decide(run):
         if isinstance(action, Load) and free > 0:
-            free -= _carry_out(run, action, counted=counted)
+            free -= _apply_action(run, action, counted=counted)
         elif isinstance(action, Unload):
-            _carry_out(run, action, counted=counted)
+            _apply_action(run, action, counted=counted)
     run.now_s += STEP_S
     for name in run.ledgers:
-        _report(run, name)
+        _apply_report(run, name)
     if counted:
         _count_late(run)
 
 
-def _carry_out(run: Run, action: Load | Unload, *, counted: bool) -> bool:
+def _apply_action(run: Run, action: Load | Unload, *, counted: bool) -> bool:
     known = run.ledgers[action.server]
     try:
         if isinstance(action, Load):
@@ -274,7 +274,7 @@
     return True
 
 
-def _report(run: Run, name: str) -> None:
+def _apply_report(run: Run, name: str) -> None:
     known = run.ledgers[name]
     items: list[ReportedItem] = []
     for entry in known.entries:
@@ -296,7 +296,7 @@
 
 
 def _count_late(run: Run) -> None:
-    layout = _see(run)
+    layout = _read_layout(run)
     loads = dict.fromkeys(layout.places, 0.0)
     for key, names in layout.answering.items():
         for name in names:
@@ -310,14 +310,14 @@
     """Fill a pool, then let demand shift for some hours."""
     chance = random.Random(seed)
     run = build_run(pool, moves_weight, chance)
-    ask = build_demand(pool, chance)
+    get_demand = build_demand(pool, chance)
     for _ in range(20 * pool.models * LOAD_S // STEP_S // pool.store.loads_at_once):
         step(run, decide, counted=False)
-        if all(_see(run).answering.values()):
+        if all(_read_layout(run).answering.values()):
             break
     start = run.now_s
-    while run.now_s < start + HOURS * SHIFT_S:
-        run.demand = ask(run.now_s - start)
+    while run.now_s < start + HOURS * DEMAND_SHIFT_S:
+        run.demand = get_demand(run.now_s - start)
         step(run, decide, counted=True)
     return run
 
@@ -340,10 +340,12 @@
             runs = [simulate(pool, seed, build(), weight) for seed in SEEDS]
             late = [100 * run.late / run.asked for run in runs]
             moved = [float(run.moved) for run in runs]
-            print(f"{name:22} {_show(late, 2):>22} {_show(moved, 0):>18}")
+            print(
+                f"{name:22} {_format_range(late, 2):>22} {_format_range(moved, 0):>18}"
+            )
 
 
-def _show(values: list[float], digits: int) -> str:
+def _format_range(values: list[float], digits: int) -> str:
     mean, least, most = statistics.fmean(values), min(values), max(values)
     return f"{mean:.{digits}f} ({least:.{digits}f}-{most:.{digits}f})"
 
--- a/scripts/compare_quotas.py
+++ b/scripts/compare_quotas.py
@@ -40,24 +40,24 @@
 INSTANCES = 6
 TEAMS = 16
 LENGTH_MS = 30 * SECOND_MS
-HOT = range(5_000, 20_000)
-HOT_TIMES = 6.0
-LOST = range(12_000, 14_000)
-AROUND = range(12_000, 22_000)
+SURGE_MS = range(5_000, 20_000)
+SURGE_FACTOR = 6.0
+OUTAGE_MS = range(12_000, 14_000)
+OUTAGE_WINDOW_MS = range(12_000, 22_000)
 TOLERANCE = QuotaTolerance(window_ms=8_000, overage=0.1, extra=11_000)
-ROOM = 1.8
+RATE_HEADROOM = 1.8
 """A team's rate, in times its usual."""
 
 TOKENS_PER_S = 330_000
-TELL_MS = 250
+LEND_INTERVAL_MS = 250
 HALF_LIFE_MS = 1_000
-PART_BYTES = 24
-ASK_BYTES = 20
+SHARE_BYTES = 24
+REQUEST_BYTES = 20
 """Sizes on the wire in bytes: of a team's part or demand, and of what an ask says more.
 """
 
 
-class Asked(Value, frozen=True):
+class Request(Value, frozen=True):
     """A request."""
 
     at: int
@@ -74,7 +74,7 @@
     spent: float
 
 
-Decide = Callable[[Asked], bool]
+Decide = Callable[[Request], bool]
 
 
 def build_teams() -> list[Team]:
@@ -85,26 +85,26 @@
             name=str(rank),
             keys=(),
             counts_tokens=True,
-            rate_per_s=max(2_700, ROOM * TOKENS_PER_S * weight / sum(weights)),
-            burst=max(2_700, ROOM * TOKENS_PER_S * weight / sum(weights)),
+            rate_per_s=max(2_700, RATE_HEADROOM * TOKENS_PER_S * weight / sum(weights)),
+            burst=max(2_700, RATE_HEADROOM * TOKENS_PER_S * weight / sum(weights)),
         )
         for rank, weight in enumerate(weights)
     ]
 
 
-def draw_requests(teams: list[Team], seed: int) -> list[Asked]:
+def draw_requests(teams: list[Team], seed: int) -> list[Request]:
     """Draw requests in the order of their times; the fourth team runs hot."""
     chance = random.Random(seed)
     found = []
     for rank, team in enumerate(teams):
-        usual = team.rate_per_s / ROOM
+        usual = team.rate_per_s / RATE_HEADROOM
         at = 0.0
         while at < LENGTH_MS:
-            rate = usual * (HOT_TIMES if rank == 3 and int(at) in HOT else 1)
+            rate = usual * (SURGE_FACTOR if rank == 3 and int(at) in SURGE_MS else 1)
             at += chance.expovariate(rate / 1_500 / SECOND_MS)
             cost = min(4_300, int(chance.lognormvariate(7.0, 0.75)) + 80)
             instance = chance.randrange(INSTANCES)
-            found.append(Asked(at=int(at), team=rank, instance=instance, cost=cost))
+            found.append(Request(at=int(at), team=rank, instance=instance, cost=cost))
     return sorted(found, key=lambda one: one.at)
 
 
@@ -116,10 +116,10 @@
     ]
     buckets = [TokenBucket(balance=limit.capacity, updated_at=0) for limit in limits]
 
-    def decide(asked: Asked) -> bool:
-        bucket, limit = buckets[asked.team], limits[asked.team]
-        refill(bucket, limit, now=asked.at)
-        return try_consume(bucket, limit, asked.cost) == 0
+    def decide(request: Request) -> bool:
+        bucket, limit = buckets[request.team], limits[request.team]
+        refill(bucket, limit, now=request.at)
+        return try_consume(bucket, limit, request.cost) == 0
 
     return decide
 
@@ -132,91 +132,97 @@
     local = [LocalQuota(tolerance=TOLERANCE) for _ in range(INSTANCES)]
     lost = [False]
 
-    def decide(asked: Asked) -> bool:
-        if asked.at in LOST:
+    def decide(request: Request) -> bool:
+        if request.at in OUTAGE_MS:
             lost[0] = True
-            part = 1 / INSTANCES
-            own, team = local[asked.instance], teams[asked.team]
-            return own.charge(team, asked.cost, fraction=part, now=asked.at) == 0
+            share = 1 / INSTANCES
+            own, team = local[request.instance], teams[request.team]
+            return own.charge(team, request.cost, fraction=share, now=request.at) == 0
         if lost[0]:
             lost[0] = False
             ledger.reset()
-            ledger.set_limits(limits, now=LOST.stop)
+            ledger.set_limits(limits, now=OUTAGE_MS.stop)
         for own in local:
-            own.record_coordinated(asked.at)
-        sent[0] += ASK_BYTES
-        return ledger.charge(str(asked.team), asked.cost, now=asked.at) == 0
+            own.record_coordinated(request.at)
+        sent[0] += REQUEST_BYTES
+        return ledger.charge(str(request.team), request.cost, now=request.at) == 0
 
     return decide
 
 
-def build_parts(teams: list[Team], sent: list[int], *, are_lent: bool) -> Decide:
+def build_shares(teams: list[Team], sent: list[int], *, are_lent: bool) -> Decide:
     """Return the decisions of instances that count by their parts."""
     shapes = [build_limit(team, TOLERANCE) for team in teams]
-    whole = [shape for shape in shapes if shape is not None]
-    parts = [[1 / INSTANCES] * INSTANCES for _ in teams]
+    limits = [shape for shape in shapes if shape is not None]
+    shares = [[1 / INSTANCES] * INSTANCES for _ in teams]
     demand = [[0.0] * INSTANCES for _ in teams]
     buckets = [
         [
             TokenBucket(balance=limit.capacity / INSTANCES, updated_at=0)
             for _ in range(INSTANCES)
         ]
-        for limit in whole
+        for limit in limits
     ]
-    told_at = [0]
+    lent_at = [0]
 
     def lend(now: int) -> None:
-        elapsed = now - told_at[0]
-        told_at[0] = now
-        for rank, asked in enumerate(demand):
-            total = sum(asked) + 1.0
+        elapsed = now - lent_at[0]
+        lent_at[0] = now
+        for rank, amounts in enumerate(demand):
+            total = sum(amounts) + 1.0
             # A tenth goes to all alike, for callers that come where none came lately.
-            parts[rank] = [0.9 * one / total + 0.1 / INSTANCES for one in asked]
-            demand[rank] = [one * 0.5 ** (elapsed / HALF_LIFE_MS) for one in asked]
-            sent[0] += 2 * PART_BYTES * sum(one > 1 for one in asked)
-
-    def decide(asked: Asked) -> bool:
-        if are_lent and asked.at not in LOST and asked.at - told_at[0] >= TELL_MS:
-            lend(asked.at)
-        demand[asked.team][asked.instance] += asked.cost
-        part = parts[asked.team][asked.instance]
-        limit = whole[asked.team]
+            shares[rank] = [0.9 * one / total + 0.1 / INSTANCES for one in amounts]
+            demand[rank] = [one * 0.5 ** (elapsed / HALF_LIFE_MS) for one in amounts]
+            sent[0] += 2 * SHARE_BYTES * sum(one > 1 for one in amounts)
+
+    def decide(request: Request) -> bool:
+        if (
+            are_lent
+            and request.at not in OUTAGE_MS
+            and request.at - lent_at[0] >= LEND_INTERVAL_MS
+        ):
+            lend(request.at)
+        demand[request.team][request.instance] += request.cost
+        share = shares[request.team][request.instance]
+        limit = limits[request.team]
         own = QuotaLimit(
-            rate_per_ms=limit.rate_per_ms * part,
-            capacity=limit.capacity * part,
+            rate_per_ms=limit.rate_per_ms * share,
+            capacity=limit.capacity * share,
             tolerance=0,
         )
-        bucket = buckets[asked.team][asked.instance]
-        refill(bucket, own, now=asked.at)
-        return try_consume(bucket, own, asked.cost) == 0
+        bucket = buckets[request.team][request.instance]
+        refill(bucket, own, now=request.at)
+        return try_consume(bucket, own, request.cost) == 0
 
     return decide
 
 
-def play(teams: list[Team], requests: list[Asked], decide: Decide) -> Result:
+def simulate(teams: list[Team], requests: list[Request], decide: Decide) -> Result:
     """Let a way decide on all requests."""
     reference = build_reference(teams)
-    allowed = lost = allowed_around = lost_around = 0
+    allowed = lost = allowed_around = refused_around_outage = 0
     spent: list[list[tuple[int, int]]] = [[] for _ in teams]
-    for asked in requests:
-        is_allowed, is_served = reference(asked), decide(asked)
-        is_around = asked.at in AROUND
+    for request in requests:
+        is_allowed, is_served = reference(request), decide(request)
+        is_around = request.at in OUTAGE_WINDOW_MS
         if is_served:
-            spent[asked.team].append((asked.at, asked.cost))
+            spent[request.team].append((request.at, request.cost))
         if is_allowed:
-            allowed += asked.cost
-            allowed_around += asked.cost * is_around
-            lost += asked.cost * (not is_served)
-            lost_around += asked.cost * (is_around and not is_served)
+            allowed += request.cost
+            allowed_around += request.cost * is_around
+            lost += request.cost * (not is_served)
+            refused_around_outage += request.cost * (is_around and not is_served)
     return Result(
         refused=100 * lost / allowed,
-        refused_around=100 * lost_around / allowed_around,
+        refused_around=100 * refused_around_outage / allowed_around,
         spent=100
-        * max(find_most(team, one) for team, one in zip(teams, spent, strict=True)),
+        * max(
+            find_peak_usage(team, one) for team, one in zip(teams, spent, strict=True)
+        ),
     )
 
 
-def find_most(team: Team, spent: list[tuple[int, int]]) -> float:
+def find_peak_usage(team: Team, spent: list[tuple[int, int]]) -> float:
     """Return the most that was spent in a window, over what is tolerated there."""
     window = TOLERANCE.window_ms
     base = team.rate_per_s * window / SECOND_MS + team.burst
@@ -234,28 +240,28 @@
 def main() -> None:
     """Print a line for each way."""
     teams = build_teams()
-    ways: dict[str, Callable[[list[int]], Decide]] = {
+    variants: dict[str, Callable[[list[int]], Decide]] = {
         "one account": lambda sent: build_one_account(teams, sent),
-        "equal parts": lambda sent: build_parts(teams, sent, are_lent=False),
-        "lent parts": lambda sent: build_parts(teams, sent, are_lent=True),
+        "equal parts": lambda sent: build_shares(teams, sent, are_lent=False),
+        "lent parts": lambda sent: build_shares(teams, sent, are_lent=True),
     }
     print("way          refused below   around the loss  most spent   bytes/s")
-    for name, build in ways.items():
-        results, told = [], []
+    for name, build in variants.items():
+        results, byte_rates = [], []
         for seed in SEEDS:
             sent = [0]
-            results.append(play(teams, draw_requests(teams, seed), build(sent)))
-            told.append(sent[0] / INSTANCES / (LENGTH_MS / SECOND_MS))
+            results.append(simulate(teams, draw_requests(teams, seed), build(sent)))
+            byte_rates.append(sent[0] / INSTANCES / (LENGTH_MS / SECOND_MS))
         columns = [
-            _show([one.refused for one in results]),
-            _show([one.refused_around for one in results]),
-            _show([one.spent for one in results]),
-            f"{statistics.mean(told):.0f}",
+            _format_range([one.refused for one in results]),
+            _format_range([one.refused_around for one in results]),
+            _format_range([one.spent for one in results]),
+            f"{statistics.mean(byte_rates):.0f}",
         ]
         print(f"{name:<12} " + "  ".join(columns))
 
 
-def _show(values: list[float]) -> str:
+def _format_range(values: list[float]) -> str:
     mean = statistics.mean(values)
     return f"{mean:5.2f} ({min(values):.2f}-{max(values):.2f})"
 
