--- a/deploy/run_node.py
+++ b/deploy/run_node.py
@@ -1,11 +1,11 @@
-"""Starts ``arbutus-node`` from a checkout, with the package below ``src``."""
+"""Starts ``arbutus-node`` from a checkout, with the package in ``src``."""
 
 import os
 import sys
 from pathlib import Path
 
-# Nothing here speaks TLS. The HTTP library reads the machine's certificates as it is
-# imported, which takes a quarter of the time of a start.
+# The node does not use TLS. The HTTP library loads the machine's certificates when it
+# is imported, which takes a quarter of the start-up time.
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "src"))
--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -59,7 +59,7 @@
 
     mean_wait: float
     missed: float
-    last_wait: float
+    last: float
 
 
 Sequence = Callable[[LostModel], tuple[float, ...]]
@@ -137,7 +137,7 @@
     return Outcome(
         mean_wait=statistics.fmean(waits.values()),
         missed=sum(model.demand * waits[model.number] for model in lost),
-        last_wait=max(waits.values()),
+        last=max(waits.values()),
     )
 
 
@@ -153,7 +153,7 @@
                 Outcome(
                     mean_wait=outcome.mean_wait / base.mean_wait,
                     missed=outcome.missed / base.missed,
-                    last_wait=outcome.last_wait / base.last_wait,
+                    last=outcome.last / base.last,
                 )
             )
     return ratios
@@ -173,7 +173,7 @@
         for name, outcomes in compare(workload).items():
             columns = [
                 format_range([getattr(outcome, field) for outcome in outcomes])
-                for field in ("mean_wait", "missed", "last_wait")
+                for field in ("mean_wait", "missed", "last")
             ]
             print(f"{name:20} {columns[0]:>18} {columns[1]:>18} {columns[2]:>18}")
 
--- a/src/arbutuspulley/programs/__init__.py
+++ b/src/arbutuspulley/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs: shells around the decisions, one module for each."""
+"""Entry points of the programs: command lines, process start-up and wiring."""
--- a/src/arbutuspulley/programs/causes.py
+++ b/src/arbutuspulley/programs/causes.py
@@ -1,8 +1,8 @@
-"""Counts why requests were late or lost, from the logs of several instances.
+"""Classifies late and lost requests by cause, from the logs of several instances.
 
-An answer is late by what took the most of its time: the wait for a server, the server
-itself, tries that came to nothing, or a pause in its stream. How often its caller had
-come before is not known to an instance.
+A late response is attributed to one cause: failed attempts, the wait for a server, the
+server itself, or a gap in the stream. Retries by the caller are not counted: an
+instance does not know how often the caller has sent the request before.
 """
 
 import sys
@@ -21,7 +21,7 @@
 
 
 def count_causes(lines: Iterable[LogLine]) -> Counter[tuple[str, str]]:
-    """Count requests by the first part of their path and how they ended."""
+    """Count requests by the first segment of their path and their cause."""
     kept = [line for line in lines if line.name in (_ENDED, _LOST, _REFUSED)]
     refusals = {
         line.fields.get("id"): line.fields for line in kept if line.name == _REFUSED
@@ -40,7 +40,7 @@
 
 
 def format_causes(counts: Counter[tuple[str, str]]) -> list[str]:
-    """Return the counts as a table, one text a line, the most frequent first."""
+    """Return the counts as lines of a table, the most frequent first."""
     totals = Counter[str]()
     for (route, _cause), count in counts.items():
         totals[route] += count
@@ -56,47 +56,49 @@
 
 
 def print_causes(paths: list[Path], *, every_s: int) -> int:
-    """Print why requests were late or lost, from files or from standard input.
+    """Print the causes of late and lost requests.
 
-    :param every_s: a table for each span of so many seconds; 0: one for all.
-    :return: the exit status, 1 if no line tells of a request's end.
+    :param paths: log files; empty: standard input.
+    :param every_s: length in s of the interval that a table covers; 0: one table for
+        the whole log.
+    :return: the exit status; 1 if no log line records the end of a request.
     """
     spans: dict[int, list[LogLine]] = {}
     for line in read_lines(open_sources(paths)):
         span = line.time_ms // (every_s * SECOND_MS) if every_s else 0
         spans.setdefault(span, []).append(line)
-    is_told = False
+    has_output = False
     for span in sorted(spans):
         lines = format_causes(count_causes(spans[span]))
         if lines and every_s:
             print(f"from {(span - min(spans)) * every_s} s")
         for text in lines:
-            is_told = True
+            has_output = True
             print(text)
-    if not is_told:
-        print("no line tells of a request's end", file=sys.stderr)
-    return 0 if is_told else 1
+    if not has_output:
+        print("no line records the end of a request", file=sys.stderr)
+    return 0 if has_output else 1
 
 
 def _classify_ended(fields: dict[str, object]) -> str:
     status = _get_number(fields, "status")
     if status >= 400:
         return f"the server's own {status}"
-    first, aim = _get_number(fields, "first_ms"), _get_number(fields, "aim_ms")
-    if aim and first > aim:
+    first, target = _get_number(fields, "first_ms"), _get_number(fields, "aim_ms")
+    if target and first > target:
         waited = _get_number(fields, "waited_ms")
-        tries = sum(_get_number(fields, name) for name in ("refused", "unreached"))
-        if tries or _get_number(fields, "may_have_run") > 1:
+        failed = sum(_get_number(fields, name) for name in ("refused", "unreached"))
+        if failed or _get_number(fields, "may_have_run") > 1:
             return "late, after tries that came to nothing"
         return "late, by the wait" if 2 * waited >= first else "late, at the server"
-    most = _get_number(fields, "pause_aim_ms")
-    if most and _get_number(fields, "longest_pause_ms") > most:
+    gap_target = _get_number(fields, "pause_aim_ms")
+    if gap_target and _get_number(fields, "longest_pause_ms") > gap_target:
         return "late, by a pause"
     return IN_TIME
 
 
 def _classify_lost(fields: dict[str, object], refusal: dict[str, object] | None) -> str:
-    text = f"{fields.get('how')}: {fields.get('why') or 'no reason lines'}"
+    text = f"{fields.get('how')}: {fields.get('why') or 'no reason given'}"
     if refusal is None:
         return text
     if not _get_number(refusal, "copies"):
--- a/src/arbutuspulley/programs/cli.py
+++ b/src/arbutuspulley/programs/cli.py
@@ -1,7 +1,7 @@
-"""``arbutus``: the operators' command line over the console's API.
+"""``arbutus``: the operators' command line, a client of the console's API.
 
-Exit status: 0 when all is well, 1 if the command was refused (numbered errors on
-standard error), 2 if the command line or a setting is wrong.
+Exit status: 0 on success, 1 if the command was refused (numbered errors on standard
+error), 2 if the command line or a setting is invalid.
 """
 
 import sys
@@ -54,25 +54,26 @@
 
 app = cyclopts.App(
     name="arbutus",
-    help="Propose and approve changes; see what runs.",
+    help="Propose and approve configuration changes; show the fleet's status.",
     result_action="return_value",
 )
 
 _Url = Annotated[
-    str, Parameter(help="http://host:port of a console.", env_var="ARBUTUS_CONSOLE")
+    str,
+    Parameter(help="URL of a console, http://host:port.", env_var="ARBUTUS_CONSOLE"),
 ]
 _Key = Annotated[str, Parameter(help="The operator's key.", env_var="ARBUTUS_KEY")]
 _Json = Annotated[bool, Parameter(help="Print the answer as JSON.", negative="")]
-_Proposal = Annotated[str, Parameter(help="Id of a waiting proposal.")]
+_Proposal = Annotated[str, Parameter(help="Id of a pending proposal.")]
 _BaseFile = Annotated[Path, Parameter(help="The base file.")]
 _OverlayFiles = Annotated[
-    list[Path], Parameter(help="The overlay of each site.", negative="")
+    list[Path], Parameter(help="The overlay file of each site.", negative="")
 ]
 
 
 @app.command
 def check(base: _BaseFile, overlays: _OverlayFiles, /) -> None:
-    """Check files without a console: schema, references and whether all fits."""
+    """Validate files without a console: schema, references and memory."""
     configuration = merge_files(_read_files(base, overlays), version=1)
     check_fit(configuration)
     print(output.describe_checked(configuration))
@@ -80,13 +81,13 @@
 
 @app.command
 def story(
-    request: Annotated[str, Parameter(help="Id that the caller sent.")],
+    request: Annotated[str, Parameter(help="Request id that the caller sent.")],
     logs: Annotated[
         tuple[Path, ...], Parameter(help="Log files; none: standard input.")
     ] = (),
     /,
 ) -> None:
-    """Tell one request's story from the logs of the instances."""
+    """Show the timeline of one request from the logs of the instances."""
     raise SystemExit(print_timeline(request, list(logs)))
 
 
@@ -98,10 +99,10 @@
     /,
     *,
     every_s: Annotated[
-        int, Parameter(help="A table for each span of so many seconds; 0: one.")
+        int, Parameter(help="Seconds that each table covers; 0: one table.")
     ] = 0,
 ) -> None:
-    """Count by cause which requests were late or lost, from the instances' logs."""
+    """Count late and lost requests by cause, from the logs of the instances."""
     try:
         check_all((check_range("--every-s", every_s, least=0, most=86_400),))
     except SettingsError as error:
@@ -115,16 +116,18 @@
     overlays: _OverlayFiles,
     /,
     *,
-    note: Annotated[str, Parameter(help="Why, for whoever approves.")] = "",
+    note: Annotated[
+        str, Parameter(help="Reason for the change, shown to the approver.")
+    ] = "",
     remove_site: Annotated[
         tuple[str, ...],
-        Parameter(help="A site whose overlay is left out on purpose.", negative=""),
+        Parameter(help="Site to remove: it has no overlay any more.", negative=""),
     ] = (),
     console: _Url = "",
     key: _Key = "",
     json: _Json = False,
 ) -> None:
-    """Lay files down for approval and show what they change."""
+    """Propose the content of files and show what it changes."""
     files = _read_files(base, overlays)
     request = ProposeRequest(
         base=_build_text(files.base),
@@ -140,13 +143,15 @@
 @app.command
 def show(
     *,
-    version: Annotated[int | None, Parameter(help="An accepted version.")] = None,
-    proposal: Annotated[str | None, Parameter(help="A waiting proposal.")] = None,
+    version: Annotated[
+        int | None, Parameter(help="Number of an accepted version.")
+    ] = None,
+    proposal: Annotated[str | None, Parameter(help="Id of a pending proposal.")] = None,
     console: _Url = "",
     key: _Key = "",
     json: _Json = False,
 ) -> None:
-    """Show a merged configuration: the newest one, a version or a proposal's."""
+    """Show a merged configuration: the newest, a version's or a proposal's."""
     path = "merged"
     if proposal is not None:
         path = f"merged?proposal={quote(proposal, safe='')}"
@@ -158,14 +163,16 @@
 
 @app.command
 def diff(
-    proposal: Annotated[str, Parameter(help="Id of a proposal, or a version.")],
+    proposal: Annotated[
+        str, Parameter(help="Id of a proposal, or number of a version.")
+    ],
     /,
     *,
     console: _Url = "",
     key: _Key = "",
     json: _Json = False,
 ) -> None:
-    """Show what a waiting proposal, or an accepted version, changes."""
+    """Show what a pending proposal or an accepted version changes."""
     target = _build_target(console, key)
     if proposal.isdigit() and len(proposal) <= _MAX_VERSION_DIGITS:
         path = f"versions/{proposal}"
@@ -179,7 +186,7 @@
 
 @app.command
 def proposals(*, console: _Url = "", key: _Key = "", json: _Json = False) -> None:
-    """List the waiting proposals."""
+    """List the pending proposals."""
     reply = call(_build_target(console, key), "GET", "proposals", reply=ProposalList)
     _print(reply, output.describe_proposals, json=json)
 
@@ -189,12 +196,14 @@
     proposal: _Proposal,
     /,
     *,
-    base: Annotated[int, Parameter(help="The base version that you saw.")],
+    base: Annotated[
+        int, Parameter(help="Base version that the proposal was shown with.")
+    ],
     console: _Url = "",
     key: _Key = "",
     json: _Json = False,
 ) -> None:
-    """Accept a proposal. Doing it again, after a lost answer, is safe."""
+    """Approve a proposal. Retrying after a lost response is safe."""
     request = ApproveRequest(base_version=base)
     path = f"proposals/{quote(proposal, safe='')}/approve"
     target = _build_target(console, key)
@@ -211,7 +220,7 @@
     key: _Key = "",
     json: _Json = False,
 ) -> None:
-    """Take a waiting proposal back."""
+    """Withdraw a pending proposal."""
     path = f"proposals/{quote(proposal, safe='')}/withdraw"
     reply = call(_build_target(console, key), "POST", path, reply=Done)
     _print(reply, lambda done: done.detail, json=json)
@@ -219,7 +228,7 @@
 
 @app.command
 def roll_forward(
-    version: Annotated[int, Parameter(help="The version whose content to take.")],
+    version: Annotated[int, Parameter(help="Version whose content is proposed.")],
     /,
     *,
     console: _Url = "",
@@ -235,7 +244,7 @@
 
 @app.command
 def status(*, console: _Url = "", key: _Key = "", json: _Json = False) -> None:
-    """Show what is in force where."""
+    """Show the active configuration version of each instance."""
     reply = call(_build_target(console, key), "GET", "status", reply=StatusView)
     _print(reply, output.describe_status, json=json)
 
@@ -249,7 +258,7 @@
 
 @app.command(name="hash-key")
 def print_hash() -> None:
-    """Read a key from standard input and print its hash, as files hold it."""
+    """Read a key from standard input and print its hash for configuration files."""
     key = sys.stdin.readline().rstrip("\r\n")
     check_present("standard input", key)()
     print(hash_key(key))
@@ -263,7 +272,7 @@
 def run(arguments: list[str]) -> int:
     """Run one command and return its exit status.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command line without the program name.
     """
     try:
         app(arguments, exit_on_error=False, print_error=True)
--- a/src/arbutuspulley/programs/cli_client.py
+++ b/src/arbutuspulley/programs/cli_client.py
@@ -1,4 +1,4 @@
-"""The command line's HTTP client for a console."""
+"""HTTP client of the console's API, used by the command line."""
 
 from typing import TypeVar
 
@@ -12,10 +12,10 @@
 from arbutuspulley.results import Code
 
 CONNECT_TIMEOUT_S = 5.0
-"""Longest wait for a connection."""
+"""Timeout for establishing a connection, in s."""
 
 READ_TIMEOUT_S = 30.0
-"""Longest wait for an answer."""
+"""Timeout for reading a response, in s."""
 
 _OK = 200
 
@@ -23,7 +23,7 @@
 
 
 class ConsoleTarget(Value, frozen=True):
-    """Where the console is, and the operator's key.
+    """URL of a console and the operator's key.
 
     :param url: ``http://host:port``.
     """
@@ -33,7 +33,7 @@
 
 
 class RefusedError(Exception):
-    """The console refused, or did not answer; ``reply`` says why."""
+    """The console refused a request or did not respond; ``reply`` has the errors."""
 
     def __init__(self, *, reply: ErrorReply) -> None:
         super().__init__(reply.errors[0].detail)
@@ -50,8 +50,9 @@
 ) -> _Reply:
     """Call an operation of the API.
 
-    :param path: below ``/api/``.
-    :raises RefusedError: if it was refused or no answer came.
+    :param path: path below ``/api/``.
+    :param reply: type of the response.
+    :raises RefusedError: if the call was refused or got no response.
     """
     try:
         answer = urllib3.request(
@@ -69,7 +70,7 @@
             return msgspec.json.decode(answer.data, type=reply)
         refusal = msgspec.json.decode(answer.data, type=ErrorReply)
     except msgspec.MsgspecError:
-        detail = f"{console.url} answered {answer.status} and not as a console does"
+        detail = f"{console.url} answered {answer.status}, not in a console's format"
         raise _refuse(Code.PEER_UNAVAILABLE, detail) from None
     raise RefusedError(reply=refusal)
 
@@ -80,8 +81,8 @@
         return _refuse(Code.PEER_UNAVAILABLE, f"the console cannot be reached: {kind}")
     return _refuse(
         Code.PLATFORM_OUTCOME_UNKNOWN,
-        f"no answer came ({kind}); the same command again is safe: "
-        "nothing happens twice",
+        f"no response ({kind}); the outcome is unknown. Retrying the same command "
+        "is safe: it is idempotent",
     )
 
 
--- a/src/arbutuspulley/programs/cli_output.py
+++ b/src/arbutuspulley/programs/cli_output.py
@@ -1,4 +1,4 @@
-"""What the command line prints: plain text for a terminal or a phone."""
+"""Formats the replies of the console as plain text for a terminal or a phone."""
 
 import datetime
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 def describe_checked(configuration: Configuration) -> str:
-    """Return a line for each site of files that passed all checks."""
+    """Return a summary line for each site of a valid configuration."""
     lines = ["all files are valid and everything fits"]
     for name, site in configuration.sites.items():
         lines.append(
@@ -32,7 +32,7 @@
 
 
 def describe_proposal(view: ProposalView) -> str:
-    """Return a proposal, its differences and what to do next."""
+    """Return a proposal, its differences and the command for the next step."""
     record = view.proposal
     lines = [_title(record), *_list_differences(view.differences)]
     if view.is_stale:
@@ -47,7 +47,7 @@
 
 
 def describe_proposals(reply: ProposalList) -> str:
-    """Return a line for each waiting proposal."""
+    """Return a line for each pending proposal."""
     lines = [f"newest version: {reply.current_version}"]
     for view in reply.proposals:
         state = "stale" if view.is_stale else "waiting"
@@ -58,13 +58,13 @@
 
 
 def describe_approval(view: ApprovalView) -> str:
-    """Return what an approval brought."""
+    """Return the accepted version and its approver."""
     again = " (it had been accepted before)" if view.repeated else ""
     return f"accepted as version {view.version} by {view.approver}{again}"
 
 
 def describe_version(view: VersionView) -> str:
-    """Return an accepted version and what it changed."""
+    """Return an accepted version and its differences."""
     lines = [_line_of(view.change), *_list_differences(view.differences)]
     return "\n".join(lines)
 
@@ -77,7 +77,7 @@
 
 
 def describe_status(view: StatusView) -> str:
-    """Return what is in force where, alarms first."""
+    """Return the active versions of all instances, after the alarms."""
     lines = [view.summary, *(f"ALARM: {alarm}" for alarm in view.alarms)]
     for one in view.instances:
         entries = ", ".join(
@@ -92,7 +92,7 @@
 
 
 def describe_refusal(reply: ErrorReply) -> str:
-    """Return numbered errors, and what was accepted in between."""
+    """Return numbered errors and the differences accepted in the meantime."""
     lines = [_show_error(error) for error in reply.errors]
     if reply.differences:
         lines.append("accepted in between:")
--- a/src/arbutuspulley/programs/console.py
+++ b/src/arbutuspulley/programs/console.py
@@ -1,4 +1,4 @@
-"""``arbutus-console``: the operators' HTTP server, a page for phones and an API."""
+"""``arbutus-console``: HTTP server of the operators' page and API."""
 
 import signal
 import sys
@@ -38,7 +38,7 @@
 
 
 class Settings(Value, frozen=True):
-    """Settings of a console, checked."""
+    """Validated settings of a console."""
 
     instance: str
     listen: str
@@ -52,9 +52,9 @@
 
 
 def parse_operators(text: str) -> dict[str, str]:
-    """Return the operators' key hashes by name from ``name=hash,name=hash``.
+    """Parse ``name=hash,name=hash`` into key hashes by operator name.
 
-    :raises SettingError: if it is written otherwise or names none.
+    :raises SettingError: if the text is malformed or names no operator.
     """
     operators: dict[str, str] = {}
     for part in filter(None, (part.strip() for part in text.split(","))):
@@ -104,13 +104,15 @@
 def serve(
     *,
     instance: Annotated[str, Parameter(help="Name of this instance.")] = "",
-    listen: Annotated[str, Parameter(help="host:port for operators.")] = "",
+    listen: Annotated[
+        str, Parameter(help="host:port to listen on for operators.")
+    ] = "",
     controller: Annotated[
         str, Parameter(help="host:port of this instance's controller.")
     ] = "",
     platform: Annotated[str, Parameter(help="host:port of the platform.")] = "",
     peer_key: Annotated[
-        str, Parameter(help="Key by which the system's processes know each other.")
+        str, Parameter(help="Key that all processes of the system share.")
     ] = "",
     operators: Annotated[
         str,
@@ -118,7 +120,9 @@
     ] = "",
     log_format: Annotated[str, Parameter(help="json or text.")] = "text",
     log_level: Annotated[str, Parameter(help=f"{', '.join(LOG_LEVELS)}.")] = "info",
-    trace: Annotated[str, Parameter(help="off, stderr or a file for spans.")] = "off",
+    trace: Annotated[
+        str, Parameter(help="Where spans go: off, stderr or a file.")
+    ] = "off",
 ) -> None:
     """Serve the operators' page and API of one instance."""
     settings = Settings(
--- a/src/arbutuspulley/programs/console_api.py
+++ b/src/arbutuspulley/programs/console_api.py
@@ -1,8 +1,8 @@
 """The operations of the operators' API.
 
-The console keeps nothing between two requests: whatever two operators do at once is
-decided by the preconditions of the table's transactions. So each operation runs on
-the worker thread that serves its request.
+The console is stateless: concurrent operations are serialised by the preconditions of
+the table's transactions. So each operation runs on the worker thread that serves its
+request, without locks.
 """
 
 import contextlib
@@ -49,21 +49,22 @@
 from arbutuspulley.rpc.messages import FleetStatus
 
 MAX_LISTED_VERSIONS = 20
-"""Accepted versions listed."""
+"""Number of accepted versions that are listed, the newest ones."""
 
 ABOVE_ALL_VERSIONS = 2**62
-"""A version that none is above: the status comes without a configuration."""
+"""Version number that no version exceeds: a status request with it gets no
+configuration."""
 
 MAX_NOTE_CHARACTERS = 500
-"""Longest note on a proposal."""
+"""Maximum length of the note on a proposal, in characters."""
 
 
 class ApiContext(Value, frozen=True):
-    """What the operations work with.
+    """Dependencies of the operations.
 
-    :param fetch_status: ``fetch_status(version)`` asks the instance's controller for
-        its status, and for the configuration in force if it is above ``version``;
-        raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
+    :param fetch_status: ``fetch_status(version)`` requests the status from the
+        instance's controller, with the active configuration if its version is above
+        ``version``; raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
     """
 
     platform: Platform
@@ -73,7 +74,7 @@
 def propose(
     context: ApiContext, operator: str, request: ProposeRequest
 ) -> ProposalView:
-    """Lay files down for approval and show what they change."""
+    """Create a proposal from files and return it with its differences."""
     if len(request.note) > MAX_NOTE_CHARACTERS:
         raise ConfigurationError(
             code=Code.BAD_PARAMETER,
@@ -111,7 +112,7 @@
 
 
 def show_proposal(context: ApiContext, proposal: str) -> ProposalView:
-    """Show a waiting proposal with what it changes."""
+    """Return a pending proposal with its differences."""
     record = store.read_proposal(context.platform, proposal)
     current = _find_current(context)
     base = store.find_base(context.platform, record) or EMPTY
@@ -125,7 +126,7 @@
 
 
 def list_proposals(context: ApiContext) -> ProposalList:
-    """List the waiting proposals."""
+    """List the pending proposals."""
     current = _find_current(context)
     records = store.list_proposals(context.platform)
     return ProposalList(
@@ -137,7 +138,7 @@
 def approve(
     context: ApiContext, operator: str, proposal: str, request: ApproveRequest
 ) -> ApprovalView:
-    """Accept a proposal."""
+    """Approve a proposal."""
     try:
         outcome = approval.approve(
             context.platform,
@@ -170,7 +171,7 @@
 
 
 def withdraw(context: ApiContext, proposal: str) -> Done:
-    """Take a waiting proposal back."""
+    """Withdraw a pending proposal."""
     approval.withdraw(context.platform, proposal=proposal)
     return Done(detail=f"proposal {proposal} is withdrawn")
 
@@ -182,7 +183,7 @@
 
 
 def show_version(context: ApiContext, version: int) -> VersionView:
-    """Show an accepted version and what it changed."""
+    """Return an accepted version and its differences."""
     platform = context.platform
     change = store.read_change(platform, version)
     result = store.load_result(platform, change.digest)
@@ -195,7 +196,7 @@
 def show_merged(
     context: ApiContext, *, version: int | None, proposal: str | None
 ) -> MergedView:
-    """Show a whole configuration: a version, a proposal's, or the newest one."""
+    """Return a merged configuration: a version's, a proposal's, or the newest one."""
     platform = context.platform
     if proposal is not None:
         record = store.read_proposal(platform, proposal)
@@ -209,11 +210,11 @@
 
 
 def show_status(context: ApiContext) -> StatusView:
-    """Show what is in force where, as far as store and controller tell."""
+    """Return the active versions, as far as store and controller are available."""
     status: FleetStatus | None = None
     stored_version: int | None = None
-    # The store is read last: a change accepted in between would otherwise look as
-    # if the store had been restored to an older state.
+    # The store is read last: otherwise a change accepted between the two reads would
+    # look as if the store had been restored to an older state.
     with contextlib.suppress(PeerUnavailableError):
         status = context.fetch_status(ABOVE_ALL_VERSIONS)
     with contextlib.suppress(PlatformUnavailableError):
@@ -242,7 +243,7 @@
 
 
 def _strip_steps(change: Change) -> Change:
-    """Leave out the steps, in which callers' keys are not hidden."""
+    """Remove the delta: its steps hold the hashes of callers' keys unredacted."""
     return msgspec.structs.replace(change, delta=None)
 
 
--- a/src/arbutuspulley/programs/console_errors.py
+++ b/src/arbutuspulley/programs/console_errors.py
@@ -1,4 +1,4 @@
-"""What an operator is told of an error, and with which HTTP status."""
+"""Maps errors to replies of the operators' API and to HTTP statuses."""
 
 import logging
 from http import HTTPStatus
@@ -24,13 +24,13 @@
     Code.PEER_UNAVAILABLE: HTTPStatus.SERVICE_UNAVAILABLE,
     Code.INTERNAL: HTTPStatus.INTERNAL_SERVER_ERROR,
 }
-"""HTTP status of each code; 400 for all others."""
+"""HTTP status by result code; all other codes map to 400."""
 
 
 def build_error_reply(error: Exception) -> tuple[ErrorReply, HTTPStatus]:
-    """Return what an operator is told of an error, and the HTTP status.
+    """Return the reply and the HTTP status for an error.
 
-    Unexpected errors are logged and told as internal, without their text.
+    Unexpected errors are logged and reported as internal, without their text.
     """
     if isinstance(error, FilesError):
         lines = tuple(_build_line(one) for one in error.list_errors())
@@ -42,7 +42,7 @@
             error=type(error).__name__,
             detail=str(error),
         )
-        error = ArbutusError(code=Code.INTERNAL, detail="a fault of the console itself")
+        error = ArbutusError(code=Code.INTERNAL, detail="internal error of the console")
     differences = error.differences if isinstance(error, StaleBaseError) else ()
     status = _STATUSES.get(error.code, HTTPStatus.BAD_REQUEST)
     return ErrorReply(errors=(_build_line(error),), differences=differences), status
--- a/src/arbutuspulley/programs/console_http.py
+++ b/src/arbutuspulley/programs/console_http.py
@@ -1,7 +1,7 @@
-"""The console's HTTP side: routes, operators' keys, limits, errors and metrics.
+"""The console's HTTP layer: routing, authentication, limits, errors and metrics.
 
-Worker threads of CherryPy read the body, find the route and write the answer; what
-the routes do is in :mod:`.console_api`.
+CherryPy's worker threads read the body, find the route and write the response. The
+operations behind the routes are in :mod:`.console_api`.
 """
 
 import hashlib
@@ -24,10 +24,10 @@
 from arbutuspulley.tracing import TRACEPARENT, open_span
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
-"""Largest request body taken: a base file and the overlays of all sites."""
+"""Maximum size of a request body, which holds a base file and all overlays."""
 
 RETRY_AFTER_S = 2
-"""When to come back after an answer with status 503."""
+"""Value of ``Retry-After`` on responses with status 503, in s."""
 
 _BEARER = "Bearer "
 _JSON = "application/json"
@@ -37,10 +37,10 @@
 
 
 class Call(Value, frozen=True):
-    """One authenticated request.
+    """An authenticated request.
 
-    :param names: the parts of the path that the route leaves open, in order.
-    :param query: parameters of the query.
+    :param names: values of the path's wildcards, in order.
+    :param query: query parameters.
     """
 
     operator: str
@@ -50,9 +50,10 @@
 
 
 class Route(Value, frozen=True):
-    """One operation below ``/api``.
+    """An operation below ``/api``.
 
-    :param path: parts of the path; ``*`` is left open.
+    :param path: segments of the path; ``*`` matches any one.
+    :param name: label of the operation in metrics, spans and logs.
     """
 
     method: str
@@ -64,7 +65,7 @@
 class Metrics:
     """The console's metrics.
 
-    :param registry: where they are collected.
+    :param registry: registry for the metrics; ``None``: a new one.
     """
 
     __slots__ = ("_registry", "duration", "requests")
@@ -85,16 +86,17 @@
         )
 
     def write(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
 
 class WebRoot:
-    """CherryPy's root: the page, the API, health and metrics.
+    """CherryPy's root object: the page, the API, health and metrics.
 
-    :param routes: the operations below ``/api``.
+    :param routes: operations below ``/api``.
     :param operators: hex SHA-256 of each operator's key, by name.
-    :param find_unready: returns why the console is not ready, one line each.
+    :param find_unready: returns the reasons why the console is not ready, one line
+        each; none if it is ready.
     """
 
     __slots__ = ("_find_unready", "_metrics", "_operators", "_page", "_routes")
@@ -116,19 +118,19 @@
 
     @cherrypy.expose
     def index(self) -> bytes:
-        """Answer the operators' page."""
+        """Serve the operators' page."""
         _set_headers("text/html; charset=utf-8", self._page.headers)
         return self._page.body
 
     @cherrypy.expose
     def healthz(self) -> bytes:
-        """Answer that the process runs."""
+        """Serve the liveness check."""
         _set_headers("text/plain")
         return b"ok\n"
 
     @cherrypy.expose
     def readyz(self) -> bytes:
-        """Answer whether store and controller can be reached."""
+        """Serve the readiness check: store and controller have to be reachable."""
         reasons = self._find_unready()
         if reasons:
             cherrypy.response.status = HTTPStatus.SERVICE_UNAVAILABLE.value
@@ -137,13 +139,13 @@
 
     @cherrypy.expose
     def metrics(self) -> bytes:
-        """Answer the metrics."""
+        """Serve the metrics."""
         _set_headers("text/plain; version=0.0.4")
         return self._metrics.write()
 
     @cherrypy.expose
     def api(self, *names: str, **query: str) -> bytes:
-        """Answer an operation."""
+        """Route an API request to its operation."""
         started = time.monotonic()
         route: Route | None = None
         try:
@@ -170,11 +172,12 @@
 def authenticate(operators: Mapping[str, str], authorization: str) -> str:
     """Return the name of the operator whose key was sent.
 
-    Every operator's hash is compared, in constant time, so that the time taken tells
-    nothing of how close a guess came.
+    The hashes of all operators are compared in constant time, so that the duration
+    does not reveal how close a guess was.
 
     :param operators: hex SHA-256 of each operator's key, by name.
-    :raises ArbutusError: if the key is no operator's.
+    :param authorization: value of the ``Authorization`` header.
+    :raises ArbutusError: if the key belongs to no operator.
     """
     key = authorization.removeprefix(_BEARER)
     shown = hashlib.sha256(key.encode()).hexdigest()
@@ -191,9 +194,10 @@
 
 
 def decode_body(body: bytes, kind: type[_Request]) -> _Request:
-    """Return the request in a body.
+    """Decode a request body.
 
-    :raises ArbutusError: if it is no JSON of that kind.
+    :param kind: type of the request.
+    :raises ArbutusError: if the body is not valid JSON of that type.
     """
     try:
         return msgspec.json.decode(body, type=kind)
@@ -204,9 +208,10 @@
 
 
 def decode_number(name: str, text: str) -> int:
-    """Return a version number from a path or a query.
+    """Parse a version number from a path or a query.
 
-    :raises ArbutusError: if it is none.
+    :param name: name of the parameter, for the error.
+    :raises ArbutusError: if the text is not a decimal number of up to 10 digits.
     """
     if not (text.isascii() and text.isdigit() and len(text) <= 10):
         raise ArbutusError(
@@ -216,7 +221,7 @@
 
 
 def show_error(*, status: str, message: str, **_unused: str) -> bytes:
-    """Return CherryPy's own refusals in the API's shape."""
+    """Format an error that CherryPy raised as a reply of the API."""
     code = Code.NOT_FOUND if status.startswith("404") else Code.BAD_PARAMETER
     _set_headers(_JSON)
     line = ErrorLine(code=code.value, name=code.name.lower(), detail=message)
@@ -236,7 +241,7 @@
 
 
 def _read_body() -> bytes:
-    """Return the request's body, which must tell its length."""
+    """Read the request's body; it has to be sent with ``Content-Length``."""
     text = cherrypy.request.headers.get("Content-Length", "0")
     if "Transfer-Encoding" in cherrypy.request.headers:
         raise ArbutusError(
@@ -250,7 +255,7 @@
     length = int(text)
     body: bytes = cherrypy.request.rfile.read(length) if length else b""
     if len(body) != length:
-        raise ArbutusError(code=Code.MALFORMED_BODY, detail="the body was cut short")
+        raise ArbutusError(code=Code.MALFORMED_BODY, detail="the body is truncated")
     return body
 
 
--- a/src/arbutuspulley/programs/console_messages.py
+++ b/src/arbutuspulley/programs/console_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the operators' API, as JSON; used by console and command line."""
+"""JSON messages of the operators' API, shared by console and command line."""
 
 from typing import Annotated
 
@@ -13,16 +13,17 @@
 
 
 class FileText(Message, frozen=True):
-    """A configuration file, as its author wrote it."""
+    """Name and text of a configuration file."""
 
     name: FileName
     text: str
 
 
 class ProposeRequest(Message, frozen=True):
-    """Asks to lay a set of files down for approval.
+    """Request to propose a set of files.
 
-    :param remove_sites: sites whose overlay is left out on purpose.
+    :param note: reason for the change, shown to the approver.
+    :param remove_sites: sites to remove; they have no overlay in this set.
     """
 
     base: FileText
@@ -32,34 +33,34 @@
 
 
 class ApproveRequest(Message, frozen=True):
-    """Asks to accept a proposal.
+    """Request to approve a proposal.
 
-    :param base_version: the base version that the operator saw.
+    :param base_version: base version that the proposal was shown with.
     """
 
     base_version: int
 
 
 class RollForwardRequest(Message, frozen=True):
-    """Asks to propose the content of an earlier version as the next one."""
+    """Request to propose the content of an earlier version as the next one."""
 
     version: int
 
 
 class Done(Message, frozen=True):
-    """It is done; there is nothing more to tell."""
+    """Success of an operation that returns no data."""
 
     detail: str = ""
 
 
 class ProposalView(Message, frozen=True):
-    """A waiting proposal.
+    """A pending proposal.
 
-    :param differences: what it changes against its base version.
-    :param is_stale: whether another change was accepted since; it must then be
-        proposed again.
-    :param current_version: the newest version now.
-    :param since: what was accepted since, if it is stale.
+    :param is_stale: whether another change has been accepted since its base version;
+        a stale proposal cannot be approved and has to be proposed again.
+    :param current_version: newest accepted version.
+    :param differences: changes relative to its base version.
+    :param since: changes accepted since its base version, if it is stale.
     """
 
     proposal: Proposal
@@ -70,17 +71,18 @@
 
 
 class ProposalList(Message, frozen=True):
-    """All waiting proposals, oldest first, without their differences."""
+    """All pending proposals, oldest first, without their differences."""
 
     current_version: int
     proposals: tuple[ProposalView, ...] = ()
 
 
 class ApprovalView(Message, frozen=True):
-    """A change is accepted.
+    """Outcome of an approval.
 
-    :param repeated: whether it had been accepted before, for example by a first
-        press whose reply was lost. There is still one change only.
+    :param version: version that the change was accepted as.
+    :param repeated: whether the proposal had been accepted before, for example by a
+        request whose reply was lost. Approval is idempotent: there is one version.
     """
 
     version: int
@@ -89,22 +91,22 @@
 
 
 class VersionList(Message, frozen=True):
-    """The newest accepted changes, newest first, without their steps."""
+    """The newest accepted changes, newest first, without their deltas."""
 
     versions: tuple[Change, ...] = ()
 
 
 class VersionView(Message, frozen=True):
-    """One accepted version and what it changed."""
+    """An accepted version and its differences from the one before."""
 
     change: Change
     differences: tuple[Difference, ...] = ()
 
 
 class MergedView(Message, frozen=True):
-    """A whole configuration as merged.
+    """A merged configuration.
 
-    :param text: as YAML, with the hashes of keys hidden.
+    :param text: the configuration as YAML, with the hashes of keys redacted.
     """
 
     version: int
@@ -112,14 +114,15 @@
 
 
 class StatusView(Message, frozen=True):
-    """What is in force where.
-
-    :param summary: one line for a phone.
-    :param accepted_version: the newest accepted version known.
-    :param stored_version: what the store holds; ``None`` if it cannot be reached.
-    :param in_force_on: instances on which the accepted version is in force.
-    :param waiting_for: the others.
-    :param alarms: what needs a person, one line each.
+    """Active configuration versions of the fleet.
+
+    :param summary: summary in one line, short enough for a phone.
+    :param accepted_version: newest known accepted version.
+    :param stored_version: newest version in the store; ``None`` if the store is
+        unavailable.
+    :param in_force_on: instances on which the accepted version is active.
+    :param waiting_for: instances on which it is not active yet.
+    :param alarms: conditions that need an operator, one line each.
     """
 
     summary: str
@@ -132,10 +135,10 @@
 
 
 class ErrorLine(Message, frozen=True):
-    """One numbered error.
+    """A numbered error.
 
-    :param file: the configuration file at fault, if one is.
-    :param key: the path of the key at fault.
+    :param file: configuration file that caused the error, if any.
+    :param key: path of the key in that file.
     """
 
     code: int
@@ -146,9 +149,9 @@
 
 
 class ErrorReply(Message, frozen=True):
-    """A refusal; nothing was changed unless a code says otherwise.
+    """Refusal of a request; nothing was changed unless a code says otherwise.
 
-    :param differences: what was accepted in between, if the base was stale.
+    :param differences: changes accepted in the meantime, if the base was stale.
     """
 
     errors: tuple[ErrorLine, ...]
--- a/src/arbutuspulley/programs/console_page.py
+++ b/src/arbutuspulley/programs/console_page.py
@@ -1,4 +1,4 @@
-"""The operators' page: one HTML file with all it needs, made for a phone."""
+"""Loads the operators' page, a self-contained HTML file laid out for phones."""
 
 import base64
 import hashlib
@@ -12,18 +12,18 @@
 
 
 class Page(Value, frozen=True):
-    """The page as it is answered."""
+    """Body and headers of the page's response."""
 
     body: bytes
     headers: dict[str, str]
 
 
 def load_page() -> Page:
-    """Read the page and build the policy that lets only its own script run.
+    """Read the page and build its Content Security Policy.
 
-    Names and notes of proposals are text that others wrote. Should one of them ever
-    end up as markup, the browser runs none of it: a script runs only if its hash is
-    the one of this page's script.
+    Names and notes of proposals are untrusted text. The policy guards against script
+    injection if one of them is ever rendered as markup: the browser runs a script only
+    if its hash is that of this page's own script.
     """
     body = resources.files(__package__).joinpath(_FILE).read_bytes()
     hashes = {
--- a/src/arbutuspulley/programs/console_routes.py
+++ b/src/arbutuspulley/programs/console_routes.py
@@ -1,4 +1,4 @@
-"""The operations of the operators' API by method and path."""
+"""Routes of the operators' API: its operations by method and path."""
 
 from collections.abc import Mapping
 
@@ -23,7 +23,7 @@
 
 
 def build_web_root(context: api.ApiContext, operators: Mapping[str, str]) -> WebRoot:
-    """Return all that a console answers.
+    """Build the root object of the console's HTTP application.
 
     :param operators: hex SHA-256 of each operator's key, by name.
     """
@@ -37,7 +37,7 @@
 
 
 def build_routes(context: api.ApiContext) -> tuple[Route, ...]:
-    """Return the operations of the API."""
+    """Return the routes of the API."""
 
     def propose(call: Call) -> api.ProposalView:
         request = decode_body(call.body, ProposeRequest)
@@ -81,7 +81,7 @@
 
 
 def _find_unready(context: api.ApiContext) -> tuple[str, ...]:
-    """Return why nothing can be approved now, one line each."""
+    """Return the reasons why no change can be approved now, one line each."""
     reasons = []
     try:
         store.read_head_version(context.platform)
--- a/src/arbutuspulley/programs/console_server.py
+++ b/src/arbutuspulley/programs/console_server.py
@@ -1,4 +1,4 @@
-"""The console's connections: the server for operators, the link to its controller."""
+"""The console's HTTP server and its connection to the controller."""
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.loop import LoopThread
@@ -8,27 +8,27 @@
 from arbutuspulley.web import Limits, WebServer, build_application
 
 STATUS_TIMEOUT_MS = 3_000
-"""Longest wait for the controller's status."""
+"""Timeout for the controller's status, in ms."""
 
 STOP_TIMEOUT_MS = 10 * SECOND_MS
-"""How long a stopping console waits for requests in flight."""
+"""Time that a stopping console waits for requests in flight, in ms."""
 
 THREADS = 16
-"""Requests handled at once."""
+"""Worker threads, and so the maximum of concurrent requests."""
 
 MAX_HEADER_BYTES = 16 * 1024
-"""Largest request head taken."""
+"""Maximum size of a request's header section."""
 
 SOCKET_TIMEOUT_MS = 20 * SECOND_MS
-"""How long a client may stall while it sends a request."""
+"""Time that a client may stall while it sends a request, in ms."""
 
 
 def build_server(*, root: WebRoot, host: str, port: int) -> WebServer:
     """Return the console's HTTP server.
 
-    :param site: what it answers.
-    :param host: IP number to listen on.
-    :param port: 0 takes a free one.
+    :param root: root object of the application.
+    :param host: IP address to listen on.
+    :param port: port to listen on; 0: a free one.
     """
     limits = Limits(
         threads=THREADS,
@@ -41,9 +41,9 @@
 
 
 class ControllerLink:
-    """The connection to this instance's controller.
+    """Connection to this instance's controller.
 
-    :param address: ``host:port`` of its RPC.
+    :param address: ``host:port`` of the controller's RPC.
     :param key: the shared key of the processes.
     """
 
@@ -56,9 +56,10 @@
         self._client = loop.call(lambda: Client(address=address, key=key))
 
     def fetch_status(self, version: int) -> FleetStatus:
-        """Ask for the status, and the configuration in force if above a version.
+        """Request the status, with the active configuration if it is newer.
 
-        :raises PeerUnavailableError: if the controller does not answer in time.
+        :param version: the configuration is included if its version is above this.
+        :raises PeerUnavailableError: if the controller does not respond in time.
         """
         request = StatusRequest(configuration_after=version)
         call = self._client.call(STATUS, request, timeout_ms=STATUS_TIMEOUT_MS)
@@ -66,7 +67,7 @@
         try:
             reply = self._loop.wait_for(call, timeout_s=limit_s)
         except TimeoutError:
-            detail = f"{self._address}: no answer in time"
+            detail = f"{self._address}: no response in time"
             raise PeerUnavailableError(detail=detail, sent=True) from None
         assert isinstance(reply, FleetStatus)
         return reply
--- a/src/arbutuspulley/programs/console_views.py
+++ b/src/arbutuspulley/programs/console_views.py
@@ -1,4 +1,4 @@
-"""What operators see of the fleet: decisions over a controller's status, no I/O."""
+"""Builds the operators' views of the fleet from a controller's status, without I/O."""
 
 from collections.abc import Iterator
 
@@ -15,13 +15,16 @@
 def choose_active_configuration(
     status: FleetStatus, *, stored_version: int
 ) -> Configuration:
-    """Return the configuration in force if it is newer than the store's.
+    """Return the active configuration if it is newer than the store's.
 
-    After the store was restored to an older state the instances hold versions that
-    the store no longer knows. A change must then be based on theirs.
+    After the store has been restored to an older state, the instances have versions
+    that are missing in the store. A change has to be based on the instances' version
+    then; otherwise its number would be below the active one.
 
-    :return: the empty configuration if the store holds the newest one.
-    :raises ConfigurationError: if a newer version is in force somewhere but its
+    :param status: status from the console's controller.
+    :param stored_version: newest version in the store.
+    :return: the empty configuration if the store has the newest version.
+    :raises ConfigurationError: if a newer version is active on an instance but its
         content has not reached this controller yet.
     """
     known = status.configuration or EMPTY
@@ -41,10 +44,10 @@
 def build_status_view(
     status: FleetStatus | None, *, stored_version: int | None
 ) -> StatusView:
-    """Return what is in force where.
+    """Return the active versions of the fleet.
 
-    :param status: from the console's controller, ``None`` if it does not answer.
-    :param stored_version: the store's newest version, ``None`` if it does not answer.
+    :param status: status from the console's controller; ``None`` if unavailable.
+    :param stored_version: newest version in the store; ``None`` if unavailable.
     """
     fleet = status or FleetStatus(accepted_version=0)
     in_force = max(_list_versions(fleet), default=0)
@@ -64,7 +67,7 @@
 
 
 def is_active(instance: InstanceStatus, version: int) -> bool:
-    """Return whether an instance and all its entries are at least at a version."""
+    """Return whether an instance and all its entries have at least a version."""
     if not instance.reachable:
         return False
     versions = (instance.configuration_version, *instance.entry_versions.values())
@@ -72,7 +75,7 @@
 
 
 def write_merged(configuration: Configuration) -> str:
-    """Return a configuration as YAML, with the hashes of callers' keys hidden."""
+    """Return a configuration as YAML, with the hashes of callers' keys redacted."""
     content = msgspec.to_builtins(configuration)
     for site in content.get("sites", {}).values():
         for caller in site.get("callers", {}).values():
@@ -81,10 +84,10 @@
 
 
 class _PlainDumper(yaml.SafeDumper):
-    """Writes equal parts of several sites out instead of referring to the first."""
+    """Writes equal sections of several sites in full instead of as YAML aliases."""
 
     def ignore_aliases(self, data: object) -> bool:
-        """Return that no part is written as a reference."""
+        """Return true for all data, so that no alias is written."""
         return True
 
 
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -1,4 +1,4 @@
-"""``arbutus-controller``: one instance's lease, servers, orders and configuration."""
+"""``arbutus-controller``: manages an instance's lease, servers and configuration."""
 
 import os
 import random
@@ -39,28 +39,28 @@
 PROGRAM = "arbutus-controller"
 
 STORE_TIMEOUT_MS = 2_000
-"""Longest wait for the platform."""
+"""Maximum timeout of a call to the platform, in ms."""
 
 MIN_STORE_TIMEOUTS_PER_LEASE = 5
-"""It is also at most this part of a lease, so that a renewal whose reply is lost can
-be read back and sent again before the lease is over."""
+"""The timeout of a call to the platform is at most the lease over this number, so that
+a renewal whose reply is lost can be read back and retried before the lease expires."""
 
 REPORT_TIMEOUT_MS = 2_000
-"""Longest wait for a report or for the reply to an order."""
+"""Timeout for a report or for the reply to an order, in ms."""
 
 STOP_TIMEOUT_MS = 15 * SECOND_MS
-"""Longest time to stop in, whatever is blocked."""
+"""Time after which a stopping process exits even if a thread is blocked, in ms."""
 
 
 app = cyclopts.App(
     name=PROGRAM,
-    help="Keeps one instance's lease and servers, and carries out placement.",
+    help="Manage one instance's lease and servers, and carry out placement.",
     config=cyclopts.config.Env("ARBUTUS_CONTROLLER_"),
 )
 
 
 def build_controller(settings: ControllerSettings) -> Controller:
-    """Return a controller's state as it is before anything is known."""
+    """Build the initial state of a controller."""
     metrics = build_metrics()
     return Controller(
         settings=settings,
@@ -82,7 +82,7 @@
 
 
 def run(settings: ControllerSettings) -> None:
-    """Run until SIGTERM or SIGINT, then release everything and end."""
+    """Run until SIGTERM or SIGINT, then release lease and servers and return."""
     stopping = threading.Event()
 
     def stop(_number: int, _frame: FrameType | None) -> None:
@@ -133,22 +133,22 @@
 ) -> None:
     """Run the controller of one instance.
 
-    :param instance: name of this instance, unlike all others.
-    :param site: the data centre that this instance is in.
+    :param instance: unique name of this instance.
+    :param site: data centre of this instance.
     :param listen: host:port for entries, console and peer controllers.
     :param http: host:port for health and metrics.
     :param platform: host:port of the platform.
-    :param peer_key: the key that all processes of the system share.
-    :param group: instances of one group share out the group's servers.
-    :param advertise: host:port at which peers reach it, if not that of --listen.
+    :param peer_key: key that all processes of the system share.
+    :param group: group whose servers are divided among its instances.
+    :param advertise: host:port at which peers reach it; default: --listen.
     :param peers: host:port of other controllers, separated by commas.
-    :param lease_ms: how long a session lease runs without a renewal.
-    :param renew_ms: time between renewals, at most a third of the lease.
-    :param report_ms: time between reads of each server's report.
-    :param exchange_ms: time between exchanges with each peer.
-    :param follow_ms: time between reads of the table's changes.
+    :param lease_ms: duration of a session lease without a renewal, in ms.
+    :param renew_ms: interval of renewals in ms, at most a third of the lease.
+    :param report_ms: interval of polling each server's report, in ms.
+    :param exchange_ms: interval of exchanges with each peer, in ms.
+    :param follow_ms: interval of polling the table for changes, in ms.
     :param log_level: debug, info, warning or error.
-    :param trace: off, stderr or a file for finished spans.
+    :param trace: where finished spans go: off, stderr or a file.
     """
     settings = ControllerSettings(
         instance=instance,
@@ -216,10 +216,10 @@
 
 
 def _start_exit_timer() -> None:
-    """End the process after :data:`STOP_TIMEOUT_MS` whatever its threads wait for.
+    """Exit the process after :data:`STOP_TIMEOUT_MS` even if threads are blocked.
 
-    Python waits at exit for I/O threads; one that is blocked on a frozen server or
-    store would hold up the replacement of the instance.
+    Python waits for I/O threads at exit; a thread that is blocked on a frozen server or
+    store would delay the replacement of the instance.
     """
     timer = threading.Timer(STOP_TIMEOUT_MS / SECOND_MS, lambda: os._exit(0))
     timer.daemon = True
--- a/src/arbutuspulley/programs/entry.py
+++ b/src/arbutuspulley/programs/entry.py
@@ -1,4 +1,4 @@
-"""``arbutus-entry``: where callers' requests come in."""
+"""``arbutus-entry``: accepts callers' requests and relays them to servers."""
 
 import asyncio
 import random
@@ -36,7 +36,7 @@
 
 app = cyclopts.App(
     name=PROGRAM,
-    help="Take callers' requests and bring back the answers.",
+    help="Accept callers' requests and relay them to backend servers.",
     config=cyclopts.config.Env("ARBUTUS_ENTRY_"),
 )
 
@@ -47,22 +47,22 @@
     instance: Annotated[str, cyclopts.Parameter(help="Name of this instance.")] = "",
     site: Annotated[str, cyclopts.Parameter(help="Data centre of the instance.")] = "",
     listen: Annotated[
-        str, cyclopts.Parameter(help="host:port that callers connect to.")
+        str, cyclopts.Parameter(help="host:port to listen on for callers.")
     ] = "127.0.0.1:8080",
     advertise: Annotated[
-        str, cyclopts.Parameter(help="host:port told to callers; default: listen.")
+        str, cyclopts.Parameter(help="host:port given to callers; default: --listen.")
     ] = "",
     controller: Annotated[
         str, cyclopts.Parameter(help="host:port of the instance's controller.")
     ] = "127.0.0.1:7000",
     peer_key: Annotated[
-        str, cyclopts.Parameter(help="Key that the system's processes share.")
+        str, cyclopts.Parameter(help="Key that all processes of the system share.")
     ] = "",
     max_body_bytes: Annotated[
-        int, cyclopts.Parameter(help="Largest request body taken.")
+        int, cyclopts.Parameter(help="Maximum size of a request body.")
     ] = 1024 * 1024,
     threads: Annotated[
-        int, cyclopts.Parameter(help="Worker threads; one is kept by each request.")
+        int, cyclopts.Parameter(help="Worker threads; each request occupies one.")
     ] = 100,
     log_format: Annotated[str, cyclopts.Parameter(help="json or text.")] = "json",
     log_level: Annotated[
@@ -72,7 +72,7 @@
         str, cyclopts.Parameter(help="Where spans go: off, stderr or a file.")
     ] = "off",
 ) -> None:
-    """Take callers' requests and bring back the answers."""
+    """Accept callers' requests and relay them to backend servers."""
     checks = [
         check_present("--instance", instance),
         check_present("--site", site),
@@ -111,7 +111,7 @@
     port: int,
     threads: int,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then stop gracefully."""
+    """Serve until SIGTERM or SIGINT, then drain and stop."""
     stopping = threading.Event()
 
     def stop(_number: int, _frame: FrameType | None) -> None:
@@ -139,7 +139,7 @@
 def build_runtime(
     settings: Settings, *, loop: LoopThread, client: Client, threads: int
 ) -> Runtime:
-    """Put together what the entry's functions work with."""
+    """Build the runtime that the entry's functions share."""
     state = EntryState()
     state.admission.own = settings.address
     state.routing.site = settings.site
--- a/src/arbutuspulley/programs/log_lines.py
+++ b/src/arbutuspulley/programs/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines that instances wrote."""
+"""Parses the JSON log lines of instances."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -10,9 +10,11 @@
 
 
 class LogLine(State):
-    """One line of a log.
+    """A parsed log line.
 
-    :param time_ms: the instance's calendar time.
+    :param time_ms: wall-clock time of the instance, in ms.
+    :param event: number of the event.
+    :param name: name of the event.
     """
 
     time_ms: int
@@ -23,9 +25,9 @@
 
 
 def read_lines(sources: Iterable[Iterable[str]]) -> Iterator[LogLine]:
-    """Read the lines of logs; what is no line of ours is passed over.
+    """Parse log lines; text that is not a log line of an instance is skipped.
 
-    Text before a line's opening brace, such as a time that a collector adds, is cut.
+    A prefix before the opening brace, such as a collector's timestamp, is removed.
     """
     for source in sources:
         for text in source:
@@ -41,7 +43,7 @@
 
 
 def open_sources(paths: list[Path]) -> list[Iterable[str]]:
-    """Return the lines of files, or of standard input without any."""
+    """Return the lines of files, or of standard input if there are none."""
     if not paths:
         return [sys.stdin]
     return [path.read_text(errors="replace").splitlines() for path in paths]
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -1,4 +1,4 @@
-"""``arbutus-node``: one process of an instance on the users' platform."""
+"""``arbutus-node``: process of an instance on the users' platform."""
 
 import asyncio
 import random
@@ -48,11 +48,12 @@
 PROGRAM = "arbutus-node"
 
 KEEPALIVE_TIMEOUT_S = 75
-"""How long a caller's idle connection is kept, in s: far above any limit that a
-configuration has set, so that a caller never meets a close of ours."""
+"""Keep-alive time of a caller's idle connection, in s. It is far above the limit of any
+configuration so far, so that the node does not close a connection that a caller is
+about to reuse."""
 
 MAX_HEADER_LINE_BYTES = 65_536
-"""Longest header line that is read at all, in bytes; configurations allow less."""
+"""Maximum length of a header line, in bytes; configurations set lower limits."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -67,16 +68,16 @@
 def run(
     *,
     metrics_port: Annotated[
-        int, cyclopts.Parameter(help="Port of /metrics; 0: none.")
+        int, cyclopts.Parameter(help="Port of /metrics; 0: no metrics server.")
     ] = 9464,
     log_level: Annotated[
         str, cyclopts.Parameter(help="debug, info, warning or error.")
     ] = "info",
     log_lines_per_s: Annotated[
-        int, cyclopts.Parameter(help="Most ordinary log lines a second.")
+        int, cyclopts.Parameter(help="Maximum of ordinary log lines per second.")
     ] = 50,
 ) -> None:
-    """Serve callers until SIGTERM; settings come from the platform's file."""
+    """Serve callers until SIGTERM, with the settings of the platform's file."""
     try:
         check_all(
             (
@@ -104,9 +105,10 @@
 async def serve(
     settings: NodeSettings, path: Path, *, metrics: NodeMetrics, metrics_port: int
 ) -> None:
-    """Serve until SIGTERM.
+    """Serve until SIGTERM or SIGINT, then stop gracefully.
 
-    :param path: the file that the settings came from; it may change.
+    :param path: file that the settings were read from; it is watched for changes.
+    :param metrics_port: port of ``/metrics``; 0: no metrics server.
     """
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
@@ -231,7 +233,7 @@
 
 
 async def _run_forever(work: Callable[[], Awaitable[None]]) -> None:
-    """Run something for ever; a fault of ours is told and it begins anew."""
+    """Run a task until it returns; log an unexpected error and restart the task."""
     while True:
         try:
             await work()
--- a/src/arbutuspulley/programs/story.py
+++ b/src/arbutuspulley/programs/story.py
@@ -1,4 +1,4 @@
-"""Tells one request's story from the logs of several instances."""
+"""Builds the timeline of a request from the logs of several instances."""
 
 import sys
 from collections.abc import Iterable
@@ -10,16 +10,16 @@
 _HIDDEN = frozenset(("time_ms", "instance", "event", "name", _ID_FIELD))
 
 ORDER_SLACK_MS = 50
-"""How far clocks of instances may differ, in ms. Lines closer than this are put in the
-order in which a request passes through its life, not in that of their clocks."""
+"""Assumed maximum clock skew between instances, in ms. Lines closer than this are
+ordered by the steps of a request's processing, not by their timestamps."""
 
 _STEPS = ("server_granted", "attempt_failed", "request_refused", "request_lost")
 
 
 def build_timeline(lines: Iterable[LogLine], request_id: str) -> list[str]:
-    """Return what happened to a request, in order, one text a line.
+    """Return the events of a request in order, one text for each log line.
 
-    :param request_id: the id that its caller sent.
+    :param request_id: request id that the caller sent.
     """
     own = [line for line in lines if line.fields.get(_ID_FIELD) == request_id]
     own.sort(key=lambda line: line.time_ms)
@@ -31,9 +31,10 @@
 
 
 def print_timeline(request_id: str, paths: list[Path]) -> int:
-    """Print a request's story from files, or from standard input without any.
+    """Print the timeline of a request.
 
-    :return: the exit status, 1 if no line names the request.
+    :param paths: log files; empty: standard input.
+    :return: the exit status; 1 if no log line has the request id.
     """
     texts = build_timeline(read_lines(open_sources(paths)), request_id)
     for text in texts:
@@ -45,7 +46,7 @@
 
 
 def _order_by_step(lines: list[LogLine]) -> list[LogLine]:
-    """Put lines that are closer than clocks differ in the order of a request's life."""
+    """Order lines within the clock skew by the steps of a request's processing."""
     ordered: list[LogLine] = []
     group: list[LogLine] = []
     for line in lines:
