--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,7 @@
-"""Compares policies under load: real processes and stand-ins on loopback.
+"""Compares policies under load, with real processes and stand-ins on loopback.
 
-Ends with one line of JSON; a page and a plot are written beside it. Assumptions are
-in :mod:`arbutuspulley.bench.workloads`, the figures are explained in
+The last line of output is JSON; a report page and a plot are written too. The
+assumptions are in :mod:`arbutuspulley.bench.workloads`, the figures are explained in
 :mod:`arbutuspulley.bench.report`.
 """
 
@@ -33,24 +33,27 @@
 POLICIES = (SYSTEM, BASELINE)
 PARTS = ("load", "flood", "failing")
 FAILING = "engine-9"
-"""The engine, a tenth of all, that answers each request with an error."""
+"""Engine that answers every request with an error; it is a tenth of all engines."""
 
 LOAD_TIMEOUT_S = 60.0
 SETTLE_S = 1.5
-"""Pause between two runs, longer than any report is old."""
+"""Pause between two runs in s, longer than the maximum age of a report."""
 
 _SITES = ("hall-a", "hall-b", "hall-c")
 _ATTEMPTS = re.compile(
     r"^arbutus_entry_attempts_total\{.*\} ([0-9.e+]+)$", re.MULTILINE
 )
 
-app = cyclopts.App(name="bench", help="Compares policies under load.")
+app = cyclopts.App(name="bench", help="Compare policies under load.")
 
 
 class Bench(State):
-    """One bench under way.
+    """State of a bench.
 
-    :param seconds: for how long requests arrive in a run.
+    :param chosen: policies to compare.
+    :param parts: parts to run.
+    :param seconds: duration of the arrivals in each run, in s.
+    :param overcommitted: loads that exceeded an engine's memory.
     """
 
     system: Fleet
@@ -75,11 +78,12 @@
     """Run the bench.
 
     :param policy: policies to compare, by name.
-    :param part: parts to run: ``load`` (0.9, once and twice the capacity), ``flood``
-        (a quiet caller alone and beside a flood), ``failing`` (a tenth of engines).
-    :param seed: of arrivals, lengths and popularity.
-    :param seconds: for how long requests arrive in each run; 4 s are warm-up.
-    :param report: directory for the page and its plot.
+    :param part: parts to run: ``load`` (0.9, 1 and 2 times the capacity), ``flood``
+        (a caller with low load, alone and next to a caller that floods), ``failing``
+        (a tenth of the engines fails).
+    :param seed: seed of arrivals, lengths and popularity.
+    :param seconds: duration of the arrivals in each run; the first 4 s are warm-up.
+    :param report: directory for the report page and its plot.
     """
     known = {*POLICIES, *PARTS}
     if not {*policy, *part} <= known or seconds <= measures.WARM_UP_MS // SECOND_MS:
@@ -305,7 +309,7 @@
 
 
 def _count_attempts(system: Fleet) -> int:
-    """Return the attempts at engines that all entries have made so far."""
+    """Return the number of attempts that all entries have sent to engines so far."""
     total = 0.0
     for name in fleet.list_all_entries(system):
         reply = fetch("GET", system.addresses[name], "/metrics")
@@ -315,11 +319,11 @@
 
 
 def _read_counters(bench: Bench) -> None:
-    """Add up the loads beyond an engine's memory, as the stand-ins counted them."""
+    """Sum up the loads that exceeded an engine's memory, as counted by stand-ins."""
     for server in bench.system.plan.servers:
         reply = fetch("GET", bench.system.addresses[server.name], "/control/counters")
         if reply is None:
-            raise WaitError(f"{server.name} does not tell its counters")
+            raise WaitError(f"{server.name}: counters not available")
         counters = msgspec.json.decode(reply.data)
         bench.overcommitted += counters["overcommitted"]
 
--- a/scripts/bench_access.py
+++ b/scripts/bench_access.py
@@ -1,9 +1,9 @@
-"""Times what a key and a quota add to a request, and what a new configuration costs.
+"""Measures the cost of API keys and quotas, per request and per configuration.
 
-Ten thousand keys of a thousand teams, each with a quota. Told: microseconds for each
-request to check its key and to be charged, milliseconds to index the keys of a new
-configuration, in which one team's differ, and to take its quotas over, and the memory
-of both in MB.
+By default there are ten thousand keys of a thousand teams, each with a quota. Reported
+are the microseconds per request for the lookup of its key and for the quota charge, the
+milliseconds to index the keys of a new configuration, in which the keys of one team
+differ, and to apply its quotas, and the memory of both tables in MB.
 """
 
 import time
@@ -22,7 +22,7 @@
 TOLERANCE = QuotaTolerance(window_ms=8_000, overage=0.1, extra=11_000)
 REQUESTS = 100_000
 
-app = cyclopts.App(help="Time keys and quotas.")
+app = cyclopts.App(help="Measure the cost of API keys and quotas.")
 
 
 @app.default
@@ -31,7 +31,7 @@
     teams: Annotated[int, cyclopts.Parameter(help="Number of teams.")] = 1_000,
     keys: Annotated[int, cyclopts.Parameter(help="Keys of each team.")] = 10,
 ) -> None:
-    """Print one line for each figure."""
+    """Measure the cost of API keys and quotas and print a line for each figure."""
     found = [
         Team(
             name=f"team-{team}",
@@ -73,7 +73,7 @@
 
 
 def measure(work: Callable[[], None]) -> float:
-    """Return how long something takes, in s."""
+    """Return the duration of a call, in s."""
     started_s = time.perf_counter()
     work()
     return time.perf_counter() - started_s
--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -1,8 +1,8 @@
-"""Sums what instances say to each other for control, by number of instances.
+"""Computes the control traffic between instances, by number of instances.
 
-The sizes are those of the product's own messages as they are encoded, with the bytes
-that a frame adds on the wire. Nothing is started; what it takes the processor to
-handle them is measured on whole days, see docs/CAPACITY.md.
+The sizes are those of the product's own encoded messages plus the overhead of a frame
+on the wire. No process is started; the processor time for the messages is measured on
+simulated days, see docs/CAPACITY.md.
 """
 
 from typing import Annotated
@@ -31,41 +31,41 @@
 )
 
 FRAME_BYTES = 60
-"""What a frame adds: its own head, and those of TCP and IP with the acknowledgement."""
+"""Overhead of a frame: its own header, and those of TCP and IP with the ACK."""
 
 SITES = {6: 3, 72: 3, 195: 5, 360: 9}
-"""Data centres of a fleet of so many instances."""
+"""Number of data centres by number of instances."""
 
 SERVERS_PER_INSTANCE = {6: 1.5, 72: 0.8, 195: 0.35, 360: 1.6}
-"""Model servers of one coordinator to an instance; at 360 one coordinator has those of
-its data centre, 580."""
+"""Model servers of one coordinator per instance, by number of instances. At 360
+instances a coordinator has only the servers of its data centre, 580."""
 
 MODELS_PER_SERVER = 2.5
 ROW_BYTES = 560
-"""A server's row as the store holds it, with two models and some adapters."""
+"""Size of a server's row in the store, with two models and some adapters."""
 
 CHANGES_PER_SERVER_S = 0.2
-"""Changes a second of what one server holds, under load."""
+"""Changes of a server's loaded models per second, under load."""
 
 RESTARTS_PER_DAY = 0.86
-"""Starts of each instance a day: 310 of 360."""
+"""Restarts of each instance per day: 310 of 360 instances."""
 
 TEAMS_PER_HEARTBEAT = 3
-"""Teams that an instance pays for between two beats, at ten requests a second."""
+"""Teams with quota usage between two heartbeats, at ten requests per second."""
 
 DAY_S = 86_400
 
-app = cyclopts.App(help="Sum what instances say to each other for control.")
+app = cyclopts.App(help="Compute the control traffic between instances.")
 
 
 class ControlTraffic(Value, frozen=True):
-    """Bytes a second, and of one event.
+    """Control traffic in bytes per second, and sizes of roster messages in bytes.
 
-    :param down: from the coordinator to one instance, each second.
-    :param up: from one instance to the coordinator, each second.
-    :param coordinator: what the coordinator sends and gets each second.
-    :param whole: the list of instances, once to one that links up.
-    :param change: one instance more or less, to each that is told.
+    :param down: from the coordinator to one instance, per second.
+    :param up: from one instance to the coordinator, per second.
+    :param coordinator: sent and received by the coordinator, per second.
+    :param full_roster: the full roster, sent once to an instance that connects.
+    :param change: a roster change by one instance, for each recipient.
     """
 
     down: float
@@ -82,7 +82,7 @@
         tuple[int, ...], cyclopts.Parameter(help="Numbers of instances.")
     ] = tuple(SITES),
 ) -> None:
-    """Print a line for each number of instances."""
+    """Compute the control traffic and print a line for each number of instances."""
     print("instances  down B/s  up B/s  coordinator kB/s  whole list B  change B")
     for count in instances:
         traffic = sum_control_traffic(count)
@@ -94,9 +94,9 @@
 
 
 def sum_control_traffic(instances: int) -> ControlTraffic:
-    """Work out the bytes of control for a fleet.
+    """Compute the control traffic of a fleet.
 
-    :param instances: one of :data:`SITES`.
+    :param instances: number of instances, a key of :data:`SITES`.
     """
     sites = SITES[instances]
     linked = instances if instances < 360 else instances // sites
--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -1,8 +1,9 @@
-"""Times one pass of the coordinator's decisions, by number of model servers.
+"""Measures one planning cycle of the coordinator, by number of model servers.
 
-The load: each server holds three models and runs nine requests, three in four requests
-are for a tenth of the models, and four requests a server wait. What a pass costs bounds
-how many servers one coordinator carries: it decides after each message.
+The load: each server has three models loaded and runs nine requests, three in four
+requests are for a tenth of the models, and four requests per server are waiting. The
+duration of a cycle limits the number of servers that one coordinator can manage, since
+it plans after each message.
 """
 
 import functools
@@ -21,19 +22,19 @@
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
 
 MODELS_PER_SERVER = 2.8
-"""Models of the configuration to a server: 155 to 56 on the users' grown sheet."""
+"""Models per server: 155 on 56 servers in the users' figures for the grown fleet."""
 
 WAITING_PER_SERVER = 4
 RUNS_PER_SERVER = 9
-"""Requests that wait and run, to a server of 12 slots in a surge."""
+"""Waiting and running requests per server, with 12 slots each, in a load surge."""
 
 PRIOR_REQUESTS = 2_000
-"""Requests that were asked for before, 2 ms apart: more than a half-life of demand."""
+"""Requests before the measurement, 2 ms apart: more than a half-life of demand."""
 
 SAMPLES = 3
-"""Passes of which the median is told."""
+"""Number of cycles of which the median is reported."""
 
-app = cyclopts.App(help="Time the coordinator's decisions.")
+app = cyclopts.App(help="Measure the coordinator's planning cycles.")
 
 
 @app.default
@@ -44,7 +45,7 @@
     ] = (56, 200, 580),
     seed: Annotated[int, cyclopts.Parameter(help="Seed of the load.")] = 1,
 ) -> None:
-    """Print a line for each number of servers."""
+    """Measure planning cycles and print a line for each number of servers."""
     print("servers  models  waiting  grants ms  orders ms  orders ms, nothing new")
     for count in servers:
         grants, first, repeated = time_cycles(count, seed=seed)
@@ -57,7 +58,7 @@
 
 
 def time_cycles(servers: int, *, seed: int) -> tuple[float, float, float]:
-    """Return the medians of one pass of grants and two of orders, in ms."""
+    """Return the medians of one grant cycle and two order cycles, in ms."""
     samples: list[tuple[float, float, float]] = []
     for number in range(SAMPLES):
         pool, now = build_pool(servers, chance=random.Random(seed + number))
@@ -72,7 +73,7 @@
 
 
 def build_pool(servers: int, *, chance: random.Random) -> tuple[PoolState, int]:
-    """Build a pool under load, and the time that it has come to, in ms."""
+    """Return a pool under load and its current time in ms."""
     spec = _build_spec(int(servers * MODELS_PER_SERVER))
     pool = PoolState(service="llm", spec=spec)
     names = list(spec.models)
--- a/scripts/client.py
+++ b/scripts/client.py
@@ -1,7 +1,7 @@
-"""A well-behaved caller: obeys address answers, run states and ``Retry-After``.
+"""HTTP client that follows address lists, run states and ``Retry-After``.
 
-Used by the demo and by the integration tests. Whatever it asks ends in one of
-three ways: a whole answer, a refusal as not run, or an unknown outcome.
+Used by the demo and by the integration tests. Each request ends in one of three ways:
+a complete response, a refusal as not run, or an unknown outcome.
 """
 
 import enum
@@ -16,10 +16,10 @@
 
 END_MARKER = b"[DONE]"
 IN_PROGRESS = 3001
-"""Result code: the same unrepeatable request still runs."""
+"""Result code: the same unrepeatable request is still running."""
 
 RETRY_DELAY_S = 0.2
-"""Pause before the next try when the answer names none."""
+"""Delay before the next attempt if the response has no ``Retry-After``, in s."""
 
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=30.0)
 _READ_BYTES = 4_096
@@ -27,12 +27,13 @@
 
 
 class ClientRequest(Value, frozen=True):
-    """One request.
+    """A request.
 
-    :param name: differs for each request; it is the idempotency key too.
-    :param method: ``POST``, unless a plain service is asked.
-    :param model: model or adapter asked for; empty for a plain service.
-    :param bound_s: when to give up.
+    :param name: unique name of the request; also its idempotency key.
+    :param key: API key of the caller.
+    :param method: HTTP method; requests to models use ``POST``.
+    :param model: requested model or adapter; empty for a plain service.
+    :param timeout_s: time after which no further attempt starts, in s.
     """
 
     name: str
@@ -47,12 +48,14 @@
 
 
 class AttemptResult(Value, frozen=True):
-    """What one try brought.
-
-    :param status: HTTP status; 0 if no answer began.
-    :param sent: whether a connection stood, so that the request may have run.
-    :param events: events of a stream, the end marker excluded.
-    :param ended: whether the answer came to its end.
+    """Result of one attempt.
+
+    :param status: HTTP status; 0 if no response began.
+    :param sent: whether a connection was established, so that the request may have
+        run.
+    :param code: result code of the system; 0 if there is none.
+    :param events: events of a stream, without the end marker.
+    :param ended: whether the response was received completely.
     """
 
     status: int = 0
@@ -66,7 +69,7 @@
 
 
 class Ending(enum.StrEnum):
-    """How an ask ended."""
+    """How a request ended."""
 
     WHOLE = "whole"
     REFUSED = "refused"
@@ -74,13 +77,13 @@
 
 
 class Outcome(Value, frozen=True):
-    """How an ask ended, as its caller saw it.
+    """How a request ended, as seen by its caller.
 
-    :param body: body of a plain answer.
-    :param events: events of a streamed answer, over all tries.
-    :param entries: addresses of the entries that were tried.
-    :param cuts: tries whose answer broke off, or never came.
-    :param last: the last try.
+    :param body: body of a response that is not streamed.
+    :param events: events of a streamed response, over all attempts.
+    :param entries: address of the entry of each attempt.
+    :param broken_attempts: number of attempts whose response broke off or never came.
+    :param last: result of the last attempt.
     """
 
     request: ClientRequest
@@ -93,10 +96,10 @@
 
 
 class AddressBook(State):
-    """A caller's kept address answers; one for each caller.
+    """A caller's cache of address lists.
 
-    :param seeds: addresses of entries that the caller was given once.
-    :param kept: for each model, addresses in order and until when to keep them.
+    :param seeds: addresses of entries that the caller is configured with.
+    :param cached: by model, addresses in order of preference and their expiry.
     """
 
     seeds: tuple[str, ...]
@@ -104,7 +107,7 @@
 
 
 def send(book: AddressBook, request: ClientRequest) -> Outcome:
-    """Ask until there is an answer, or until the bound."""
+    """Send a request, with retries until it is answered or times out."""
     deadline = time.monotonic() + request.timeout_s
     events: list[SentEvent] = []
     entries: list[str] = []
@@ -141,7 +144,7 @@
 def send_once(
     address: str, request: ClientRequest, *, last_event_id: str = ""
 ) -> AttemptResult:
-    """Send a request to one entry and read what comes."""
+    """Send one attempt to an entry and read its response."""
     headers = {
         "Authorization": f"Bearer {request.key}",
         "Content-Type": "application/json",
@@ -221,7 +224,7 @@
 def _fetch_addresses(
     book: AddressBook, model: str, *, attempt_count: int
 ) -> tuple[str, ...]:
-    """Ask one entry after the other, the next one first at each try."""
+    """Query the seeds in turn, starting at another one for each attempt."""
     first = attempt_count % len(book.seeds)
     seeds = book.seeds[first:] + book.seeds[:first]
     for seed in seeds:
@@ -240,7 +243,7 @@
 def _demote_address(
     book: AddressBook, model: str, address: str, answer: AttemptResult
 ) -> None:
-    """Put an address that did not serve behind the others, or forget the answer."""
+    """Move an address that failed to the end of the list, or evict the list."""
     addresses, until = book.cached.get(model, ((), 0.0))
     rest = tuple(one for one in addresses if one != address)
     if answer.sent and answer.retry_after_s:
@@ -252,7 +255,7 @@
 
 
 def _choose_retry_delay(request: ClientRequest, answer: AttemptResult) -> float | None:
-    """Return when to try again, or ``None`` if trying again is no use or not safe."""
+    """Return the retry delay in s; ``None`` if a retry is useless or unsafe."""
     if answer.status and answer.status < 500 and answer.status not in (200, 409, 429):
         return None
     if answer.retry_after_s is not None:
--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -1,14 +1,14 @@
-"""Compares sequences of loads at the weight store after a server is lost.
+"""Compares orders of loads from the weight store after the loss of a server.
 
-A small seeded model, no processes: some models with their adapters are lost at once
-and loaded again, as many at a time as the store serves at full speed, in one of several
-sequences. It prints, as the mean over seeds with the least and the most, for each
-sequence over first-come: the mean time until a model answers, the requests that found
-it missing, and the time until the last one answers.
+A small seeded simulation without processes: several models with their adapters are lost
+at once and loaded again in one of several orders, with as many concurrent loads as the
+store serves at full speed. It prints, for each order relative to first-come, the mean,
+minimum and maximum over the seeds of: the mean time until a model is available, the
+requests that found it missing, and the time until the last model is available.
 
-TRIO (Wang et al., "TRIO: Burst Buffer Based I/O Orchestration") bounds the concurrent
-users of a shared store and serves the smallest first within a priority. The bound is
-given here; this script is about the sequence.
+TRIO (Wang et al., "TRIO: Burst Buffer Based I/O Orchestration") limits the concurrent
+users of a shared store and serves the smallest first within a priority. The limit is an
+input here; only the order is compared.
 """
 
 import heapq
@@ -26,13 +26,15 @@
 
 
 class Workload(Value, frozen=True):
-    """What is lost, and how fast it can be loaded.
+    """Lost models and the speed of the weight store.
 
-    Sizes are in the users' unit, to be confirmed; so is the speed, of which the users
-    have only told the number of loads.
+    The unit of sizes is the users' and not confirmed yet. The speed is an assumption to
+    be confirmed too: the users have only given the number of loads.
 
-    :param lost: models that the lost server held alone.
-    :param size_per_s: what one load reads in a second.
+    :param lost: number of models that only the lost server had loaded.
+    :param smallest: minimum size of a model.
+    :param largest: maximum size of a model.
+    :param size_per_s: size that one load reads per second.
     """
 
     name: str
@@ -44,9 +46,10 @@
 
 
 class LostModel(Value, frozen=True):
-    """A model to load again, in sequence of its loss.
+    """A model to load again.
 
-    :param demand: requests a second for it.
+    :param number: position in the order of loss.
+    :param demand: requests per second for the model.
     """
 
     number: int
@@ -55,7 +58,12 @@
 
 
 class Outcome(Value, frozen=True):
-    """What one sequence gave, in seconds and requests."""
+    """Result of one order of loads.
+
+    :param mean_wait: mean time until a model is available, in s.
+    :param missed: requests that found their model missing.
+    :param last: time until the last model is available, in s.
+    """
 
     mean_wait: float
     missed: float
@@ -71,10 +79,10 @@
     "most-asked-by-size": lambda lost: (-lost.demand / lost.size, lost.number),
     "the planner's": lambda lost: rank_demand(lost.demand, lost.size),
 }
-"""Keys to sort by; the first one is what the others are compared with.
+"""Sort keys by name; the first one is the baseline of the comparison.
 
-The planner's is the one before in steps of two, which instances whose figures differ
-a little agree on, and smallest first within a step.
+The planner's key is the one before it, rounded to powers of two, and smallest first
+among equals. The rounding lets instances agree whose figures differ slightly.
 """
 
 WORKLOADS = (
@@ -114,7 +122,7 @@
 
 
 def draw_lost_models(workload: Workload, chance: random.Random) -> list[LostModel]:
-    """Draw sizes evenly and demand with a long tail, as bursts make it."""
+    """Draw uniform sizes, and demand with a long tail as it occurs in bursts."""
     return [
         LostModel(
             number=number,
@@ -126,7 +134,7 @@
 
 
 def run(workload: Workload, lost: list[LostModel], sequence: Sequence) -> Outcome:
-    """Load all in one sequence over the store's slots."""
+    """Simulate the loads in one order over the store's slots."""
     hold_s = measure_hold_ms(workload.store) / SECOND_MS
     free_at = [0.0] * workload.store.loads_at_once
     waits: dict[int, float] = {}
@@ -142,7 +150,7 @@
 
 
 def compare(workload: Workload) -> dict[str, list[Outcome]]:
-    """Return what each sequence gave over first-come, one ratio for each seed."""
+    """Return the results relative to first-come by order, one for each seed."""
     ratios: dict[str, list[Outcome]] = {name: [] for name in SEQUENCES}
     for seed in SEEDS:
         lost = draw_lost_models(workload, random.Random(seed))
@@ -160,12 +168,12 @@
 
 
 def format_range(values: list[float]) -> str:
-    """Return mean, least and most as text."""
+    """Format mean, minimum and maximum."""
     return f"{statistics.fmean(values):.2f} ({min(values):.2f}-{max(values):.2f})"
 
 
 def main() -> None:
-    """Print one table for each workload."""
+    """Print a table for each workload."""
     print(f"over first-come, mean of {len(SEEDS)} seeds (least-most)")
     for workload in WORKLOADS:
         print(f"\n{workload.name}: {workload.lost} models lost")
--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -1,13 +1,14 @@
-"""Compares when to add copies as demand shifts tenfold within an hour.
+"""Compares policies for adding copies while demand shifts tenfold within an hour.
 
-A small seeded model, no processes: servers, models whose demand rises and falls tenfold
-within an hour each at its own time, copies that share a model's demand evenly, and
-plans carried out by the weight store's slots. Tokens that a server is asked for beyond
-what it yields within the target count as late. Compared, in the same run:
+A small seeded simulation without processes: servers, models whose demand rises and
+falls tenfold within an hour, each with its own phase, copies that share a model's
+demand evenly, and plans that are carried out within the slots of the weight store.
+Tokens requested from a server beyond its capacity within the latency target count as
+late. The policies are compared in the same run:
 
 * ``static``: the configured copies only;
-* ``on every miss``: a copy more for whatever is late most, at once, in place of a copy
-  to spare that is asked for least;
+* ``on every miss``: adds at once a copy of the most requested model of the most
+  overloaded server, in place of the surplus copy with the lowest demand;
 * ``planner``: :mod:`arbutuspulley.placement.moves` with several weights on moves.
 """
 
@@ -52,9 +53,11 @@
 
 
 class Pool(Value, frozen=True):
-    """Sizes of one user's pool; units to be confirmed by the users.
+    """Sizes of one user's pool, in units that the users have to confirm.
 
-    :param load: mean demand over what all servers yield within the target.
+    :param smallest: minimum size of a model.
+    :param largest: maximum size of a model.
+    :param load: mean demand divided by the capacity of all servers within the target.
     """
 
     name: str
@@ -89,7 +92,7 @@
         load=0.5,
     ),
 )
-"""Pools with memory for about half as many copies again as configured."""
+"""Pools with memory for about 1.5 times the configured copies."""
 
 FULL_POOLS = tuple(
     msgspec.structs.replace(
@@ -100,9 +103,12 @@
 
 
 class Run(State):
-    """One simulated pool.
+    """State of a simulated pool.
 
-    :param due: when a load or unload ends, by server and item.
+    :param due: time at which a load or unload ends in s, by server and item.
+    :param moved: number of loads and unloads.
+    :param late: tokens requested beyond the servers' capacity.
+    :param asked: requested tokens.
     """
 
     configuration: Configuration
@@ -117,7 +123,7 @@
 
 
 Decide = Callable[[Run], tuple[Action, ...]]
-"""Returns what to do now."""
+"""Returns the actions to carry out now."""
 
 
 def build_run(pool: Pool, moves_weight: float, chance: random.Random) -> Run:
@@ -153,7 +159,7 @@
 def build_demand(
     pool: Pool, chance: random.Random
 ) -> Callable[[int], dict[str, float]]:
-    """Return demand over time: each model moves tenfold and back, at its own time."""
+    """Return demand over time: each model's varies tenfold, with its own phase."""
     phases = [chance.uniform(0, 2 * math.pi) for _ in range(pool.models)]
     weights = [chance.lognormvariate(0, 0.7) for _ in range(pool.models)]
     capacity = pool.servers * 16 * moves.SLOT_TOKENS_PER_S
@@ -171,7 +177,7 @@
 
 
 def build_planner(*, with_moves: bool) -> Decide:
-    """Return the planner; without moves it loads the configured copies only."""
+    """Return the planner; without moves it only loads the configured copies."""
     state = PlannerState()
 
     def decide(run: Run) -> tuple[Action, ...]:
@@ -187,7 +193,7 @@
 
 
 def build_on_miss() -> Decide:
-    """Return the baseline that adds a copy whenever anything is late."""
+    """Return the baseline that adds a copy whenever a server is overloaded."""
     fill = build_planner(with_moves=False)
 
     def decide(run: Run) -> tuple[Action, ...]:
@@ -238,7 +244,7 @@
 
 
 def step(run: Run, decide: Decide, *, counted: bool) -> None:
-    """Carry out what is decided and let a step's time pass."""
+    """Carry out the decided actions and advance the time by a step."""
     free = run.configuration.weight_store.loads_at_once - sum(
         entry.state is EntryState.LOADING
         for ledger in run.ledgers.values()
@@ -307,7 +313,7 @@
 
 
 def simulate(pool: Pool, seed: int, decide: Decide, moves_weight: float) -> Run:
-    """Fill a pool, then let demand shift for some hours."""
+    """Load all models of a pool, then simulate shifting demand for some hours."""
     chance = random.Random(seed)
     run = build_run(pool, moves_weight, chance)
     get_demand = build_demand(pool, chance)
@@ -332,7 +338,7 @@
 
 
 def main() -> None:
-    """Print one table for each pool."""
+    """Print a table for each pool."""
     print(f"{HOURS} h, {len(SEEDS)} seeds: mean (least-most)")
     for pool in POOLS + FULL_POOLS:
         print(f"\n{pool.name}\n{'policy':22} {'late, %':>22} {'moves':>18}")
--- a/scripts/compare_quotas.py
+++ b/scripts/compare_quotas.py
@@ -1,20 +1,19 @@
-"""Compares ways to keep teams' quotas over several instances.
-
-A small seeded model, no processes. Teams of unlike size send requests to a few
-instances at random; one team sends many times its usual for a while, and the
-coordinator is lost for some seconds in the middle of that. Compared, on the same
-requests:
-
-* ``one account``: the coordinator counts all requests; without it, each instance by its
-  part of the quota (:mod:`arbutuspulley.admission.quota`);
-* ``equal parts``: each instance counts by its part, always;
-* ``lent parts``: each instance counts by a part that the coordinator lends it anew four
-  times a second, in proportion to what its callers asked for lately.
-
-Told, as the mean over seeds with the least and the most: tokens refused although the
-quota would have allowed them, in 100 of all that it allows; the same in the seconds
-around the loss; the most that any team spent in a window, in 100 of what the quota
-allows there; bytes that an instance sends and gets for this.
+"""Compares ways to enforce teams' quotas across several instances.
+
+A small seeded simulation without processes. Teams of different size send requests to
+random instances; one team's load surges to several times its usual rate, and the
+coordinator fails for some seconds during the surge. Compared on the same requests:
+
+* ``one account``: the coordinator charges all requests; without a coordinator, each
+  instance enforces its share of the quota (:mod:`arbutuspulley.admission.quota`);
+* ``equal parts``: each instance always enforces an equal share;
+* ``lent parts``: each instance enforces a share that the coordinator assigns four times
+  a second, in proportion to the recent demand of the instance's callers.
+
+Reported as mean, minimum and maximum over the seeds: tokens refused although the quota
+allows them, in per cent of all that it allows; the same in the seconds around the
+outage; the peak usage of any team in a window, in per cent of what the quota allows
+there; bytes that an instance sends and receives for this, per second.
 """
 
 import random
@@ -46,19 +45,19 @@
 OUTAGE_WINDOW_MS = range(12_000, 22_000)
 TOLERANCE = QuotaTolerance(window_ms=8_000, overage=0.1, extra=11_000)
 RATE_HEADROOM = 1.8
-"""A team's rate, in times its usual."""
+"""Rate of a team's quota divided by its usual load."""
 
 TOKENS_PER_S = 330_000
 LEND_INTERVAL_MS = 250
 HALF_LIFE_MS = 1_000
 SHARE_BYTES = 24
 REQUEST_BYTES = 20
-"""Sizes on the wire in bytes: of a team's part or demand, and of what an ask says more.
-"""
+"""Sizes on the wire in bytes: of a team's share or demand, and of the fields that a
+quota charge adds to a grant request."""
 
 
 class Request(Value, frozen=True):
-    """A request."""
+    """A request; its time is in ms."""
 
     at: int
     team: int
@@ -67,7 +66,7 @@
 
 
 class Result(Value, frozen=True):
-    """How one way did on one seed; see the module."""
+    """Result of one variant for one seed; see the module's docstring."""
 
     refused: float
     refused_around: float
@@ -78,7 +77,7 @@
 
 
 def build_teams() -> list[Team]:
-    """Build teams of which a few are large."""
+    """Build teams whose sizes follow a 1/rank distribution."""
     weights = [1 / (rank + 1) for rank in range(TEAMS)]
     return [
         Team(
@@ -93,7 +92,7 @@
 
 
 def draw_requests(teams: list[Team], seed: int) -> list[Request]:
-    """Draw requests in the order of their times; the fourth team runs hot."""
+    """Draw requests in order of time; the load of the fourth team surges."""
     chance = random.Random(seed)
     found = []
     for rank, team in enumerate(teams):
@@ -109,7 +108,7 @@
 
 
 def build_reference(teams: list[Team]) -> Decide:
-    """Return what the quotas allow, if everything is known everywhere at once."""
+    """Return the ideal decisions, with one exact account and no delay."""
     limits = [
         QuotaLimit(rate_per_ms=t.rate_per_s / 1e3, capacity=t.burst, tolerance=0)
         for t in teams
@@ -125,7 +124,7 @@
 
 
 def build_one_account(teams: list[Team], sent: list[int]) -> Decide:
-    """Return the decisions of one account at the coordinator."""
+    """Return the decisions of a central account at the coordinator."""
     limits = build_limits(teams, TOLERANCE)
     ledger = QuotaLedger()
     ledger.set_limits(limits, now=-LENGTH_MS)
@@ -151,7 +150,7 @@
 
 
 def build_shares(teams: list[Team], sent: list[int], *, are_lent: bool) -> Decide:
-    """Return the decisions of instances that count by their parts."""
+    """Return the decisions of instances that enforce their shares."""
     shapes = [build_limit(team, TOLERANCE) for team in teams]
     limits = [shape for shape in shapes if shape is not None]
     shares = [[1 / INSTANCES] * INSTANCES for _ in teams]
@@ -170,7 +169,7 @@
         lent_at[0] = now
         for rank, amounts in enumerate(demand):
             total = sum(amounts) + 1.0
-            # A tenth goes to all alike, for callers that come where none came lately.
+            # A tenth is divided equally, for callers of an instance without demand.
             shares[rank] = [0.9 * one / total + 0.1 / INSTANCES for one in amounts]
             demand[rank] = [one * 0.5 ** (elapsed / HALF_LIFE_MS) for one in amounts]
             sent[0] += 2 * SHARE_BYTES * sum(one > 1 for one in amounts)
@@ -198,7 +197,7 @@
 
 
 def simulate(teams: list[Team], requests: list[Request], decide: Decide) -> Result:
-    """Let a way decide on all requests."""
+    """Run all requests through a variant and compare it with the reference."""
     reference = build_reference(teams)
     allowed = lost = allowed_around = refused_around_outage = 0
     spent: list[list[tuple[int, int]]] = [[] for _ in teams]
@@ -223,7 +222,7 @@
 
 
 def find_peak_usage(team: Team, spent: list[tuple[int, int]]) -> float:
-    """Return the most that was spent in a window, over what is tolerated there."""
+    """Return the peak usage in a window, divided by the tolerated usage."""
     window = TOLERANCE.window_ms
     base = team.rate_per_s * window / SECOND_MS + team.burst
     allowed = base * (1 + TOLERANCE.overage) + TOLERANCE.extra
@@ -238,7 +237,7 @@
 
 
 def main() -> None:
-    """Print a line for each way."""
+    """Print a line for each variant."""
     teams = build_teams()
     variants: dict[str, Callable[[list[int]], Decide]] = {
         "one account": lambda sent: build_one_account(teams, sent),
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,7 +1,7 @@
-"""``make demo``: the whole path with real processes, under a drain and a kill.
+"""``make demo``: a complete system of real processes, with a drain and a kill.
 
-Ends with one line of figures and exit status 0, or says what went wrong and ends
-with exit status 1.
+The last line of output is a summary and the exit status is 0, or the failure is
+printed and the exit status is 1.
 """
 
 import json
@@ -23,10 +23,10 @@
 REQUESTS = 200
 
 DRAIN_AT = 60
-"""Request at which an entry is stopped by SIGTERM."""
+"""Number of the request at which an entry is stopped with SIGTERM."""
 
 KILL_AT = 110
-"""Request at which an engine is ended by SIGKILL."""
+"""Number of the request at which an engine is killed with SIGKILL."""
 
 DRAINED_ENTRY = "entry-semarang-b-1"
 KILLED_ENGINE = "engine-2"
@@ -53,7 +53,7 @@
 
 
 class DemoError(Exception):
-    """A step of the demo failed; the message says which."""
+    """A step of the demo failed; the message names the step."""
 
 
 def main() -> int:
@@ -91,7 +91,7 @@
         what="all models and adapters to be loaded",
         timeout_s=LOAD_TIMEOUT_S,
     )
-    _print_progress(f"asking {REQUESTS} requests through both entries")
+    _print_progress(f"sending {REQUESTS} requests through both entries")
     requests = demo_load.build_requests(items, count=REQUESTS, key="key-of-desk")
     seeds = tuple(system.addresses[name] for name in fleet.list_all_entries(system))
     with ThreadPoolExecutor() as pool:
@@ -173,7 +173,7 @@
 def _read_counters(system: Fleet, name: str) -> dict[str, dict[str, int]]:
     reply = fetch("GET", system.addresses[name], "/control/counters")
     if reply is None or reply.status != 200:
-        raise DemoError(f"{name} does not tell its counters")
+        raise DemoError(f"{name}: counters not available")
     return dict(json.loads(reply.data))
 
 
--- a/scripts/demo_load.py
+++ b/scripts/demo_load.py
@@ -1,7 +1,7 @@
-"""The demo's callers: what they ask, and how their answers are checked.
+"""Load generator of the demo, and checks of the responses.
 
-Counted here, by the asking side, and by the stand-ins; nothing is taken from what
-the system says of itself.
+The counts are those of the clients and of the stand-ins; none is taken from the
+system's own metrics or logs.
 """
 
 import json
@@ -18,19 +18,21 @@
 from scripts.client import AddressBook, ClientRequest, Ending, Outcome, send
 
 WORKERS = 8
-"""Callers that ask at once."""
+"""Number of concurrent callers."""
 
 _KINDS = 10
-"""Requests differ in this many ways, in turn."""
+"""Number of kinds of requests, which are generated in turn."""
 
 
 class Tally(State):
-    """What came of all requests.
-
-    :param lost: requests without a proper ending, or whose answer is not whole.
-    :param doubled: runs or tokens beyond the one that was asked for.
-    :param untrue: refusals as not run of requests that had been run.
-    :param faults: one line for each of these.
+    """Results of all requests.
+
+    :param endings: number of requests by how they ended.
+    :param entries: number of attempts by address of the entry.
+    :param lost: requests without an ending, or with an incomplete response.
+    :param doubled: duplicate runs and duplicate tokens.
+    :param false_refusals: requests refused as not run although they had run.
+    :param faults: a line for each of these faults.
     """
 
     endings: Counter[Ending] = msgspec.field(default_factory=Counter)
@@ -42,10 +44,11 @@
 
 
 class RunCounts(Value, frozen=True):
-    """What the stand-ins have run.
+    """Runs counted by the stand-ins.
 
-    :param prompts: admissions from the first token, by digest of the prompt.
-    :param bookings: bookings by idempotency key.
+    :param prompts: number of runs that began at the first token, by digest of the
+        prompt.
+    :param bookings: number of bookings by idempotency key.
     """
 
     prompts: Counter[str]
@@ -55,7 +58,7 @@
 def build_requests(
     items: dict[str, str], *, count: int, key: str
 ) -> list[ClientRequest]:
-    """Return requests of all kinds, in turn.
+    """Build requests of all kinds, in turn.
 
     :param items: versions of models and adapters by name.
     """
@@ -72,10 +75,10 @@
     *,
     on_start: Callable[[int], None] = lambda _number: None,
 ) -> list[Outcome]:
-    """Ask from several threads at once and return the outcomes.
+    """Send requests from several threads and return the outcomes.
 
-    :param seeds: addresses of entries that callers know.
-    :param on_begun: called with the number of requests begun so far.
+    :param seeds: addresses of entries that the callers are configured with.
+    :param on_start: called before each request with the number of requests started.
     """
     waiting = list(enumerate(requests, start=1))[::-1]
     outcomes: list[Outcome] = []
@@ -103,9 +106,9 @@
 
 
 def count_admissions(logs: Sequence[str]) -> Counter[str]:
-    """Count admissions from the first token in the logs of engine stand-ins.
+    """Count runs that began at the first token, in the logs of engine stand-ins.
 
-    Their counters end with the process; what they wrote stays when one is killed.
+    Logs are used since the counters of a stand-in are lost when it is killed.
     """
     lines = [line.split() for log in logs for line in log.splitlines()]
     return Counter(
@@ -121,7 +124,7 @@
     counts: RunCounts,
     items: dict[str, str],
 ) -> Tally:
-    """Compare what was asked, what came back and what was run."""
+    """Compare requests, outcomes and runs, and tally the faults."""
     tally = Tally()
     by_name = {outcome.request.name: outcome for outcome in outcomes}
     for request in requests:
@@ -165,10 +168,10 @@
 
 
 def find_problem(outcome: Outcome, items: dict[str, str]) -> str:
-    """Say what is wrong with a whole answer; empty if nothing is.
+    """Describe what is wrong with a complete response; empty if it is correct.
 
-    Engine stand-ins answer with text that follows from item and prompt, so a missing,
-    doubled or foreign token shows.
+    Engine stand-ins respond with text that is determined by item and prompt, so that a
+    missing, duplicate or foreign token is detected.
     """
     request = outcome.request
     if not request.model:
--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -1,4 +1,4 @@
-"""Shows the path on the users' platform: two nodes before stand-ins, one is killed."""
+"""Demo on the users' platform: two nodes and stand-ins; the coordinator is killed."""
 
 import asyncio
 import signal
@@ -12,13 +12,13 @@
 from scripts.platform_testbed import FULL_STREAM, Fleet, send_request
 
 ROUNDS = 10
-"""Rounds of requests; each asks for four models, two adapters and two bookings."""
+"""Rounds of requests; each has four models, two adapters and two bookings."""
 
 MODELS = ("m0", "m1", "m2", "m3", "m0/a1", "m0/a2")
 
 
 async def play(folder: Path) -> str:
-    """Ask through both nodes, kill the coordinator half way, and say what came back."""
+    """Send requests to both nodes, kill the coordinator half way, and summarise."""
     fleet = Fleet(folder)
     await fleet.open()
     try:
@@ -41,7 +41,7 @@
                 killed = fleet.find_coordinator()
                 fleet.nodes[killed].send_signal(signal.SIGKILL)
                 live.remove(killed)
-                print(f"demo: killed {killed}, which coordinated", flush=True)
+                print(f"demo: killed {killed}, the coordinator", flush=True)
             front = fleet.addresses[live[number % len(live)]]["Frontend"]
             tally.update(await _ask_round(session, front, number))
     doubled = sum(
@@ -81,7 +81,7 @@
 
 
 def main() -> int:
-    """Run the demo; the status is 1 if anything but whole or refused came back."""
+    """Run the demo; return 1 if a response is neither complete nor a refusal."""
     with tempfile.TemporaryDirectory() as folder:
         said = asyncio.run(play(Path(folder)))
     print(said, flush=True)
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""A whole small system: its processes, their addresses and its configuration.
+"""A small system on loopback: its processes, addresses and configuration.
 
-Used by the demo and by the integration tests. Addresses are chosen before
-anything starts, so that a test can put a proxy on the way between two processes.
+Used by the demo and by the integration tests. Addresses are chosen before any process
+starts, so that a test can put a proxy between two processes.
 """
 
 import os
@@ -33,9 +33,9 @@
 
 
 class ServerPlan(Value, frozen=True):
-    """A stand-in of a model engine.
+    """A stand-in for a model engine.
 
-    :param flags: further flags of ``arbutus-standin-engine``.
+    :param flags: additional flags of ``arbutus-standin-engine``.
     """
 
     name: str
@@ -47,10 +47,10 @@
 
 
 class Plan(Value, frozen=True):
-    """What to start.
+    """Plan of a system to start.
 
-    :param services: names of plain services; each site reaches all of them.
-    :param callers: names of callers; the key is ``key-of-<name>``.
+    :param services: names of plain services, which every site can reach.
+    :param callers: names of callers; each one's key is ``key-of-<name>``.
     """
 
     instances: tuple[InstancePlan, ...]
@@ -68,11 +68,12 @@
 
 
 class Fleet(State):
-    """A system being started or running.
+    """A system that is starting or running.
 
-    :param addresses: by name; an entry's name is ``entry-<instance>``, with a
-        number from the second entry on.
-    :param routes: replaces the address of the second process for the first.
+    :param addresses: addresses by process name; an entry's name is
+        ``entry-<instance>``, with a number from the second entry on.
+    :param routes: address at which the first process of the key reaches the second
+        one, instead of the second one's own address.
     """
 
     plan: Plan
@@ -82,7 +83,7 @@
 
 
 def build_fleet(plan: Plan, launcher: Launcher) -> Fleet:
-    """Choose an address for everything that listens."""
+    """Choose addresses for all processes of a plan."""
     names = ["platform", "console"]
     for instance in plan.instances:
         names += [f"controller-{instance.name}", f"health-{instance.name}"]
@@ -106,7 +107,7 @@
 
 
 def start_standins(fleet: Fleet) -> None:
-    """Start platform, engines and services and wait until they listen."""
+    """Start the stand-ins of platform, engines and services; wait until ready."""
     start = fleet.launcher.start
     start(
         "platform",
@@ -139,7 +140,7 @@
 
 
 def start_controller(fleet: Fleet, instance: InstancePlan) -> None:
-    """Start one instance's controller."""
+    """Start an instance's controller."""
     name = f"controller-{instance.name}"
     health = fleet.addresses[f"health-{instance.name}"]
     others = (one for one in fleet.plan.instances if one.name != instance.name)
@@ -165,7 +166,7 @@
 
 
 def start_entry(fleet: Fleet, instance: InstancePlan, name: str) -> None:
-    """Start one entry."""
+    """Start an entry."""
     fleet.launcher.start(
         name,
         "arbutuspulley.programs.entry",
@@ -187,7 +188,7 @@
 def write_files(fleet: Fleet, directory: Path, **changes: object) -> list[Path]:
     """Write base file and overlays of the plan.
 
-    :param changes: fields of the base file to set differently.
+    :param changes: fields of the base file to override.
     :return: the base file, then one overlay for each site.
     """
     plan = fleet.plan
--- a/scripts/launcher.py
+++ b/scripts/launcher.py
@@ -1,8 +1,8 @@
-"""Starts and stops a whole system on loopback addresses, for demo and tests.
+"""Starts and stops processes on loopback addresses, for demos and tests.
 
-A development script, not a program of the product: the product's processes start
-no other process. Every process logs into a file of its own; all are stopped by
-SIGTERM and, if that takes too long, killed one by one by process id.
+A development tool, not part of the product, whose processes start no other processes.
+Each process logs to its own file; all are stopped with SIGTERM and, after a timeout,
+killed individually by process id.
 """
 
 import functools
@@ -24,13 +24,13 @@
 from arbutuspulley.data import State
 
 START_TIMEOUT_S = 30.0
-"""Longest time that a process may take to become ready."""
+"""Timeout for a process to become ready, in s."""
 
 STOP_TIMEOUT_S = 30.0
-"""Longest time that a process may take to end after SIGTERM."""
+"""Timeout for a process to exit after SIGTERM, in s."""
 
 POLL_S = 0.05
-"""How often a condition is looked at while waiting for it."""
+"""Interval of checking a condition while waiting for it, in s."""
 
 _HOST = "127.0.0.1"
 _LISTENING_PORTS = range(12_000, 32_000)
@@ -40,14 +40,14 @@
 
 
 class WaitError(Exception):
-    """A condition did not come true in time."""
+    """A condition was not met before the timeout."""
 
 
 class Process(State):
-    """One process that was started.
+    """A started process.
 
-    :param ready_url: answers 200 when the process is ready; empty if a listening
-        port is enough.
+    :param ready_url: path that returns 200 when the process is ready; empty if the
+        process counts as ready when its port is listening.
     """
 
     name: str
@@ -60,9 +60,9 @@
 
 
 class Launcher:
-    """Keeps the processes that it started.
+    """Starts processes and keeps track of them.
 
-    :param directory: takes the log files.
+    :param directory: directory for the log files.
     """
 
     __slots__ = ("directory", "processes")
@@ -79,7 +79,7 @@
         address: str,
         ready_url: str = "",
     ) -> None:
-        """Start a module of the project as a process, without waiting for it."""
+        """Start a module of the project as a process, without waiting until ready."""
         process = Process(
             name=name,
             module=module,
@@ -92,13 +92,13 @@
         _spawn(process)
 
     def restart(self, name: str) -> None:
-        """Start a process that has ended once more, with the same arguments."""
+        """Start a process that has exited again, with the same arguments."""
         _spawn(self.processes[name])
 
     def wait_ready(self, *names: str) -> None:
         """Wait until processes are ready.
 
-        :raises WaitError: if one ends or is not ready in time.
+        :raises WaitError: if a process exits or is not ready in time.
         """
         for name in names:
             process = self.processes[name]
@@ -109,25 +109,25 @@
             )
 
     def is_running(self, name: str) -> bool:
-        """Return whether a process has not ended."""
+        """Return whether a process has not exited."""
         popen = self.processes[name].popen
         return popen is not None and popen.poll() is None
 
     def send(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process if it still runs."""
+        """Send a signal to a process if it is running."""
         popen = self.processes[name].popen
         if popen is not None and popen.poll() is None:
             popen.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a process with SIGKILL and wait until it is gone."""
+        """Kill a process with SIGKILL and wait until it has exited."""
         self.send(name, signal.SIGKILL)
         self.wait_ended(name)
 
     def wait_ended(self, name: str, *, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait until a process has ended and return its exit status.
+        """Wait until a process has exited and return its exit status.
 
-        :raises WaitError: if it still runs after ``timeout_s``.
+        :raises WaitError: if it is still running after ``timeout_s``.
         """
         popen = self.processes[name].popen
         if popen is None:
@@ -138,9 +138,9 @@
             raise WaitError(f"{name} still runs after {timeout_s} s") from None
 
     def stop(self, *names: str) -> dict[str, int]:
-        """Stop processes gracefully, all at once, and return their exit statuses.
+        """Stop processes gracefully and concurrently; return their exit statuses.
 
-        One that does not end in time is killed; its status is then negative.
+        A process that does not exit in time is killed; its status is then negative.
         """
         for name in names:
             self.send(name, signal.SIGCONT)
@@ -148,9 +148,9 @@
         return {name: self._end(name) for name in names}
 
     def stop_all(self) -> dict[str, int]:
-        """Stop all processes, the last started first, those of one module together.
+        """Stop all processes in reverse order of start, grouped by module.
 
-        :return: exit statuses of those that still ran.
+        :return: exit statuses of the processes that were still running.
         """
         running = [name for name in reversed(self.processes) if self.is_running(name)]
         statuses: dict[str, int] = {}
@@ -162,7 +162,7 @@
         return self.processes[name].module
 
     def read_log(self, name: str) -> str:
-        """Return what a process has logged so far."""
+        """Return the log of a process so far."""
         return self.processes[name].log.read_text(errors="replace")
 
     def _end(self, name: str) -> int:
@@ -175,7 +175,7 @@
 
 @contextmanager
 def open_launcher(directory: Path) -> Iterator[Launcher]:
-    """Give a launcher whose processes are all stopped at the end."""
+    """Yield a launcher and stop all of its processes at the end."""
     launcher = Launcher(directory=directory)
     try:
         yield launcher
@@ -184,11 +184,11 @@
 
 
 def find_free_addresses(count: int) -> list[str]:
-    """Return loopback addresses on which nothing listens.
+    """Return free loopback addresses.
 
-    All ports are held at once while they are being found, so they all differ. They
-    lie below those that the machine gives to outgoing connections: such a connection
-    could otherwise take a port between the look and the start of its process, which
+    All ports are bound at the same time while they are searched, so that they differ.
+    They are below the machine's range of ephemeral ports: otherwise an outgoing
+    connection could take a port between this search and the start of its process, which
     would then fail with "address already in use".
     """
     sockets: list[socket.socket] = []
@@ -212,8 +212,8 @@
 ) -> _Result:
     """Wait until a condition is true and return its value.
 
-    :param what: names the condition in the error.
-    :raises WaitError: if it is still false after ``timeout_s``.
+    :param what: description of the condition, for the error.
+    :raises WaitError: if the condition is still false after ``timeout_s``.
     """
     deadline = time.monotonic() + timeout_s
     while True:
@@ -228,7 +228,7 @@
 def fetch(
     method: str, address: str, path: str, **options: object
 ) -> urllib3.BaseHTTPResponse | None:
-    """Make one HTTP call; return its whole answer, ``None`` if none came."""
+    """Make an HTTP request; return the response, or ``None`` if there is none."""
     try:
         return _POOL.request(method, f"http://{address}{path}", **options)  # type: ignore[arg-type]
     except urllib3.exceptions.HTTPError:
@@ -249,7 +249,7 @@
 
 
 def _build_environment() -> dict[str, str]:
-    """Return the environment without settings that could change a process."""
+    """Return the environment without variables that are settings of a process."""
     kept = {
         name: value
         for name, value in os.environ.items()
--- a/scripts/platform_testbed.py
+++ b/scripts/platform_testbed.py
@@ -1,4 +1,4 @@
-"""A fleet on loopback: stand-ins of the platform and of servers, and real nodes."""
+"""A fleet on loopback: stand-ins for the platform and servers, and real nodes."""
 
 import asyncio
 import os
@@ -22,10 +22,10 @@
 """Host name of all routes."""
 
 WAIT_TIMEOUT_S = 15
-"""How long anything may take before it counts as stuck, in s."""
+"""Timeout of every wait, in s."""
 
 FULL_STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 7))
-"""A whole stream of a model."""
+"""A complete stream of a model."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -40,7 +40,7 @@
 
 
 def build_route(prefix: str, service: str, kind: str, **changes: Any) -> dict[str, Any]:
-    """Build a route as the operator writes it."""
+    """Build a route in the operator's format."""
     return {
         "Name": prefix,
         "Hostname": HOST,
@@ -59,9 +59,9 @@
 def build_configuration(
     version: int, *, routes: tuple[dict[str, Any], ...] = ()
 ) -> dict[str, Any]:
-    """Build a configuration as the operator writes it.
+    """Build a configuration in the operator's format.
 
-    :param routes: further routes.
+    :param routes: additional routes.
     """
     engine = {
         "Slots": 8,
@@ -94,7 +94,7 @@
 class Fleet:
     """Store, servers and nodes.
 
-    :param folder: where settings files and logs go.
+    :param folder: directory for settings files and logs.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -108,7 +108,7 @@
         self.store_address = ""
 
     async def open(self) -> None:
-        """Start the store and four servers: two with models, two plain ones."""
+        """Start the store and four servers, two with models and two plain ones."""
         listener, self.store_address = await listen(self.store.handle)
         self._listeners.append(listener)
         self.store.put("op", "config", build_configuration(1))
@@ -137,10 +137,10 @@
     ) -> None:
         """Start a node.
 
-        :param seeds: nodes that its settings name.
-        :param store: address under which it reaches the store; empty: the store's own.
-        :param lease_ms: the platform's bound on holders that give orders.
-        :param bounds: further bounds of the platform.
+        :param seeds: nodes that its settings name as seeds.
+        :param store: address at which it reaches the store; empty: the store's own.
+        :param lease_ms: duration of the coordinator's lease, in ms.
+        :param bounds: additional bounds of the platform.
         """
         ports = [self._reserve_port() for _ in range(4)]
         names = ("Frontend", "Ready", "ControlPlane", "DirectoryService")
@@ -174,12 +174,12 @@
             )
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a node takes callers."""
+        """Wait until a node is ready to serve callers."""
         async with aiohttp.ClientSession() as session:
             await wait_until(lambda: self.is_ready(session, name), f"{name} ready")
 
     async def is_ready(self, session: aiohttp.ClientSession, name: str) -> bool:
-        """Tell whether a node says that it takes callers."""
+        """Return whether a node reports that it is ready to serve callers."""
         url = f"http://{self.addresses[name]['Ready']}/readyz"
         try:
             async with session.get(url) as answer:
@@ -188,7 +188,7 @@
             return False
 
     async def wait_log(self, name: str, word: str) -> None:
-        """Wait until a node's log holds a word."""
+        """Wait until a node's log contains a word."""
 
         async def look() -> bool:
             return word in self.read_log(name)
@@ -196,7 +196,7 @@
         await wait_until(look, f"{word} in the log of {name}")
 
     async def wait_coordinator(self) -> None:
-        """Wait until each node coordinates or follows a coordinator."""
+        """Wait until each node is the coordinator or follows one."""
 
         async def look() -> bool:
             logs = [self.read_log(name) for name in self.nodes]
@@ -206,7 +206,7 @@
         await wait_until(look, "a coordinator")
 
     def find_coordinator(self) -> str:
-        """Return the node that was the last to take the lease."""
+        """Return the node that was started last of those that acquired the lease."""
         taken = [name for name in self.nodes if "lease_taken" in self.read_log(name)]
         return taken[-1]
 
@@ -215,7 +215,7 @@
         return (self.folder / f"{name}.log").read_text()
 
     async def close(self) -> None:
-        """End all nodes and servers."""
+        """Kill all nodes and stop all servers."""
         for node in self.nodes.values():
             if node.returncode is None:
                 node.send_signal(signal.SIGKILL)
@@ -226,12 +226,12 @@
             reserved.close()
 
     def _reserve_port(self) -> int:
-        """Return a port that nobody else gets until this stage is closed.
+        """Return a port that is reserved until this fleet is closed.
 
-        A port that was only free a moment ago went to another connection before its
-        node could listen there, once in some hundred starts beside other test runs; the
-        node then ended and the test waited for it in vain. A socket that is bound but
-        does not listen keeps the port, and lets the node listen on it.
+        A port that was merely free at the time of the search was taken by another
+        connection before the node could listen on it, once in some hundred starts next
+        to other test runs; the node then exited and the test timed out. A socket that
+        is bound but does not listen reserves the port and lets the node listen on it.
         """
         reserved = socket.socket()
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -241,9 +241,9 @@
 
 
 async def wait_until(condition: Callable[[], Awaitable[bool]], what: str) -> None:
-    """Wait until a condition holds.
+    """Wait until a condition is true.
 
-    :raises AssertionError: if it never did.
+    :raises AssertionError: if it is still false after :data:`WAIT_TIMEOUT_S`.
     """
     try:
         async with asyncio.timeout(WAIT_TIMEOUT_S):
@@ -264,7 +264,7 @@
     method: str = "POST",
     **headers: str,
 ) -> tuple[int, bytes, dict[str, str]]:
-    """Send a request as a caller does and return status, body and headers."""
+    """Send a request as a caller and return status, body and headers."""
     sent = {
         "Host": HOST,
         "X-Arbutuspulley-Attempt-Id": attempt,
