--- a/tests/backends.py
+++ b/tests/backends.py
@@ -1,4 +1,4 @@
-"""Backend server stand-ins in this process, and what tests ask of them."""
+"""Backend server stand-ins in the test process, and helpers for them."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 
 @contextlib.contextmanager
 def run_engine(**settings):
-    """Yield an engine that is fast unless told otherwise."""
+    """Yield an engine stand-in; unless overridden, its delays are short."""
     fast = {"name": "e1", "memory_mib": 100, "load_ms": 0, "token_ms": 1}
     chosen = EngineSettings(**{**fast, "first_token_ms": 1, **settings})
     engine = EngineStandin(settings=chosen)
@@ -30,7 +30,7 @@
 
 @contextlib.contextmanager
 def run_routes(routes):
-    """Yield the address of a server with these routes."""
+    """Yield the address of a server with the given routes."""
     server = build_standin_server(root=build_root(routes))
     server.start()
     try:
@@ -40,10 +40,10 @@
 
 
 def wait_until(condition):
-    """Return the first true value of a condition."""
+    """Wait until a condition is true and return its value."""
     deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not (value := condition()):
-        assert time.monotonic() < deadline, "the condition never came true"
+        assert time.monotonic() < deadline, "timeout: the condition is still false"
         time.sleep(0.005)
     return value
 
@@ -60,7 +60,7 @@
 
 
 def build_order(kind="load", item=ITEM, *, number=1, fence=1, mib=60, base=""):
-    """Return an order."""
+    """Build an order."""
     return Order(
         kind=OrderKind(kind),
         item=item,
@@ -72,7 +72,7 @@
 
 
 def build_request(*, attempt="a", tokens=4, offset=0, text="hello", path="chat/"):
-    """Return an attempt at a request."""
+    """Build an attempt of an inference request."""
     messages = [{"role": "user", "content": text}]
     body = {"model": "m", "messages": messages, "prompt": text, "max_tokens": tokens}
     return InferenceRequest(
@@ -86,7 +86,7 @@
 
 
 def load(engines, address, **order):
-    """Load an item and wait until it answers."""
+    """Load an item and wait until it is loaded."""
     engines.order(address, build_order(**order))
     wait_until(lambda: _has_loaded(engines.report(address)))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Passes over the tests listed in ``KNOWN-RED.txt`` at the root, and prints them.
+"""Marks the tests listed in ``KNOWN-RED.txt`` at the root as expected failures.
 
-One line a test: ``test id | cause | issue``. They still run, and one that passes
-fails the run, so that the list cannot outlive the faults.
+Each line of the list is ``test id | cause | issue``; the list is printed at the end of
+a run. Listed tests still run, and a listed test that passes fails the run, so that
+entries are removed when their faults are fixed.
 """
 
 from pathlib import Path
--- a/tests/console_harness.py
+++ b/tests/console_harness.py
@@ -1,4 +1,4 @@
-"""A console with a real HTTP server over a platform in memory, for tests."""
+"""A console with a real HTTP server and an in-memory platform, for tests."""
 
 import json
 
@@ -33,9 +33,9 @@
 
 
 class ConsoleHarness:
-    """A console over a platform in memory, and an HTTP client for it.
+    """A console with an in-memory platform, and an HTTP client for it.
 
-    ``in_force`` is what its controller has in force.
+    ``in_force`` is the active configuration of its controller.
     """
 
     def __init__(self):
@@ -51,7 +51,7 @@
         self.url = f"http://{self.server.address}"
 
     def reset(self):
-        """Forget all; the console keeps nothing, so it can go on."""
+        """Reset the platform and the controller; the console itself is stateless."""
         self.fake.reset()
         self.in_force = EMPTY
         self.controller_down = False
@@ -65,7 +65,7 @@
         return build_fleet(instance, accepted=known.version, configuration=newer)
 
     def ask(self, method, path, body=None, *, key="key-of-ayu", **headers):
-        """Return status and decoded JSON of a call below /api."""
+        """Send a request below /api; return status and decoded JSON."""
         if body is not None and not isinstance(body, bytes):
             body = msgspec.json.encode(body)
         answer = urllib3.request(
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -1,4 +1,4 @@
-"""Entries in this process, with a controller and backend servers that tests steer."""
+"""Entries in the test process, with a fake controller and backend server stand-ins."""
 
 import asyncio
 import contextlib
@@ -38,10 +38,11 @@
 
 
 class FakeController:
-    """Answers for the controllers of all entries, from one fake platform.
+    """Acts as the controller of all entries, with one fake platform.
 
-    Set ``down`` to have it not answer, ``lost_replies`` to have it act unheard, or
-    ``after_death`` to do something, once, after the next death is recorded.
+    If ``down`` is set it does not respond; ``lost_replies`` is the number of next calls
+    that take effect but lose their replies; ``after_death_report`` is called once,
+    after the next death is recorded.
     """
 
     def __init__(self):
@@ -107,14 +108,14 @@
 
 
 class Entry:
-    """One running entry and what a test asks of it."""
+    """A running entry, with helpers for tests."""
 
     def __init__(self, runtime, server):
         self.runtime, self.server = runtime, server
         self.address = server.address
 
     def ask(self, body, path=CHAT, method="POST", key="key-of-desk", **headers):
-        """Return the answer; header names are written with underscores."""
+        """Send a request and return the response; ``_`` in a header becomes ``-``."""
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         return urllib3.request(
             method,
@@ -126,7 +127,7 @@
         )
 
     def connect(self):
-        """Return an ordinary client of the usual protocol."""
+        """Return an OpenAI client for this entry."""
         return openai.OpenAI(
             base_url=f"http://{self.address}/v1", api_key="key-of-desk", max_retries=0
         )
@@ -136,7 +137,7 @@
 
 
 class EngineProcess(NamedTuple):
-    """An engine in a process of its own."""
+    """An engine stand-in in its own process."""
 
     address: str
     boot_id: str
@@ -144,7 +145,7 @@
 
 
 class EntryHarness:
-    """Entries, engines and their one controller."""
+    """Entries, engines and their common fake controller."""
 
     def __init__(self, stack):
         self.stack = stack
@@ -159,7 +160,7 @@
         return engine
 
     def add_engine_process(self, name, marker):
-        """Start an engine that a request with the marker kills."""
+        """Start an engine process that crashes on a request with the marker."""
         address = find_free_address()
         command = [sys.executable, "-m", "arbutuspulley.standins.engine"]
         flags = ["--name", name, "--listen", address, "--load-ms", "0"]
@@ -178,7 +179,7 @@
         return entry
 
     def push_view(self, *entries, **changes):
-        """Give all entries, or these, the view that a controller would have now."""
+        """Push the controller's current view to the given entries, by default all."""
         self.number += 1
         view = View(
             number=self.number,
@@ -203,7 +204,7 @@
 
 
 def build_configuration(*, version=1, services=()):
-    """Return a configuration with one model, as all entries of the tests know it."""
+    """Build the tests' configuration, with one model."""
     target = schema.Target(first_token_ms=20_000)
     callers = {
         "desk": schema.Caller(key_sha256=hash_key("key-of-desk")),
@@ -222,7 +223,7 @@
 
 @contextlib.contextmanager
 def run_entries(*, engines=("e1",), entries=1, services=(), **settings):
-    """Yield a bench with engines that hold the model, and entries that know it."""
+    """Yield engines that have the model loaded, and entries that know them."""
     with contextlib.ExitStack() as stack:
         bench = EntryHarness(stack)
         bench.services = list(services)
@@ -235,7 +236,7 @@
 
 
 async def run_in_executor(function):
-    """Run what waits for a loop, from that loop."""
+    """Run a function that waits for the event loop in a thread, without a deadlock."""
     await asyncio.get_running_loop().run_in_executor(None, function)
 
 
@@ -245,7 +246,7 @@
 
 
 def build_runtime(controller, *, number=1, loop=None, clock=None, **settings):
-    """Return what an entry's functions work with, with nothing running yet."""
+    """Build the runtime of an entry, without starting its tasks or server."""
     return Runtime(
         settings=Settings(
             instance=f"i{number}",
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A platform in memory with faults, for tests of what is kept in it."""
+"""An in-memory platform with fault injection, for tests of stored state."""
 
 import msgspec
 
@@ -11,11 +11,12 @@
 
 
 class FakePlatform:
-    """The platform stand-in's state behind the port, without a network.
+    """The state of the platform stand-in behind the port, without a network.
 
-    Set ``down``, ``lost_replies`` or ``lost_requests`` (the next so many
-    transactions), ``down_after_lost_reply``, or ``before_transact`` (called once,
-    before the next one).
+    Faults are set as attributes: ``down``; ``lost_replies`` and ``lost_requests``, each
+    the number of next transactions that lose their reply or request;
+    ``down_after_lost_reply``; ``before_transact``, called once before the next
+    transaction.
     """
 
     def __init__(self):
@@ -27,7 +28,7 @@
         )
 
     def reset(self):
-        """Forget all rows, objects and faults."""
+        """Remove all rows, objects and faults."""
         self.state = platform_state.TableState(name="fake")
         self.stored = {}
         self.tokens = {}
@@ -121,7 +122,7 @@
 
 
 def build_files(base=BASE, overlays=(OVERLAY_A, OVERLAY_B)):
-    """Return a set of files named base.yaml, overlay-1.yaml, ..."""
+    """Build a set of files named base.yaml, overlay-1.yaml, ..."""
     return FileSet(
         base=SourceFile(name="base.yaml", text=base),
         overlays=tuple(
@@ -132,6 +133,6 @@
 
 
 def build_configuration(version=1, size_mib=9000):
-    """Return the merged example with a model of another size."""
+    """Build the merged example configuration, with a given model size."""
     base = BASE.replace("9000", str(size_mib))
     return merge_files(build_files(base), version=version)
--- a/tests/features/promises.feature
+++ b/tests/features/promises.feature
@@ -1,9 +1,9 @@
 Feature: What must always hold
-  Each promise to hosts, desks and race crews, with real processes and faults.
+  Guarantees to hosts, desks and race crews, tested with real processes and faults.
 
   Scenario: Memory is never overcommitted while a change is under way
-    An operator rolls all models to a new version. Replies to load orders get lost and
-    an engine dies on the way.
+    An operator changes all models to a new version. Replies to load orders are lost
+    and an engine dies during the change.
     Given every engine loses its next reply to an order
     When all models are changed to version "2"
     And an engine with "tracker" is killed
@@ -11,18 +11,18 @@
     And no engine was ever asked to hold more than it can
 
   Scenario: Every model stays reachable
-    The only engine with a model dies, and another one has to load it.
+    The only engine with a model dies, and another engine has to load the model.
     When an engine with "recap" is killed
     Then "recap" and "tracker" answer at every entry
 
   Scenario: A caller receives the whole answer to its own request
-    Engines break streams off, send old chunks late, and end some without an end.
+    Engines break off streams, mix in chunks of older streams, and omit end markers.
     Given every engine breaks streams off and mixes in old chunks
     When 8 callers ask "tracker" at once
     Then all answers are whole
 
   Scenario: What is said not to have run has not run
-    Engines take some requests and break off, and refuse others before admission.
+    Engines accept some requests and break off, and refuse others before admission.
     Given every engine breaks off its next 2 requests after taking them
     When 4 callers ask "tracker" one by one, without patience
     And every engine says that it leaves
@@ -32,13 +32,13 @@
     And no engine has run what is said not to have run
 
   Scenario: An unrepeatable request runs at most once
-    Engines take split updates and break off; callers press again on other entries.
+    Engines accept requests and break off; callers retry on other entries.
     Given every engine breaks off its next 2 requests after taking them
     When 6 callers ask "tracker" at once for something unrepeatable
     Then each was run at most once, and exactly once if its answer is whole
 
   Scenario Outline: A leaving engine receives no new work
-    An engine with the only copy leaves, and one of two sources says so first.
+    The engine with the only copy leaves; one of two sources reports it first.
     Given a long answer is being streamed from an engine with "tracker"
     When <source> says that this engine leaves
     Then another engine answers for "tracker"
@@ -51,7 +51,7 @@
       | the instance list |
 
   Scenario: Planned stops cut off no request
-    A whole instance and an engine are stopped at once, in a busy minute.
+    An instance and an engine are stopped at the same time, under load.
     Given a long answer is being streamed from an engine with "tracker"
     When the second instance and this engine are stopped gracefully
     And 8 callers ask "tracker" at once
@@ -60,7 +60,7 @@
     And what was stopped has ended with status 0
 
   Scenario: An accepted configuration is in force everywhere and never reverts
-    Right after an approval, one instance dies while the way to the platform is cut.
+    After an approval, an instance without connection to the platform dies.
     Given the second instance is cut off from the platform
     When a change is approved
     And the second instance is killed and started again
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that breaks connections on purpose, for integration tests."""
+"""A TCP proxy with fault injection, for integration tests."""
 
 import asyncio
 import contextlib
@@ -14,33 +14,33 @@
 
 
 class Direction(enum.Enum):
-    """Which way bytes flow."""
+    """Direction of the forwarded bytes."""
 
     TO_TARGET = "to_target"
     TO_CLIENT = "to_client"
 
 
 class _Connection:
-    """Both ends of one forwarded connection."""
+    """Both ends of a forwarded connection."""
 
     def __init__(self, *, client: asyncio.StreamWriter) -> None:
         self.writers = [client]
         self.task = asyncio.current_task()
 
     def reset(self) -> None:
-        """Close both ends, once, so that the peers see a reset and no orderly end."""
+        """Close both ends with a TCP reset instead of an orderly shutdown."""
         for writer in self.writers:
-            with contextlib.suppress(OSError):  # it may be closed
+            with contextlib.suppress(OSError):  # already closed
                 end = writer.get_extra_info("socket")
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             writer.transport.abort()
 
 
 class FaultProxy:
-    """Forwards TCP from a free port to a target until told otherwise.
+    """Forwards TCP from a free port to a target, and injects faults.
 
-    Faults hold for existing and new connections, add up, and can be changed at
-    any time from any thread; :meth:`heal` ends them all.
+    Faults affect existing and new connections, can be combined, and can be changed at
+    any time from any thread; :meth:`heal` ends all of them.
 
     :param target: ``host:port``.
     """
@@ -50,7 +50,7 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
-        # Bound but not listening: it keeps the port ours while new connections are
+        # Bound but not listening: this reserves the port while new connections are
         # refused, so that no other process of the machine can take it.
         self._reserve = _bind(0)
         self.port: int = self._reserve.getsockname()[1]
@@ -72,7 +72,7 @@
         self.close()
 
     def delay(self, milliseconds: int) -> None:
-        """Hold back each piece of data, both ways, for so long."""
+        """Delay each chunk of data in both directions."""
         self._call(lambda: setattr(self, "_delay_ms", milliseconds))
 
     def cut(self) -> None:
@@ -80,30 +80,30 @@
         self._run(self._cut())
 
     def reset(self) -> None:
-        """Reset all connections; new ones are taken."""
+        """Reset all connections; new ones are accepted."""
         self._run(self._reset())
 
     def drop(self, *directions: Direction) -> None:
-        """Swallow what flows one way; connections stay open."""
+        """Discard the data in the given directions; connections stay open."""
         self._call(lambda: setattr(self, "_dropped", frozenset(directions)))
 
     def lose_replies(self, count: int = 1) -> None:
-        """Reset the connection instead of forwarding the next replies.
+        """Reset the connection instead of forwarding each of the next replies.
 
-        The target has then had the request and begun to answer.
+        By then the target has received the request and begun to respond.
         """
         self._call(lambda: setattr(self, "_replies_to_lose", count))
 
     def freeze(self) -> None:
-        """Stop forwarding both ways; connections stay open, bytes wait."""
+        """Stop forwarding; connections stay open and data is held back."""
         self._call(self._thawed.clear)
 
     def heal(self) -> None:
-        """End all faults; what a freeze held back goes on its way."""
+        """End all faults; data held back by a freeze is forwarded."""
         self._run(self._heal())
 
     def close(self) -> None:
-        """Reset everything and end the proxy's thread."""
+        """Reset all connections and stop the proxy's thread."""
         self._run(self._cut())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(_CALL_TIMEOUT_S)
@@ -130,7 +130,7 @@
             self._server.close()
             self._server = None
         await self._reset()
-        # A connection that was accepted just before is reset by its own task.
+        # A connection that was accepted just before this is reset by its own task.
         others = asyncio.all_tasks() - {asyncio.current_task()}
         await asyncio.gather(*others, return_exceptions=True)
 
--- a/tests/stack.py
+++ b/tests/stack.py
@@ -1,7 +1,7 @@
-"""A running system of real processes for integration tests, on free loopback ports.
+"""A system of real processes on free loopback ports, for integration tests.
 
-Built on the launcher of the demo. Proxies that inject faults can be put on the way
-between two processes; everything waits for conditions, never for a time.
+Uses the launcher of the demo. Fault-injecting proxies can be put between two processes.
+The helpers wait for conditions, never for a fixed time.
 """
 
 import json
@@ -26,9 +26,9 @@
 class Stack(State):
     """A running system.
 
-    :param proxies: by the names of both ends.
-    :param version: the configuration accepted last.
-    :param item_version: version of all models in it.
+    :param proxies: proxies by the names of the two processes they connect.
+    :param version: version of the configuration accepted last.
+    :param item_version: version of all models in that configuration.
     """
 
     fleet: Fleet
@@ -47,7 +47,7 @@
 
 
 def build_plan(*, instances=2, engines=2, memory_mib=60_000, **changes):
-    """Return a plan with as many sites as instances; odd engines check orders."""
+    """Build a plan with one instance per site; odd-numbered engines check orders."""
     return Plan(
         instances=tuple(
             InstancePlan(name=f"{site}-1", site=site) for site in SITES[:instances]
@@ -67,7 +67,7 @@
 
 @contextmanager
 def open_stack(plan, directory, *, proxied=()):
-    """Start a system, bring its configuration into force and load all models."""
+    """Start a system, activate its configuration and wait for all models to load."""
     with ExitStack() as opened:
         launcher = opened.enter_context(open_launcher(directory))
         system = fleet.build_fleet(plan, launcher)
@@ -92,12 +92,12 @@
 
 
 def get_entry(stack, number):
-    """Return the address of the first entry of an instance, counted from 0."""
+    """Return the address of the first entry of an instance; instances count from 0."""
     return stack.addresses[f"entry-{list_names(stack)[number]}"]
 
 
 def propose(stack, *, operator="ayu", **changes):
-    """Propose the plan's files with some fields of the base set differently."""
+    """Propose the plan's files, with some fields of the base file overridden."""
     files = fleet.write_files(stack.fleet, stack.directory, **changes)
     ended = fleet.run_cli(
         stack.fleet, "propose", *map(str, files), "--json", operator=operator
@@ -107,14 +107,14 @@
 
 
 def run_approve(stack, proposal, *, operator="ayu"):
-    """Run ``arbutus approve`` and return the ended process."""
+    """Run ``arbutus approve`` and return the completed process."""
     base = str(proposal.get("base_version", 0))
     arguments = ("approve", proposal["proposal"], "--base", base, "--json")
     return fleet.run_cli(stack.fleet, *arguments, operator=operator)
 
 
 def approve(stack, proposal):
-    """Approve a proposal and wait until it is in force everywhere."""
+    """Approve a proposal and wait until it is active on all instances and entries."""
     ended = run_approve(stack, proposal)
     assert ended.returncode == 0, ended.stderr
     stack.version = json.loads(ended.stdout)["version"]
@@ -122,13 +122,13 @@
 
 
 def read_status(stack):
-    """Return what ``arbutus status`` shows."""
+    """Return the decoded output of ``arbutus status``."""
     ended = fleet.run_cli(stack.fleet, "status", "--json")
     return json.loads(ended.stdout) if ended.returncode == 0 else {}
 
 
 def wait_in_force(stack, version):
-    """Wait until a version is in force on every instance and entry."""
+    """Wait until a version is active on all instances and entries."""
 
     def is_in_force():
         status = read_status(stack)
@@ -142,7 +142,7 @@
 
 
 def wait_loaded(stack, *, models=()):
-    """Wait until every entry answers requests to the models."""
+    """Wait until every entry serves requests to the models, by default all models."""
     for entry in fleet.list_all_entries(stack.fleet):
         for model in models or stack.fleet.plan.models:
             probe = build_inference("probe", model=model, tokens=1)
@@ -158,7 +158,7 @@
 def build_inference(
     name, *, model="tracker", tokens=8, streamed=False, unrepeatable=False
 ):
-    """Return a request to a model; its prompt is its name."""
+    """Build an inference request whose prompt contains its name."""
     body = {
         "model": model,
         "prompt": f"Where is runner {name}?",
@@ -178,12 +178,12 @@
 
 
 def get_prompt_digest(request):
-    """Return the digest by which engines count a prompt."""
+    """Return the digest under which engine stand-ins count the prompt."""
     return answer.read_prompt(path=request.path, body=request.body).digest
 
 
 def count_runs(stack, request):
-    """Return how often stand-ins began to run a request, also those that died."""
+    """Return how often stand-ins began to run a request, killed ones included."""
     if not request.model:
         return read_counters(stack, "booking")["by_key"].get(request.name, 0)
     logs = [stack.launcher.read_log(name) for name in list_engines(stack)]
@@ -191,14 +191,14 @@
 
 
 def build_booking(name):
-    """Return an unrepeatable call to the plain service."""
+    """Build an unrepeatable request to the plain service."""
     body = json.dumps({"guest": name}).encode()
     path = "/services/booking/bookings"
     return ClientRequest(name=name, path=path, body=body, key=KEY, unrepeatable=True)
 
 
 def send_with_retries(stack, request, *, first=0):
-    """Ask as a well-behaved caller that knows all entries."""
+    """Send a request, with retries, as a caller that knows all entries."""
     seeds = [stack.addresses[name] for name in fleet.list_all_entries(stack.fleet)]
     return send(AddressBook(seeds=(*seeds[first:], *seeds[:first])), request)
 
@@ -210,12 +210,12 @@
 
 
 def read_counters(stack, name):
-    """Return what a stand-in has counted."""
+    """Return the counters of a stand-in."""
     return json.loads(fetch("GET", stack.addresses[name], "/control/counters").data)
 
 
 def read_report(stack, name):
-    """Return an engine's report, or ``None`` if it does not answer."""
+    """Return an engine's report, or ``None`` if it does not respond."""
     reply = fetch("GET", stack.addresses[name], "/report")
     return json.loads(reply.data) if reply is not None else None
 
@@ -226,7 +226,7 @@
 
 
 def list_holders(stack, item):
-    """Return the names of the engines on which an item answers."""
+    """Return the names of the engines that have an item loaded."""
     return [
         name
         for name in list_engines(stack)
@@ -244,13 +244,13 @@
 
 
 def has_logged(stack, instance, event):
-    """Tell whether an instance's controller has logged an event."""
+    """Return whether an instance's controller has logged an event."""
     log = stack.launcher.read_log(f"controller-{instance}")
     return f" {event.value} {event.name.lower()}" in log
 
 
 def check_memory(stack, engines=()):
-    """Check that no engine was ever asked to hold more than it can."""
+    """Check that the memory of no engine was ever overcommitted."""
     for name in engines or list_engines(stack):
         counters = read_counters(stack, name)
         assert counters["overcommitted"] == 0, name
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -1,4 +1,4 @@
-"""Why requests were late or lost, from the logs of several instances."""
+"""Classification of late and lost requests, from the logs of several instances."""
 
 import json
 
@@ -36,7 +36,7 @@
         ({"status": 500, "first_ms": 9}, "the server's own 500"),
     ],
 )
-def test_an_answer_is_late_by_what_took_the_most(fields, cause):
+def test_a_late_answer_is_classified_by_its_cause(fields, cause):
     assert count(build(**fields)) == {("/chat", cause): 1}
 
 
@@ -48,14 +48,14 @@
         (2, "refused: refused, too many ahead"),
     ],
 )
-def test_a_refusal_tells_what_the_coordinator_saw(copies, cause):
+def test_a_refusal_shows_whether_the_coordinator_knew_a_copy(copies, cause):
     lines = [build("request_lost", how="refused", why="refused", status=503)]
     if copies is not None:
         lines.insert(0, build("request_refused", copies=copies))
     assert count(*lines) == {("/chat", cause): 1}
 
 
-def test_spans_are_told_apart_and_nothing_is_said(tmp_path, capsys):
+def test_intervals_have_tables_and_a_log_without_requests_fails(tmp_path, capsys):
     path = tmp_path / "log"
     late = build(first_ms=900, time_ms=7_000)
     path.write_text("\n".join([build(first_ms=1), late]))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against a real console: what it prints and how it ends."""
+"""The command line with a real console: output and exit status."""
 
 import io
 import json
@@ -89,7 +89,7 @@
         (("status", "--key", "", "--console", ""), 2, "--console: must be set"),
     ],
 )
-def test_a_wrong_command_ends_with_its_status_and_number(
+def test_an_invalid_command_has_an_exit_status_and_error_number(
     ask, tmp_path, arguments, status, shown
 ):
     (tmp_path / "a.yaml").write_text(OVERLAY_A + "models: {x: {copies: 2}}\n")
@@ -99,7 +99,7 @@
 
 
 def test_a_half_written_overlay_changes_nothing(ask, tmp_path):
-    """An operator proposes while the editor is still writing the file."""
+    """An operator proposes a file that an editor has only written in part."""
     (tmp_path / "b.yaml").write_text(OVERLAY_B[:60])
     shown = ask("propose", *FILES, status=1)
     assert shown.splitlines()[0].startswith("b.yaml: ")
@@ -115,11 +115,11 @@
     assert "accepted in between:" in shown
 
 
-def test_a_console_that_cannot_be_reached_is_told_from_a_lost_answer(ask, console):
-    """An operator does not know whether the approval went through.
+def test_an_unreachable_console_is_distinguished_from_a_lost_answer(ask, console):
+    """Guards against an error that leaves the outcome of an approval unclear.
 
-    If no connection stood it did not. If the answer was lost it may have, and the
-    same command again is safe; the message says which.
+    Without a connection the approval was not applied. If the response was lost it may
+    have been applied, and a retry is safe. The error code distinguishes the two.
     """
     nobody = f"http://{find_free_address()}"
     shown = ask("status", "--console", nobody, status=1)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: what operators see, who may ask, what is refused, over real HTTP."""
+"""The console over real HTTP: views, authentication and refusals."""
 
 import json
 import re
@@ -76,7 +76,7 @@
         (build_fleet(), 0, "nothing accepted yet", ""),
     ],
 )
-def test_operators_see_what_is_in_force_where(fleet, stored, summary, alarm):
+def test_status_shows_active_versions_and_alarms(fleet, stored, summary, alarm):
     view = build_status_view(fleet, stored_version=stored)
     assert view.summary == summary
     assert bool(view.alarms) == bool(alarm)
@@ -97,13 +97,13 @@
         (build_fleet(A12, accepted=13, configuration=V12), 7, None),
     ],
 )
-def test_a_newer_version_in_force_is_taken_as_base_or_waited_for(
+def test_a_newer_active_version_is_the_base_or_refused_as_not_ready(
     fleet, stored, expected
 ):
-    """An approved change never comes into force anywhere.
+    """Guards against an approved change that never becomes active.
 
-    The store was restored to version 7 while 12 is in force at another instance. An
-    approval that does not know that would be numbered 8, below 12.
+    The store was restored to version 7 while 12 is active on another instance. An
+    approval based on the store alone would be numbered 8, below 12.
     """
     if expected is not None:
         assert choose_active_configuration(fleet, stored_version=stored) == expected
@@ -149,7 +149,7 @@
     assert status["summary"].startswith("accepted 2")
 
 
-def test_a_stale_approval_is_told_what_was_accepted_in_between(console):
+def test_a_stale_approval_is_refused_with_the_changes_in_between(console):
     accept(console)
     ours, theirs = console.propose(9100)[1], console.propose(9200)[1]
     assert approve(console, theirs["proposal"]["proposal"], 1)[0] == 200
@@ -161,7 +161,7 @@
     assert view["since"][0]["after"] == "9200"
 
 
-def test_a_change_is_based_on_what_is_in_force_after_the_store_was_restored(console):
+def test_a_change_is_based_on_the_active_version_after_a_store_restore(console):
     accept(console)
     backup = console.fake.state.revision
     accept(console, 9100)
@@ -205,7 +205,7 @@
         ("POST", "proposals", build_request(size_mib=90_000), {}, 409, 4003),
     ],
 )
-def test_a_wrong_request_is_refused_with_a_number(
+def test_an_invalid_request_is_refused_with_an_error_number(
     console, monkeypatch, method, path, body, headers, status, code
 ):
     monkeypatch.setattr(console_http, "MAX_BODY_BYTES", 1_500)
@@ -233,7 +233,7 @@
     assert str(code.value) in ready.data.decode()
 
 
-def test_a_fault_of_the_console_shows_no_detail(console, monkeypatch):
+def test_an_internal_error_shows_no_detail(console, monkeypatch):
     monkeypatch.setattr(console.fake, "state", None)
     status, reply = console.ask("GET", "versions")
     assert (status, reply["errors"][0]["code"]) == (500, Code.INTERNAL)
@@ -259,12 +259,12 @@
 @pytest.mark.parametrize(
     "text", ["", "ayu", "ayu=1", f"={'a' * 64}", f"a={'A' * 64}", f"a={'a' * 64},a=x"]
 )
-def test_wrong_operators_are_refused(text):
+def test_invalid_operators_are_refused(text):
     with pytest.raises(SettingError):
         parse_operators(text)
 
 
-def test_all_wrong_settings_are_named_at_once(capsys):
+def test_all_invalid_settings_are_reported_at_once(capsys):
     with pytest.raises(SystemExit) as ended:
         app(["--listen", "host:1", "--log-format", "xml"])
     assert ended.value.code == 2
--- a/tests/test_demo_load.py
+++ b/tests/test_demo_load.py
@@ -1,4 +1,4 @@
-"""The demo's own verdict: what its callers and the stand-ins count as wrong."""
+"""The demo's checks: lost and duplicate answers, false refusals."""
 
 import json
 from collections import Counter
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP in front of engine stand-ins, with a controller in this process."""
+"""The entry's HTTP interface, with engine stand-ins and a fake controller."""
 
 import json
 
@@ -56,7 +56,7 @@
     )
 
 
-def test_an_ordinary_client_works_unchanged(bench):
+def test_the_openai_client_works_unchanged(bench):
     client = bench.entries[0].connect()
     asked = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
     plain = client.chat.completions.create(**asked, max_tokens=5)
@@ -75,7 +75,7 @@
         client.with_options(api_key="wrong").models.list()
 
 
-def test_a_plain_service_gets_the_call_as_it_was_sent():
+def test_a_plain_service_receives_the_request_unchanged():
     service = build_service(name="b")
     service.start()
     with run_entries(engines=(), services=[service.address]) as bench:
@@ -90,7 +90,7 @@
     service.stop()
 
 
-def test_all_wrong_settings_are_named_at_once(capsys):
+def test_all_invalid_settings_are_reported_at_once(capsys):
     wrong = ["--listen", "here", "--threads", "1", "--log-format", "xml"]
     with pytest.raises(SystemExit) as ended:
         entry.app([*wrong, "--instance", "i"])
@@ -106,10 +106,10 @@
 
 
 def test_a_stream_resumes_after_the_last_event(bench):
-    """A guest's phone loses the network in the middle of a reply.
+    """A client loses its connection in the middle of a stream.
 
-    It asks again, through any entry, with the id of the last event it got, and must
-    get the rest and nothing twice.
+    It sends the request again, through any entry, with the id of the last event that it
+    received, and must receive the remaining events without duplicates.
     """
     entry = bench.entries[0]
     whole, events = read_events(entry.ask(build_chat(stream=True)))
@@ -136,11 +136,11 @@
         ({"stray_chunks": 99}, "ended"),
     ],
 )
-def test_an_answer_is_whole_although_the_engine_fails(faults, outcome):
-    """An engine refuses, breaks off, or mixes late and doubled chunks in.
+def test_an_answer_is_complete_although_the_engine_fails(faults, outcome):
+    """An engine refuses, breaks off, or mixes in late and duplicate chunks.
 
-    The caller must read each token once and in order, as if nothing had happened; an
-    answer without its end marker must not pass for a whole one.
+    The caller must receive each token once and in order; an answer without its end
+    marker must not be taken for a complete one.
     """
     with run_entries(engines=("e1", "e2")) as bench:
         entry = bench.entries[0]
@@ -148,7 +148,7 @@
         set_faults(bench.engines["e1"].address, **faults)
         attempts = entry.runtime.metrics.attempts.labels(outcome)
 
-        def ask_until_the_fault_was_met():
+        def send_and_check_for_the_fault():
             before = attempts._value.get()
             data, events = read_events(entry.ask(build_chat(tokens=6, stream=True)))
             deltas = [json.loads(one)["choices"][0]["delta"] for one in data[:-1]]
@@ -158,13 +158,13 @@
             assert [int(place) for place in places] == [*range(7)]
             return attempts._value.get() > before
 
-        wait_until(ask_until_the_fault_was_met)
+        wait_until(send_and_check_for_the_fault)
         dropped = entry.runtime.metrics.dropped_chunks._value.get()
         assert (outcome == "ended") == (dropped > 0)
         assert bench.controller.list_suspicions() == ()
 
 
-def test_a_stream_that_cannot_become_whole_says_so():
+def test_a_stream_that_cannot_be_completed_ends_with_an_error():
     with run_entries(engines=("e1",)) as bench:
         address = bench.engines["e1"].address
         set_faults(address, break_streams=9, break_after_tokens=1)
--- a/tests/test_failures_control.py
+++ b/tests/test_failures_control.py
@@ -1,4 +1,4 @@
-"""Platform outages, paused and cut-off controllers, operators at the same moment."""
+"""Platform outages, disconnected controllers and concurrent operators."""
 
 import json
 import signal
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def stack(opened):
-    """The running system; faults end with the test."""
+    """The running system; all faults are cleared after the test."""
     yield opened
     for proxy in opened.proxies.values():
         proxy.heal()
@@ -43,17 +43,17 @@
 
 
 def _build_change(number):
-    """Return a field of the base file that differs for each number."""
+    """Return a change of the base file that differs for each number."""
     policy = {"address_lifetime_s": 2, "answer_lifetime_s": 1_000 + number}
     return {"policy": policy}
 
 
-def test_store_outage_beyond_the_lease_with_serving_going_on(stack):
+def test_serving_continues_during_a_store_outage_longer_than_the_lease(stack):
     """The platform's store is down for longer than every lease.
 
-    Hosts and crews go on being answered by every entry. A booking confirmation, which
-    needs the store, is refused at once as not run, with when to come back; so is an
-    approval. When the store is back, both work, and the confirmation has run once.
+    Every entry still serves inference requests. A booking, which needs the store, is
+    refused at once as not run, with ``Retry-After``; an approval is refused too. When
+    the store is available again both succeed, and the booking has run once.
     """
     proposal = running.propose(stack, **_build_change(1))
     running.control(stack, "platform", outage=True)
@@ -90,8 +90,9 @@
 def test_new_instance_starts_from_a_peer_while_the_store_is_down(stack):
     """An instance is replaced during a store outage.
 
-    Its new controller cannot read the configuration. It learns it from a peer, and
-    its entry serves; it holds no lease and sends no orders until the store is back.
+    Its new controller cannot read the configuration from the store. It gets it from a
+    peer and its entry serves; until the store is available again it has no lease and
+    sends no orders.
     """
     name = running.list_names(stack)[1]
     processes = [f"controller-{name}", f"entry-{name}"]
@@ -108,11 +109,11 @@
     assert running.has_logged(stack, name, Event.CONFIGURATION_FROM_PEER)
 
 
-def test_lost_reply_to_an_approval_and_the_operator_presses_again(stack):
-    """An operator approves on a train, and the answer never reaches her phone.
+def test_approval_is_retried_after_its_reply_was_lost(stack):
+    """The response to an approval is lost on its way to the operator.
 
-    At the same moment the store's reply to the console is lost as well. She presses
-    again: it is told as accepted, and there is one new version, not two.
+    The store's reply to the console is lost as well. The retry reports the proposal as
+    accepted, and there is one new version, not two.
     """
     proposal = running.propose(stack, **_build_change(2))
     stack.proxies["cli", "console"].lose_replies(1)
@@ -128,11 +129,11 @@
     running.wait_in_force(stack, stack.version)
 
 
-def test_two_phones_approve_different_changes_at_the_same_moment(stack):
-    """Two operators see the same version and approve different changes at once.
+def test_two_operators_approve_different_changes_concurrently(stack):
+    """Two operators approve different changes of the same base version concurrently.
 
-    One is accepted. The other is refused, is shown what was accepted in between, and
-    nothing of hers is in force.
+    One change is accepted. The other is refused, shows the difference that was accepted
+    in the meantime, and no part of it becomes active.
     """
     proposals = [running.propose(stack, **_build_change(number)) for number in (3, 4)]
     with ThreadPoolExecutor() as pool:
@@ -150,21 +151,22 @@
     running.wait_in_force(stack, stack.version)
 
 
-def test_cut_off_controller_learns_a_change_from_its_peer(stack):
-    """One data centre loses the way to the platform, and a change is approved.
+def test_disconnected_controller_gets_a_change_from_its_peer(stack):
+    """A data centre loses its connection to the platform, and a change is approved.
 
-    It is in force there within seconds all the same, because the other instance
-    passes it on.
+    The change becomes active there within seconds, because the other instance relays
+    it.
     """
     stack.proxies["controller-hall-b-1", "platform"].cut()
     running.approve(stack, running.propose(stack, **_build_change(5)))
 
 
-def test_store_comes_back_with_an_older_configuration(stack):
+def test_store_is_restored_with_an_older_configuration(stack):
     """The platform's table is restored from a backup taken before the last change.
 
-    Every instance keeps the newer version in force, whatever the store says. The next
-    approved change counts on from it and is in force everywhere.
+    Every instance keeps the newer version active although the store has an older one.
+    The next approved change gets the following version number and becomes active on all
+    instances.
     """
     backup = running.read_counters(stack, "platform")["revision"]
     running.approve(stack, running.propose(stack, **_build_change(6)))
--- a/tests/test_failures_delivery.py
+++ b/tests/test_failures_delivery.py
@@ -1,4 +1,4 @@
-"""Unrepeatable requests whose outcome is lost, and requests that kill engines."""
+"""Unrepeatable requests with unknown outcome, and requests that crash engines."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -48,12 +48,12 @@
     ],
     ids=lambda value: getattr(value, "name", None),
 )
-def test_confirmation_breaks_off_and_is_sent_again(stack, request_, fault, runs):
-    """A host confirms a booking, and the line to the server goes dead.
+def test_unrepeatable_request_breaks_off_and_is_retried(stack, request_, fault, runs):
+    """The connection to the server breaks during an unrepeatable request.
 
-    The confirmation may have gone through, so she is told that nobody knows. She
-    presses again, on another entry: it must not run again, or a second family would
-    be turned away. The same key for another booking is refused.
+    The request may have run, so its outcome is reported as unknown. A retry on another
+    entry must not run it again: a booking that runs twice occupies two places. The same
+    key with another body is refused.
     """
     _break_next(stack, request_, fault)
     first = send_once(running.get_entry(stack, 0), request_)
@@ -72,10 +72,10 @@
     assert running.count_runs(stack, request_) == runs
 
 
-def test_whole_answer_is_given_again_and_not_run_again(stack):
-    """A host's phone loses the reply to a confirmation that went through.
+def test_retry_gets_the_stored_answer_and_does_not_run_again(stack):
+    """A client loses the response to a booking that succeeded.
 
-    She presses again, on another entry, and gets the very same reply.
+    Its retry on another entry gets an identical response.
     """
     request = running.build_booking("confirm-3")
     first = send_once(running.get_entry(stack, 0), request)
@@ -86,12 +86,12 @@
 
 
 def test_poison_request_is_sent_five_times_through_three_entries(stack):
-    """One summary crashes each engine that runs it, and its caller sends it again.
+    """A request crashes each engine that runs it, and its caller keeps retrying.
 
-    Other callers' answers stream from the same engines. The summary may take two
-    engines with it; then every entry refuses it at once and says when to come back.
-    The others' answers go on elsewhere, whole, and are not refused for having been
-    there.
+    Other callers' answers are being streamed from the same engines. The request may
+    crash two engines; then every entry refuses it at once, with ``Retry-After``. The
+    other answers are completed on other engines, and their requests are not
+    quarantined because they ran on an engine that crashed.
     """
     engines = running.list_engines(stack)
     for name in engines:
--- a/tests/test_failures_entries.py
+++ b/tests/test_failures_entries.py
@@ -1,4 +1,4 @@
-"""Entries that die or stop, with real processes."""
+"""Entries that are killed or stopped, with real processes."""
 
 import signal
 import threading
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def stopped(stack):
-    """Names of entries that the test stops; they are started again after it."""
+    """Names of the entries that the test stops; they are restarted after it."""
     names = []
     yield names
     for name in names:
@@ -38,11 +38,11 @@
 
 @pytest.mark.parametrize("unrepeatable", [False, True])
 def test_entry_dies_in_the_middle_of_a_stream(stack, stopped, unrepeatable):
-    """A guest reads a reply as it is written, and her entry's machine dies.
+    """An entry is killed while it streams an answer.
 
-    Her client connects to the next address with the id of the last event. A plain
-    answer goes on from there, token by token. An unrepeatable one is not run a
-    second time, though nobody can tell her how far the first run came.
+    The client connects to the next address with the id of the last event. A repeatable
+    request continues from there. An unrepeatable request is not run a second time,
+    although the progress of the first run is unknown.
     """
     addresses = tuple(running.get_entry(stack, number) for number in (0, 1))
     book = AddressBook(seeds=addresses, cached={"tracker": (addresses, float("inf"))})
@@ -69,7 +69,7 @@
 
 
 def _build_long_request(number):
-    """Return a request whose answer takes longer than anything waits by a timeout."""
+    """Build a request whose answer takes longer than every timeout."""
     return running.build_inference(f"long-{number}", tokens=600, streamed=number == 0)
 
 
@@ -79,11 +79,11 @@
 
 
 def test_two_entries_stop_gracefully_under_load(stack, stopped):
-    """Two of three instances are replaced at the same moment, in a busy hour.
+    """The entries of two of three instances are stopped at the same time, under load.
 
-    Callers that kept their addresses are served for as long as they may keep them,
-    then told of the third entry before anything ran. What was being answered is
-    answered to its end, and both processes end with status 0.
+    Callers with cached addresses are served until the addresses expire, and are then
+    referred to the third entry before their request runs. Answers in progress are
+    completed, and both processes exit with status 0.
     """
     stopping = [f"entry-{name}" for name in running.list_names(stack)[:2]]
     addresses = [stack.addresses[name] for name in stopping]
--- a/tests/test_failures_orders.py
+++ b/tests/test_failures_orders.py
@@ -1,4 +1,4 @@
-"""Orders that arrive late, from an owner that was paused over its lease."""
+"""Delayed orders from an owner that was paused until its lease expired."""
 
 import signal
 
@@ -24,7 +24,7 @@
     "summary": _build_model(10_000, 1),
     "extra": _build_model(11_500, 1),
 }
-"""Without ``recap`` these fill the server, with room left for the largest change."""
+"""Models that fill the server without ``recap``, up to the largest possible change."""
 
 
 @pytest.fixture(params=[True, False], ids=["checks_orders", "takes_any_order"])
@@ -58,13 +58,14 @@
     assert ended.returncode == 0, ended.stderr
 
 
-def test_owner_paused_over_its_lease_and_its_old_order_arrives(stack):
-    """A controller sends a load order, which is held up, and is paused on the spot.
+def test_delayed_order_of_an_owner_that_was_paused_beyond_its_lease(stack):
+    """A controller sends a load order that is delayed, and is paused right after.
 
-    Its lease lapses, another one takes the server over, and an operator replaces the
-    model by others that fill the server. Then the old owner wakes and its old order
-    arrives. A server that checks orders refuses it. One that doesn't loads the old
-    model after all: there was room kept for it, so nothing is overcommitted.
+    Its lease expires, another controller takes the server over, and an operator
+    replaces the model by others that fill the server. Then the old owner resumes and
+    its old order arrives. A server that checks orders refuses it. A server that does
+    not check orders loads the old model: memory was reserved for it, so that nothing is
+    overcommitted.
     """
     checks_orders = stack.fleet.plan.servers[0].checks_orders
     owner = wait_until(lambda: running.find_owner(stack, SERVER), what="an owner")
@@ -96,7 +97,7 @@
     orders = running.read_counters(stack, SERVER)["orders"]
     assert ("stale" in {one["outcome"] for one in orders}) == checks_orders, orders
     if not checks_orders:
-        # The remedy in OPERATIONS.md that needs no waiting for the old model to go.
+        # The procedure in OPERATIONS.md that does not wait for the old model to unload.
         stack.launcher.kill(SERVER)
         stack.launcher.restart(SERVER)
     wait_until(
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The promises of ``features/promises.feature``, with real processes."""
+"""Steps of ``features/promises.feature``, with real processes."""
 
 import signal
 from concurrent.futures import ThreadPoolExecutor
@@ -21,9 +21,13 @@
 
 
 class World(State):
-    """What the steps of one scenario share.
+    """State shared by the steps of a scenario.
 
-    :param server: the engine that the scenario is about.
+    :param server: engine that the scenario's faults affect.
+    :param outcomes: outcomes of requests that were sent with retries.
+    :param answers: requests that were sent once, with their results.
+    :param long: future of the long answer's outcome.
+    :param statuses: futures of exit statuses by process name.
     """
 
     stack: running.Stack
@@ -44,12 +48,12 @@
 
 @pytest.fixture
 def world(opened):
-    """A healthy system; it is mended after the scenario."""
+    """A healthy system; it is repaired after the scenario."""
     yield World(stack=opened)
     for proxy in opened.proxies.values():
         proxy.heal()
     for name in running.list_engines(opened):
-        # One that is leaving never comes back; it is replaced.
+        # An engine that is leaving stays in that state, so it is replaced.
         if (running.read_report(opened, name) or {}).get("leaving"):
             opened.launcher.kill(name)
     dead = [name for name in opened.launcher.processes if not _runs(opened, name)]
@@ -288,13 +292,13 @@
 
 @then("this engine receives nothing more")
 def _check_nothing_more(world, pool):
-    def ask_and_count():
+    def send_and_compare():
         before = _count_admitted(world)
         _send_all(pool, world, 6, "tracker")
         assert {one.ending for one in world.outcomes} == {Ending.WHOLE}
         return _count_admitted(world) == before
 
-    wait_until(ask_and_count, what="requests to pass the leaving engine by")
+    wait_until(send_and_compare, what="requests to pass the leaving engine by")
 
 
 def _count_admitted(world):
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -1,4 +1,4 @@
-"""One request's story from the logs of several instances."""
+"""Timeline of a request from the logs of several instances."""
 
 import json
 
@@ -29,9 +29,9 @@
     ]
 
 
-def test_clocks_that_differ_a_little_do_not_turn_the_order_around():
-    """The coordinator's clock is 30 ms ahead: by the clocks, the request failed at a
-    server before it was granted one."""
+def test_small_clock_skew_does_not_change_the_order():
+    """The coordinator's clock is 30 ms ahead: by timestamps, the attempt failed before
+    its server was granted."""
     told = tell(
         build(1_000, "n1", "attempt_failed", id="r1"),
         build(1_030, "n2", "server_granted", id="r1"),
@@ -45,16 +45,16 @@
 
 
 @pytest.mark.parametrize("text", ["", "not json", "{", "[1]", '{"id": "r1"}', "x {y"])
-def test_what_is_no_line_of_ours_is_passed_over(text):
+def test_text_that_is_no_log_line_is_skipped(text):
     assert len(tell(text, build(1, "n1", "request_lost", id="r1"))) == 1
 
 
-def test_text_before_a_line_is_cut():
+def test_prefix_of_a_line_is_removed():
     line = "  12.5 n1 " + build(1, "n1", "request_lost", id="r1")
     assert len(tell(line)) == 1
 
 
-def test_a_request_that_no_line_names_is_said(tmp_path, capsys):
+def test_an_unknown_request_id_is_reported(tmp_path, capsys):
     path = tmp_path / "log"
     path.write_text(build(1, "n1", "request_lost", id="r1"))
     assert print_timeline("r9", [path]) == 1
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: callers, entries, engines, operators."""
+"""End to end with real processes: callers, entries, engines and operators."""
 
 import json
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("model", ["tracker", "tracker-night"])
-def test_an_ordinary_client_library_works_unchanged(client, model):
+def test_the_openai_client_works_unchanged(client, model):
     assert {one.id for one in client.models.list()} == {"tracker", "tracker-night"}
     asked = {
         "model": model,
@@ -47,13 +47,13 @@
     assert len(text.choices[0].text.split()) == 3
 
 
-def test_errors_reach_the_client_library_in_its_own_shape(client):
+def test_errors_have_the_format_of_the_client_library(client):
     with pytest.raises(openai.NotFoundError) as raised:
         client.completions.create(model="no-such", prompt="Where?")
     assert raised.value.body["arbutus_code"] == Code.UNKNOWN_MODEL
 
 
-def test_addresses_name_all_entries_and_how_long_to_keep_them(stack):
+def test_addresses_list_all_entries_with_a_lifetime(stack):
     entries = {running.get_entry(stack, number) for number in (0, 1)}
     for entry in entries:
         reply = json.loads(fetch("GET", entry, "/v1/addresses?model=tracker").data)
@@ -61,7 +61,7 @@
         assert reply["lifetime_s"] == stack.fleet.plan.policy.address_lifetime_s
 
 
-def test_plain_service_gets_path_method_and_body(stack):
+def test_plain_service_receives_path_method_and_body(stack):
     path = "/services/booking/stays/7?night=2"
     headers = {"Authorization": f"Bearer {running.KEY}"}
     reply = fetch(
@@ -85,7 +85,7 @@
         ({}, {"Last-Event-ID": "nonsense"}, 400, Code.BAD_EVENT_ID),
     ],
 )
-def test_bad_input_is_refused_and_the_process_goes_on(
+def test_invalid_input_is_refused_and_the_process_keeps_serving(
     stack, changes, headers, status, code
 ):
     entry = running.get_entry(stack, 0)
@@ -119,7 +119,7 @@
     assert running.read_status(stack)["accepted_version"] == stack.version
 
 
-def test_every_process_tells_health_and_metrics(stack):
+def test_every_process_serves_health_and_metrics(stack):
     names = [f"health-{name}" for name in running.list_names(stack)]
     for name in (*names, *fleet.list_all_entries(stack.fleet), "console"):
         address = stack.addresses[name]
