--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -170,40 +170,42 @@
     asked = offer_load(arrivals, attempt)
     time.sleep(SETTLE_S)
     attempts = counts.attempts or _count_attempts(bench.system) - before
-    made = Run(name=name, policy=policy, asked=tuple(asked), attempts=attempts)
-    bench.runs[f"{name}/{policy}"] = made
-    summary = msgspec.json.encode(summarise(made)).decode()
+    result = Run(name=name, policy=policy, asked=tuple(asked), attempts=attempts)
+    bench.runs[f"{name}/{policy}"] = result
+    summary = msgspec.json.encode(summarise(result)).decode()
     codes = Counter(try_.code for one in asked for try_ in one.tries if try_.code)
     print(f"bench: {summary} {dict(codes)}", flush=True)
 
 
 def _compute_figures(runs: dict[str, Run], seed: int, overcommitted: int) -> Figures:
     def attain(name: str, policy: str = SYSTEM) -> float | None:
-        made = runs.get(f"{name}/{policy}")
-        return measure_attainment(made) if made else None
+        result = runs.get(f"{name}/{policy}")
+        return measure_attainment(result) if result else None
 
     def grow(policy: str, *, from_first: bool) -> float | None:
         met = [
-            measures.count_good(made, from_first=from_first)
+            measures.count_good(result, from_first=from_first)
             for load in ("1.0", "2.0")
-            if (made := runs.get(f"lestari {load}/{policy}"))
+            if (result := runs.get(f"lestari {load}/{policy}"))
         ]
         return divide(met[1], met[0]) if len(met) == 2 else None
 
     def share(*, from_first: bool) -> float | None:
         quiet = workloads.build_kurzeme().callers[0]
         parts = [
-            measure_attainment(made, caller=quiet, from_first=from_first)
+            measure_attainment(result, caller=quiet, from_first=from_first)
             for name in ("quiet beside a flood", "quiet alone")
-            if (made := runs.get(f"{name}/{SYSTEM}"))
+            if (result := runs.get(f"{name}/{SYSTEM}"))
         ]
         return divide(*parts) if len(parts) == 2 else None
 
     def amplify(policy: str) -> float | None:
-        made = runs.get(f"a tenth failing/{policy}")
-        return summarise(made).amplification if made else None
+        result = runs.get(f"a tenth failing/{policy}")
+        return summarise(result).amplification if result else None
 
-    own_runs = [summarise(made) for made in runs.values() if made.policy == SYSTEM]
+    own_runs = [
+        summarise(result) for result in runs.values() if result.policy == SYSTEM
+    ]
     own, plain = attain("lestari 0.9"), attain("lestari 0.9", BASELINE)
     return Figures(
         seed=seed,
--- a/scripts/compare_quotas.py
+++ b/scripts/compare_quotas.py
@@ -129,16 +129,16 @@
     ledger = QuotaLedger()
     ledger.set_limits(limits, now=-LENGTH_MS)
     local = [LocalQuota(tolerance=TOLERANCE) for _ in range(INSTANCES)]
-    lost = [False]
+    was_lost = [False]
 
     def decide(request: Request) -> bool:
         if request.at in OUTAGE_MS:
-            lost[0] = True
+            was_lost[0] = True
             share = 1 / INSTANCES
             own, team = local[request.instance], teams[request.team]
             return own.charge(team, request.cost, fraction=share, now=request.at) == 0
-        if lost[0]:
-            lost[0] = False
+        if was_lost[0]:
+            was_lost[0] = False
             ledger.reset()
             ledger.set_limits(limits, now=OUTAGE_MS.stop)
         for own in local:
@@ -199,21 +199,21 @@
 def simulate(teams: list[Team], requests: list[Request], decide: Decide) -> Result:
     """Run all requests through a variant and compare it with the reference."""
     reference = build_reference(teams)
-    allowed = lost = allowed_around = refused_around_outage = 0
+    allowed = refused = allowed_around_outage = refused_around_outage = 0
     spent: list[list[tuple[int, int]]] = [[] for _ in teams]
     for request in requests:
         is_allowed, is_served = reference(request), decide(request)
-        is_around = request.at in OUTAGE_WINDOW_MS
+        is_around_outage = request.at in OUTAGE_WINDOW_MS
         if is_served:
             spent[request.team].append((request.at, request.cost))
         if is_allowed:
             allowed += request.cost
-            allowed_around += request.cost * is_around
-            lost += request.cost * (not is_served)
-            refused_around_outage += request.cost * (is_around and not is_served)
+            allowed_around_outage += request.cost * is_around_outage
+            refused += request.cost * (not is_served)
+            refused_around_outage += request.cost * (is_around_outage and not is_served)
     return Result(
-        refused=100 * lost / allowed,
-        refused_around=100 * refused_around_outage / allowed_around,
+        refused=100 * refused / allowed,
+        refused_around=100 * refused_around_outage / allowed_around_outage,
         spent=100
         * max(
             find_peak_usage(team, one) for team, one in zip(teams, spent, strict=True)
--- a/src/arbutuspulley/programs/cli_output.py
+++ b/src/arbutuspulley/programs/cli_output.py
@@ -79,14 +79,15 @@
 def describe_status(view: StatusView) -> str:
     """Return the active versions of all instances, after the alarms."""
     lines = [view.summary, *(f"ALARM: {alarm}" for alarm in view.alarms)]
-    for one in view.instances:
+    for instance in view.instances:
         entries = ", ".join(
-            f"{name} {version}" for name, version in one.entry_versions.items()
+            f"{name} {version}" for name, version in instance.entry_versions.items()
         )
-        state = "" if one.reachable else ", does not answer"
+        state = "" if instance.reachable else ", does not answer"
         shown = f" (entries: {entries})" if entries else ""
         lines.append(
-            f"  {one.instance} at {one.site}: {one.configuration_version}{shown}{state}"
+            f"  {instance.instance} at {instance.site}: "
+            f"{instance.configuration_version}{shown}{state}"
         )
     return "\n".join(lines)
 
@@ -119,7 +120,9 @@
 
 
 def _list_differences(differences: Iterable[Difference]) -> list[str]:
-    return [f"  {one.show()}" for one in differences] or ["  no difference"]
+    return [f"  {difference.show()}" for difference in differences] or [
+        "  no difference"
+    ]
 
 
 def _show_error(error: ErrorLine) -> str:
--- a/src/arbutuspulley/programs/console_errors.py
+++ b/src/arbutuspulley/programs/console_errors.py
@@ -33,7 +33,7 @@
     Unexpected errors are logged and reported as internal, without their text.
     """
     if isinstance(error, FilesError):
-        lines = tuple(_build_line(one) for one in error.list_errors())
+        lines = tuple(_build_line(each) for each in error.list_errors())
         return ErrorReply(errors=lines), HTTPStatus.BAD_REQUEST
     if not isinstance(error, ArbutusError):
         log_event(
--- a/src/arbutuspulley/programs/console_views.py
+++ b/src/arbutuspulley/programs/console_views.py
@@ -50,10 +50,18 @@
     :param stored_version: newest version in the store; ``None`` if unavailable.
     """
     fleet = status or FleetStatus(accepted_version=0)
-    in_force = max(_list_versions(fleet), default=0)
-    accepted = max(stored_version or 0, fleet.accepted_version, in_force)
-    active_on = [one.instance for one in fleet.instances if is_active(one, accepted)]
-    waiting = [one.instance for one in fleet.instances if one.instance not in active_on]
+    active_version = max(_list_versions(fleet), default=0)
+    accepted = max(stored_version or 0, fleet.accepted_version, active_version)
+    active_on = [
+        instance.instance
+        for instance in fleet.instances
+        if is_active(instance, accepted)
+    ]
+    waiting = [
+        instance.instance
+        for instance in fleet.instances
+        if instance.instance not in active_on
+    ]
     alarms = _list_alarms(status, stored_version=stored_version, accepted=accepted)
     return StatusView(
         summary=_summarise(accepted, active_on, waiting),
@@ -94,15 +102,21 @@
 def _list_versions(status: FleetStatus) -> list[int]:
     return [
         version
-        for one in status.instances
-        for version in (one.configuration_version, *one.entry_versions.values())
+        for instance in status.instances
+        for version in (
+            instance.configuration_version,
+            *instance.entry_versions.values(),
+        )
     ]
 
 
 def _find_holder(status: FleetStatus, version: int) -> str:
-    for one in status.instances:
-        if version in (one.configuration_version, *one.entry_versions.values()):
-            return one.instance
+    for instance in status.instances:
+        if version in (
+            instance.configuration_version,
+            *instance.entry_versions.values(),
+        ):
+            return instance.instance
     return "an instance"
 
 
@@ -128,6 +142,6 @@
             f"the store holds version {stored_version}, older than {accepted} in "
             f"force: it was restored. Roll forward version {accepted} and approve it"
         )
-    for one in status.instances if status else ():
-        if not one.reachable:
-            yield f"{one.instance} does not answer"
+    for instance in status.instances if status else ():
+        if not instance.reachable:
+            yield f"{instance.instance} does not answer"
--- a/tests/console_harness.py
+++ b/tests/console_harness.py
@@ -35,7 +35,7 @@
 class ConsoleHarness:
     """A console with an in-memory platform, and an HTTP client for it.
 
-    ``in_force`` is the active configuration of its controller.
+    ``active`` is the active configuration of its controller.
     """
 
     def __init__(self):
@@ -53,13 +53,13 @@
     def reset(self):
         """Reset the platform and the controller; the console itself is stateless."""
         self.fake.reset()
-        self.in_force = EMPTY
+        self.active = EMPTY
         self.controller_down = False
 
     def _fetch_status(self, version):
         if self.controller_down:
             raise PeerUnavailableError(detail="down", sent=True)
-        known = self.in_force
+        known = self.active
         instance = build_instance("a", known.version)
         newer = known if known.version > version else None
         return build_fleet(instance, accepted=known.version, configuration=newer)
--- a/tests/stack.py
+++ b/tests/stack.py
@@ -118,7 +118,7 @@
     ended = run_approve(stack, proposal)
     assert ended.returncode == 0, ended.stderr
     stack.version = json.loads(ended.stdout)["version"]
-    wait_in_force(stack, stack.version)
+    wait_active(stack, stack.version)
 
 
 def read_status(stack):
@@ -127,10 +127,10 @@
     return json.loads(ended.stdout) if ended.returncode == 0 else {}
 
 
-def wait_in_force(stack, version):
+def wait_active(stack, version):
     """Wait until a version is active on all instances and entries."""
 
-    def is_in_force():
+    def is_active():
         status = read_status(stack)
         instances = status.get("instances", ())
         versions = [one["configuration_version"] for one in instances]
@@ -138,7 +138,7 @@
             versions += one.get("entry_versions", {}).values()
         return len(instances) == len(list_names(stack)) and set(versions) == {version}
 
-    wait_until(is_in_force, what=f"version {version} to be in force", timeout_s=30)
+    wait_until(is_active, what=f"version {version} to be in force", timeout_s=30)
 
 
 def wait_loaded(stack, *, models=()):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -165,7 +165,7 @@
     accept(console)
     backup = console.fake.state.revision
     accept(console, 9100)
-    console.in_force = build_configuration(version=2, size_mib=9100)
+    console.active = build_configuration(version=2, size_mib=9100)
     restore(console.fake.state, backup)
     _, status = console.ask("GET", "status")
     assert "it was restored" in status["alarms"][0]
--- a/tests/test_failures_control.py
+++ b/tests/test_failures_control.py
@@ -38,7 +38,7 @@
     running.control(opened, "platform", outage=False, lose_replies=0)
     for name in running.list_names(opened):
         opened.launcher.send(f"controller-{name}", signal.SIGCONT)
-    running.wait_in_force(opened, opened.version)
+    running.wait_active(opened, opened.version)
     running.wait_loaded(opened)
 
 
@@ -84,7 +84,7 @@
         what="the approval to be taken",
     )
     stack.version += 1
-    running.wait_in_force(stack, stack.version)
+    running.wait_active(stack, stack.version)
 
 
 def test_new_instance_starts_from_a_peer_while_the_store_is_down(stack):
@@ -126,7 +126,7 @@
     accepted = json.loads(again.stdout)
     assert (accepted["version"], accepted["repeated"]) == (stack.version + 1, True)
     stack.version += 1
-    running.wait_in_force(stack, stack.version)
+    running.wait_active(stack, stack.version)
 
 
 def test_two_operators_approve_different_changes_concurrently(stack):
@@ -148,7 +148,7 @@
     assert f"error {Code.BASE_VERSION_STALE.value}" in ended[1].stderr
     assert "accepted in between" in ended[1].stderr
     stack.version += 1
-    running.wait_in_force(stack, stack.version)
+    running.wait_active(stack, stack.version)
 
 
 def test_disconnected_controller_gets_a_change_from_its_peer(stack):
@@ -178,7 +178,7 @@
         ),
         what="both controllers to see the older store",
     )
-    running.wait_in_force(stack, stack.version)
+    running.wait_active(stack, stack.version)
     before = stack.version
     running.approve(stack, running.propose(stack, **_build_change(7)))
     assert stack.version == before + 1
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -62,7 +62,7 @@
     opened.launcher.wait_ready(*dead)
     _set_instances(opened, leaving="")
     _control_all(opened, break_streams=0, break_requests=0)
-    running.wait_in_force(opened, opened.version)
+    running.wait_active(opened, opened.version)
     running.wait_loaded(opened)
 
 
@@ -322,5 +322,5 @@
 
 
 @then("the change is in force everywhere")
-def _check_in_force(world):
-    running.wait_in_force(world.stack, world.stack.version)
+def _check_active(world):
+    running.wait_active(world.stack, world.stack.version)
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -13,17 +13,17 @@
     return json.dumps({**line, **fields})
 
 
-def tell(*lines, request="r1"):
+def build_texts(*lines, request="r1"):
     return build_timeline(read_lines([list(lines)]), request)
 
 
 def test_lines_of_one_request_come_in_order():
-    told = tell(
+    texts = build_texts(
         build(2_000, "n1", "request_lost", id="r1", why="time is up"),
         build(1_000, "n2", "server_granted", id="r1", server="e1"),
         build(1_500, "n1", "attempt_failed", id="r2", why="another request"),
     )
-    assert told == [
+    assert texts == [
         "+     0 ms  n2  server_granted  server=e1",
         "+  1000 ms  n1  request_lost  why=time is up",
     ]
@@ -32,12 +32,12 @@
 def test_small_clock_skew_does_not_change_the_order():
     """The coordinator's clock is 30 ms ahead: by timestamps, the attempt failed before
     its server was granted."""
-    told = tell(
+    texts = build_texts(
         build(1_000, "n1", "attempt_failed", id="r1"),
         build(1_030, "n2", "server_granted", id="r1"),
         build(1_031, "n1", "request_lost", id="r1"),
     )
-    assert [text.split()[4] for text in told] == [
+    assert [text.split()[4] for text in texts] == [
         "server_granted",
         "attempt_failed",
         "request_lost",
@@ -46,12 +46,12 @@
 
 @pytest.mark.parametrize("text", ["", "not json", "{", "[1]", '{"id": "r1"}', "x {y"])
 def test_text_that_is_no_log_line_is_skipped(text):
-    assert len(tell(text, build(1, "n1", "request_lost", id="r1"))) == 1
+    assert len(build_texts(text, build(1, "n1", "request_lost", id="r1"))) == 1
 
 
 def test_prefix_of_a_line_is_removed():
     line = "  12.5 n1 " + build(1, "n1", "request_lost", id="r1")
-    assert len(tell(line)) == 1
+    assert len(build_texts(line)) == 1
 
 
 def test_an_unknown_request_id_is_reported(tmp_path, capsys):
