--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,7 @@
-"""Compares policies under load: real processes and stand-ins on loopback.
+"""Compares policies under load, with real processes and stand-ins on loopback.
 
-Ends with one line of JSON; a page and a plot are written beside it. Assumptions are
-in :mod:`arbutuspulley.bench.workloads`, the figures are explained in
+The last line of output is JSON; a report page and a plot are written too. The
+assumptions are in :mod:`arbutuspulley.bench.workloads`, the figures are explained in
 :mod:`arbutuspulley.bench.report`.
 """
 
@@ -33,24 +33,27 @@
 POLICIES = (SYSTEM, BASELINE)
 PARTS = ("load", "flood", "failing")
 FAILING = "engine-9"
-"""The engine, a tenth of all, that answers each request with an error."""
+"""Engine that answers every request with an error; it is a tenth of all engines."""
 
 LOAD_TIMEOUT_S = 60.0
 SETTLE_S = 1.5
-"""Pause between two runs, longer than any report is old."""
+"""Pause between two runs in s, longer than the maximum age of a report."""
 
 _SITES = ("hall-a", "hall-b", "hall-c")
 _ATTEMPTS = re.compile(
     r"^arbutus_entry_attempts_total\{.*\} ([0-9.e+]+)$", re.MULTILINE
 )
 
-app = cyclopts.App(name="bench", help="Compares policies under load.")
+app = cyclopts.App(name="bench", help="Compare policies under load.")
 
 
 class Bench(State):
-    """One bench under way.
+    """State of a bench.
 
-    :param seconds: for how long requests arrive in a run.
+    :param chosen: policies to compare.
+    :param parts: parts to run.
+    :param seconds: duration of the arrivals in each run, in s.
+    :param overcommitted: loads that exceeded an engine's memory.
     """
 
     system: Fleet
@@ -75,11 +78,12 @@
     """Run the bench.
 
     :param policy: policies to compare, by name.
-    :param part: parts to run: ``load`` (0.9, once and twice the capacity), ``flood``
-        (a quiet caller alone and beside a flood), ``failing`` (a tenth of engines).
-    :param seed: of arrivals, lengths and popularity.
-    :param seconds: for how long requests arrive in each run; 4 s are warm-up.
-    :param report: directory for the page and its plot.
+    :param part: parts to run: ``load`` (0.9, 1 and 2 times the capacity), ``flood``
+        (a caller with low load, alone and next to a caller that floods), ``failing``
+        (a tenth of the engines fails).
+    :param seed: seed of arrivals, lengths and popularity.
+    :param seconds: duration of the arrivals in each run; the first 4 s are warm-up.
+    :param report: directory for the report page and its plot.
     """
     known = {*POLICIES, *PARTS}
     if not {*policy, *part} <= known or seconds <= measures.WARM_UP_MS // SECOND_MS:
@@ -166,42 +170,44 @@
     asked = offer_load(arrivals, attempt)
     time.sleep(SETTLE_S)
     attempts = counts.engine_attempts or _count_attempts(bench.system) - before
-    made = Run(
+    result = Run(
         name=name, policy=policy, requests=tuple(asked), engine_attempts=attempts
     )
-    bench.runs[f"{name}/{policy}"] = made
-    summary = msgspec.json.encode(summarise(made)).decode()
+    bench.runs[f"{name}/{policy}"] = result
+    summary = msgspec.json.encode(summarise(result)).decode()
     codes = Counter(try_.code for one in asked for try_ in one.attempts if try_.code)
     print(f"bench: {summary} {dict(codes)}", flush=True)
 
 
 def _compute_figures(runs: dict[str, Run], seed: int, overcommitted: int) -> Figures:
     def attain(name: str, policy: str = SYSTEM) -> float | None:
-        made = runs.get(f"{name}/{policy}")
-        return measure_attainment(made) if made else None
+        result = runs.get(f"{name}/{policy}")
+        return measure_attainment(result) if result else None
 
     def grow(policy: str, *, from_first: bool) -> float | None:
         met = [
-            measures.count_goodput(made, from_first=from_first)
+            measures.count_goodput(result, from_first=from_first)
             for load in ("1.0", "2.0")
-            if (made := runs.get(f"lestari {load}/{policy}"))
+            if (result := runs.get(f"lestari {load}/{policy}"))
         ]
         return divide(met[1], met[0]) if len(met) == 2 else None
 
     def share(*, from_first: bool) -> float | None:
         quiet = workloads.build_kurzeme().callers[0]
         parts = [
-            measure_attainment(made, caller=quiet, from_first=from_first)
+            measure_attainment(result, caller=quiet, from_first=from_first)
             for name in ("quiet beside a flood", "quiet alone")
-            if (made := runs.get(f"{name}/{SYSTEM}"))
+            if (result := runs.get(f"{name}/{SYSTEM}"))
         ]
         return divide(*parts) if len(parts) == 2 else None
 
     def amplify(policy: str) -> float | None:
-        made = runs.get(f"a tenth failing/{policy}")
-        return summarise(made).amplification if made else None
+        result = runs.get(f"a tenth failing/{policy}")
+        return summarise(result).amplification if result else None
 
-    own_runs = [summarise(made) for made in runs.values() if made.policy == SYSTEM]
+    own_runs = [
+        summarise(result) for result in runs.values() if result.policy == SYSTEM
+    ]
     own, plain = attain("lestari 0.9"), attain("lestari 0.9", BASELINE)
     return Figures(
         seed=seed,
@@ -307,7 +313,7 @@
 
 
 def _count_attempts(system: Fleet) -> int:
-    """Return the attempts at engines that all entries have made so far."""
+    """Return the number of attempts that all entries have sent to engines so far."""
     total = 0.0
     for name in fleet.list_all_entries(system):
         reply = fetch("GET", system.addresses[name], "/metrics")
@@ -317,11 +323,11 @@
 
 
 def _read_counters(bench: Bench) -> None:
-    """Add up the loads beyond an engine's memory, as the stand-ins counted them."""
+    """Sum up the loads that exceeded an engine's memory, as counted by stand-ins."""
     for server in bench.system.plan.servers:
         reply = fetch("GET", bench.system.addresses[server.name], "/control/counters")
         if reply is None:
-            raise WaitError(f"{server.name} does not tell its counters")
+            raise WaitError(f"{server.name}: counters not available")
         counters = msgspec.json.decode(reply.data)
         bench.overcommitted += counters["overcommitted"]
 
--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -1,8 +1,9 @@
-"""Times one pass of the coordinator's decisions, by number of model servers.
+"""Measures one planning cycle of the coordinator, by number of model servers.
 
-The load: each server holds three models and runs nine requests, three in four requests
-are for a tenth of the models, and four requests a server wait. What a pass costs bounds
-how many servers one coordinator carries: it decides after each message.
+The load: each server has three models loaded and runs nine requests, three in four
+requests are for a tenth of the models, and four requests per server are waiting. The
+duration of a cycle limits the number of servers that one coordinator can manage, since
+it plans after each message.
 """
 
 import functools
@@ -21,19 +22,19 @@
 from arbutuspulley.ports.fleet import EngineSpec, ModelNeed, ModelSpec
 
 MODELS_PER_SERVER = 2.8
-"""Models of the configuration to a server: 155 to 56 on the users' grown sheet."""
+"""Models per server: 155 on 56 servers in the users' figures for the grown fleet."""
 
 WAITING_PER_SERVER = 4
 RUNS_PER_SERVER = 9
-"""Requests that wait and run, to a server of 12 slots in a surge."""
+"""Waiting and running requests per server, with 12 slots each, in a load surge."""
 
-ASKED = 2_000
-"""Requests that were asked for before, 2 ms apart: more than a half-life of demand."""
+PRIOR_REQUESTS = 2_000
+"""Requests before the measurement, 2 ms apart: more than a half-life of demand."""
 
-PASSES = 3
-"""Passes of which the median is told."""
+SAMPLES = 3
+"""Number of cycles of which the median is reported."""
 
-app = cyclopts.App(help="Time the coordinator's decisions.")
+app = cyclopts.App(help="Measure the coordinator's planning cycles.")
 
 
 @app.default
@@ -44,35 +45,35 @@
     ] = (56, 200, 580),
     seed: Annotated[int, cyclopts.Parameter(help="Seed of the load.")] = 1,
 ) -> None:
-    """Print a line for each number of servers."""
+    """Measure planning cycles and print a line for each number of servers."""
     print("servers  models  waiting  grants ms  orders ms  orders ms, nothing new")
     for count in servers:
-        grants, first, again = time_passes(count, seed=seed)
+        grants, first, repeated = time_cycles(count, seed=seed)
         waiting = count * WAITING_PER_SERVER
         models = int(count * MODELS_PER_SERVER)
         print(
             f"{count:>7}  {models:>6}  {waiting:>7}"
-            f"  {grants:>9.1f}  {first:>9.1f}  {again:>9.1f}"
+            f"  {grants:>9.1f}  {first:>9.1f}  {repeated:>9.1f}"
         )
 
 
-def time_passes(servers: int, *, seed: int) -> tuple[float, float, float]:
-    """Return the medians of one pass of grants and two of orders, in ms."""
+def time_cycles(servers: int, *, seed: int) -> tuple[float, float, float]:
+    """Return the medians of one grant cycle and two order cycles, in ms."""
     samples: list[tuple[float, float, float]] = []
-    for number in range(PASSES):
+    for number in range(SAMPLES):
         pool, now = build_pool(servers, chance=random.Random(seed + number))
         grants = _time(functools.partial(plan_grants, pool, now=now))
         first = _time(functools.partial(plan_orders, pool, now=now))
-        again = _time(functools.partial(plan_orders, pool, now=now + 1))
-        samples.append((grants, first, again))
-    grants, first, again = (
+        repeated = _time(functools.partial(plan_orders, pool, now=now + 1))
+        samples.append((grants, first, repeated))
+    grants, first, repeated = (
         statistics.median(one) for one in zip(*samples, strict=True)
     )
-    return grants, first, again
+    return grants, first, repeated
 
 
 def build_pool(servers: int, *, chance: random.Random) -> tuple[PoolState, int]:
-    """Build a pool under load, and the time that it has come to, in ms."""
+    """Return a pool under load and its current time in ms."""
     spec = _build_spec(int(servers * MODELS_PER_SERVER))
     pool = PoolState(service="llm", spec=spec)
     names = list(spec.models)
@@ -80,14 +81,14 @@
         server = _build_server(number, names, chance)
         pool.servers[server.incarnation] = server
     now = 0
-    for _ in range(ASKED):
+    for _ in range(PRIOR_REQUESTS):
         now += 2
-        record_demand(pool, _pick(names, chance), 800, now=now)
+        record_demand(pool, _draw_model(names, chance), 800, now=now)
     for number in range(servers * WAITING_PER_SERVER):
         pool.waiting[f"w{number}"] = WaitingRequest(
             key=f"w{number}",
             origin="n1",
-            need=_build_need(_pick(names, chance)),
+            need=_build_need(_draw_model(names, chance)),
             zone="z1",
             priority=0,
             arrived_at=now,
@@ -145,7 +146,7 @@
     return ModelNeed(model=model, adapter="", prompt_tokens=800, output_tokens=400)
 
 
-def _pick(names: list[str], chance: random.Random) -> str:
+def _draw_model(names: list[str], chance: random.Random) -> str:
     busy = max(1, len(names) // 10)
     if chance.random() < 0.75:
         return names[chance.randrange(busy)]
@@ -153,9 +154,9 @@
 
 
 def _time(decide: Callable[[], object]) -> float:
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     decide()
-    return (time.perf_counter() - begun) * 1_000
+    return (time.perf_counter() - started_s) * 1_000
 
 
 if __name__ == "__main__":
--- a/scripts/asking.py
+++ b/scripts/client.py
@@ -1,7 +1,7 @@
-"""A well-behaved caller: obeys address answers, run states and ``Retry-After``.
+"""HTTP client that follows address lists, run states and ``Retry-After``.
 
-Used by the demo and by the integration tests. Whatever it asks ends in one of
-three ways: a whole answer, a refusal as not run, or an unknown outcome.
+Used by the demo and by the integration tests. Each request ends in one of three ways:
+a complete response, a refusal as not run, or an unknown outcome.
 """
 
 import enum
@@ -16,23 +16,24 @@
 
 END_MARKER = b"[DONE]"
 IN_PROGRESS = 3001
-"""Result code: the same unrepeatable request still runs."""
+"""Result code: the same unrepeatable request is still running."""
 
-TRY_PAUSE_S = 0.2
-"""Pause before the next try when the answer names none."""
+RETRY_DELAY_S = 0.2
+"""Delay before the next attempt if the response has no ``Retry-After``, in s."""
 
 _TIMEOUT = urllib3.Timeout(connect=1.0, read=30.0)
 _READ_BYTES = 4_096
 _WHOLE_STATUSES = (200, 201)
 
 
-class Ask(Value, frozen=True):
-    """One request.
+class ClientRequest(Value, frozen=True):
+    """A request.
 
-    :param name: differs for each request; it is the idempotency key too.
-    :param method: ``POST``, unless a plain service is asked.
-    :param model: model or adapter asked for; empty for a plain service.
-    :param bound_s: when to give up.
+    :param name: unique name of the request; also its idempotency key.
+    :param key: API key of the caller.
+    :param method: HTTP method; requests to models use ``POST``.
+    :param model: requested model or adapter; empty for a plain service.
+    :param timeout_s: time after which no further attempt starts, in s.
     """
 
     name: str
@@ -43,16 +44,18 @@
     model: str = ""
     streamed: bool = False
     unrepeatable: bool = False
-    bound_s: float = 20.0
+    timeout_s: float = 20.0
 
 
-class Answer(Value, frozen=True):
-    """What one try brought.
+class AttemptResult(Value, frozen=True):
+    """Result of one attempt.
 
-    :param status: HTTP status; 0 if no answer began.
-    :param sent: whether a connection stood, so that the request may have run.
-    :param events: events of a stream, the end marker excluded.
-    :param ended: whether the answer came to its end.
+    :param status: HTTP status; 0 if no response began.
+    :param sent: whether a connection was established, so that the request may have
+        run.
+    :param code: result code of the system; 0 if there is none.
+    :param events: events of a stream, without the end marker.
+    :param ended: whether the response was received completely.
     """
 
     status: int = 0
@@ -66,7 +69,7 @@
 
 
 class Ending(enum.StrEnum):
-    """How an ask ended."""
+    """How a request ended."""
 
     WHOLE = "whole"
     REFUSED = "refused"
@@ -74,72 +77,74 @@
 
 
 class Outcome(Value, frozen=True):
-    """How an ask ended, as its caller saw it.
+    """How a request ended, as seen by its caller.
 
-    :param body: body of a plain answer.
-    :param events: events of a streamed answer, over all tries.
-    :param entries: addresses of the entries that were tried.
-    :param cuts: tries whose answer broke off, or never came.
-    :param last: the last try.
+    :param body: body of a response that is not streamed.
+    :param events: events of a streamed response, over all attempts.
+    :param entries: address of the entry of each attempt.
+    :param broken_attempts: number of attempts whose response broke off or never came.
+    :param last: result of the last attempt.
     """
 
-    ask: Ask
+    request: ClientRequest
     ending: Ending
     body: bytes
     events: tuple[SentEvent, ...]
     entries: tuple[str, ...]
-    last: Answer
-    cuts: int = 0
+    last: AttemptResult
+    broken_attempts: int = 0
 
 
 class AddressBook(State):
-    """A caller's kept address answers; one for each caller.
+    """A caller's cache of address lists.
 
-    :param seeds: addresses of entries that the caller was given once.
-    :param kept: for each model, addresses in order and until when to keep them.
+    :param seeds: addresses of entries that the caller is configured with.
+    :param cached: by model, addresses in order of preference and their expiry.
     """
 
     seeds: tuple[str, ...]
-    kept: dict[str, tuple[tuple[str, ...], float]] = {}
+    cached: dict[str, tuple[tuple[str, ...], float]] = {}
 
 
-def ask(book: AddressBook, request: Ask) -> Outcome:
-    """Ask until there is an answer, or until the bound."""
-    give_up_at = time.monotonic() + request.bound_s
+def send(book: AddressBook, request: ClientRequest) -> Outcome:
+    """Send a request, with retries until it is answered or times out."""
+    deadline = time.monotonic() + request.timeout_s
     events: list[SentEvent] = []
     entries: list[str] = []
-    cuts = 0
+    broken_attempts = 0
     certain = True
     while True:
-        address = _choose_address(book, request.model, tried=len(entries))
+        address = _choose_address(book, request.model, attempt_count=len(entries))
         entries.append(address)
         last_id = events[-1].id if events else ""
-        answer = ask_once(address, request, last_event_id=last_id)
+        answer = send_once(address, request, last_event_id=last_id)
         events += answer.events
-        cuts += answer.sent and not answer.ended
+        broken_attempts += answer.sent and not answer.ended
         certain = certain and _is_certainly_not_run(answer)
         if answer.ended and answer.status in _WHOLE_STATUSES:
             ending = Ending.WHOLE
             break
-        _learn(book, request.model, address, answer)
-        pause_s = _choose_pause(request, answer)
-        if pause_s is None or time.monotonic() + pause_s > give_up_at:
+        _demote_address(book, request.model, address, answer)
+        delay_s = _choose_retry_delay(request, answer)
+        if delay_s is None or time.monotonic() + delay_s > deadline:
             ending = Ending.REFUSED if certain else Ending.UNKNOWN
             break
-        time.sleep(pause_s)
+        time.sleep(delay_s)
     return Outcome(
-        ask=request,
+        request=request,
         ending=ending,
         body=answer.body,
         events=tuple(events),
         entries=tuple(entries),
         last=answer,
-        cuts=cuts,
+        broken_attempts=broken_attempts,
     )
 
 
-def ask_once(address: str, request: Ask, *, last_event_id: str = "") -> Answer:
-    """Send a request to one entry and read what comes."""
+def send_once(
+    address: str, request: ClientRequest, *, last_event_id: str = ""
+) -> AttemptResult:
+    """Send one attempt to an entry and read its response."""
     headers = {
         "Authorization": f"Bearer {request.key}",
         "Content-Type": "application/json",
@@ -161,13 +166,13 @@
                 preload_content=False,
             )
         except urllib3.exceptions.NewConnectionError:
-            return Answer(sent=False, run_state="not_run")
+            return AttemptResult(sent=False, run_state="not_run")
         except urllib3.exceptions.HTTPError:
-            return Answer()
+            return AttemptResult()
         return _read(response, streamed=request.streamed)
 
 
-def _read(response: urllib3.BaseHTTPResponse, *, streamed: bool) -> Answer:
+def _read(response: urllib3.BaseHTTPResponse, *, streamed: bool) -> AttemptResult:
     body = b""
     events: list[SentEvent] = []
     buffer = EventBuffer()
@@ -185,7 +190,7 @@
     if events and events[-1].data == END_MARKER:
         events.pop()
         ended = True
-    return Answer(
+    return AttemptResult(
         status=response.status,
         code=int(response.headers.get("X-Arbutus-Code", "0")),
         run_state=response.headers.get("X-Arbutus-Run-State", "unknown"),
@@ -205,20 +210,22 @@
     return float(value) if value.isdigit() else None
 
 
-def _is_certainly_not_run(answer: Answer) -> bool:
+def _is_certainly_not_run(answer: AttemptResult) -> bool:
     return not answer.sent or answer.run_state == "not_run"
 
 
-def _choose_address(book: AddressBook, model: str, *, tried: int) -> str:
-    addresses, until = book.kept.get(model, ((), 0.0))
+def _choose_address(book: AddressBook, model: str, *, attempt_count: int) -> str:
+    addresses, until = book.cached.get(model, ((), 0.0))
     if not addresses or time.monotonic() > until:
-        addresses = _fetch_addresses(book, model, tried=tried)
+        addresses = _fetch_addresses(book, model, attempt_count=attempt_count)
     return addresses[0]
 
 
-def _fetch_addresses(book: AddressBook, model: str, *, tried: int) -> tuple[str, ...]:
-    """Ask one entry after the other, the next one first at each try."""
-    first = tried % len(book.seeds)
+def _fetch_addresses(
+    book: AddressBook, model: str, *, attempt_count: int
+) -> tuple[str, ...]:
+    """Query the seeds in turn, starting at another one for each attempt."""
+    first = attempt_count % len(book.seeds)
     seeds = book.seeds[first:] + book.seeds[:first]
     for seed in seeds:
         reply = fetch("GET", seed, f"/v1/addresses?model={model}")
@@ -228,25 +235,27 @@
         addresses = tuple(answer["addresses"])
         if addresses:
             until = time.monotonic() + answer["lifetime_s"]
-            book.kept[model] = (addresses, until)
+            book.cached[model] = (addresses, until)
             return addresses
     return seeds
 
 
-def _learn(book: AddressBook, model: str, address: str, answer: Answer) -> None:
-    """Put an address that did not serve behind the others, or forget the answer."""
-    addresses, until = book.kept.get(model, ((), 0.0))
+def _demote_address(
+    book: AddressBook, model: str, address: str, answer: AttemptResult
+) -> None:
+    """Move an address that failed to the end of the list, or evict the list."""
+    addresses, until = book.cached.get(model, ((), 0.0))
     rest = tuple(one for one in addresses if one != address)
     if answer.sent and answer.retry_after_s:
         return
     if rest:
-        book.kept[model] = ((*rest, address), until)
+        book.cached[model] = ((*rest, address), until)
     else:
-        book.kept.pop(model, None)
+        book.cached.pop(model, None)
 
 
-def _choose_pause(request: Ask, answer: Answer) -> float | None:
-    """Return when to try again, or ``None`` if trying again is no use or not safe."""
+def _choose_retry_delay(request: ClientRequest, answer: AttemptResult) -> float | None:
+    """Return the retry delay in s; ``None`` if a retry is useless or unsafe."""
     if answer.status and answer.status < 500 and answer.status not in (200, 409, 429):
         return None
     if answer.retry_after_s is not None:
@@ -254,4 +263,4 @@
     is_final = answer.status and answer.ended and answer.code != IN_PROGRESS
     if is_final and request.unrepeatable:
         return None
-    return TRY_PAUSE_S
+    return RETRY_DELAY_S
--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -1,14 +1,14 @@
-"""Compares sequences of loads at the weight store after a server is lost.
+"""Compares orders of loads from the weight store after the loss of a server.
 
-A small seeded model, no processes: some models with their adapters are lost at once
-and loaded again, as many at a time as the store serves at full speed, in one of several
-sequences. It prints, as the mean over seeds with the least and the most, for each
-sequence over first-come: the mean time until a model answers, the requests that found
-it missing, and the time until the last one answers.
+A small seeded simulation without processes: several models with their adapters are lost
+at once and loaded again in one of several orders, with as many concurrent loads as the
+store serves at full speed. It prints, for each order relative to first-come, the mean,
+minimum and maximum over the seeds of: the mean time until a model is available, the
+requests that found it missing, and the time until the last model is available.
 
-TRIO (Wang et al., "TRIO: Burst Buffer Based I/O Orchestration") bounds the concurrent
-users of a shared store and serves the smallest first within a priority. The bound is
-given here; this script is about the sequence.
+TRIO (Wang et al., "TRIO: Burst Buffer Based I/O Orchestration") limits the concurrent
+users of a shared store and serves the smallest first within a priority. The limit is an
+input here; only the order is compared.
 """
 
 import heapq
@@ -26,13 +26,15 @@
 
 
 class Workload(Value, frozen=True):
-    """What is lost, and how fast it can be loaded.
+    """Lost models and the speed of the weight store.
 
-    Sizes are in the users' unit, to be confirmed; so is the speed, of which the users
-    have only told the number of loads.
+    The unit of sizes is the users' and not confirmed yet. The speed is an assumption to
+    be confirmed too: the users have only given the number of loads.
 
-    :param lost: models that the lost server held alone.
-    :param size_per_s: what one load reads in a second.
+    :param lost: number of models that only the lost server had loaded.
+    :param smallest: minimum size of a model.
+    :param largest: maximum size of a model.
+    :param size_per_s: size that one load reads per second.
     """
 
     name: str
@@ -43,10 +45,11 @@
     size_per_s: float
 
 
-class Lost(Value, frozen=True):
-    """A model to load again, in sequence of its loss.
+class LostModel(Value, frozen=True):
+    """A model to load again.
 
-    :param demand: requests a second for it.
+    :param number: position in the order of loss.
+    :param demand: requests per second for the model.
     """
 
     number: int
@@ -55,14 +58,19 @@
 
 
 class Outcome(Value, frozen=True):
-    """What one sequence gave, in seconds and requests."""
+    """Result of one order of loads.
+
+    :param mean_wait: mean time until a model is available, in s.
+    :param missed: requests that found their model missing.
+    :param last: time until the last model is available, in s.
+    """
 
     mean_wait: float
     missed: float
     last: float
 
 
-Sequence = Callable[[Lost], tuple[float, ...]]
+Sequence = Callable[[LostModel], tuple[float, ...]]
 
 SEQUENCES: dict[str, Sequence] = {
     "first-come": lambda lost: (lost.number,),
@@ -71,10 +79,10 @@
     "most-asked-by-size": lambda lost: (-lost.demand / lost.size, lost.number),
     "the planner's": lambda lost: rank_demand(lost.demand, lost.size),
 }
-"""Keys to sort by; the first one is what the others are compared with.
+"""Sort keys by name; the first one is the baseline of the comparison.
 
-The planner's is the one before in steps of two, which instances whose figures differ
-a little agree on, and smallest first within a step.
+The planner's key is the one before it, rounded to powers of two, and smallest first
+among equals. The rounding lets instances agree whose figures differ slightly.
 """
 
 WORKLOADS = (
@@ -113,10 +121,10 @@
 )
 
 
-def build_lost(workload: Workload, chance: random.Random) -> list[Lost]:
-    """Draw sizes evenly and demand with a long tail, as bursts make it."""
+def draw_lost_models(workload: Workload, chance: random.Random) -> list[LostModel]:
+    """Draw uniform sizes, and demand with a long tail as it occurs in bursts."""
     return [
-        Lost(
+        LostModel(
             number=number,
             size=chance.randint(workload.smallest, workload.largest),
             demand=chance.lognormvariate(0, 1.2),
@@ -125,15 +133,15 @@
     ]
 
 
-def run(workload: Workload, lost: list[Lost], sequence: Sequence) -> Outcome:
-    """Load all in one sequence over the store's slots."""
+def run(workload: Workload, lost: list[LostModel], sequence: Sequence) -> Outcome:
+    """Simulate the loads in one order over the store's slots."""
     hold_s = compute_min_hold_ms(workload.store) / SECOND_MS
     free_at = [0.0] * workload.store.loads_at_once
     waits: dict[int, float] = {}
     for model in sorted(lost, key=sequence):
-        begun = heapq.heappop(free_at)
-        waits[model.number] = begun + model.size / workload.size_per_s
-        heapq.heappush(free_at, max(waits[model.number], begun + hold_s))
+        started_s = heapq.heappop(free_at)
+        waits[model.number] = started_s + model.size / workload.size_per_s
+        heapq.heappush(free_at, max(waits[model.number], started_s + hold_s))
     return Outcome(
         mean_wait=statistics.fmean(waits.values()),
         missed=sum(model.demand * waits[model.number] for model in lost),
@@ -142,10 +150,10 @@
 
 
 def compare(workload: Workload) -> dict[str, list[Outcome]]:
-    """Return what each sequence gave over first-come, one ratio for each seed."""
+    """Return the results relative to first-come by order, one for each seed."""
     ratios: dict[str, list[Outcome]] = {name: [] for name in SEQUENCES}
     for seed in SEEDS:
-        lost = build_lost(workload, random.Random(seed))
+        lost = draw_lost_models(workload, random.Random(seed))
         base = run(workload, lost, SEQUENCES["first-come"])
         for name, sequence in SEQUENCES.items():
             outcome = run(workload, lost, sequence)
@@ -159,20 +167,20 @@
     return ratios
 
 
-def show(values: list[float]) -> str:
-    """Return mean, least and most as text."""
+def format_range(values: list[float]) -> str:
+    """Format mean, minimum and maximum."""
     return f"{statistics.fmean(values):.2f} ({min(values):.2f}-{max(values):.2f})"
 
 
 def main() -> None:
-    """Print one table for each workload."""
+    """Print a table for each workload."""
     print(f"over first-come, mean of {len(SEEDS)} seeds (least-most)")
     for workload in WORKLOADS:
         print(f"\n{workload.name}: {workload.lost} models lost")
         print(f"{'sequence':20} {'mean wait':>18} {'missed':>18} {'last':>18}")
         for name, outcomes in compare(workload).items():
             columns = [
-                show([getattr(outcome, field) for outcome in outcomes])
+                format_range([getattr(outcome, field) for outcome in outcomes])
                 for field in ("mean_wait", "missed", "last")
             ]
             print(f"{name:20} {columns[0]:>18} {columns[1]:>18} {columns[2]:>18}")
--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -1,13 +1,14 @@
-"""Compares when to add copies as demand shifts tenfold within an hour.
+"""Compares policies for adding copies while demand shifts tenfold within an hour.
 
-A small seeded model, no processes: servers, models whose demand rises and falls tenfold
-within an hour each at its own time, copies that share a model's demand evenly, and
-plans carried out by the weight store's slots. Tokens that a server is asked for beyond
-what it yields within the target count as late. Compared, in the same run:
+A small seeded simulation without processes: servers, models whose demand rises and
+falls tenfold within an hour, each with its own phase, copies that share a model's
+demand evenly, and plans that are carried out within the slots of the weight store.
+Tokens requested from a server beyond its capacity within the latency target count as
+late. The policies are compared in the same run:
 
 * ``static``: the configured copies only;
-* ``on every miss``: a copy more for whatever is late most, at once, in place of a copy
-  to spare that is asked for least;
+* ``on every miss``: adds at once a copy of the most requested model of the most
+  overloaded server, in place of the surplus copy with the lowest demand;
 * ``planner``: :mod:`arbutuspulley.placement.moves` with several weights on moves.
 """
 
@@ -52,14 +53,16 @@
 STEP_S = 5
 HOURS = 3
 LOAD_S = 30
-SHIFT = 10.0
-SHIFT_S = 3600
+DEMAND_RANGE = 10.0
+DEMAND_SHIFT_S = 3600
 
 
 class Pool(Value, frozen=True):
-    """Sizes of one user's pool; units to be confirmed by the users.
+    """Sizes of one user's pool, in units that the users have to confirm.
 
-    :param load: mean demand over what all servers yield within the target.
+    :param smallest: minimum size of a model.
+    :param largest: maximum size of a model.
+    :param load: mean demand divided by the capacity of all servers within the target.
     """
 
     name: str
@@ -94,7 +97,7 @@
         load=0.5,
     ),
 )
-"""Pools with memory for about half as many copies again as configured."""
+"""Pools with memory for about 1.5 times the configured copies."""
 
 FULL_POOLS = tuple(
     msgspec.structs.replace(
@@ -105,9 +108,12 @@
 
 
 class Run(State):
-    """One simulated pool.
+    """State of a simulated pool.
 
-    :param due: when a load or unload ends, by server and item.
+    :param due: time at which a load or unload ends in s, by server and item.
+    :param moved: number of loads and unloads.
+    :param late: tokens requested beyond the servers' capacity.
+    :param asked: requested tokens.
     """
 
     configuration: Configuration
@@ -122,7 +128,7 @@
 
 
 Decide = Callable[[Run], tuple[Action, ...]]
-"""Returns what to do now."""
+"""Returns the actions to carry out now."""
 
 
 def build_run(pool: Pool, moves_weight: float, chance: random.Random) -> Run:
@@ -158,25 +164,25 @@
 def build_demand(
     pool: Pool, chance: random.Random
 ) -> Callable[[int], dict[str, float]]:
-    """Return demand over time: each model moves tenfold and back, at its own time."""
+    """Return demand over time: each model's varies tenfold, with its own phase."""
     phases = [chance.uniform(0, 2 * math.pi) for _ in range(pool.models)]
     weights = [chance.lognormvariate(0, 0.7) for _ in range(pool.models)]
     capacity = pool.servers * 16 * moves.SLOT_TOKENS_PER_S
 
-    def ask(now_s: int) -> dict[str, float]:
-        angle = math.pi * now_s / SHIFT_S
+    def get_demand(now_s: int) -> dict[str, float]:
+        angle = math.pi * now_s / DEMAND_SHIFT_S
         shares = [
-            weight * SHIFT ** (0.5 * math.sin(angle + phase))
+            weight * DEMAND_RANGE ** (0.5 * math.sin(angle + phase))
             for weight, phase in zip(weights, phases, strict=True)
         ]
         scale = pool.load * capacity / sum(shares)
         return {f"m{n}@1": share * scale for n, share in enumerate(shares)}
 
-    return ask
+    return get_demand
 
 
 def build_planner(*, with_moves: bool) -> Decide:
-    """Return the planner; without moves it loads the configured copies only."""
+    """Return the planner; without moves it only loads the configured copies."""
     state = PlannerState()
 
     def decide(run: Run) -> tuple[Action, ...]:
@@ -192,7 +198,7 @@
 
 
 def build_on_miss() -> Decide:
-    """Return the baseline that adds a copy whenever anything is late."""
+    """Return the baseline that adds a copy whenever a server is overloaded."""
     fill = build_planner(with_moves=False)
 
     def decide(run: Run) -> tuple[Action, ...]:
@@ -203,7 +209,7 @@
 
 
 def _move_on_miss(run: Run) -> tuple[Action, ...]:
-    layout = _see(run)
+    layout = _read_layout(run)
     loads = moves.measure_loads(layout, run.demand)
     late = [
         name
@@ -236,14 +242,14 @@
     return ()
 
 
-def _see(run: Run) -> Layout:
+def _read_layout(run: Run) -> Layout:
     return build_layout(
         configuration=run.configuration, ledgers=run.ledgers, usable=run.summaries
     )
 
 
 def step(run: Run, decide: Decide, *, counted: bool) -> None:
-    """Carry out what is decided and let a step's time pass."""
+    """Carry out the decided actions and advance the time by a step."""
     free = run.configuration.weight_store.loads_at_once - sum(
         entry.state is EntryState.LOADING
         for ledger in run.ledgers.values()
@@ -251,17 +257,17 @@
     )
     for action in decide(run):
         if isinstance(action, Load) and free > 0:
-            free -= _carry_out(run, action, counted=counted)
+            free -= _apply_action(run, action, counted=counted)
         elif isinstance(action, Unload):
-            _carry_out(run, action, counted=counted)
+            _apply_action(run, action, counted=counted)
     run.now_s += STEP_S
     for name in run.ledgers:
-        _report(run, name)
+        _apply_report(run, name)
     if counted:
         _count_late(run)
 
 
-def _carry_out(run: Run, action: Load | Unload, *, counted: bool) -> bool:
+def _apply_action(run: Run, action: Load | Unload, *, counted: bool) -> bool:
     known = run.ledgers[action.server]
     try:
         if isinstance(action, Load):
@@ -279,7 +285,7 @@
     return True
 
 
-def _report(run: Run, name: str) -> None:
+def _apply_report(run: Run, name: str) -> None:
     known = run.ledgers[name]
     items: list[ReportedItem] = []
     for entry in known.entries:
@@ -301,7 +307,7 @@
 
 
 def _count_late(run: Run) -> None:
-    layout = _see(run)
+    layout = _read_layout(run)
     loads = dict.fromkeys(layout.servers, 0.0)
     for key, names in layout.answering.items():
         for name in names:
@@ -312,17 +318,17 @@
 
 
 def simulate(pool: Pool, seed: int, decide: Decide, moves_weight: float) -> Run:
-    """Fill a pool, then let demand shift for some hours."""
+    """Load all models of a pool, then simulate shifting demand for some hours."""
     chance = random.Random(seed)
     run = build_run(pool, moves_weight, chance)
-    ask = build_demand(pool, chance)
+    get_demand = build_demand(pool, chance)
     for _ in range(20 * pool.models * LOAD_S // STEP_S // pool.store.loads_at_once):
         step(run, decide, counted=False)
-        if all(_see(run).answering.values()):
+        if all(_read_layout(run).answering.values()):
             break
     start = run.now_s
-    while run.now_s < start + HOURS * SHIFT_S:
-        run.demand = ask(run.now_s - start)
+    while run.now_s < start + HOURS * DEMAND_SHIFT_S:
+        run.demand = get_demand(run.now_s - start)
         step(run, decide, counted=True)
     return run
 
@@ -337,7 +343,7 @@
 
 
 def main() -> None:
-    """Print one table for each pool."""
+    """Print a table for each pool."""
     print(f"{HOURS} h, {len(SEEDS)} seeds: mean (least-most)")
     for pool in POOLS + FULL_POOLS:
         print(f"\n{pool.name}\n{'policy':22} {'late, %':>22} {'moves':>18}")
@@ -345,10 +351,12 @@
             runs = [simulate(pool, seed, build(), weight) for seed in SEEDS]
             late = [100 * run.late / run.asked for run in runs]
             moved = [float(run.moved) for run in runs]
-            print(f"{name:22} {_show(late, 2):>22} {_show(moved, 0):>18}")
+            print(
+                f"{name:22} {_format_range(late, 2):>22} {_format_range(moved, 0):>18}"
+            )
 
 
-def _show(values: list[float], digits: int) -> str:
+def _format_range(values: list[float], digits: int) -> str:
     mean, least, most = statistics.fmean(values), min(values), max(values)
     return f"{mean:.{digits}f} ({least:.{digits}f}-{most:.{digits}f})"
 
--- a/scripts/demo_load.py
+++ b/scripts/demo_load.py
@@ -1,7 +1,7 @@
-"""The demo's callers: what they ask, and how their answers are checked.
+"""Load generator of the demo, and checks of the responses.
 
-Counted here, by the asking side, and by the stand-ins; nothing is taken from what
-the system says of itself.
+The counts are those of the clients and of the stand-ins; none is taken from the
+system's own metrics or logs.
 """
 
 import json
@@ -15,67 +15,72 @@
 from arbutuspulley.data import State, Value
 from arbutuspulley.standins import answer
 from arbutuspulley.standins.engine_http import ADMISSION_LINE_PREFIX
-from scripts.asking import AddressBook, Ask, Ending, Outcome, ask
+from scripts.client import AddressBook, ClientRequest, Ending, Outcome, send
 
 WORKERS = 8
-"""Callers that ask at once."""
+"""Number of concurrent callers."""
 
 _KINDS = 10
-"""Requests differ in this many ways, in turn."""
+"""Number of kinds of requests, which are generated in turn."""
 
 
 class Tally(State):
-    """What came of all requests.
-
-    :param lost: requests without a proper ending, or whose answer is not whole.
-    :param doubled: runs or tokens beyond the one that was asked for.
-    :param untrue: refusals as not run of requests that had been run.
-    :param faults: one line for each of these.
+    """Results of all requests.
+
+    :param endings: number of requests by how they ended.
+    :param entries: number of attempts by address of the entry.
+    :param lost: requests without an ending, or with an incomplete response.
+    :param doubled: duplicate runs and duplicate tokens.
+    :param false_refusals: requests refused as not run although they had run.
+    :param faults: a line for each of these faults.
     """
 
     endings: Counter[Ending] = msgspec.field(default_factory=Counter)
     entries: Counter[str] = msgspec.field(default_factory=Counter)
     lost: int = 0
     doubled: int = 0
-    untrue: int = 0
+    false_refusals: int = 0
     faults: list[str] = msgspec.field(default_factory=list)
 
 
 class RunCounts(Value, frozen=True):
-    """What the stand-ins have run.
+    """Runs counted by the stand-ins.
 
-    :param prompts: admissions from the first token, by digest of the prompt.
-    :param bookings: bookings by idempotency key.
+    :param prompts: number of runs that began at the first token, by digest of the
+        prompt.
+    :param bookings: number of bookings by idempotency key.
     """
 
     prompts: Counter[str]
     bookings: Counter[str]
 
 
-def build_asks(items: dict[str, str], *, count: int, key: str) -> list[Ask]:
-    """Return requests of all kinds, in turn.
+def build_requests(
+    items: dict[str, str], *, count: int, key: str
+) -> list[ClientRequest]:
+    """Build requests of all kinds, in turn.
 
     :param items: versions of models and adapters by name.
     """
     names = sorted(items)
     return [
-        _build_ask(number, names[number // _KINDS % len(names)], key)
+        _build_request(number, names[number // _KINDS % len(names)], key)
         for number in range(count)
     ]
 
 
-def ask_all(
-    asks: Sequence[Ask],
+def send_all(
+    requests: Sequence[ClientRequest],
     seeds: tuple[str, ...],
     *,
-    on_begun: Callable[[int], None] = lambda _number: None,
+    on_start: Callable[[int], None] = lambda _number: None,
 ) -> list[Outcome]:
-    """Ask from several threads at once and return the outcomes.
+    """Send requests from several threads and return the outcomes.
 
-    :param seeds: addresses of entries that callers know.
-    :param on_begun: called with the number of requests begun so far.
+    :param seeds: addresses of entries that the callers are configured with.
+    :param on_start: called before each request with the number of requests started.
     """
-    waiting = list(enumerate(asks, start=1))[::-1]
+    waiting = list(enumerate(requests, start=1))[::-1]
     outcomes: list[Outcome] = []
     lock = threading.Lock()
 
@@ -87,8 +92,8 @@
                 if not waiting:
                     return
                 number, request = waiting.pop()
-                on_begun(number)
-            outcome = ask(book, request)
+                on_start(number)
+            outcome = send(book, request)
             with lock:
                 outcomes.append(outcome)
 
@@ -101,9 +106,9 @@
 
 
 def count_admissions(logs: Sequence[str]) -> Counter[str]:
-    """Count admissions from the first token in the logs of engine stand-ins.
+    """Count runs that began at the first token, in the logs of engine stand-ins.
 
-    Their counters end with the process; what they wrote stays when one is killed.
+    Logs are used since the counters of a stand-in are lost when it is killed.
     """
     lines = [line.split() for log in logs for line in log.splitlines()]
     return Counter(
@@ -114,15 +119,15 @@
 
 
 def judge(
-    asks: Sequence[Ask],
+    requests: Sequence[ClientRequest],
     outcomes: Sequence[Outcome],
     counts: RunCounts,
     items: dict[str, str],
 ) -> Tally:
-    """Compare what was asked, what came back and what was run."""
+    """Compare requests, outcomes and runs, and tally the faults."""
     tally = Tally()
-    by_name = {outcome.ask.name: outcome for outcome in outcomes}
-    for request in asks:
+    by_name = {outcome.request.name: outcome for outcome in outcomes}
+    for request in requests:
         outcome = by_name.get(request.name)
         if outcome is None:
             tally.lost += 1
@@ -140,35 +145,35 @@
     repeated = len(offsets) - len(set(offsets))
     if repeated:
         tally.doubled += repeated
-        tally.faults.append(f"{outcome.ask.name}: {repeated} events came twice")
+        tally.faults.append(f"{outcome.request.name}: {repeated} events came twice")
     if outcome.ending is not Ending.WHOLE:
         return
     problem = find_problem(outcome, items)
     if problem:
         tally.lost += 1
-        tally.faults.append(f"{outcome.ask.name}: {problem}")
+        tally.faults.append(f"{outcome.request.name}: {problem}")
 
 
 def _judge_runs(tally: Tally, outcome: Outcome, runs: int) -> None:
-    name = outcome.ask.name
-    if outcome.ask.unrepeatable and runs > 1:
+    name = outcome.request.name
+    if outcome.request.unrepeatable and runs > 1:
         tally.doubled += runs - 1
         tally.faults.append(f"{name}: unrepeatable, run {runs} times")
     if outcome.ending is Ending.REFUSED and runs:
-        tally.untrue += 1
+        tally.false_refusals += 1
         tally.faults.append(f"{name}: refused as not run, run {runs} times")
-    if outcome.ending is Ending.WHOLE and outcome.ask.unrepeatable and not runs:
+    if outcome.ending is Ending.WHOLE and outcome.request.unrepeatable and not runs:
         tally.lost += 1
         tally.faults.append(f"{name}: answered, and no stand-in ran it")
 
 
 def find_problem(outcome: Outcome, items: dict[str, str]) -> str:
-    """Say what is wrong with a whole answer; empty if nothing is.
+    """Describe what is wrong with a complete response; empty if it is correct.
 
-    Engine stand-ins answer with text that follows from item and prompt, so a missing,
-    doubled or foreign token shows.
+    Engine stand-ins respond with text that is determined by item and prompt, so that a
+    missing, duplicate or foreign token is detected.
     """
-    request = outcome.ask
+    request = outcome.request
     if not request.model:
         return _find_service_problem(outcome)
     prompt = answer.read_prompt(path=request.path, body=request.body)
@@ -184,9 +189,9 @@
 
 def _find_service_problem(outcome: Outcome) -> str:
     reply = json.loads(outcome.body)
-    if outcome.ask.unrepeatable:
-        return "" if reply["key"] == outcome.ask.name else f"foreign reply {reply}"
-    expected = outcome.ask.path.partition("/services/booking")[2]
+    if outcome.request.unrepeatable:
+        return "" if reply["key"] == outcome.request.name else f"foreign reply {reply}"
+    expected = outcome.request.path.partition("/services/booking")[2]
     return "" if reply["target"] == expected else f"foreign reply {reply}"
 
 
@@ -196,23 +201,25 @@
     return str(part.get("content") or part.get("text") or "")
 
 
-def _count_runs(request: Ask, counts: RunCounts) -> int:
+def _count_runs(request: ClientRequest, counts: RunCounts) -> int:
     if not request.model:
         return counts.bookings[request.name]
     prompt = answer.read_prompt(path=request.path, body=request.body)
     return counts.prompts[prompt.digest]
 
 
-def _build_ask(number: int, model: str, key: str) -> Ask:
+def _build_request(number: int, model: str, key: str) -> ClientRequest:
     name = f"ask-{number:03d}"
     kind = number % _KINDS
     if kind == 8:
         body = json.dumps({"guest": name}).encode()
         path = "/services/booking/bookings"
-        return Ask(name=name, path=path, body=body, key=key, unrepeatable=True)
+        return ClientRequest(
+            name=name, path=path, body=body, key=key, unrepeatable=True
+        )
     if kind == 9:
         path = f"/services/booking/stays?guest={name}"
-        return Ask(name=name, path=path, body=b"", key=key, method="GET")
+        return ClientRequest(name=name, path=path, body=b"", key=key, method="GET")
     return _build_inference(
         name,
         model,
@@ -225,7 +232,7 @@
 
 def _build_inference(
     name: str, model: str, key: str, *, chat: bool, streamed: bool, unrepeatable: bool
-) -> Ask:
+) -> ClientRequest:
     prompt = f"Draft a reply to guest {name}."
     asked = {"messages": [{"role": "user", "content": prompt}]}
     body = {
@@ -234,7 +241,7 @@
         "stream": streamed,
         **(asked if chat else {"prompt": prompt}),
     }
-    return Ask(
+    return ClientRequest(
         name=name,
         path="/v1/chat/completions" if chat else "/v1/completions",
         body=json.dumps(body).encode(),
--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -1,4 +1,4 @@
-"""Shows the path on the users' platform: two nodes before stand-ins, one is killed."""
+"""Demo on the users' platform: two nodes and stand-ins; the coordinator is killed."""
 
 import asyncio
 import signal
@@ -9,16 +9,16 @@
 
 import aiohttp
 
-from scripts.platform_stage import WHOLE, Fleet, ask
+from scripts.platform_testbed import FULL_STREAM, Fleet, send_request
 
 ROUNDS = 10
-"""Rounds of requests; each asks for four models, two adapters and two bookings."""
+"""Rounds of requests; each has four models, two adapters and two bookings."""
 
 MODELS = ("m0", "m1", "m2", "m3", "m0/a1", "m0/a2")
 
 
 async def play(folder: Path) -> str:
-    """Ask through both nodes, kill the coordinator half way, and say what came back."""
+    """Send requests to both nodes, kill the coordinator half way, and summarise."""
     fleet = Fleet(folder)
     await fleet.open()
     try:
@@ -41,7 +41,7 @@
                 killed = fleet.find_coordinator()
                 fleet.nodes[killed].send_signal(signal.SIGKILL)
                 live.remove(killed)
-                print(f"demo: killed {killed}, which coordinated", flush=True)
+                print(f"demo: killed {killed}, the coordinator", flush=True)
             front = fleet.addresses[live[number % len(live)]]["Frontend"]
             tally.update(await _ask_round(session, front, number))
     doubled = sum(
@@ -59,11 +59,15 @@
     session: aiohttp.ClientSession, front: str, number: int
 ) -> list[str]:
     streams = [
-        ask(session, front, "/chat/x", attempt=f"s{number}-{model}", model=model)
+        send_request(
+            session, front, "/chat/x", attempt=f"s{number}-{model}", model=model
+        )
         for model in MODELS
     ]
     bookings = [
-        ask(session, front, "/book/x", attempt=f"b{number}-{one}", body=b"night")
+        send_request(
+            session, front, "/book/x", attempt=f"b{number}-{one}", body=b"night"
+        )
         for one in range(2)
     ]
     answers = await asyncio.gather(*streams, *bookings)
@@ -71,13 +75,13 @@
 
 
 def _judge(status: int, body: bytes) -> str:
-    if status == 200 and body in (WHOLE, b"done:night"):
+    if status == 200 and body in (FULL_STREAM, b"done:night"):
         return "whole"
     return "refused" if status == 503 else "other"
 
 
 def main() -> int:
-    """Run the demo; the status is 1 if anything but whole or refused came back."""
+    """Run the demo; return 1 if a response is neither complete nor a refusal."""
     with tempfile.TemporaryDirectory() as folder:
         said = asyncio.run(play(Path(folder)))
     print(said, flush=True)
--- a/src/arbutuspulley/programs/console_api.py
+++ b/src/arbutuspulley/programs/console_api.py
@@ -1,8 +1,8 @@
 """The operations of the operators' API.
 
-The console keeps nothing between two requests: whatever two operators do at once is
-decided by the preconditions of the table's transactions. So each operation runs on
-the worker thread that serves its request.
+The console is stateless: concurrent operations are serialised by the preconditions of
+the table's transactions. So each operation runs on the worker thread that serves its
+request, without locks.
 """
 
 import contextlib
@@ -36,7 +36,7 @@
 )
 from arbutuspulley.programs.console_views import (
     build_status_view,
-    choose_in_force,
+    choose_active_configuration,
     write_merged,
 )
 from arbutuspulley.results import (
@@ -48,37 +48,40 @@
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import FleetStatus
 
-LISTED_VERSIONS = 20
-"""Accepted versions listed."""
+MAX_LISTED_VERSIONS = 20
+"""Number of accepted versions that are listed, the newest ones."""
 
-NO_CONFIGURATION = 2**62
-"""A version that none is above: the status comes without a configuration."""
+ABOVE_ALL_VERSIONS = 2**62
+"""Version number that no version exceeds: a status request with it gets no
+configuration."""
 
 MAX_NOTE_CHARACTERS = 500
-"""Longest note on a proposal."""
+"""Maximum length of the note on a proposal, in characters."""
 
 
-class Backend(Value, frozen=True):
-    """What the operations work with.
+class ApiContext(Value, frozen=True):
+    """Dependencies of the operations.
 
-    :param fetch_status: ``fetch_status(version)`` asks the instance's controller for
-        its status, and for the configuration in force if it is above ``version``;
-        raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
+    :param fetch_status: ``fetch_status(version)`` requests the status from the
+        instance's controller, with the active configuration if its version is above
+        ``version``; raises :class:`~arbutuspulley.rpc.channel.PeerUnavailableError`.
     """
 
     platform: Platform
     fetch_status: Callable[[int], FleetStatus]
 
 
-def propose(backend: Backend, operator: str, request: ProposeRequest) -> ProposalView:
-    """Lay files down for approval and show what they change."""
+def propose(
+    context: ApiContext, operator: str, request: ProposeRequest
+) -> ProposalView:
+    """Create a proposal from files and return it with its differences."""
     if len(request.note) > MAX_NOTE_CHARACTERS:
         raise ConfigurationError(
             code=Code.BAD_PARAMETER,
             detail=f"the note is longer than {MAX_NOTE_CHARACTERS} characters",
         )
     proposal = approval.propose(
-        backend.platform,
+        context.platform,
         files=FileSet(
             base=_build_file(request.base),
             overlays=tuple(_build_file(file) for file in request.overlays),
@@ -87,33 +90,33 @@
         now_ms=read_wall(),
         note=request.note,
         remove_sites=request.remove_sites,
-        active=_find_in_force(backend),
+        active=_find_active_configuration(context),
     )
     _log_proposal(proposal)
-    return show_proposal(backend, proposal.proposal)
+    return show_proposal(context, proposal.proposal)
 
 
 def roll_forward(
-    backend: Backend, operator: str, request: RollForwardRequest
+    context: ApiContext, operator: str, request: RollForwardRequest
 ) -> ProposalView:
     """Propose the content of an earlier version as the next one."""
     proposal = approval.roll_forward(
-        backend.platform,
+        context.platform,
         version=request.version,
         proposer=operator,
         now_ms=read_wall(),
-        active=_find_in_force(backend),
+        active=_find_active_configuration(context),
     )
     _log_proposal(proposal)
-    return show_proposal(backend, proposal.proposal)
+    return show_proposal(context, proposal.proposal)
 
 
-def show_proposal(backend: Backend, proposal: str) -> ProposalView:
-    """Show a waiting proposal with what it changes."""
-    record = store.read_proposal(backend.platform, proposal)
-    current = _find_current(backend)
-    base = store.find_base(backend.platform, record) or EMPTY
-    result = store.load_result(backend.platform, record.digest)
+def show_proposal(context: ApiContext, proposal: str) -> ProposalView:
+    """Return a pending proposal with its differences."""
+    record = store.read_proposal(context.platform, proposal)
+    current = _find_current(context)
+    base = store.find_base(context.platform, record) or EMPTY
+    result = store.load_result(context.platform, record.digest)
     view = _build_view(record, current)
     return msgspec.structs.replace(
         view,
@@ -122,10 +125,10 @@
     )
 
 
-def list_proposals(backend: Backend) -> ProposalList:
-    """List the waiting proposals."""
-    current = _find_current(backend)
-    records = store.list_proposals(backend.platform)
+def list_proposals(context: ApiContext) -> ProposalList:
+    """List the pending proposals."""
+    current = _find_current(context)
+    records = store.list_proposals(context.platform)
     return ProposalList(
         current_version=current.configuration.version,
         proposals=tuple(_build_view(record, current) for record in records),
@@ -133,17 +136,17 @@
 
 
 def approve(
-    backend: Backend, operator: str, proposal: str, request: ApproveRequest
+    context: ApiContext, operator: str, proposal: str, request: ApproveRequest
 ) -> ApprovalView:
-    """Accept a proposal."""
+    """Approve a proposal."""
     try:
         outcome = approval.approve(
-            backend.platform,
+            context.platform,
             proposal=proposal,
             base_version=request.base_version,
             approver=operator,
             now_ms=read_wall(),
-            active=_find_in_force(backend),
+            active=_find_active_configuration(context),
         )
     except ArbutusError as error:
         log_event(
@@ -167,21 +170,21 @@
     )
 
 
-def withdraw(backend: Backend, proposal: str) -> Done:
-    """Take a waiting proposal back."""
-    approval.withdraw(backend.platform, proposal=proposal)
+def withdraw(context: ApiContext, proposal: str) -> Done:
+    """Withdraw a pending proposal."""
+    approval.withdraw(context.platform, proposal=proposal)
     return Done(detail=f"proposal {proposal} is withdrawn")
 
 
-def list_versions(backend: Backend) -> VersionList:
+def list_versions(context: ApiContext) -> VersionList:
     """List the newest accepted versions."""
-    found = store.list_changes(backend.platform, newest=LISTED_VERSIONS)
+    found = store.list_changes(context.platform, newest=MAX_LISTED_VERSIONS)
     return VersionList(versions=tuple(_strip_steps(change) for change in found))
 
 
-def show_version(backend: Backend, version: int) -> VersionView:
-    """Show an accepted version and what it changed."""
-    platform = backend.platform
+def show_version(context: ApiContext, version: int) -> VersionView:
+    """Return an accepted version and its differences."""
+    platform = context.platform
     change = store.read_change(platform, version)
     result = store.load_result(platform, change.digest)
     before = store.find_result(platform, change.base_digest)
@@ -191,10 +194,10 @@
 
 
 def show_merged(
-    backend: Backend, *, version: int | None, proposal: str | None
+    context: ApiContext, *, version: int | None, proposal: str | None
 ) -> MergedView:
-    """Show a whole configuration: a version, a proposal's, or the newest one."""
-    platform = backend.platform
+    """Return a merged configuration: a version's, a proposal's, or the newest one."""
+    platform = context.platform
     if proposal is not None:
         record = store.read_proposal(platform, proposal)
         found = store.load_result(platform, record.digest)
@@ -202,31 +205,33 @@
         change = store.read_change(platform, version)
         found = store.load_result(platform, change.digest)
     else:
-        found = _find_current(backend).configuration
+        found = _find_current(context).configuration
     return MergedView(version=found.version, text=write_merged(found))
 
 
-def show_status(backend: Backend) -> StatusView:
-    """Show what is in force where, as far as store and controller tell."""
+def show_status(context: ApiContext) -> StatusView:
+    """Return the active versions, as far as store and controller are available."""
     status: FleetStatus | None = None
     stored_version: int | None = None
-    # The store is read last: a change accepted in between would otherwise look as
-    # if the store had been restored to an older state.
+    # The store is read last: otherwise a change accepted between the two reads would
+    # look as if the store had been restored to an older state.
     with contextlib.suppress(PeerUnavailableError):
-        status = backend.fetch_status(NO_CONFIGURATION)
+        status = context.fetch_status(ABOVE_ALL_VERSIONS)
     with contextlib.suppress(PlatformUnavailableError):
-        stored_version = store.read_head_version(backend.platform)
+        stored_version = store.read_head_version(context.platform)
     return build_status_view(status, stored_version=stored_version)
 
 
-def _find_in_force(backend: Backend) -> Configuration:
-    stored_version = store.read_head_version(backend.platform)
-    status = backend.fetch_status(stored_version)
-    return choose_in_force(status, stored_version=stored_version)
+def _find_active_configuration(context: ApiContext) -> Configuration:
+    stored_version = store.read_head_version(context.platform)
+    status = context.fetch_status(stored_version)
+    return choose_active_configuration(status, stored_version=stored_version)
 
 
-def _find_current(backend: Backend) -> CurrentConfiguration:
-    return store.find_current(backend.platform, active=_find_in_force(backend))
+def _find_current(context: ApiContext) -> CurrentConfiguration:
+    return store.find_current(
+        context.platform, active=_find_active_configuration(context)
+    )
 
 
 def _build_view(record: Proposal, current: CurrentConfiguration) -> ProposalView:
@@ -238,7 +243,7 @@
 
 
 def _strip_steps(change: Change) -> Change:
-    """Leave out the steps, in which callers' keys are not hidden."""
+    """Remove the delta: its steps hold the hashes of callers' keys unredacted."""
     return msgspec.structs.replace(change, delta=None)
 
 
--- a/src/arbutuspulley/programs/console_views.py
+++ b/src/arbutuspulley/programs/console_views.py
@@ -1,4 +1,4 @@
-"""What operators see of the fleet: decisions over a controller's status, no I/O."""
+"""Builds the operators' views of the fleet from a controller's status, without I/O."""
 
 from collections.abc import Iterator
 
@@ -12,14 +12,19 @@
 from arbutuspulley.rpc.messages import FleetStatus, InstanceStatus
 
 
-def choose_in_force(status: FleetStatus, *, stored_version: int) -> Configuration:
-    """Return the configuration in force if it is newer than the store's.
+def choose_active_configuration(
+    status: FleetStatus, *, stored_version: int
+) -> Configuration:
+    """Return the active configuration if it is newer than the store's.
 
-    After the store was restored to an older state the instances hold versions that
-    the store no longer knows. A change must then be based on theirs.
+    After the store has been restored to an older state, the instances have versions
+    that are missing in the store. A change has to be based on the instances' version
+    then; otherwise its number would be below the active one.
 
-    :return: the empty configuration if the store holds the newest one.
-    :raises ConfigurationError: if a newer version is in force somewhere but its
+    :param status: status from the console's controller.
+    :param stored_version: newest version in the store.
+    :return: the empty configuration if the store has the newest version.
+    :raises ConfigurationError: if a newer version is active on an instance but its
         content has not reached this controller yet.
     """
     known = status.configuration or EMPTY
@@ -39,30 +44,38 @@
 def build_status_view(
     status: FleetStatus | None, *, stored_version: int | None
 ) -> StatusView:
-    """Return what is in force where.
+    """Return the active versions of the fleet.
 
-    :param status: from the console's controller, ``None`` if it does not answer.
-    :param stored_version: the store's newest version, ``None`` if it does not answer.
+    :param status: status from the console's controller; ``None`` if unavailable.
+    :param stored_version: newest version in the store; ``None`` if unavailable.
     """
     fleet = status or FleetStatus(accepted_version=0)
-    in_force = max(_list_versions(fleet), default=0)
-    accepted = max(stored_version or 0, fleet.accepted_version, in_force)
-    has_it = [one.instance for one in fleet.instances if is_in_force(one, accepted)]
-    waits = [one.instance for one in fleet.instances if one.instance not in has_it]
+    active_version = max(_list_versions(fleet), default=0)
+    accepted = max(stored_version or 0, fleet.accepted_version, active_version)
+    active_on = [
+        instance.instance
+        for instance in fleet.instances
+        if is_active(instance, accepted)
+    ]
+    waiting = [
+        instance.instance
+        for instance in fleet.instances
+        if instance.instance not in active_on
+    ]
     alarms = _list_alarms(status, stored_version=stored_version, accepted=accepted)
     return StatusView(
-        summary=_summarise(accepted, has_it, waits),
+        summary=_summarise(accepted, active_on, waiting),
         accepted_version=accepted,
         stored_version=stored_version,
         instances=fleet.instances,
-        in_force_on=tuple(has_it),
-        waiting_for=tuple(waits),
+        in_force_on=tuple(active_on),
+        waiting_for=tuple(waiting),
         alarms=tuple(alarms),
     )
 
 
-def is_in_force(instance: InstanceStatus, version: int) -> bool:
-    """Return whether an instance and all its entries are at least at a version."""
+def is_active(instance: InstanceStatus, version: int) -> bool:
+    """Return whether an instance and all its entries have at least a version."""
     if not instance.reachable:
         return False
     versions = (instance.configuration_version, *instance.entry_versions.values())
@@ -70,7 +83,7 @@
 
 
 def write_merged(configuration: Configuration) -> str:
-    """Return a configuration as YAML, with the hashes of callers' keys hidden."""
+    """Return a configuration as YAML, with the hashes of callers' keys redacted."""
     content = msgspec.to_builtins(configuration)
     for site in content.get("sites", {}).values():
         for caller in site.get("callers", {}).values():
@@ -79,36 +92,42 @@
 
 
 class _PlainDumper(yaml.SafeDumper):
-    """Writes equal parts of several sites out instead of referring to the first."""
+    """Writes equal sections of several sites in full instead of as YAML aliases."""
 
     def ignore_aliases(self, data: object) -> bool:
-        """Return that no part is written as a reference."""
+        """Return true for all data, so that no alias is written."""
         return True
 
 
 def _list_versions(status: FleetStatus) -> list[int]:
     return [
         version
-        for one in status.instances
-        for version in (one.configuration_version, *one.entry_versions.values())
+        for instance in status.instances
+        for version in (
+            instance.configuration_version,
+            *instance.entry_versions.values(),
+        )
     ]
 
 
 def _find_holder(status: FleetStatus, version: int) -> str:
-    for one in status.instances:
-        if version in (one.configuration_version, *one.entry_versions.values()):
-            return one.instance
+    for instance in status.instances:
+        if version in (
+            instance.configuration_version,
+            *instance.entry_versions.values(),
+        ):
+            return instance.instance
     return "an instance"
 
 
-def _summarise(accepted: int, has_it: list[str], waits: list[str]) -> str:
+def _summarise(accepted: int, active_on: list[str], waiting: list[str]) -> str:
     if accepted == 0:
         return "nothing accepted yet"
-    total = len(has_it) + len(waits)
+    total = len(active_on) + len(waiting)
     if total == 0:
         return f"accepted {accepted}: no instance known"
-    summary = f"accepted {accepted}: in force on {len(has_it)} of {total}"
-    return f"{summary}, waiting for {', '.join(waits)}" if waits else summary
+    summary = f"accepted {accepted}: in force on {len(active_on)} of {total}"
+    return f"{summary}, waiting for {', '.join(waiting)}" if waiting else summary
 
 
 def _list_alarms(
@@ -123,6 +142,6 @@
             f"the store holds version {stored_version}, older than {accepted} in "
             f"force: it was restored. Roll forward version {accepted} and approve it"
         )
-    for one in status.instances if status else ():
-        if not one.reachable:
-            yield f"{one.instance} does not answer"
+    for instance in status.instances if status else ():
+        if not instance.reachable:
+            yield f"{instance.instance} does not answer"
--- a/src/arbutuspulley/programs/log_lines.py
+++ b/src/arbutuspulley/programs/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines that instances wrote."""
+"""Parses the JSON log lines of instances."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -9,10 +9,12 @@
 from arbutuspulley.data import State
 
 
-class Line(State):
-    """One line of a log.
+class LogLine(State):
+    """A parsed log line.
 
-    :param time_ms: the instance's calendar time.
+    :param time_ms: wall-clock time of the instance, in ms.
+    :param event: number of the event.
+    :param name: name of the event.
     """
 
     time_ms: int
@@ -22,10 +24,10 @@
     fields: dict[str, object]
 
 
-def read_lines(sources: Iterable[Iterable[str]]) -> Iterator[Line]:
-    """Read the lines of logs; what is no line of ours is passed over.
+def read_lines(sources: Iterable[Iterable[str]]) -> Iterator[LogLine]:
+    """Parse log lines; text that is not a log line of an instance is skipped.
 
-    Text before a line's opening brace, such as a time that a collector adds, is cut.
+    A prefix before the opening brace, such as a collector's timestamp, is removed.
     """
     for source in sources:
         for text in source:
@@ -41,14 +43,14 @@
 
 
 def open_sources(paths: list[Path]) -> list[Iterable[str]]:
-    """Return the lines of files, or of standard input without any."""
+    """Return the lines of files, or of standard input if there are none."""
     if not paths:
         return [sys.stdin]
     return [path.read_text(errors="replace").splitlines() for path in paths]
 
 
-def _build_line(found: dict[str, object]) -> Line:
-    return Line(
+def _build_line(found: dict[str, object]) -> LogLine:
+    return LogLine(
         time_ms=int(str(found["time_ms"])),
         instance=str(found.get("instance", "")),
         event=int(str(found.get("event", 0))),
--- a/tests/console_trial.py
+++ b/tests/console_harness.py
@@ -1,4 +1,4 @@
-"""A console with a real HTTP server over a platform in memory, for tests."""
+"""A console with a real HTTP server and an in-memory platform, for tests."""
 
 import json
 
@@ -7,9 +7,9 @@
 
 from arbutuspulley.configuration.lookup import hash_key
 from arbutuspulley.configuration.schema import EMPTY
-from arbutuspulley.programs.console_api import Backend
+from arbutuspulley.programs.console_api import ApiContext
 from arbutuspulley.programs.console_messages import FileText, ProposeRequest
-from arbutuspulley.programs.console_routes import build_site
+from arbutuspulley.programs.console_routes import build_web_root
 from arbutuspulley.programs.console_server import build_server
 from arbutuspulley.rpc.channel import PeerUnavailableError
 from arbutuspulley.rpc.messages import FleetStatus, InstanceStatus
@@ -32,38 +32,40 @@
     )
 
 
-class Trial:
-    """A console over a platform in memory, and an HTTP client for it.
+class ConsoleHarness:
+    """A console with an in-memory platform, and an HTTP client for it.
 
-    ``in_force`` is what its controller has in force.
+    ``active`` is the active configuration of its controller.
     """
 
     def __init__(self):
         self.fake = FakePlatform()
         self.reset()
-        backend = Backend(platform=self.fake.platform, fetch_status=self._fetch_status)
+        context = ApiContext(
+            platform=self.fake.platform, fetch_status=self._fetch_status
+        )
         operators = {name: hash_key(f"key-of-{name}") for name in ("ayu", "janis")}
-        site = build_site(backend, operators)
-        self.server = build_server(site=site, host="127.0.0.1", port=0)
+        root = build_web_root(context, operators)
+        self.server = build_server(root=root, host="127.0.0.1", port=0)
         self.server.start()
         self.url = f"http://{self.server.address}"
 
     def reset(self):
-        """Forget all; the console keeps nothing, so it can go on."""
+        """Reset the platform and the controller; the console itself is stateless."""
         self.fake.reset()
-        self.in_force = EMPTY
+        self.active = EMPTY
         self.controller_down = False
 
     def _fetch_status(self, version):
         if self.controller_down:
             raise PeerUnavailableError(detail="down", sent=True)
-        known = self.in_force
+        known = self.active
         instance = build_instance("a", known.version)
         newer = known if known.version > version else None
         return build_fleet(instance, accepted=known.version, configuration=newer)
 
     def ask(self, method, path, body=None, *, key="key-of-ayu", **headers):
-        """Return status and decoded JSON of a call below /api."""
+        """Send a request below /api; return status and decoded JSON."""
         if body is not None and not isinstance(body, bytes):
             body = msgspec.json.encode(body)
         answer = urllib3.request(
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -1,4 +1,4 @@
-"""Entries in this process, with a controller and backend servers that tests steer."""
+"""Entries in the test process, with a fake controller and backend server stand-ins."""
 
 import asyncio
 import contextlib
@@ -38,17 +38,18 @@
 
 
 class FakeController:
-    """Answers for the controllers of all entries, from one fake platform.
+    """Acts as the controller of all entries, with one fake platform.
 
-    Set ``down`` to have it not answer, ``lost_replies`` to have it act unheard, or
-    ``after_death`` to do something, once, after the next death is recorded.
+    If ``down`` is set it does not respond; ``lost_replies`` is the number of next calls
+    that take effect but lose their replies; ``after_death_report`` is called once,
+    after the next death is recorded.
     """
 
     def __init__(self):
         self.fake = FakePlatform()
         self.down = False
         self.lost_replies = 0
-        self.after_death = None
+        self.after_death_report = None
         self.reports = []
         self.settled = []
         self.port = ControllerClient(
@@ -89,11 +90,11 @@
         return Acknowledged()
 
     async def _report_death(self, report):
-        hook, self.after_death = self.after_death, None
+        hook, self.after_death_report = self.after_death_report, None
         table = self.fake.platform.table
         reply = self._answer(lambda: trials.record_deaths(table, report))
         if hook:
-            await run_aside(hook)
+            await run_in_executor(hook)
         return reply
 
     async def _clear_suspicion(self, report):
@@ -107,14 +108,14 @@
 
 
 class Entry:
-    """One running entry and what a test asks of it."""
+    """A running entry, with helpers for tests."""
 
     def __init__(self, runtime, server):
         self.runtime, self.server = runtime, server
         self.address = server.address
 
     def ask(self, body, path=CHAT, method="POST", key="key-of-desk", **headers):
-        """Return the answer; header names are written with underscores."""
+        """Send a request and return the response; ``_`` in a header becomes ``-``."""
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         return urllib3.request(
             method,
@@ -126,7 +127,7 @@
         )
 
     def connect(self):
-        """Return an ordinary client of the usual protocol."""
+        """Return an OpenAI client for this entry."""
         return openai.OpenAI(
             base_url=f"http://{self.address}/v1", api_key="key-of-desk", max_retries=0
         )
@@ -136,15 +137,15 @@
 
 
 class EngineProcess(NamedTuple):
-    """An engine in a process of its own."""
+    """An engine stand-in in its own process."""
 
     address: str
     boot_id: str
     process: subprocess.Popen
 
 
-class Bench:
-    """Entries, engines and their one controller."""
+class EntryHarness:
+    """Entries, engines and their common fake controller."""
 
     def __init__(self, stack):
         self.stack = stack
@@ -159,7 +160,7 @@
         return engine
 
     def add_engine_process(self, name, marker):
-        """Start an engine that a request with the marker kills."""
+        """Start an engine process that crashes on a request with the marker."""
         address = find_free_address()
         command = [sys.executable, "-m", "arbutuspulley.standins.engine"]
         flags = ["--name", name, "--listen", address, "--load-ms", "0"]
@@ -177,8 +178,8 @@
         self.entries.append(entry)
         return entry
 
-    def spread(self, *entries, **changes):
-        """Give all entries, or these, the view that a controller would have now."""
+    def push_view(self, *entries, **changes):
+        """Push the controller's current view to the given entries, by default all."""
         self.number += 1
         view = View(
             number=self.number,
@@ -191,9 +192,11 @@
         )
         view = msgspec.structs.replace(view, **changes)
         for entry in entries or self.entries:
-            take = entry.runtime
-            take.loop.call(
-                lambda taking=take: update_view(taking, view, now=taking.clock.now())
+            runtime = entry.runtime
+            runtime.loop.call(
+                lambda runtime=runtime: update_view(
+                    runtime, view, now=runtime.clock.now()
+                )
             )
 
     def list_servers(self, *names):
@@ -201,7 +204,7 @@
 
 
 def build_configuration(*, version=1, services=()):
-    """Return a configuration with one model, as all entries of the tests know it."""
+    """Build the tests' configuration, with one model."""
     target = schema.Target(first_token_ms=20_000)
     callers = {
         "desk": schema.Caller(key_sha256=hash_key("key-of-desk")),
@@ -219,21 +222,21 @@
 
 
 @contextlib.contextmanager
-def run_bench(*, engines=("e1",), entries=1, services=(), **settings):
-    """Yield a bench with engines that hold the model, and entries that know it."""
+def run_entries(*, engines=("e1",), entries=1, services=(), **settings):
+    """Yield engines that have the model loaded, and entries that know them."""
     with contextlib.ExitStack() as stack:
-        bench = Bench(stack)
+        bench = EntryHarness(stack)
         bench.services = list(services)
         for name in engines:
             bench.add_engine(name, **settings)
         for _ in range(entries):
             bench.add_entry()
-        bench.spread()
+        bench.push_view()
         yield bench
 
 
-async def run_aside(function):
-    """Run what waits for a loop, from that loop."""
+async def run_in_executor(function):
+    """Run a function that waits for the event loop in a thread, without a deadlock."""
     await asyncio.get_running_loop().run_in_executor(None, function)
 
 
@@ -243,7 +246,7 @@
 
 
 def build_runtime(controller, *, number=1, loop=None, clock=None, **settings):
-    """Return what an entry's functions work with, with nothing running yet."""
+    """Build the runtime of an entry, without starting its tasks or server."""
     return Runtime(
         settings=Settings(
             instance=f"i{number}",
--- a/tests/stack.py
+++ b/tests/stack.py
@@ -1,7 +1,7 @@
-"""A running system of real processes for integration tests, on free loopback ports.
+"""A system of real processes on free loopback ports, for integration tests.
 
-Built on the launcher of the demo. Proxies that inject faults can be put on the way
-between two processes; everything waits for conditions, never for a time.
+Uses the launcher of the demo. Fault-injecting proxies can be put between two processes.
+The helpers wait for conditions, never for a fixed time.
 """
 
 import json
@@ -12,7 +12,7 @@
 from arbutuspulley.data import State
 from arbutuspulley.standins import answer
 from scripts import fleet
-from scripts.asking import AddressBook, Ask, ask, ask_once
+from scripts.client import AddressBook, ClientRequest, send, send_once
 from scripts.demo_load import count_admissions
 from scripts.fleet import Fleet, InstancePlan, Plan, ServerPlan
 from scripts.launcher import fetch, open_launcher, wait_until
@@ -26,9 +26,9 @@
 class Stack(State):
     """A running system.
 
-    :param proxies: by the names of both ends.
-    :param version: the configuration accepted last.
-    :param item_version: version of all models in it.
+    :param proxies: proxies by the names of the two processes they connect.
+    :param version: version of the configuration accepted last.
+    :param item_version: version of all models in that configuration.
     """
 
     fleet: Fleet
@@ -47,7 +47,7 @@
 
 
 def build_plan(*, instances=2, engines=2, memory_mib=60_000, **changes):
-    """Return a plan with as many sites as instances; odd engines check orders."""
+    """Build a plan with one instance per site; odd-numbered engines check orders."""
     return Plan(
         instances=tuple(
             InstancePlan(name=f"{site}-1", site=site) for site in SITES[:instances]
@@ -67,7 +67,7 @@
 
 @contextmanager
 def open_stack(plan, directory, *, proxied=()):
-    """Start a system, bring its configuration into force and load all models."""
+    """Start a system, activate its configuration and wait for all models to load."""
     with ExitStack() as opened:
         launcher = opened.enter_context(open_launcher(directory))
         system = fleet.build_fleet(plan, launcher)
@@ -92,12 +92,12 @@
 
 
 def get_entry(stack, number):
-    """Return the address of the first entry of an instance, counted from 0."""
+    """Return the address of the first entry of an instance; instances count from 0."""
     return stack.addresses[f"entry-{list_names(stack)[number]}"]
 
 
 def propose(stack, *, operator="ayu", **changes):
-    """Propose the plan's files with some fields of the base set differently."""
+    """Propose the plan's files, with some fields of the base file overridden."""
     files = fleet.write_files(stack.fleet, stack.directory, **changes)
     ended = fleet.run_cli(
         stack.fleet, "propose", *map(str, files), "--json", operator=operator
@@ -106,31 +106,31 @@
     return json.loads(ended.stdout)["proposal"]
 
 
-def press_approve(stack, proposal, *, operator="ayu"):
-    """Run ``arbutus approve`` and return the ended process."""
+def run_approve(stack, proposal, *, operator="ayu"):
+    """Run ``arbutus approve`` and return the completed process."""
     base = str(proposal.get("base_version", 0))
     arguments = ("approve", proposal["proposal"], "--base", base, "--json")
     return fleet.run_cli(stack.fleet, *arguments, operator=operator)
 
 
 def approve(stack, proposal):
-    """Approve a proposal and wait until it is in force everywhere."""
-    ended = press_approve(stack, proposal)
+    """Approve a proposal and wait until it is active on all instances and entries."""
+    ended = run_approve(stack, proposal)
     assert ended.returncode == 0, ended.stderr
     stack.version = json.loads(ended.stdout)["version"]
-    wait_in_force(stack, stack.version)
+    wait_active(stack, stack.version)
 
 
 def read_status(stack):
-    """Return what ``arbutus status`` shows."""
+    """Return the decoded output of ``arbutus status``."""
     ended = fleet.run_cli(stack.fleet, "status", "--json")
     return json.loads(ended.stdout) if ended.returncode == 0 else {}
 
 
-def wait_in_force(stack, version):
-    """Wait until a version is in force on every instance and entry."""
+def wait_active(stack, version):
+    """Wait until a version is active on all instances and entries."""
 
-    def is_in_force():
+    def is_active():
         status = read_status(stack)
         instances = status.get("instances", ())
         versions = [one["configuration_version"] for one in instances]
@@ -138,32 +138,34 @@
             versions += one.get("entry_versions", {}).values()
         return len(instances) == len(list_names(stack)) and set(versions) == {version}
 
-    wait_until(is_in_force, what=f"version {version} to be in force", timeout_s=30)
+    wait_until(is_active, what=f"version {version} to be in force", timeout_s=30)
 
 
 def wait_loaded(stack, *, models=()):
-    """Wait until every entry answers requests to the models."""
+    """Wait until every entry serves requests to the models, by default all models."""
     for entry in fleet.list_all_entries(stack.fleet):
         for model in models or stack.fleet.plan.models:
-            probe = build_ask("probe", model=model, tokens=1)
+            probe = build_inference("probe", model=model, tokens=1)
             wait_until(
                 lambda entry=entry, probe=probe: (
-                    ask_once(stack.addresses[entry], probe).status == 200
+                    send_once(stack.addresses[entry], probe).status == 200
                 ),
                 what=f"{model} to answer at {entry}",
                 timeout_s=40,
             )
 
 
-def build_ask(name, *, model="tracker", tokens=8, streamed=False, unrepeatable=False):
-    """Return a request to a model; its prompt is its name."""
+def build_inference(
+    name, *, model="tracker", tokens=8, streamed=False, unrepeatable=False
+):
+    """Build an inference request whose prompt contains its name."""
     body = {
         "model": model,
         "prompt": f"Where is runner {name}?",
         "max_tokens": tokens,
         "stream": streamed,
     }
-    return Ask(
+    return ClientRequest(
         name=name,
         path="/v1/completions",
         body=json.dumps(body).encode(),
@@ -171,34 +173,34 @@
         model=model,
         streamed=streamed,
         unrepeatable=unrepeatable,
-        bound_s=30,
+        timeout_s=30,
     )
 
 
-def find_digest(request):
-    """Return the digest by which engines count a prompt."""
+def get_prompt_digest(request):
+    """Return the digest under which engine stand-ins count the prompt."""
     return answer.read_prompt(path=request.path, body=request.body).digest
 
 
 def count_runs(stack, request):
-    """Return how often stand-ins began to run a request, also those that died."""
+    """Return how often stand-ins began to run a request, killed ones included."""
     if not request.model:
         return read_counters(stack, "booking")["by_key"].get(request.name, 0)
     logs = [stack.launcher.read_log(name) for name in list_engines(stack)]
-    return count_admissions(logs)[find_digest(request)]
+    return count_admissions(logs)[get_prompt_digest(request)]
 
 
 def build_booking(name):
-    """Return an unrepeatable call to the plain service."""
+    """Build an unrepeatable request to the plain service."""
     body = json.dumps({"guest": name}).encode()
     path = "/services/booking/bookings"
-    return Ask(name=name, path=path, body=body, key=KEY, unrepeatable=True)
+    return ClientRequest(name=name, path=path, body=body, key=KEY, unrepeatable=True)
 
 
-def ask_patiently(stack, request, *, first=0):
-    """Ask as a well-behaved caller that knows all entries."""
+def send_with_retries(stack, request, *, first=0):
+    """Send a request, with retries, as a caller that knows all entries."""
     seeds = [stack.addresses[name] for name in fleet.list_all_entries(stack.fleet)]
-    return ask(AddressBook(seeds=(*seeds[first:], *seeds[:first])), request)
+    return send(AddressBook(seeds=(*seeds[first:], *seeds[:first])), request)
 
 
 def control(stack, name, **faults):
@@ -208,12 +210,12 @@
 
 
 def read_counters(stack, name):
-    """Return what a stand-in has counted."""
+    """Return the counters of a stand-in."""
     return json.loads(fetch("GET", stack.addresses[name], "/control/counters").data)
 
 
 def read_report(stack, name):
-    """Return an engine's report, or ``None`` if it does not answer."""
+    """Return an engine's report, or ``None`` if it does not respond."""
     reply = fetch("GET", stack.addresses[name], "/report")
     return json.loads(reply.data) if reply is not None else None
 
@@ -224,7 +226,7 @@
 
 
 def list_holders(stack, item):
-    """Return the names of the engines on which an item answers."""
+    """Return the names of the engines that have an item loaded."""
     return [
         name
         for name in list_engines(stack)
@@ -242,13 +244,13 @@
 
 
 def has_logged(stack, instance, event):
-    """Tell whether an instance's controller has logged an event."""
+    """Return whether an instance's controller has logged an event."""
     log = stack.launcher.read_log(f"controller-{instance}")
     return f" {event.value} {event.name.lower()}" in log
 
 
 def check_memory(stack, engines=()):
-    """Check that no engine was ever asked to hold more than it can."""
+    """Check that the memory of no engine was ever overcommitted."""
     for name in engines or list_engines(stack):
         counters = read_counters(stack, name)
         assert counters["overcommitted"] == 0, name
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -11,7 +11,7 @@
 from arbutuspulley.results import Code
 from arbutuspulley.standins.service import build_service
 from tests.backends import read_counters, set_faults, wait_until
-from tests.entries import UNREPEATABLE, build_chat, run_bench
+from tests.entries import UNREPEATABLE, build_chat, run_entries
 
 BOOKING = "/services/booking/bookings"
 RUN_ONCE = {name.replace("-", "_"): value for name, value in UNREPEATABLE.items()}
@@ -43,7 +43,7 @@
     Whether the retry goes through the same entry or another one, the guest must get
     one confirmation, and the volunteer the answer of the first run.
     """
-    with run_bench(engines=("e1", "e2"), entries=2) as bench:
+    with run_entries(engines=("e1", "e2"), entries=2) as bench:
         first, second = bench.entries
         body = build_chat(stream=stream)
         answers = [entry.ask(body, **RUN_ONCE) for entry in (first, first, second)]
@@ -88,7 +88,7 @@
     or when the caller retries through another entry. In the second case it certainly
     did not run, and its key can be used again.
     """
-    with run_bench(engines=("e1",), entries=2) as bench:
+    with run_entries(engines=("e1",), entries=2) as bench:
         set_faults(bench.engines["e1"].address, **faults)
         answer = bench.entries[0].ask(build_chat(), **RUN_ONCE)
         assert get_outcome(answer) == first
@@ -104,7 +104,7 @@
     Without a claim, a booking could run through two entries. It is refused immediately
     as not run, and all other requests are still served.
     """
-    with run_bench() as bench:
+    with run_entries() as bench:
         entry, controller = bench.entries[0], bench.controller
         for name, owner in (("down", controller.fake), ("down", controller)):
             setattr(owner, name, True)
@@ -125,7 +125,7 @@
     First it must wait. Then the outcome of the booking is unknown, and further retries
     would be in vain.
     """
-    with run_bench(entries=2, token_ms=20) as bench:
+    with run_entries(entries=2, token_ms=20) as bench:
         first, second = bench.entries
         slow = build_chat(tokens=100)
         asking = threading.Thread(target=lambda: first.ask(slow, **RUN_ONCE))
@@ -134,20 +134,20 @@
         answer = second.ask(slow, **RUN_ONCE)
         assert get_outcome(answer) == (409, "IN_PROGRESS", "unknown")
         assert answer.headers["Retry-After"] == "1"
-        bench.spread(entries=())
+        bench.push_view(entries=())
         assert get_outcome(second.ask(slow, **RUN_ONCE)) == (
             409,
             "OUTCOME_UNKNOWN",
             "unknown",
         )
         asking.join()
-        bench.spread()
+        bench.push_view()
         assert get_outcome(second.ask(slow, **RUN_ONCE)) == (200, "OK", "run")
 
 
 def test_answer_is_returned_although_it_cannot_be_stored():
     """The store fails after a booking ran and before its answer is stored."""
-    with run_bench(token_ms=5) as bench:
+    with run_entries(token_ms=5) as bench:
         entry, controller = bench.entries[0], bench.controller
         answers = []
         asking = threading.Thread(
@@ -173,7 +173,7 @@
     The answer is no longer read, so the engine is freed. A confirmation runs to its
     end, and a retry with the same key gets the stored answer.
     """
-    with run_bench(token_ms=10) as bench:
+    with run_entries(token_ms=10) as bench:
         entry, engine = bench.entries[0], bench.engines["e1"]
         body = build_chat(tokens=100, stream=stream)
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -220,7 +220,7 @@
     for service in services:
         service.start()
     addresses = [service.address for service in services]
-    with run_bench(services=addresses) as bench:
+    with run_entries(services=addresses) as bench:
         entry = bench.entries[0]
         set_faults(addresses[0], **{fault: 1})
         entry.call(
@@ -242,21 +242,21 @@
     entries learn of the first death before its answer is sent, and of no other death.
     Two servers die; another request that ran on the first one gets its full answer.
     """
-    with run_bench(engines=(), entries=3) as bench:
+    with run_entries(engines=(), entries=3) as bench:
         first = bench.entries[0]
         for number in range(4):
             bench.add_engine_process(f"e{number}", marker="poison")
-        bench.spread()
-        bench.spread(first, servers=bench.list_servers("e0"))
+        bench.push_view()
+        bench.push_view(first, servers=bench.list_servers("e0"))
 
         def push_first_death():
             first_deaths = [
                 replace(one, deaths=tuple(d for d in one.deaths if d.startswith("e0")))
                 for one in bench.controller.list_suspicions()
             ]
-            bench.spread(suspicions=tuple(first_deaths))
+            bench.push_view(suspicions=tuple(first_deaths))
 
-        bench.controller.after_death = push_first_death
+        bench.controller.after_death_report = push_first_death
         endings = []
         bystander = threading.Thread(
             target=lambda: endings.append(first.ask(build_chat("bystander", tokens=60)))
@@ -282,12 +282,12 @@
 
     No trial can be recorded, so other entries could run the request as well.
     """
-    with run_bench(engines=("e1",)) as bench:
+    with run_entries(engines=("e1",)) as bench:
         entry, fake = bench.entries[0], bench.controller.fake
         bench.add_engine_process("e0", marker="poison")
-        bench.spread(servers=bench.list_servers("e0"))
+        bench.push_view(servers=bench.list_servers("e0"))
         assert entry.ask(build_chat("a poison request")).status == 503
-        bench.spread()
+        bench.push_view()
         fake.down = True
         answer = entry.ask(build_chat("a poison request"))
         assert get_outcome(answer) == (503, "STORE_UNAVAILABLE", "not_run")
@@ -302,15 +302,15 @@
     them. The request ends immediately with a ``Retry-After``, and runs when the outage
     is over.
     """
-    with run_bench(engines=("e1",)) as bench:
+    with run_entries(engines=("e1",)) as bench:
         entry, controller = bench.entries[0], bench.controller
         bench.add_engine_process("e0", marker="poison")
-        bench.spread(servers=bench.list_servers("e0"))
+        bench.push_view(servers=bench.list_servers("e0"))
         owner = controller if failing == "controller" else controller.fake
         owner.down = True
         body = build_chat("a poison request")
         assert get_outcome(entry.ask(body)) == (503, "STORE_UNAVAILABLE", "unknown")
-        bench.spread()
+        bench.push_view()
         answer = entry.ask(body)
         assert get_outcome(answer) == (503, "STORE_UNAVAILABLE", "not_run")
         assert "Retry-After" in answer.headers
@@ -322,9 +322,9 @@
 
 def test_a_full_entry_refuses_at_once():
     """Each call occupies a worker thread; with none free, no caller gets an answer."""
-    with run_bench(token_ms=20) as bench:
+    with run_entries(token_ms=20) as bench:
         entry = bench.add_entry(max_in_flight=1)
-        bench.spread()
+        bench.push_view()
         asking = threading.Thread(target=lambda: entry.ask(build_chat(tokens=100)))
         asking.start()
         wait_until(lambda: entry.call(lambda state: state.ongoing))
@@ -342,7 +342,7 @@
     callers may cache those, then refuses new calls as not run, and interrupts no
     answer.
     """
-    with run_bench(entries=3, token_ms=20) as bench:
+    with run_entries(entries=3, token_ms=20) as bench:
         stopping, staying = bench.entries[:2], bench.entries[2]
         endings = []
 
@@ -357,7 +357,7 @@
         drained = [one.runtime.loop.submit(drain(one.runtime)) for one in stopping]
         for entry in stopping:
             wait_until(lambda one=entry: one.call(lambda state: state.draining))
-        bench.spread()
+        bench.push_view()
         listed = staying.ask(b"", "/v1/addresses?model=m", "GET").json()
         own = staying.runtime.settings.address
         assert (listed["addresses"], listed["lifetime_s"]) == ([own], 1)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The promises of ``features/promises.feature``, with real processes."""
+"""Steps of ``features/promises.feature``, with real processes."""
 
 import signal
 from concurrent.futures import ThreadPoolExecutor
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from arbutuspulley.data import State
-from scripts.asking import Answer, Ask, Ending, Outcome, ask_once
+from scripts.client import AttemptResult, ClientRequest, Ending, Outcome, send_once
 from scripts.demo_load import find_problem
 from scripts.launcher import wait_until
 from tests import stack as running
@@ -17,19 +17,23 @@
 
 LINK = ("controller-hall-b-1", "platform")
 MODELS = {"tracker": running.MODEL, "recap": running.MODEL}
-PATIENCE_S = 60
+WAIT_TIMEOUT_S = 60
 
 
 class World(State):
-    """What the steps of one scenario share.
+    """State shared by the steps of a scenario.
 
-    :param server: the engine that the scenario is about.
+    :param server: engine that the scenario's faults affect.
+    :param outcomes: outcomes of requests that were sent with retries.
+    :param answers: requests that were sent once, with their results.
+    :param long: future of the long answer's outcome.
+    :param statuses: futures of exit statuses by process name.
     """
 
     stack: running.Stack
     server: str = ""
     outcomes: list[Outcome] = []
-    answers: list[tuple[Ask, Answer]] = []
+    answers: list[tuple[ClientRequest, AttemptResult]] = []
     long: object = None
     statuses: dict[str, int] = {}
 
@@ -44,12 +48,12 @@
 
 @pytest.fixture
 def world(opened):
-    """A healthy system; it is mended after the scenario."""
+    """A healthy system; it is repaired after the scenario."""
     yield World(stack=opened)
     for proxy in opened.proxies.values():
         proxy.heal()
     for name in running.list_engines(opened):
-        # One that is leaving never comes back; it is replaced.
+        # An engine that is leaving stays in that state, so it is replaced.
         if (running.read_report(opened, name) or {}).get("leaving"):
             opened.launcher.kill(name)
     dead = [name for name in opened.launcher.processes if not _runs(opened, name)]
@@ -58,7 +62,7 @@
     opened.launcher.wait_ready(*dead)
     _set_instances(opened, leaving="")
     _control_all(opened, break_streams=0, break_requests=0)
-    running.wait_in_force(opened, opened.version)
+    running.wait_active(opened, opened.version)
     running.wait_loaded(opened)
 
 
@@ -97,15 +101,15 @@
     return holders[0]
 
 
-def _ask_all(pool, world, count, model, **kind):
+def _send_all(pool, world, count, model, **kind):
     requests = [
-        running.build_ask(
+        running.build_inference(
             f"{model}-{id(world)}-{number}", tokens=20, streamed=number % 2 == 0, **kind
         )
         for number in range(count)
     ]
     asking = [
-        pool.submit(running.ask_patiently, world.stack, request, first=number % 2)
+        pool.submit(running.send_with_retries, world.stack, request, first=number % 2)
         for number, request in enumerate(requests)
     ]
     world.outcomes = [one.result() for one in asking]
@@ -138,8 +142,8 @@
 
 @given(parsers.parse('a long answer is being streamed from an engine with "{model}"'))
 def _begin_long(world, pool, model):
-    request = running.build_ask(f"long-{id(world)}", tokens=400, streamed=True)
-    world.long = pool.submit(running.ask_patiently, world.stack, request)
+    request = running.build_inference(f"long-{id(world)}", tokens=400, streamed=True)
+    world.long = pool.submit(running.send_with_retries, world.stack, request)
     wait_until(
         lambda: running.count_runs(world.stack, request),
         what="the long answer to begin",
@@ -169,23 +173,25 @@
 
 
 @when(parsers.parse('{count:d} callers ask "{model}" at once'))
-def _ask_many(world, pool, count, model):
-    _ask_all(pool, world, count, model)
+def _send_many(world, pool, count, model):
+    _send_all(pool, world, count, model)
 
 
 @when(
     parsers.parse('{count:d} callers ask "{model}" at once for something unrepeatable')
 )
-def _ask_unrepeatable(world, pool, count, model):
-    _ask_all(pool, world, count, model, unrepeatable=True)
+def _send_unrepeatable(world, pool, count, model):
+    _send_all(pool, world, count, model, unrepeatable=True)
 
 
 @when(parsers.parse('{count:d} callers ask "{model}" one by one, without patience'))
-def _ask_impatiently(world, count, model):
+def _send_without_retries(world, count, model):
     for number in range(len(world.answers), len(world.answers) + count):
-        request = running.build_ask(f"now-{number}", model=model, unrepeatable=True)
+        request = running.build_inference(
+            f"now-{number}", model=model, unrepeatable=True
+        )
         entry = running.get_entry(world.stack, number % 2)
-        world.answers.append((request, ask_once(entry, request)))
+        world.answers.append((request, send_once(entry, request)))
 
 
 @when(parsers.parse("{source} says that this engine leaves"))
@@ -267,7 +273,8 @@
 @then("each was run at most once, and exactly once if its answer is whole")
 def _check_runs(world):
     runs = [
-        (one.ending, running.count_runs(world.stack, one.ask)) for one in world.outcomes
+        (one.ending, running.count_runs(world.stack, one.request))
+        for one in world.outcomes
     ]
     assert set(runs) <= {(Ending.WHOLE, 1), (Ending.UNKNOWN, 1), (Ending.UNKNOWN, 0)}
     assert (Ending.UNKNOWN, 1) in runs
@@ -279,19 +286,19 @@
     wait_until(
         lambda: set(running.list_holders(world.stack, item)) - {world.server},
         what="another copy",
-        timeout_s=PATIENCE_S,
+        timeout_s=WAIT_TIMEOUT_S,
     )
 
 
 @then("this engine receives nothing more")
 def _check_nothing_more(world, pool):
-    def ask_and_count():
+    def send_and_compare():
         before = _count_admitted(world)
-        _ask_all(pool, world, 6, "tracker")
+        _send_all(pool, world, 6, "tracker")
         assert {one.ending for one in world.outcomes} == {Ending.WHOLE}
         return _count_admitted(world) == before
 
-    wait_until(ask_and_count, what="requests to pass the leaving engine by")
+    wait_until(send_and_compare, what="requests to pass the leaving engine by")
 
 
 def _count_admitted(world):
@@ -304,7 +311,7 @@
 def _check_long(world):
     outcome = world.long.result()
     items = dict.fromkeys(MODELS, world.stack.item_version)
-    assert (outcome.ending, outcome.cuts) == (Ending.WHOLE, 0)
+    assert (outcome.ending, outcome.broken_attempts) == (Ending.WHOLE, 0)
     assert find_problem(outcome, items) == ""
 
 
@@ -315,5 +322,5 @@
 
 
 @then("the change is in force everywhere")
-def _check_in_force(world):
-    running.wait_in_force(world.stack, world.stack.version)
+def _check_active(world):
+    running.wait_active(world.stack, world.stack.version)
--- a/tests/test_relayed_changes.py
+++ b/tests/test_relayed_changes.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from scripts.platform_stage import (
-    ask,
+from scripts.platform_testbed import (
     build_configuration,
     build_route,
+    send_request,
     wait_until,
 )
 from tests.proxied_nodes import run_on_nodes
@@ -52,7 +52,9 @@
 
     async def is_served():
         attempt = f"a{time.monotonic_ns()}"
-        status, _, _ = await ask(session, front, prefix, attempt=attempt, method="GET")
+        status, _, _ = await send_request(
+            session, front, prefix, attempt=attempt, method="GET"
+        )
         return status == 200
 
     await wait_until(is_served, f"version {version} at {name}")
