--- a/src/arbutuspulley/programs/causes.py
+++ b/src/arbutuspulley/programs/causes.py
@@ -98,7 +98,7 @@
 
 
 def _classify_lost(fields: dict[str, object], refusal: dict[str, object] | None) -> str:
-    text = f"{fields.get('how')}: {fields.get('why') or 'no reason given'}"
+    text = f"{fields.get('how')}: {fields.get('why') or 'no reason told'}"
     if refusal is None:
         return text
     if not _get_number(refusal, "copies"):
