--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -208,7 +208,7 @@
     late = [
         name
         for name, place in layout.servers.items()
-        if loads[name] > moves.measure_capacity(place)
+        if loads[name] > moves.measure_token_capacity(place)
     ]
     if not late:
         return ()
@@ -228,7 +228,7 @@
         spare = [
             key
             for key, entry in place.entries.items()
-            if entry.state is EntryState.LOADED and len(layout.answering[key]) > 1
+            if entry.state is EntryState.LOADED and len(layout.ready[key]) > 1
         ]
         if spare:
             coldest = min(spare, key=lambda key: run.demand.get(key, 0.0))
@@ -303,11 +303,11 @@
 def _count_late(run: Run) -> None:
     layout = _see(run)
     loads = dict.fromkeys(layout.servers, 0.0)
-    for key, names in layout.answering.items():
+    for key, names in layout.ready.items():
         for name in names:
             loads[name] += run.demand.get(key, 0.0) / len(names)
     for name, place in layout.servers.items():
-        run.late += max(0.0, loads[name] - moves.measure_capacity(place))
+        run.late += max(0.0, loads[name] - moves.measure_token_capacity(place))
     run.asked += sum(run.demand.values())
 
 
@@ -318,7 +318,7 @@
     ask = build_demand(pool, chance)
     for _ in range(20 * pool.models * LOAD_S // STEP_S // pool.store.loads_at_once):
         step(run, decide, counted=False)
-        if all(_see(run).answering.values()):
+        if all(_see(run).ready.values()):
             break
     start = run.now_s
     while run.now_s < start + HOURS * SHIFT_S:
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -63,7 +63,7 @@
         channel.SETTLE: lambda request: _settle(controller, request),
         channel.REPORT_DEATH: lambda request: _record_deaths(controller, request),
         channel.CLEAR_SUSPICION: lambda request: _clear_suspicion(controller, request),
-        channel.TELL_SUSPICIONS: lambda update: _apply_suspicions(controller, update),
+        channel.NOTIFY_SUSPICIONS: lambda update: _apply_suspicions(controller, update),
         channel.EXCHANGE: lambda request: _exchange(controller, request),
         channel.STATUS: lambda request: _get_status(controller, request),
     }
--- a/src/arbutuspulley/controller/ledgers.py
+++ b/src/arbutuspulley/controller/ledgers.py
@@ -55,7 +55,7 @@
 ) -> tuple[Order, ...]:
     """Reconcile a server's ledger with its newest report and commit the changes.
 
-    If reports are overdue, the server's copies no longer count as answering.
+    If reports are overdue, the server's copies no longer count as ready.
 
     :return: orders to resend, now that their new numbers are committed.
     :raises PlatformUnavailableError: if the commit certainly had no effect.
@@ -104,12 +104,12 @@
     if stored.ledger.entries != result.ledger.entries:
         return True
     return any(
-        (server in row.record.servers) != _is_answering(result.ledger, row, alive)
+        (server in row.record.servers) != _has_ready_copy(result.ledger, row, alive)
         for row in _list_copies(controller, result.ledger)
     )
 
 
-def _is_answering(ledger: ServerLedger, row: CopiesRow, alive: bool) -> bool:
+def _has_ready_copy(ledger: ServerLedger, row: CopiesRow, alive: bool) -> bool:
     updated = update_copies(row.record, ledger=ledger, alive=alive)
     return ledger.server in updated.servers
 
@@ -156,7 +156,7 @@
 
 
 def get_copies(controller: Controller, item: str) -> CopiesRow:
-    """Return the row that lists an item's answering copies, as last read."""
+    """Return the row that lists an item's ready copies, as last read."""
     known = controller.rows.copies.get(item)
     if known is not None:
         return known
--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -129,11 +129,11 @@
     working: WorkingLedgers,
     action: Unload,
     *,
-    answering: frozenset[str],
+    usable: frozenset[str],
 ) -> bool:
     """Commit the intent of an unload, wait until entries know it, and send the order.
 
-    :param answering: servers that are alive and not leaving.
+    :param usable: servers that are alive and not leaving.
     :return: whether the intent was committed.
     """
     name = action.server
@@ -147,7 +147,7 @@
             group=controller.settings.group,
             row=build_row(controller, working, current),
             copies=get_copies(controller, action.item),
-            answering=answering,
+            usable=usable,
             min_copies=action.min_copies,
         )
     except (OutdatedPlanError, LastCopyError) as error:
--- a/src/arbutuspulley/controller/planning.py
+++ b/src/arbutuspulley/controller/planning.py
@@ -104,7 +104,7 @@
     based_on = (
         inputs.configuration.version,
         controller.rows.placement_changes,
-        _list_answering(inputs.summaries),
+        _list_usable(inputs.summaries),
     )
     if (
         based_on == planning_state.based_on
@@ -139,7 +139,7 @@
     return known
 
 
-def _list_answering(summaries: Mapping[str, ServerSummary]) -> frozenset[str]:
+def _list_usable(summaries: Mapping[str, ServerSummary]) -> frozenset[str]:
     return frozenset(
         name
         for name, summary in summaries.items()
@@ -154,10 +154,10 @@
     actions: Iterable[Action],
     summaries: Mapping[str, ServerSummary],
 ) -> None:
-    answering = _list_answering(summaries)
+    usable = _list_usable(summaries)
     for action in actions:
         if isinstance(action, Unload) and may_order(controller, action.server):
-            step = orders.unload(controller, working, action, answering=answering)
+            step = orders.unload(controller, working, action, usable=usable)
             _start_step(planning_state, step)
 
 
--- a/src/arbutuspulley/controller/suspicion_sync.py
+++ b/src/arbutuspulley/controller/suspicion_sync.py
@@ -10,7 +10,7 @@
 from arbutuspulley.delivery import suspects
 from arbutuspulley.delivery.trials import delete_suspicion, read_suspicions
 from arbutuspulley.membership.ownership import choose_poller
-from arbutuspulley.rpc.channel import TELL_SUSPICIONS, Client, PeerUnavailableError
+from arbutuspulley.rpc.channel import NOTIFY_SUSPICIONS, Client, PeerUnavailableError
 from arbutuspulley.rpc.messages import Suspicion, SuspicionsReply
 
 NOTIFY_TIMEOUT_MS = 300
@@ -65,7 +65,7 @@
 
 async def _notify(client: Client, update: SuspicionsReply) -> None:
     try:
-        await client.call(TELL_SUSPICIONS, update, timeout_ms=NOTIFY_TIMEOUT_MS)
+        await client.call(NOTIFY_SUSPICIONS, update, timeout_ms=NOTIFY_TIMEOUT_MS)
     except PeerUnavailableError:
         return
 
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -87,7 +87,7 @@
         return False
     if entry.base != item.base_key:
         return False
-    others = layout.answering[item.key] & layout.reliable.get(item.key, set())
+    others = layout.ready[item.key] & layout.reliable.get(item.key, set())
     return len(others - {server.name}) >= item.copies
 
 
@@ -233,10 +233,12 @@
 ) -> tuple[Action, ...]:
     """Return the unloads that are possible now; adapters go before their model."""
     adapters = parts[1:]
-    ready = [part for part in adapters or parts if _can_unload(layout, server, part)]
+    unloadable = [
+        part for part in adapters or parts if _can_unload(layout, server, part)
+    ]
     return tuple(
         Unload(server=server.name, item=part.key, min_copies=part.copies)
-        for part in ready
+        for part in unloadable
     )
 
 
@@ -271,14 +273,14 @@
     if not item.base_key:
         return False
     elsewhere = layout.holding[item.base_key] - {source.name}
-    return bool(elsewhere - layout.answering[item.base_key])
+    return bool(elsewhere - layout.ready[item.base_key])
 
 
 def _fits(layout: Layout, server: ServerLayout, parts: list[Item]) -> bool:
     if any(is_present(server, part.key) for part in parts):
         return False
     first = parts[0]
-    if first.base_key and server.name not in layout.answering.get(first.base_key, ()):
+    if first.base_key and server.name not in layout.ready.get(first.base_key, ()):
         return False
     needed = sum(measure_additional_mib(server, part) for part in parts)
     return needed <= measure_free_mib(layout, server)
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -48,7 +48,7 @@
     :param servers: servers that are alive and not leaving, by name.
     :param items: configured items by key.
     :param adapters: adapters of each model by the model's key, sorted by key.
-    :param answering: servers where an item is loaded with its configured base.
+    :param ready: servers where an item is loaded with its configured base.
     :param holding: servers where it is loaded, is being loaded, or is planned to be.
     :param reliable: servers whose loaded copy no order in flight can unload, whatever
         its base.
@@ -59,7 +59,7 @@
     servers: dict[str, ServerLayout]
     items: dict[str, Item]
     adapters: dict[str, tuple[Item, ...]]
-    answering: dict[str, set[str]]
+    ready: dict[str, set[str]]
     holding: dict[str, set[str]]
     reliable: dict[str, set[str]]
     unreachable_copies: dict[str, int]
@@ -82,7 +82,7 @@
         servers=_build_servers(configuration, ledgers, usable),
         items=items,
         adapters=_group_adapters(items),
-        answering={key: set() for key in items},
+        ready={key: set() for key in items},
         holding={key: set() for key in items},
         reliable={},
         unreachable_copies=_count_unreachable_copies(ledgers, recently_down),
@@ -163,7 +163,7 @@
         },
         items=layout.items,
         adapters=layout.adapters,
-        answering=layout.answering,
+        ready=layout.ready,
         holding={key: set(names) for key, names in layout.holding.items()},
         reliable=layout.reliable,
         unreachable_copies=layout.unreachable_copies,
@@ -240,4 +240,4 @@
     if entry.state in _PRESENT_OR_LOADING:
         layout.holding[entry.item].add(server.name)
     if entry.state is EntryState.LOADED:
-        layout.answering[entry.item].add(server.name)
+        layout.ready[entry.item].add(server.name)
--- a/src/arbutuspulley/placement/ledger.py
+++ b/src/arbutuspulley/placement/ledger.py
@@ -128,7 +128,7 @@
     return sum(sizes.values()) + unlisted_mib
 
 
-def measure_capacity(server: Server, report: Report | None = None) -> int:
+def measure_capacity_mib(server: Server, report: Report | None = None) -> int:
     """Return the server's memory in MiB, configured or reported, if that is less."""
     if report is None or report.memory_total_mib == 0:
         return server.memory_mib
@@ -297,7 +297,7 @@
 ) -> None:
     reserved = get_reserved_mib(known) if known else 0
     occupied = measure_occupied_mib(ledger, report)
-    capacity = measure_capacity(server, report)
+    capacity = measure_capacity_mib(server, report)
     extra = max(0, item.memory_mib - reserved)
     missing = occupied + extra - capacity
     if missing > 0:
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -79,11 +79,11 @@
     An adapter is listed once its model is loaded on some server. Within a priority the
     largest go first, because they fit on the fewest servers.
     """
-    names = _list_answering_names(layout)
+    names = _list_ready_names(layout)
     missing = [
         MissingCopy(item=item, priority=priority, size_mib=_measure_size(layout, item))
         for item in layout.items.values()
-        if not item.base_key or layout.answering.get(item.base_key)
+        if not item.base_key or layout.ready.get(item.base_key)
         for priority in _list_priorities(layout, item, names)
     ]
     missing.sort(key=lambda copy: (copy.priority, -copy.size_mib, copy.item.key))
@@ -126,7 +126,7 @@
     """Return the servers that may load an item, whether or not it fits now."""
     names: Iterable[str] = layout.servers
     if item.base_key:
-        names = sorted(layout.answering.get(item.base_key, ()))
+        names = sorted(layout.ready.get(item.base_key, ()))
     servers = [layout.servers[name] for name in names]
     return [
         server
@@ -258,7 +258,7 @@
     )
 
 
-def _list_answering_names(layout: Layout) -> set[str]:
+def _list_ready_names(layout: Layout) -> set[str]:
     return {get_item_name(key) for key, names in layout.reliable.items() if names}
 
 
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -124,7 +124,7 @@
     return loads
 
 
-def measure_capacity(server: ServerLayout) -> float:
+def measure_token_capacity(server: ServerLayout) -> float:
     """Return the tokens per second that a server yields within the latency target."""
     return server.slots * SLOT_TOKENS_PER_S
 
@@ -174,9 +174,9 @@
     )
     gain += _measure_overload(server, loads[server.name])
     gain -= _measure_overload(server, loads[server.name] + after)
-    cost = _interpolate(MIN_MOVE_COST, MAX_MOVE_COST, moves_weight) * measure_capacity(
-        server
-    )
+    cost = _interpolate(
+        MIN_MOVE_COST, MAX_MOVE_COST, moves_weight
+    ) * measure_token_capacity(server)
     cost *= _count_steps(layout, item, server)
     stall = loads[server.name] * LOAD_STALL_S / HORIZON_S
     return Move(item=item, server=server.name, gain=gain, net_gain=gain - cost - stall)
@@ -193,7 +193,7 @@
 
 
 def _measure_overload(server: ServerLayout, load: float) -> float:
-    return max(0.0, load - MAX_UTILISATION * measure_capacity(server))
+    return max(0.0, load - MAX_UTILISATION * measure_token_capacity(server))
 
 
 def _interpolate(low: float, high: float, weight: float) -> float:
@@ -206,7 +206,7 @@
     """Return the next step of a move: load its model first, or free memory for it."""
     server = layout.servers[move.server]
     item = move.item
-    if item.base_key and server.name not in layout.answering.get(item.base_key, ()):
+    if item.base_key and server.name not in layout.ready.get(item.base_key, ()):
         if is_present(server, item.base_key):
             return ()
         item = layout.items[item.base_key]
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -221,7 +221,7 @@
     :return: ``None`` if no server can; no action if such a copy is being loaded.
     """
     base = layout.items[copy.item.base_key]
-    if layout.holding[base.key] - layout.answering[base.key]:
+    if layout.holding[base.key] - layout.ready[base.key]:
         return ()
     wanted = MissingCopy(item=base, priority=Priority.SHORT, size_mib=copy.size_mib)
     server = find_server(layout, wanted, prefer)
@@ -243,7 +243,7 @@
         short = len(layout.holding[key]) < item.copies
         if not item.base_key or not short or list_candidates(layout, item):
             continue
-        for name in sorted(layout.answering.get(item.base_key, ())):
+        for name in sorted(layout.ready.get(item.base_key, ())):
             entry = layout.servers[name].entries.get(key)
             if entry is None or entry.state is not EntryState.LOADED:
                 continue
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -60,10 +60,10 @@
 def _retire_former(
     layout: Layout, item: Item, former: list[tuple[ServerLayout, LedgerEntry]]
 ) -> list[Unload]:
-    answering = len(layout.answering[item.key])
-    if answering == 0:
+    ready_count = len(layout.ready[item.key])
+    if ready_count == 0:
         return []
-    spare = answering + len(former) - item.copies
+    spare = ready_count + len(former) - item.copies
     # Servers that have both versions come last: the next copy of the new version needs
     # a server without one, and may fit there only once the old version is unloaded.
     former = sorted(
--- a/src/arbutuspulley/placement/transactions.py
+++ b/src/arbutuspulley/placement/transactions.py
@@ -90,7 +90,7 @@
     group: str,
     row: LedgerRow,
     copies: CopiesRow,
-    answering: Collection[str],
+    usable: Collection[str],
     min_copies: int = 1,
     successor: CopiesRow | None = None,
 ) -> Transaction:
@@ -102,7 +102,7 @@
     again and finds that it has the last copy.
 
     :param row: the ledger that :func:`.ledger.add_unload_intent` returned.
-    :param answering: servers known to be alive and not leaving; copies on other servers
+    :param usable: servers known to be alive and not leaving; copies on other servers
         do not count.
     :param min_copies: copies that must remain; 0 for an item that no site configures or
         that has a successor.
@@ -111,7 +111,7 @@
     """
     server = row.ledger.server
     others = [name for name in copies.record.servers if name != server]
-    remaining = [name for name in others if name in answering]
+    remaining = [name for name in others if name in usable]
     if len(remaining) < min_copies:
         raise LastCopyError(
             detail=f"{copies.record.item} would have only {len(remaining)} ready copies"
@@ -119,7 +119,7 @@
     relied_on = [copies]
     if successor is not None:
         relied_on.append(successor)
-        if not set(successor.record.servers) & set(answering):
+        if not set(successor.record.servers) & set(usable):
             raise LastCopyError(detail=f"{successor.record.item} is not ready yet")
     record = CopiesRecord(item=copies.record.item, servers=tuple(others))
     return _build(
--- a/src/arbutuspulley/rpc/channel.py
+++ b/src/arbutuspulley/rpc/channel.py
@@ -58,7 +58,7 @@
 CLEAR_SUSPICION = Method(
     name="ClearSuspicion", request=messages.ClearanceReport, reply=messages.Acknowledged
 )
-TELL_SUSPICIONS = Method(
+NOTIFY_SUSPICIONS = Method(
     name="TellSuspicions",
     request=messages.SuspicionsReply,
     reply=messages.Acknowledged,
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -217,7 +217,7 @@
             current,
             transactions.build_unload_intent,
             copies=owner.copies[item],
-            answering=self.names,
+            usable=self.names,
             min_copies=len(self.names) - 1,
         )
         return current if done else None
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -185,13 +185,13 @@
 
     def list_answering(self):
         """Return the servers on which each item is ready."""
-        answering = {}
+        ready = {}
         for name, known in self.ledgers.items():
             for entry in known.entries:
                 usable = name not in self.down and name not in self.leaving
                 if usable and entry.state is EntryState.LOADED:
-                    answering.setdefault(entry.item, []).append(name)
-        return answering
+                    ready.setdefault(entry.item, []).append(name)
+        return ready
 
     def count_copies(self):
         return {key: len(names) for key, names in self.list_answering().items()}
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -55,7 +55,7 @@
         ),
         (
             build_unload_intent(
-                **COMMON, copies=build_copies("s0", "s1"), answering={"s1"}
+                **COMMON, copies=build_copies("s0", "s1"), usable={"s1"}
             ),
             {**OWN, "g/copies/a@1": 7},
             ["g/ledger/s0", "g/copies/a@1"],
@@ -64,7 +64,7 @@
             build_unload_intent(
                 **COMMON,
                 copies=build_copies("s0"),
-                answering={"s1"},
+                usable={"s1"},
                 min_copies=0,
                 successor=build_copies("s1", item="a@2", revision=8),
             ),
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("servers", "answering", "options"),
+    ("servers", "usable", "options"),
     [
         (("s0",), {"s0", "s1"}, {}),
         (("s0", "s1"), {"s0"}, {}),
@@ -114,7 +114,7 @@
     ],
     ids=["alone", "other-is-down", "too-few", "no-successor", "successor-is-down"],
 )
-def test_last_copy_is_not_unloaded(servers, answering, options):
+def test_last_copy_is_not_unloaded(servers, usable, options):
     """Two owners each unload the copy that the other relies on, or a server dies.
 
     Callers of the model would be refused until it is loaded again. Each unload has the
@@ -122,7 +122,7 @@
     """
     with pytest.raises(LastCopyError):
         build_unload_intent(
-            **COMMON, copies=build_copies(*servers), answering=answering, **options
+            **COMMON, copies=build_copies(*servers), usable=usable, **options
         )
 
 
@@ -141,7 +141,7 @@
 
 def test_unload_removes_the_server_from_the_copies():
     transaction = build_unload_intent(
-        **COMMON, copies=build_copies("s0", "s1"), answering={"s1"}
+        **COMMON, copies=build_copies("s0", "s1"), usable={"s1"}
     )
     record = decode(transaction.writes[1].value, CopiesRecord)
     assert record.servers == ("s1",)
