--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -116,7 +116,7 @@
         )
     if reply.state == ClaimState.UNAVAILABLE:
         now = controller.clock.now()
-        record_failure(controller.writes, now=now, chance=controller.chance)
+        record_failure(controller.write_outage, now=now, chance=controller.chance)
     return reply
 
 
--- a/src/arbutuspulley/controller/platform_calls.py
+++ b/src/arbutuspulley/controller/platform_calls.py
@@ -35,7 +35,7 @@
         the backoff before the next attempt has not ended.
     """
     return await _run_guarded(
-        controller, controller.reads, controller.pools.store, function
+        controller, controller.read_outage, controller.pools.store, function
     )
 
 
@@ -57,7 +57,7 @@
     table = controller.platform.table
     outcome = await _run_guarded(
         controller,
-        controller.writes,
+        controller.write_outage,
         pool or controller.pools.store,
         lambda: commit(table, transaction, max_attempts=max_attempts),
     )
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -67,8 +67,8 @@
 class Controller(State):
     """The complete state of one controller.
 
-    :param reads: outage state of the platform's reads.
-    :param writes: outage state of the platform's writes.
+    :param read_outage: outage state of the platform's reads.
+    :param write_outage: outage state of the platform's writes.
     :param activation: the active configuration and pending changes.
     :param listed_leaving: servers that the instance list marks as leaving.
     :param live: instances with a valid session.
@@ -93,8 +93,8 @@
     sessions: ObservationState
     rows: GroupRows
     outgoing_updates: OutgoingUpdates
-    reads: OutageState
-    writes: OutageState
+    read_outage: OutageState
+    write_outage: OutageState
     activation: ActivationState = msgspec.field(default_factory=ActivationState)
     views: ViewState = msgspec.field(default_factory=ViewState)
     suspects: SuspectState = msgspec.field(default_factory=SuspectState)
@@ -116,4 +116,4 @@
 
 def is_store_up(controller: Controller) -> bool:
     """Tell whether the platform recently answered reads and writes."""
-    return controller.reads.up and controller.writes.up
+    return controller.read_outage.up and controller.write_outage.up
--- a/src/arbutuspulley/controller/views.py
+++ b/src/arbutuspulley/controller/views.py
@@ -151,9 +151,9 @@
     An unreachable peer can confirm neither that a server is alive nor that it is dead,
     so its last summary is kept, with growing age, for :data:`SUMMARY_RETENTION_MS`.
     """
-    silent_ms = now - (peer.replied_at or 0)
-    age = summary.age_ms + silent_ms
-    alive = summary.alive and silent_ms <= SUMMARY_RETENTION_MS
+    reply_age_ms = now - (peer.replied_at or 0)
+    age = summary.age_ms + reply_age_ms
+    alive = summary.alive and reply_age_ms <= SUMMARY_RETENTION_MS
     return msgspec.structs.replace(summary, age_ms=age, alive=alive)
 
 
--- a/src/arbutuspulley/entry/admission_queue.py
+++ b/src/arbutuspulley/entry/admission_queue.py
@@ -61,8 +61,8 @@
     """Tick the admission queue; the interval is short only while requests wait."""
     admission = runtime.state.admission
     while True:
-        pause_ms = queue.TICK_MS if admission.waiting else IDLE_TICK_MS
-        await asyncio.sleep(pause_ms / SECOND_MS)
+        interval_ms = queue.TICK_MS if admission.waiting else IDLE_TICK_MS
+        await asyncio.sleep(interval_ms / SECOND_MS)
         apply_effects(runtime, queue.tick(admission, now=runtime.clock.now()))
 
 
--- a/src/arbutuspulley/entry/server.py
+++ b/src/arbutuspulley/entry/server.py
@@ -84,7 +84,7 @@
             chat=SimpleNamespace(completions=completion),
         ),
     )
-    return build_application(root, show_error=_render_error)
+    return build_application(root, render_error=_render_error)
 
 
 def _expose(runtime: Runtime, handler: Handler, *, counted: bool) -> Callable[..., Any]:
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -105,12 +105,12 @@
     """A trial of another instance that has reserved a server.
 
     :param seen_at: time in ms at which the trial was first seen.
-    :param asked_at: time in ms of the last request for the server.
+    :param requested_at: time in ms of the last request for the server.
     """
 
     trial_id: str
     seen_at: int
-    asked_at: int
+    requested_at: int
 
 
 class EntryState(State):
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -178,7 +178,7 @@
         state.trial_holders[server] = TrialHolder(
             trial_id=reply.holder,
             seen_at=previous.seen_at if previous is not None and is_same else now,
-            asked_at=now,
+            requested_at=now,
         )
     return False
 
@@ -196,7 +196,7 @@
     held = {
         server
         for server, holder in state.trial_holders.items()
-        if now - holder.asked_at < TRIAL_POLL_MS
+        if now - holder.requested_at < TRIAL_POLL_MS
     }
     return frozenset(state.trials) | held
 
@@ -218,8 +218,8 @@
             await runtime.controller.clear_suspicion(report)
         except PeerUnavailableError:
             bound = CLEARANCE_INITIAL_BACKOFF_MS << attempt
-            pause_ms = bound * (0.5 + runtime.chance.random() / 2)
-            await asyncio.sleep(pause_ms / SECOND_MS)
+            backoff_ms = bound * (0.5 + runtime.chance.random() / 2)
+            await asyncio.sleep(backoff_ms / SECOND_MS)
         else:
             return
 
--- a/src/arbutuspulley/programs/console_http.py
+++ b/src/arbutuspulley/programs/console_http.py
@@ -215,7 +215,7 @@
     return int(text)
 
 
-def show_error(*, status: str, message: str, **_unused: str) -> bytes:
+def render_error(*, status: str, message: str, **_unused: str) -> bytes:
     """Return CherryPy's own refusals in the API's shape."""
     code = Code.NOT_FOUND if status.startswith("404") else Code.BAD_PARAMETER
     _set_headers(_JSON)
--- a/src/arbutuspulley/programs/console_server.py
+++ b/src/arbutuspulley/programs/console_server.py
@@ -2,7 +2,7 @@
 
 from arbutuspulley.clock import SECOND_MS
 from arbutuspulley.loop import LoopThread
-from arbutuspulley.programs.console_http import Site, show_error
+from arbutuspulley.programs.console_http import Site, render_error
 from arbutuspulley.rpc.channel import STATUS, Client, PeerUnavailableError
 from arbutuspulley.rpc.messages import FleetStatus, StatusRequest
 from arbutuspulley.web import Limits, WebServer, build_application
@@ -36,7 +36,7 @@
         socket_timeout_ms=SOCKET_TIMEOUT_MS,
         header_bytes=MAX_HEADER_BYTES,
     )
-    application = build_application(site, show_error=show_error)
+    application = build_application(site, render_error=render_error)
     return WebServer(application=application, host=host, port=port, limits=limits)
 
 
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -75,8 +75,12 @@
         lease=LeaseState(instance=settings.instance, lease_ms=settings.lease_ms),
         sessions=ObservationState(lease_ms=settings.lease_ms),
         rows=GroupRows(group=settings.group),
-        reads=OutageState(max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)),
-        writes=OutageState(max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)),
+        read_outage=OutageState(
+            max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)
+        ),
+        write_outage=OutageState(
+            max_backoff_ms=choose_max_backoff_ms(settings.lease_ms)
+        ),
         outgoing_updates=OutgoingUpdates(epoch=uuid.uuid4().hex),
     )
 
--- a/src/arbutuspulley/standins/server.py
+++ b/src/arbutuspulley/standins/server.py
@@ -36,7 +36,7 @@
     :param threads: maximum number of requests handled concurrently.
     """
     return WebServer(
-        application=build_application(root, show_error=_show_error),
+        application=build_application(root, render_error=_render_error),
         host=host,
         port=port,
         limits=msgspec.structs.replace(_LIMITS, threads=threads),
@@ -83,6 +83,6 @@
     get_connection().shutdown(socket.SHUT_RDWR)
 
 
-def _show_error(*, status: str, message: str, **_unused: str) -> str:
+def _render_error(*, status: str, message: str, **_unused: str) -> str:
     cherrypy.response.headers["Content-Type"] = "application/json"
     return json.dumps({"status": status, "message": message})
--- a/src/arbutuspulley/web.py
+++ b/src/arbutuspulley/web.py
@@ -82,20 +82,20 @@
 
 
 def build_application(
-    root: object, *, show_error: ErrorRenderer | None = None
+    root: object, *, render_error: ErrorRenderer | None = None
 ) -> cherrypy.Application:
     """Return an application without logging whose handlers read the bodies.
 
     :param root: CherryPy handlers.
-    :param show_error: renders errors raised by CherryPy itself.
+    :param render_error: renders errors raised by CherryPy itself.
     """
     settings: dict[str, Any] = {
         "request.process_request_body": False,
         "request.show_tracebacks": False,
         "tools.trailing_slash.on": False,
     }
-    if show_error is not None:
-        settings["error_page.default"] = show_error
+    if render_error is not None:
+        settings["error_page.default"] = render_error
     application = cherrypy.Application(root, "", {"/": settings})
     application.log.screen = False
     application.log.error_log.setLevel(logging.CRITICAL)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -65,8 +65,8 @@
         lease=LeaseState(instance=name, lease_ms=LEASE_MS),
         sessions=ObservationState(lease_ms=LEASE_MS),
         rows=GroupRows(group="main"),
-        reads=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
-        writes=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
+        read_outage=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
+        write_outage=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
         outgoing_updates=OutgoingUpdates(epoch=name),
     )
     node.activation.configuration = configuration
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -119,7 +119,7 @@
         fake.down = True
         await run_second(nodes, time, seconds=600)
         assert not any(get_owned(node) for node in nodes)
-        assert not nodes[0].reads.up
+        assert not nodes[0].read_outage.up
         polled_without_peer = polling.choose_polled_servers(nodes[0])
         mark_peer_reachable(nodes[0], "b", now=time.now)
         polled_with_peer = polling.choose_polled_servers(nodes[0])
