--- a/src/arbutuspulley/bench/report.py
+++ b/src/arbutuspulley/bench/report.py
@@ -97,7 +97,7 @@
     figure, axes = pyplot.subplots(figsize=(9, 5))
     for run in runs:
         histogram = build_first_token_histogram(run)
-        total = len([one for one in run.requests if one.attempts])
+        total = len([record for record in run.requests if record.attempts])
         if not total or not histogram.get_total_count():
             continue
         fraction = histogram.get_total_count() / total
--- a/src/arbutuspulley/bench/workloads.py
+++ b/src/arbutuspulley/bench/workloads.py
@@ -117,16 +117,16 @@
         # the other callers of the run.
         chance = random.Random(f"{seed}/{workload.name}/{caller}")
         arrivals += _draw_arrivals(workload, caller, rate, duration_ms, chance)
-    arrivals.sort(key=lambda one: (one.at, one.caller))
+    arrivals.sort(key=lambda arrival: (arrival.at, arrival.caller))
     return [
         Arrival(
             number=number,
-            at=one.at,
-            caller=one.caller,
-            model=one.model,
-            tokens=one.tokens,
+            at=arrival.at,
+            caller=arrival.caller,
+            model=arrival.model,
+            tokens=arrival.tokens,
         )
-        for number, one in enumerate(arrivals)
+        for number, arrival in enumerate(arrivals)
     ]
 
 
--- a/src/arbutuspulley/configuration/store.py
+++ b/src/arbutuspulley/configuration/store.py
@@ -97,12 +97,12 @@
     """
     page = platform.table.scan(changes.CHANGE_PREFIX, after_revision, PAGE_ROWS)
     if table_id and page.table_id != table_id:
-        start = load_snapshot(platform)
+        snapshot = load_snapshot(platform)
         return ChangePage(
             changes=(),
-            revision=start.revision,
-            table_id=start.table_id,
-            restored=start.configuration,
+            revision=snapshot.revision,
+            table_id=snapshot.table_id,
+            restored=snapshot.configuration,
         )
     rows = [row for row in page.rows if not row.deleted]
     return ChangePage(
--- a/src/arbutuspulley/standins/control.py
+++ b/src/arbutuspulley/standins/control.py
@@ -17,8 +17,8 @@
 
 def consume_fault(faults: State, name: str) -> bool:
     """Return whether a counted fault applies now, and decrement its counter."""
-    left = getattr(faults, name)
-    if left == 0:
+    remaining = getattr(faults, name)
+    if remaining == 0:
         return False
-    setattr(faults, name, left - 1)
+    setattr(faults, name, remaining - 1)
     return True
--- a/src/arbutuspulley/standins/engine_batch.py
+++ b/src/arbutuspulley/standins/engine_batch.py
@@ -164,8 +164,8 @@
 
 def sum_tokens(batch: BatchState) -> int:
     """Return the number of tokens that remain to be prefilled or produced."""
-    unread = sum(len(run.words) for run in batch.waiting)
-    return unread + sum(run.tokens - run.offset for run in list_runs(batch))
+    pending_prefill = sum(len(run.words) for run in batch.waiting)
+    return pending_prefill + sum(run.tokens - run.offset for run in list_runs(batch))
 
 
 def measure_rate(batch: BatchState, *, now: int) -> float:
@@ -177,10 +177,10 @@
 
 def estimate_wait_ms(batch: BatchState) -> int:
     """Return the estimated time in ms until the next run ends and frees its slot."""
-    left = [run.tokens - run.offset for run in batch.batch]
-    if not left:
+    remaining = [run.tokens - run.offset for run in batch.batch]
+    if not remaining:
         return batch.first_token_ms
-    return min(left) * get_token_interval_ms(batch, streams=len(left))
+    return min(remaining) * get_token_interval_ms(batch, streams=len(remaining))
 
 
 def _advance(run: Run) -> Token:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def _read_known_red():
@@ -17,7 +17,7 @@
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
     rows = [[cell.strip() for cell in line.split("|")] for line in lines]
-    if len(rows) > MOST_KNOWN_RED or any(len(row) != 3 for row in rows):
+    if len(rows) > MAX_KNOWN_RED or any(len(row) != 3 for row in rows):
         raise pytest.UsageError("KNOWN-RED.txt: three lines at most, three cells each")
     return {row[0]: f"{row[1]} (issue {row[2]})" for row in rows}
 
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -35,13 +35,15 @@
     again = workloads.build_arrivals(kurzeme, rates=rates, duration_ms=400_000, seed=1)
     assert both == again
     assert len(both) == pytest.approx(15 * 400, rel=0.05)
-    burst = sum(one.at % 8_000 < 2_000 for one in both)
+    burst = sum(arrival.at % 8_000 < 2_000 for arrival in both)
     assert burst / len(both) == pytest.approx(0.4, abs=0.03)
     alone = workloads.build_arrivals(
         kurzeme, rates={"gauja": 5.0}, duration_ms=400_000, seed=1
     )
-    gauja_arrivals = [(one.at, one.model) for one in both if one.caller == "gauja"]
-    assert [(one.at, one.model) for one in alone] == gauja_arrivals
+    gauja_arrivals = [
+        (arrival.at, arrival.model) for arrival in both if arrival.caller == "gauja"
+    ]
+    assert [(arrival.at, arrival.model) for arrival in alone] == gauja_arrivals
 
 
 @pytest.mark.parametrize(
@@ -94,4 +96,4 @@
     ]
     records = offer_load(arrivals, attempt)
     assert sorted(attempt_counts) == [0, 0, 1, 1]
-    assert all(one.ended and one.is_complete() for one in records)
+    assert all(record.ended and record.is_complete() for record in records)
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -36,7 +36,7 @@
         ({"status": 500, "first_ms": 9}, "the server's own 500"),
     ],
 )
-def test_an_answer_is_late_by_what_took_the_most(fields, cause):
+def test_the_longest_phase_is_the_cause_of_a_late_answer(fields, cause):
     assert count(build(**fields)) == {("/chat", cause): 1}
 
 
@@ -48,19 +48,21 @@
         (2, "refused: refused, too many ahead"),
     ],
 )
-def test_a_refusal_tells_what_the_coordinator_saw(copies, cause):
+def test_the_cause_of_a_refusal_includes_the_coordinators_state(copies, cause):
     lines = [build("request_lost", how="refused", why="refused", status=503)]
     if copies is not None:
         lines.insert(0, build("request_refused", copies=copies))
     assert count(*lines) == {("/chat", cause): 1}
 
 
-def test_spans_are_told_apart_and_nothing_is_said(tmp_path, capsys):
+def test_intervals_are_listed_separately_and_empty_input_is_an_error(tmp_path, capsys):
     path = tmp_path / "log"
     late = build(first_ms=900, time_ms=7_000)
     path.write_text("\n".join([build(first_ms=1), late]))
     assert print_causes([path], every_s=5) == 0
-    assert [one for one in capsys.readouterr().out.splitlines() if "from" in one] == [
+    assert [
+        line for line in capsys.readouterr().out.splitlines() if "from" in line
+    ] == [
         "from 0 s",
         "from 5 s",
     ]
--- a/tests/test_cursor.py
+++ b/tests/test_cursor.py
@@ -34,6 +34,6 @@
     """
     cursor = Cursor(attempt_id="r.1", offset=4)
     begin_attempt(cursor, attempt_id="r.2")
-    assert [accept(cursor, one) for one in chunks] == verdicts
+    assert [accept(cursor, received) for received in chunks] == verdicts
     assert cursor.dropped == verdicts.count(DROP)
     assert cursor.ended == (END in verdicts)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -90,7 +90,7 @@
         self._now = now
         self.up_until = 0
         self.deliver_local = None
-        self.leads_to = ""
+        self.address = ""
         self.status = SimpleNamespace(is_holder=True)
 
     @property
@@ -99,7 +99,7 @@
             return True
         if self._now[0] < self.up_until:
             return True
-        leader = self._members.get(self.leads_to)
+        leader = self._members.get(self.address)
         return leader is not None and leader.coordinator.is_active
 
     def check_timeout(self):
@@ -109,13 +109,13 @@
         return "what runs here"
 
     def disconnect(self):
-        self.leads_to = ""
+        self.address = ""
 
     def fail_pending(self):
         pass
 
     def connect_to(self, address):
-        self.leads_to = address
+        self.address = address
 
 
 class Member:
@@ -171,7 +171,7 @@
 
 
 def list_leaders(members):
-    return [name for name, one in members.items() if one.coordinator.is_active]
+    return [name for name, member in members.items() if member.coordinator.is_active]
 
 
 def publish_roster(members, capacities):
@@ -260,7 +260,7 @@
     now = [1_000]
     members = build_members([1.0] * 6, LeaseStore(now), now)
     publish_roster(members, [1.0] * 6)
-    delays = [one.election._draw_claim_delay() for one in members.values()]
+    delays = [member.election._draw_claim_delay() for member in members.values()]
     assert max(delays) < READ_JITTER_MS < MAX_CLAIM_DELAY_MS
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -56,11 +56,11 @@
     )
 
 
-def test_an_ordinary_client_works_unchanged(bench):
+def test_the_openai_client_library_works_unchanged(bench):
     client = bench.entries[0].connect()
-    asked = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
-    plain = client.chat.completions.create(**asked, max_tokens=5)
-    stream = client.chat.completions.create(**asked, max_tokens=5, stream=True)
+    question = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
+    plain = client.chat.completions.create(**question, max_tokens=5)
+    stream = client.chat.completions.create(**question, max_tokens=5, stream=True)
     streamed = "".join(chunk.choices[0].delta.content or "" for chunk in stream)
     assert plain.choices[0].message.content == streamed != ""
     assert plain.choices[0].finish_reason == "length"
@@ -70,12 +70,12 @@
     assert [model.id for model in client.models.list()] == ["m"]
     assert client.models.retrieve("m").id == "m"
     with pytest.raises(openai.NotFoundError):
-        client.chat.completions.create(**{**asked, "model": "x"})
+        client.chat.completions.create(**{**question, "model": "x"})
     with pytest.raises(openai.AuthenticationError):
         client.with_options(api_key="wrong").models.list()
 
 
-def test_a_plain_service_gets_the_call_as_it_was_sent():
+def test_a_call_to_a_plain_service_is_forwarded_unchanged():
     service = build_service(name="b")
     service.start()
     with run_bench(engines=(), services=[service.address]) as bench:
@@ -90,7 +90,7 @@
     service.stop()
 
 
-def test_all_wrong_settings_are_named_at_once(capsys):
+def test_all_invalid_settings_are_reported_together(capsys):
     wrong = ["--listen", "here", "--threads", "1", "--log-format", "xml"]
     with pytest.raises(SystemExit) as ended:
         entry.app([*wrong, "--instance", "i"])
@@ -112,17 +112,17 @@
     get the rest and nothing twice.
     """
     entry = bench.entries[0]
-    whole, events = read_events(entry.ask(build_chat(stream=True)))
-    assert whole[-1] == b"[DONE]" and len(whole) == 6
+    complete, events = read_events(entry.ask(build_chat(stream=True)))
+    assert complete[-1] == b"[DONE]" and len(complete) == 6
     last_id = events[1].split(b"\n")[0].removeprefix(b"id: ").decode()
     rest = entry.ask(build_chat(stream=True), Last_Event_ID=last_id)
     resumed, _ = read_events(rest)
-    strip = [json.loads(data)["choices"] for data in whole[2:-1]]
+    strip = [json.loads(data)["choices"] for data in complete[2:-1]]
     assert [json.loads(data)["choices"] for data in resumed[:-1]] == strip
     foreign = entry.ask(
         build_chat("other", stream=True), key="key-of-hosts", Last_Event_ID=last_id
     )
-    assert whole[2] not in read_events(foreign)[0]
+    assert complete[2] not in read_events(foreign)[0]
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,7 @@
         ({"stray_chunks": 99}, "ended"),
     ],
 )
-def test_an_answer_is_whole_although_the_engine_fails(faults, outcome):
+def test_an_answer_is_complete_despite_engine_failures(faults, outcome):
     """An engine refuses, breaks off, or mixes late and doubled chunks in.
 
     The caller must read each token once and in order, as if nothing had happened; an
@@ -148,23 +148,23 @@
         set_faults(bench.engines["e1"].address, **faults)
         attempts = entry.runtime.metrics.attempts.labels(outcome)
 
-        def ask_until_the_fault_was_met():
+        def ask_and_check_fault():
             before = attempts._value.get()
             data, events = read_events(entry.ask(build_chat(tokens=6, stream=True)))
-            deltas = [json.loads(one)["choices"][0]["delta"] for one in data[:-1]]
+            deltas = [json.loads(event)["choices"][0]["delta"] for event in data[:-1]]
             text = "".join(delta.get("content", "") for delta in deltas)
             assert text == expected.choices[0].message.content
-            places = [one.split(b"\n")[0].split(b":")[-1] for one in events[:-1]]
-            assert [int(place) for place in places] == [*range(7)]
+            offsets = [event.split(b"\n")[0].split(b":")[-1] for event in events[:-1]]
+            assert [int(offset) for offset in offsets] == [*range(7)]
             return attempts._value.get() > before
 
-        wait_until(ask_until_the_fault_was_met)
+        wait_until(ask_and_check_fault)
         dropped = entry.runtime.metrics.dropped_chunks._value.get()
         assert (outcome == "ended") == (dropped > 0)
         assert bench.controller.list_suspicions() == ()
 
 
-def test_a_stream_that_cannot_become_whole_says_so():
+def test_a_stream_that_cannot_be_completed_ends_with_an_error():
     with run_bench(engines=("e1",)) as bench:
         address = bench.engines["e1"].address
         set_faults(address, break_streams=9, break_after_tokens=1)
--- a/tests/test_entry_server_choice.py
+++ b/tests/test_entry_server_choice.py
@@ -92,12 +92,15 @@
 )
 def test_falls_back_to_the_other_server_of_the_pair_then_to_any(change, avoided):
     first, second = find_pair()
-    one = build_entry(**{first: change})
+    first_changed = build_entry(**{first: change})
     avoid = frozenset({first}) if avoided else NO_SERVERS
-    assert choose_server(one, build_request(one), avoid=avoid) == second
-    both = build_entry(**{first: change, second: change})
+    assert (
+        choose_server(first_changed, build_request(first_changed), avoid=avoid)
+        == second
+    )
+    both_changed = build_entry(**{first: change, second: change})
     avoid = frozenset({first, second}) if avoided else NO_SERVERS
-    other = choose_server(both, build_request(both), avoid=avoid)
+    other = choose_server(both_changed, build_request(both_changed), avoid=avoid)
     assert other not in (first, second, None)
 
 
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -52,16 +52,16 @@
     last_order: int = 0
     items: dict[str, ItemState] = {}
 
-    def would_take(self, order: Order) -> bool:
+    def would_accept(self, order: Order) -> bool:
         if order.boot_id != f"{self.name}-{self.boot}":
             return False
         newer = order.fence >= self.fence and order.number > self.last_order
         return newer or not self.checks
 
-    def take(self, order: Order, *, refuse: bool) -> OrderOutcome | None:
+    def apply_order(self, order: Order, *, refuse: bool) -> OrderOutcome | None:
         if order.boot_id != f"{self.name}-{self.boot}":
             return None
-        if not self.would_take(order):
+        if not self.would_accept(order):
             return OrderOutcome.STALE
         self.fence = max(self.fence, order.fence) if self.checks else 0
         self.last_order = max(self.last_order, order.number)
@@ -226,12 +226,14 @@
         if not self.orders:
             return
         owner, sent = self.orders.pop(order % len(self.orders))
-        before = self.list_answering(sent.item)
+        before = self.list_loaded(sent.item)
         outcome = None
         if fate != "lost":
-            outcome = self.engines[owner.server].take(sent, refuse=fate == "refused")
+            outcome = self.engines[owner.server].apply_order(
+                sent, refuse=fate == "refused"
+            )
         if before and not self.restarts:
-            assert self.list_answering(sent.item), "the last copy was unloaded"
+            assert self.list_loaded(sent.item), "the last copy was unloaded"
         if reply and outcome is OrderOutcome.ACCEPTED:
             owner.ledger = ledger.record_accepted(owner.ledger, sent)
         elif reply and outcome is OrderOutcome.REFUSED:
@@ -245,7 +247,7 @@
             return
         self.engines[self.name(server)].restart()
 
-    def ask_report(self, server, age):
+    def request_report(self, server, age):
         owner = self.find_owner(server, age)
         owner.inbox.append(self.engines[owner.server].report())
 
@@ -294,7 +296,7 @@
             checks_orders=self.engines[server].checks,
         )
 
-    def list_answering(self, item):
+    def list_loaded(self, item):
         return [
             name
             for name in self.names
@@ -308,7 +310,7 @@
                 for owner, order in self.orders
                 if owner.server == name
                 and order.kind is OrderKind.LOAD
-                and engine.would_take(order)
+                and engine.would_accept(order)
             }
             possible = sum(SIZES[item] for item in on_the_way | engine.items.keys())
             assert possible <= CAPACITY_MIB, f"{name} may come to hold {possible}"
@@ -338,7 +340,7 @@
     ),
     "deliver": lambda fleet, a, b, c: fleet.deliver(a, FATES[b], c % 2 == 0),
     "work": lambda fleet, a, b, c: fleet.work(a, b == 0),
-    "ask": lambda fleet, a, b, c: fleet.ask_report(a, AGES[b]),
+    "ask": lambda fleet, a, b, c: fleet.request_report(a, AGES[b]),
     "take": lambda fleet, a, b, c: fleet.apply_report(a, AGES[b], c),
     "settle": lambda fleet, a, b, c: fleet.settle(a, ARRIVING[b]),
     "claim": lambda fleet, a, b, c: fleet.claim(a),
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -183,7 +183,7 @@
         sites = self.configuration.sites.values()
         return {name for site in sites for name in (*site.models, *site.adapters)}
 
-    def list_answering(self):
+    def list_ready(self):
         """Return the servers on which each item is ready."""
         ready = {}
         for name, known in self.ledgers.items():
@@ -194,7 +194,7 @@
         return ready
 
     def count_copies(self):
-        return {key: len(names) for key, names in self.list_answering().items()}
+        return {key: len(names) for key, names in self.list_ready().items()}
 
 
 def show(actions):
@@ -254,7 +254,7 @@
     servers = ({"s0": 100, "s1": 100}, {"t0": 100, "t1": 100})
     fleet = Fleet(build({"a": 20, "b": 20, "c": 20}, servers, copies=2))
     fleet.run()
-    for names in fleet.list_answering().values():
+    for names in fleet.list_ready().values():
         assert {name[0] for name in names} == {"s", "t"}
 
 
@@ -270,9 +270,9 @@
     site = replace(site, models={**site.models, "pair": pair})
     fleet = Fleet(Configuration(version=1, sites={"site": site}))
     fleet.run()
-    (home,) = fleet.list_answering()["lone@1"]
-    if home not in fleet.list_answering()["pair@1"]:
-        other = fleet.list_answering()["pair@1"][0]
+    (home,) = fleet.list_ready()["lone@1"]
+    if home not in fleet.list_ready()["pair@1"]:
+        other = fleet.list_ready()["pair@1"][0]
         fleet.ledgers[home], fleet.ledgers[other] = (
             replace(
                 fleet.ledgers[home],
@@ -312,7 +312,7 @@
     getattr(fleet, fault).add("s2")
     fleet.run()
     wanted = {f"{name}@1" for name in (*LESTARI, *dict(LESTARI_ADAPTERS))}
-    assert fleet.list_answering().keys() == wanted
+    assert fleet.list_ready().keys() == wanted
 
 
 def test_adapters_get_another_copy_of_a_model_that_lacks_memory_for_them():
@@ -498,7 +498,7 @@
     load_items(fleet, {"s0": ["a@1"], "s1": ["c@1"], "s2": ["d@1"]})
     fleet.demand = {"a@1": 1.5 * HOT, "d@1": 0.3 * HOT}
     fleet.run()
-    assert fleet.list_answering()["a@1"] == ["s0", "s2"]
+    assert fleet.list_ready()["a@1"] == ["s0", "s2"]
 
 
 def test_alternating_demand_causes_no_moves_after_the_first_copies():
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -52,7 +52,7 @@
         {"Service": "y", "Weight": 1},
     ]
     shares = decode_configuration(encode(body)).routes[0].shares
-    assert [(one.service, one.weight) for one in shares] == [("x", 9), ("y", 1)]
+    assert [(share.service, share.weight) for share in shares] == [("x", 9), ("y", 1)]
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b'{"Version": "x"}', b"\xff"])
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -9,22 +9,22 @@
 
 
 class Instance:
-    """An instance whose link reaches the guards of its group, unless it is cut."""
+    """An instance that sends to its group's guards unless it is disconnected."""
 
     def __init__(self, group):
         self.now = 0
         self.clock = Clock(read=lambda: self.now)
-        self.is_cut = False
+        self.is_disconnected = False
         self.group = group
         group.append(self)
         self.guard = PoisonGuard(state=self, link=self)
 
     def send(self, message):
         assert isinstance(message, SuspicionUpdate)
-        if self.is_cut:
+        if self.is_disconnected:
             return
         for other in self.group:
-            if not other.is_cut:
+            if not other.is_disconnected:
                 other.guard.merge_suspicions(message.suspicions)
 
 
@@ -84,7 +84,7 @@
 
 def test_an_instance_without_a_coordinator_uses_its_own_suspicions():
     first, second = build_group()
-    first.is_cut = True
+    first.is_disconnected = True
     request = build_request()
     for number in range(MAX_CRASHES):
         crash(first, f"s{number}", request)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -91,14 +91,14 @@
     return False
 
 
-def test_forwards_and_passes_the_end_on(connect):
+def test_data_and_end_of_stream_are_forwarded(connect):
     end = connect()
     assert ask(end, b"hello") == b"hello"
     end.shutdown(socket.SHUT_WR)
     assert end.recv(1024) == b""
 
 
-def test_cut_resets_refuses_and_heals_on_the_same_port(proxy, connect):
+def test_cut_resets_and_refuses_connections_until_healed(proxy, connect):
     end = connect()
     ask(end)
     proxy.cut()
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     ("direction", "seen"), [(Direction.TO_TARGET, b"a"), (Direction.TO_CLIENT, b"ab")]
 )
-def test_one_way_cut_swallows_that_direction_only(
+def test_drop_discards_data_of_one_direction_only(
     echo, proxy, connect, direction, seen
 ):
     end = connect()
@@ -126,7 +126,7 @@
     assert ask(end, b"c") == b"c"
 
 
-def test_a_reply_is_lost_after_the_target_had_the_request(echo, proxy, connect):
+def test_a_reply_is_lost_after_the_target_received_the_request(echo, proxy, connect):
     end = connect()
     ask(end)
     proxy.lose_replies()
@@ -137,7 +137,7 @@
     assert ask(connect()) == b"a"
 
 
-def test_frozen_bytes_arrive_after_healing(echo, proxy, connect):
+def test_data_sent_while_frozen_arrives_after_healing(echo, proxy, connect):
     end = connect()
     ask(end)
     proxy.freeze()
@@ -150,7 +150,7 @@
     assert (end.recv(1024), new.recv(1024)) == (b"b", b"c")
 
 
-def test_delay_holds_each_way_back(proxy, connect):
+def test_delay_applies_to_each_direction(proxy, connect):
     end = connect()
     proxy.delay(50)
     begun = time.monotonic()
@@ -158,7 +158,7 @@
     assert time.monotonic() - begun >= 0.1
 
 
-def test_a_dead_target_shows_as_a_reset():
+def test_an_unreachable_target_resets_the_connection():
     with (
         FaultProxy(target="127.0.0.1:1") as proxy,
         pytest.raises(ConnectionResetError),
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -17,7 +17,7 @@
     return tell_story(read_lines([list(lines)]), request)
 
 
-def test_lines_of_one_request_come_in_order():
+def test_lines_of_one_request_are_ordered_by_time():
     told = tell(
         build(2_000, "n1", "request_lost", id="r1", why="time is up"),
         build(1_000, "n2", "server_granted", id="r1", server="e1"),
@@ -29,7 +29,7 @@
     ]
 
 
-def test_clocks_that_differ_a_little_do_not_turn_the_order_around():
+def test_small_clock_differences_do_not_reverse_the_order():
     """The coordinator's clock is 30 ms ahead: by the clocks, the request failed at a
     server before it was granted one."""
     told = tell(
@@ -45,16 +45,16 @@
 
 
 @pytest.mark.parametrize("text", ["", "not json", "{", "[1]", '{"id": "r1"}', "x {y"])
-def test_what_is_no_line_of_ours_is_passed_over(text):
+def test_other_lines_are_skipped(text):
     assert len(tell(text, build(1, "n1", "request_lost", id="r1"))) == 1
 
 
-def test_text_before_a_line_is_cut():
+def test_text_before_a_log_event_is_removed():
     line = "  12.5 n1 " + build(1, "n1", "request_lost", id="r1")
     assert len(tell(line)) == 1
 
 
-def test_a_request_that_no_line_names_is_said(tmp_path, capsys):
+def test_a_request_without_lines_is_an_error(tmp_path, capsys):
     path = tmp_path / "log"
     path.write_text(build(1, "n1", "request_lost", id="r1"))
     assert print_story("r9", [path]) == 1
