--- a/src/arbutuspulley/adapters/engine_calls.py
+++ b/src/arbutuspulley/adapters/engine_calls.py
@@ -111,7 +111,7 @@
 
 
 def is_not_admitted(response: BaseHTTPResponse) -> bool:
-    """Tell whether the server's headers say that it did not run the request."""
+    """Return whether the server's headers say that it did not run the request."""
     return response.headers.get(RUN_STATE) == RunState.NOT_RUN.value
 
 
--- a/src/arbutuspulley/adapters/http.py
+++ b/src/arbutuspulley/adapters/http.py
@@ -41,7 +41,7 @@
 
 
 def is_not_sent(error: HTTPError) -> bool:
-    """Tell whether no byte of the request was sent.
+    """Return whether no byte of the request was sent.
 
     Only a connection that was never established proves this. One that breaks later
     may have carried the request, however early it breaks: a reset during sending is
--- a/src/arbutuspulley/bench/figures.py
+++ b/src/arbutuspulley/bench/figures.py
@@ -45,7 +45,7 @@
     :param between_p95_ms: 95th percentile of the requests' mean time between tokens.
     :param amplification: ratio of attempts sent to engines to admitted attempts.
     :param lost: number of requests that ended neither with a complete and correct
-        answer nor with an error that tells how far they got.
+        answer nor with a refusal or a numbered error.
     :param doubled: number of tokens received beyond the requested ones.
     """
 
--- a/src/arbutuspulley/bench/load.py
+++ b/src/arbutuspulley/bench/load.py
@@ -55,8 +55,8 @@
         """Return whether the answer is correct and met the latency targets.
 
         :param from_first: time the first token from the first attempt; otherwise from
-            the last one, because a refused caller gets its answer at once and is told
-            when to retry.
+            the last one, because a refusal is returned at once and names the time
+            of the retry.
         """
         if not self.is_complete() or not self.attempts[-1].correct:
             return False
--- a/src/arbutuspulley/configuration/schema.py
+++ b/src/arbutuspulley/configuration/schema.py
@@ -78,7 +78,7 @@
 class Server(Document, frozen=True):
     """A backend server with a model engine.
 
-    :param checks_orders: whether it refuses orders with an outdated fencing number.
+    :param checks_orders: whether it refuses orders with an outdated fencing token.
     :param slots: number of concurrent requests that it runs within the latency targets.
     """
 
--- a/src/arbutuspulley/controller/exchange.py
+++ b/src/arbutuspulley/controller/exchange.py
@@ -178,7 +178,7 @@
 ) -> ExchangeRequest:
     """Return a request for a peer's changes since its last reply.
 
-    :param configuration_version: the active version if the peer shall send its full
+    :param configuration_version: the active version if the peer should send its full
         configuration in case that is newer; else ``None``.
     """
     return ExchangeRequest(
@@ -238,5 +238,5 @@
 
 
 def is_unreachable(peer: PeerState, *, now: int) -> bool:
-    """Tell whether a peer has not replied for :data:`PEER_TIMEOUT_MS`, or never."""
+    """Return whether a peer has not replied for :data:`PEER_TIMEOUT_MS`, or never."""
     return peer.replied_at is None or now - peer.replied_at > PEER_TIMEOUT_MS
--- a/src/arbutuspulley/controller/ledgers.py
+++ b/src/arbutuspulley/controller/ledgers.py
@@ -168,7 +168,7 @@
 def can_begin_step(
     controller: Controller, working: WorkingLedgers, server: str
 ) -> bool:
-    """Tell whether a load or an unload may begin on a server."""
+    """Return whether a load or an unload may begin on a server."""
     if server in working.busy or server not in working.current:
         return False
     return may_order(controller, server)
--- a/src/arbutuspulley/controller/loops.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -219,7 +219,7 @@
 
 
 def is_serving(controller: Controller) -> bool:
-    """Tell whether a configuration is active and shutdown has not begun."""
+    """Return whether a configuration is active and shutdown has not begun."""
     return is_ready(controller.activation) and not controller.stopping
 
 
--- a/src/arbutuspulley/controller/planning.py
+++ b/src/arbutuspulley/controller/planning.py
@@ -83,7 +83,7 @@
 
 
 def has_loads(controller: Controller, planning_state: PlanningState) -> bool:
-    """Tell whether the plan has loads that this instance must execute.
+    """Return whether the plan has loads that this instance must execute.
 
     Other instances' rows then show when the weight store has a free load slot, so
     the rows are read more often.
--- a/src/arbutuspulley/controller/polling.py
+++ b/src/arbutuspulley/controller/polling.py
@@ -22,7 +22,7 @@
 from arbutuspulley.ports.engines import BrokenError, NotSentError, Report
 
 ReportHandler = Callable[[ServerState], Awaitable[None]]
-"""Called with a server's state after each poll, also one that failed."""
+"""Called with a server's state after each poll, also after a failed one."""
 
 
 def choose_polled_servers(controller: Controller) -> tuple[str, ...]:
--- a/src/arbutuspulley/controller/reports.py
+++ b/src/arbutuspulley/controller/reports.py
@@ -56,7 +56,7 @@
 
 
 def is_alive(state: ServerState, *, now: int) -> bool:
-    """Tell whether a server's reports arrive in time."""
+    """Return whether a server's reports arrive in time."""
     if state.report is None or state.refusals >= DEAD_AFTER_REFUSALS:
         return False
     return now - state.received_at <= ALIVE_TIMEOUT_MS
@@ -109,7 +109,7 @@
 def is_polled_here(
     state: ServerState | None, *, owned: bool, chosen: bool, now: int
 ) -> bool:
-    """Tell whether this instance polls a server.
+    """Return whether this instance polls a server.
 
     :param owned: whether it owns the server now.
     :param chosen: whether it was chosen to poll it, as no reachable instance owns it.
--- a/src/arbutuspulley/controller/rows.py
+++ b/src/arbutuspulley/controller/rows.py
@@ -28,7 +28,7 @@
     :param table_id: identifies the table's history; empty before the first scan.
     :param placement_changes: number of changes of ledgers, copies and slots.
     :param revisions: newest known revision of each key, including deletions.
-    :param fences: highest fencing number ever seen for each server. It is kept when the
+    :param fences: highest fencing token ever seen for each server. It is kept when the
         table is restored, as the restored numbers may be lower than those that the
         servers have seen.
     """
@@ -102,7 +102,7 @@
 
 
 def record_fence(rows: GroupRows, server: str, fence: int) -> None:
-    """Record a fencing number of a server if it is the highest so far."""
+    """Record a fencing token of a server if it is the highest so far."""
     rows.fences[server] = max(fence, rows.fences.get(server, 0))
 
 
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -45,7 +45,7 @@
 
 
 def may_order(controller: Controller, server: str) -> bool:
-    """Tell whether this instance certainly owns a server now."""
+    """Return whether this instance certainly owns a server now."""
     if not leases.may_order(controller.lease, now=controller.clock.now()):
         return False
     row = controller.rows.owners.get(server)
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -115,5 +115,5 @@
 
 
 def is_store_up(controller: Controller) -> bool:
-    """Tell whether the platform recently answered reads and writes."""
+    """Return whether the platform recently answered reads and writes."""
     return controller.read_outage.up and controller.write_outage.up
--- a/src/arbutuspulley/delivery/suspects.py
+++ b/src/arbutuspulley/delivery/suspects.py
@@ -40,7 +40,7 @@
 
 
 class SuspectState(State):
-    """The suspicions that one process knows, by fingerprint.
+    """Suspicions known to one process, by fingerprint.
 
     :param changed_at: time of the last change of each suspicion, in milliseconds of the
         process's clock.
--- a/src/arbutuspulley/entry/server_choice.py
+++ b/src/arbutuspulley/entry/server_choice.py
@@ -57,9 +57,9 @@
 ) -> str | None:
     """Return the server for the trial of a suspect request, if one is free.
 
-    A busy server of the request's pair is waited for instead of using a third one:
-    other entries may have sent copies of the request to it before they learned of the
-    death, and a trial elsewhere could crash a third server.
+    If a server of the request's pair is busy, the trial waits for it and no third
+    server is used: other entries may have sent copies of the request to it before they
+    were notified of the death, and a trial elsewhere could crash a third server.
 
     :param busy: servers that are reserved for trials of other suspects.
     """
--- a/src/arbutuspulley/membership/lease.py
+++ b/src/arbutuspulley/membership/lease.py
@@ -70,7 +70,7 @@
 
     The clock of a paused process continues, so a holder that resumes finds its lease
     expired before it can send a prepared order. An order that is sent after a pause
-    between this check and the sending is caught by the fencing number or the ledger.
+    between this check and the sending is caught by the fencing token or the ledger.
     """
     if state.sent_at is None or state.displaced_at is not None:
         return False
--- a/src/arbutuspulley/membership/ownership.py
+++ b/src/arbutuspulley/membership/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of servers: assignment, claims, releases and fencing numbers.
+"""Ownership of servers: assignment, claims, releases and fencing tokens.
 
 Every instance computes the same assignment from the same rows, by rendezvous hashing
 with a maximum per instance, and claims only the servers assigned to itself. A server
@@ -96,12 +96,12 @@
 def choose_reclaims(
     owned: Mapping[str, OwnerRow], *, fences: Mapping[str, int]
 ) -> tuple[str, ...]:
-    """Return owned servers that have seen a higher fencing number than their row's.
+    """Return owned servers that have seen a higher fencing token than their row's.
 
-    A table restored from a backup has older fencing numbers. A server that checks them
+    A table restored from a backup has older fencing tokens. A server that checks them
     would refuse all orders of its owner as stale, until it is claimed again.
 
-    :param fences: the highest known fencing number of each server.
+    :param fences: the highest known fencing token of each server.
     """
     outdated = [
         server
@@ -161,13 +161,13 @@
     sessions: ObservationState,
     fences: Mapping[str, int],
 ) -> Transaction:
-    """Build the transaction that claims servers, each with a higher fencing number.
+    """Build the transaction that claims servers, each with a higher fencing token.
 
     It has preconditions on three kinds of rows: the ownership rows (of two claimers,
     one succeeds), the own session row (a claimer that was replaced fails), and the
     session rows of expired owners (an owner that has just renewed keeps its servers).
 
-    :param fences: the highest known fencing number of each server, from rows or
+    :param fences: the highest known fencing token of each server, from rows or
         reports; a restored table may have lower ones.
     """
     assert lease.revision is not None
@@ -204,7 +204,7 @@
     token: str,
     session_row: tuple[str, int] | None = None,
 ) -> Transaction:
-    """Build the transaction that releases servers; their fencing numbers are kept.
+    """Build the transaction that releases servers; their fencing tokens are kept.
 
     :param session_row: instance and revision of the own session row, to delete it in
         the same transaction when the process stops.
--- a/src/arbutuspulley/membership/records.py
+++ b/src/arbutuspulley/membership/records.py
@@ -30,7 +30,7 @@
 
     :param session: the owner's session; empty if the server was released.
     :param instance: the owner's instance, or the last owner's.
-    :param fence: fencing number of this ownership; each claim increases it.
+    :param fence: fencing token of this ownership; each claim increases it.
     """
 
     server: str
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -23,7 +23,7 @@
     """One server that can be given loads.
 
     :param capacity_mib: memory of the server.
-    :param checks_orders: whether it refuses an order with an old fencing number.
+    :param checks_orders: whether it refuses an order with an old fencing token.
     :param occupied_mib: memory occupied according to its ledger, plus planned loads.
     :param entries: its ledger entries by item.
     :param planned: keys of items that the current plan loads there.
@@ -114,7 +114,7 @@
 def list_missing_adapters(
     layout: Layout, server: ServerLayout, model: str
 ) -> list[Item]:
-    """Return the adapters that are still to be loaded beside a model on a server."""
+    """Return the adapters that are still to be loaded for a model on a server."""
     adapters = layout.adapters.get(model, ())
     if not adapters or server.name not in layout.holding[model]:
         return []
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -98,7 +98,7 @@
     The first server in order of preference that also has memory for the item's adapters
     is chosen. If there is none, a lost model goes to a server where only the model
     itself fits. Any other copy waits for memory, because its adapters could never be
-    loaded beside it.
+    loaded on the same server.
     """
     item = copy.item
     candidates = list_candidates(layout, item)
@@ -245,7 +245,7 @@
 
 
 def _would_lack_adapters(layout: Layout, server: ServerLayout, item: Item) -> bool:
-    """Return whether a model's adapters could never be loaded beside it on a server.
+    """Return whether a model's adapters could never be loaded with it on a server.
 
     That is so if an adapter is loaded there for the model's previous version and no
     other server has a reliable copy of it: it cannot be unloaded to be loaded again for
--- a/src/arbutuspulley/placement/records.py
+++ b/src/arbutuspulley/placement/records.py
@@ -28,7 +28,7 @@
 
     :param base: for an adapter, the key of the model that it extends.
     :param number: number of the latest order for this item.
-    :param fence: fencing number that the latest order carries.
+    :param fence: fencing token that the latest order carries.
     :param boot_id: boot of the engine to which the latest order is addressed.
     :param since: report sequence at which the latest order was committed.
     :param sends: committed orders of the current kind, load or unload.
@@ -56,7 +56,7 @@
 class ServerLedger(Value, frozen=True, omit_defaults=True):
     """Memory ledger of one server: all items that occupy its memory.
 
-    :param fence: fencing number of the owner that wrote it; it never decreases.
+    :param fence: fencing token of the owner that wrote it; it never decreases.
     :param next_order: number for the next order, across owners.
     :param boot_id: the engine's latest known boot; empty before the first report.
     :param sequence: sequence number of the newest report of that boot that was
--- a/src/arbutuspulley/platform/store.py
+++ b/src/arbutuspulley/platform/store.py
@@ -27,7 +27,7 @@
 FEED_TIMEOUT_MARGIN_S = 0.5
 """How long the store may hold a long poll for changes, in ms, and how much later the
 poll times out, in s. A poll that reached the store while it was unresponsive is never
-answered, even after the store has recovered. Until it times out, the instance believes
+answered, even after the store has recovered. Until it times out, the instance assumes
 that it receives all changes, and so do the instances to which it relays them; they
 have 2 s to apply a change."""
 
--- a/src/arbutuspulley/ports/engines.py
+++ b/src/arbutuspulley/ports/engines.py
@@ -33,7 +33,7 @@
     :param item: ``model@version`` or, for an adapter, ``adapter@version``.
     :param base: for an adapter, the item of the model that it extends.
     :param memory_mib: memory that the item occupies, including the KV cache floor.
-    :param fence: the owner's fencing number for this server; it only increases.
+    :param fence: the owner's fencing token for this server; it only increases.
     :param number: sequence number of the server's orders, across owners.
     :param boot_id: the boot that the order is meant for. Send it only on a connection
         on which the server has reported this boot, and never open another one for it:
@@ -60,7 +60,7 @@
 class OrderReply(Value, frozen=True):
     """A server's answer to an order.
 
-    ``STALE``: its fencing number or order number is lower than one already seen.
+    ``STALE``: its fencing token or order number is lower than one already seen.
     ``REFUSED``: it cannot be carried out, for example for lack of memory.
     """
 
@@ -82,7 +82,7 @@
 
     :param boot_id: changes whenever the engine restarts; its memory is then empty.
     :param sequence: number of the report within one boot.
-    :param fence: the highest fencing number it has seen (0 if it doesn't check).
+    :param fence: the highest fencing token it has seen (0 if it doesn't check).
     :param last_order: the highest order number it has applied or refused.
     :param running: requests in its current batch.
     :param waiting: requests it has admitted but not started.
--- a/src/arbutuspulley/rpc/messages.py
+++ b/src/arbutuspulley/rpc/messages.py
@@ -192,9 +192,9 @@
 
     :param boot_id: the server's boot, as last known to the entry.
     :param fingerprints: the requests that were in flight.
-    :param trial_id: if set, no server crashed: the entry asks whether it may run the
-        single fingerprint on this server now. The death is recorded beforehand and
-        removed by a clearance, so that no two instances try a suspect at once.
+    :param trial_id: if set, no server crashed: the entry requests a trial of the
+        single fingerprint on this server. The death is recorded beforehand and
+        removed by a clearance, so that no two instances run a suspect at once.
     :param expired_trial_id: a trial that has occupied the server for longer than any
         request may take; it may be replaced.
     """
@@ -239,7 +239,7 @@
 class ExchangeRequest(Message, frozen=True):
     """A controller's request for changes since its last exchange with a peer.
 
-    :param instance: the instance that asks.
+    :param instance: the requesting instance.
     :param after: number of the last reply that it received in this peer's ``epoch``;
         only later changes are sent.
     :param items: keys of items that it serves; only servers with one of them are sent.
--- a/src/arbutuspulley/standins/engine_runtime.py
+++ b/src/arbutuspulley/standins/engine_runtime.py
@@ -190,7 +190,7 @@
     def _request_load(self, held: HeldItem) -> int:
         """Start a load if the weight store admits it.
 
-        :return: time in ms after which to ask again; 0 if the load was started.
+        :return: delay of the next request in ms; 0 if the load was started.
         """
         reply = LoadReply(duration_ms=self._load_ms)
         if self._weight_store is not None:
--- a/tests/backends.py
+++ b/tests/backends.py
@@ -1,4 +1,4 @@
-"""Backend server stand-ins in this process, and what tests ask of them."""
+"""Backend server stand-ins in this process, and helpers that call them."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 
 @contextlib.contextmanager
 def run_engine(**settings):
-    """Yield an engine that is fast unless told otherwise."""
+    """Yield an engine; the default settings make it fast."""
     fast = {"name": "e1", "memory_mib": 100, "load_ms": 0, "token_ms": 1}
     chosen = EngineSettings(**{**fast, "first_token_ms": 1, **settings})
     engine = EngineStandin(settings=chosen)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Passes over the tests listed in ``KNOWN-RED.txt`` at the root, and prints them.
+"""Marks tests listed in ``KNOWN-RED.txt`` as expected failures, and prints them.
 
-One line a test: ``test id | cause | issue``. They still run, and one that passes
-fails the run, so that the list cannot outlive the faults.
+The file is at the root and has one line per test: ``test id | cause | issue``. The
+tests still run, and one that passes fails the run, so that the list cannot outlive
+the faults.
 """
 
 from pathlib import Path
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -1,4 +1,4 @@
-"""Why requests were late or lost, from the logs of several instances."""
+"""Causes of late and lost requests, from the logs of several instances."""
 
 import json
 
--- a/tests/test_demo_load.py
+++ b/tests/test_demo_load.py
@@ -1,4 +1,4 @@
-"""The demo's own verdict: what its callers and the stand-ins count as wrong."""
+"""The demo's checks: lost, duplicate and wrongly reported requests."""
 
 import json
 from collections import Counter
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -55,7 +55,7 @@
 
 
 class FakeCoordinator:
-    """The coordinator's part of a process, without any work."""
+    """Stub of a process's coordinator."""
 
     def __init__(self):
         self.is_active = False
@@ -83,7 +83,7 @@
 
 
 class FakeLink:
-    """A link that is up while the process it leads to coordinates."""
+    """A link that is up while the process at ``address`` is the coordinator."""
 
     def __init__(self, members, now):
         self._members = members
@@ -119,7 +119,7 @@
 
 
 class Member:
-    """The part of one process in an election."""
+    """One process that takes part in elections."""
 
     def __init__(self, name, members, store, now, *, capacity, seed):
         state = build_state(clock=Clock(read=lambda: now[0]), name=name)
@@ -265,9 +265,9 @@
 
 
 def test_new_coordinator_counts_requests_of_its_own_instance():
-    """Other instances report what they run as they link up, but nothing did so for the
-    coordinator's own instance: its servers got more requests than they had slots until
-    those runs had ended."""
+    """Other instances report their runs in flight when they connect, but those of the
+    coordinator's own instance were not counted: its servers got more requests than they
+    had slots until those runs had ended."""
     now = [0]
     members = build_members([1.0, 1.0], LeaseStore(now), now)
     run_members(members, now, ms=1_000, order=random.Random(1))
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -106,10 +106,10 @@
 
 
 def test_a_stream_resumes_after_the_last_event(bench):
-    """A guest's phone loses the network in the middle of a reply.
+    """A guest's phone loses its network connection in the middle of an answer.
 
-    It asks again, through any entry, with the id of the last event it got, and must
-    get the rest and nothing twice.
+    The client retries through any entry with the id of the last event that it received,
+    and must receive the remaining events, each once.
     """
     entry = bench.entries[0]
     complete, events = read_events(entry.ask(build_chat(stream=True)))
@@ -137,10 +137,10 @@
     ],
 )
 def test_an_answer_is_complete_despite_engine_failures(faults, outcome):
-    """An engine refuses, breaks off, or mixes late and doubled chunks in.
+    """An engine refuses, breaks the stream off, or sends late or duplicate chunks.
 
-    The caller must read each token once and in order, as if nothing had happened; an
-    answer without its end marker must not pass for a whole one.
+    The caller must receive each token once and in order; an answer without its end
+    marker must not count as complete.
     """
     with run_bench(engines=("e1", "e2")) as bench:
         entry = bench.entries[0]
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -198,7 +198,7 @@
     """An owner fails; two instances with different views both compute to be next.
 
     Both claim at the same time. If both succeeded, they would give orders to one server
-    with the same fencing number.
+    with the same fencing token.
     """
     fake = FakePlatform()
     revisions = {name: write_session(fake, name) for name in ("a", "b")}
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -266,7 +266,7 @@
 def test_an_unanswered_long_poll_times_out_soon():
     """The store is unresponsive for some seconds and never answers a long poll for
     changes; after it recovers, it answers new calls only. A server starts draining, and
-    an instance that still waits for the poll goes on sending it requests for seconds.
+    an instance that still waits for the poll keeps sending it requests for seconds.
     Instances must apply the store's changes within 3 s of its recovery."""
 
     async def swallow(_request):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy does what its faults say."""
+"""Faults of the fault-injecting proxy."""
 
 import contextlib
 import socket
@@ -14,7 +14,7 @@
 
 
 class Echo:
-    """Answers each piece of data with itself and remembers it."""
+    """Sends received data back and records it."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -1,4 +1,4 @@
-"""One request's story from the logs of several instances."""
+"""Timeline of one request from the logs of several instances."""
 
 import json
 
