--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -44,7 +44,7 @@
     reconcile,
 )
 from arbutuspulley.placement.planner import PlannerInputs, PlannerState, plan
-from arbutuspulley.placement.records import EntryState, ServerLedger
+from arbutuspulley.placement.records import LedgerEntryState, ServerLedger
 from arbutuspulley.ports.engines import ItemState, Report, ReportedItem
 from arbutuspulley.rpc.messages import ServerSummary
 
@@ -228,7 +228,7 @@
         spare = [
             key
             for key, entry in place.entries.items()
-            if entry.state is EntryState.LOADED and len(layout.ready[key]) > 1
+            if entry.state is LedgerEntryState.LOADED and len(layout.ready[key]) > 1
         ]
         if spare:
             coldest = min(spare, key=lambda key: run.demand.get(key, 0.0))
@@ -245,7 +245,7 @@
 def step(run: Run, decide: Decide, *, counted: bool) -> None:
     """Carry out what is decided and let a step's time pass."""
     free = run.configuration.weight_store.loads_at_once - sum(
-        entry.state is EntryState.LOADING
+        entry.state is LedgerEntryState.LOADING
         for ledger in run.ledgers.values()
         for entry in ledger.entries
     )
@@ -284,7 +284,7 @@
     items: list[ReportedItem] = []
     for entry in known.entries:
         done = run.now_s >= run.due.get((name, entry.item), 0)
-        if done and entry.state is EntryState.UNLOADING:
+        if done and entry.state is LedgerEntryState.UNLOADING:
             continue
         state = ItemState.LOADED if done else ItemState(entry.state.value)
         items.append(
--- a/src/arbutuspulley/controller/publishing.py
+++ b/src/arbutuspulley/controller/publishing.py
@@ -23,7 +23,7 @@
 )
 from arbutuspulley.data import Value
 from arbutuspulley.membership.lease import may_order
-from arbutuspulley.placement.records import EntryState
+from arbutuspulley.placement.records import LedgerEntryState
 from arbutuspulley.rpc.messages import (
     CallerUsage,
     EntryAddress,
@@ -263,5 +263,5 @@
     return frozenset(
         entry.item
         for entry in stored.ledger.entries
-        if entry.state is EntryState.UNLOADING
+        if entry.state is LedgerEntryState.UNLOADING
     )
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -24,7 +24,7 @@
     rank_server,
 )
 from arbutuspulley.placement.missing_copies import list_candidates, measure_shortage_mib
-from arbutuspulley.placement.records import EntryState, LedgerEntry
+from arbutuspulley.placement.records import LedgerEntry, LedgerEntryState
 
 
 class EvictionUnit(Value, frozen=True):
@@ -83,7 +83,7 @@
 def is_removable(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
     """Return whether enough other copies of a configured item are ready."""
     item = layout.items.get(entry.item)
-    if item is None or entry.state is not EntryState.LOADED:
+    if item is None or entry.state is not LedgerEntryState.LOADED:
         return False
     if entry.base != item.base_key:
         return False
@@ -139,13 +139,13 @@
     return sum(
         _measure_freed(server, entry)
         for entry in server.entries.values()
-        if entry.state is EntryState.UNLOADING or _is_retiring(layout, entry)
+        if entry.state is LedgerEntryState.UNLOADING or _is_retiring(layout, entry)
     )
 
 
 def _is_retiring(layout: Layout, entry: LedgerEntry) -> bool:
     """Return whether no site configures the entry's name any more."""
-    if entry.state is not EntryState.LOADED:
+    if entry.state is not LedgerEntryState.LOADED:
         return False
     names = {item.name for item in layout.items.values()}
     return get_item_name(entry.item) not in names
@@ -164,7 +164,7 @@
     for key in sorted(server.entries):
         entry = server.entries[key]
         wanted = layout.items.get(key)
-        if wanted is None or entry.state is not EntryState.LOADED:
+        if wanted is None or entry.state is not LedgerEntryState.LOADED:
             continue
         if entry.base != wanted.base_key or key == item.base_key:
             continue
@@ -198,7 +198,7 @@
     ]
     parts.insert(0, item)
     entries = [server.entries[part.key] for part in parts]
-    if any(entry.state is not EntryState.LOADED for entry in entries):
+    if any(entry.state is not LedgerEntryState.LOADED for entry in entries):
         return None
     freed = sum(_measure_freed(server, entry) for entry in entries)
     relocated = [part for part in parts if not _has_enough_copies(layout, server, part)]
--- a/src/arbutuspulley/placement/evidence.py
+++ b/src/arbutuspulley/placement/evidence.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from arbutuspulley.configuration.schema import Server
-from arbutuspulley.placement.records import EntryState, LedgerEntry, ServerLedger
+from arbutuspulley.placement.records import LedgerEntry, LedgerEntryState, ServerLedger
 from arbutuspulley.ports.engines import ItemState, Report, ReportedItem
 
 _replace = msgspec.structs.replace
@@ -43,7 +43,7 @@
     return LedgerEntry(
         item=listed.item,
         memory_mib=listed.memory_mib,
-        state=EntryState(listed.state.value),
+        state=LedgerEntryState(listed.state.value),
         number=listed.number,
         fence=ledger.fence,
         boot_id=ledger.boot_id,
@@ -66,13 +66,13 @@
 def _reconcile_listed(entry: LedgerEntry, listed: ReportedItem) -> LedgerEntry:
     memory_mib = max(entry.memory_mib, listed.memory_mib)
     entry = _replace(entry, memory_mib=memory_mib, seen=True)
-    if entry.state in (EntryState.UNLOADING, EntryState.LOADED):
+    if entry.state in (LedgerEntryState.UNLOADING, LedgerEntryState.LOADED):
         return entry
     if listed.state is not ItemState.LOADED:
-        return _replace(entry, state=EntryState.LOADING)
+        return _replace(entry, state=LedgerEntryState.LOADING)
     return _replace(
         entry,
-        state=EntryState.LOADED,
+        state=LedgerEntryState.LOADED,
         late_loads=_count_late_loads(entry),
         sends=0,
         accepted=0,
@@ -92,7 +92,7 @@
     """Update an entry that a server without order checks no longer lists."""
     if not entry.seen:
         return entry
-    if entry.state is EntryState.LOADING:
+    if entry.state is LedgerEntryState.LOADING:
         entry = _replace(entry, late_loads=_count_late_loads(entry))
         return keep_late_orders(entry)
     late = entry.late_unloads + entry.sends - max(entry.accepted, 1)
@@ -103,4 +103,6 @@
     """Return an absent entry that records late orders, ``None`` if there are none."""
     if entry.late_loads == 0 and entry.late_unloads == 0:
         return None
-    return _replace(entry, state=EntryState.ABSENT, sends=0, accepted=0, seen=False)
+    return _replace(
+        entry, state=LedgerEntryState.ABSENT, sends=0, accepted=0, seen=False
+    )
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -10,13 +10,13 @@
 from arbutuspulley.data import State
 from arbutuspulley.placement.ledger import get_reserved_mib, measure_occupied_mib
 from arbutuspulley.placement.records import (
-    EntryState,
     LedgerEntry,
+    LedgerEntryState,
     ServerLedger,
     is_reliable,
 )
 
-_PRESENT_OR_LOADING = (EntryState.LOADED, EntryState.LOADING)
+_PRESENT_OR_LOADING = (LedgerEntryState.LOADED, LedgerEntryState.LOADING)
 
 
 class ServerLayout(State):
@@ -96,7 +96,7 @@
 def is_present(server: ServerLayout, key: str) -> bool:
     """Return whether an item is on a server in any state and can't be loaded there."""
     entry = server.entries.get(key)
-    present = entry is not None and entry.state is not EntryState.ABSENT
+    present = entry is not None and entry.state is not LedgerEntryState.ABSENT
     return present or key in server.planned
 
 
@@ -239,5 +239,5 @@
         return
     if entry.state in _PRESENT_OR_LOADING:
         layout.holding[entry.item].add(server.name)
-    if entry.state is EntryState.LOADED:
+    if entry.state is LedgerEntryState.LOADED:
         layout.ready[entry.item].add(server.name)
--- a/src/arbutuspulley/placement/ledger.py
+++ b/src/arbutuspulley/placement/ledger.py
@@ -32,8 +32,8 @@
     reconcile_entry,
 )
 from arbutuspulley.placement.records import (
-    EntryState,
     LedgerEntry,
+    LedgerEntryState,
     ServerLedger,
     find_entry,
     replace_entry,
@@ -111,7 +111,7 @@
 
 def get_reserved_mib(entry: LedgerEntry) -> int:
     """Return the memory that an entry reserves, in MiB."""
-    if entry.state is EntryState.ABSENT and entry.late_loads == 0:
+    if entry.state is LedgerEntryState.ABSENT and entry.late_loads == 0:
         return 0
     return entry.memory_mib
 
@@ -148,7 +148,7 @@
     if not ledger.boot_id:
         raise OutdatedPlanError(detail=f"{ledger.server} has not reported yet")
     known = find_entry(ledger, item.key)
-    if known is not None and known.state is not EntryState.ABSENT:
+    if known is not None and known.state is not LedgerEntryState.ABSENT:
         raise OutdatedPlanError(detail=f"{item.key} is {known.state} already")
     _check_base(ledger, item)
     _check_free_memory(ledger, server=server, item=item, known=known, report=report)
@@ -156,7 +156,7 @@
         item=item.key,
         base=item.base_key,
         memory_mib=item.memory_mib,
-        state=EntryState.LOADING,
+        state=LedgerEntryState.LOADING,
         number=ledger.next_order,
         fence=ledger.fence,
         boot_id=ledger.boot_id,
@@ -177,13 +177,13 @@
     :raises OutdatedPlanError: if the item is not loaded, or adapters depend on it.
     """
     entry = find_entry(ledger, item)
-    if entry is None or entry.state is not EntryState.LOADED:
+    if entry is None or entry.state is not LedgerEntryState.LOADED:
         raise OutdatedPlanError(detail=f"{item} is not loaded on {ledger.server}")
     if any(known.base == item and _is_present(known) for known in ledger.entries):
         raise OutdatedPlanError(detail=f"adapters on {ledger.server} need {item}")
     entry = _replace(
         entry,
-        state=EntryState.UNLOADING,
+        state=LedgerEntryState.UNLOADING,
         number=ledger.next_order,
         fence=ledger.fence,
         boot_id=ledger.boot_id,
@@ -196,9 +196,9 @@
 
 def build_order(ledger: ServerLedger, entry: LedgerEntry) -> Order:
     """Return the order of an entry that is loading or unloading."""
-    if entry.state not in (EntryState.LOADING, EntryState.UNLOADING):
+    if entry.state not in (LedgerEntryState.LOADING, LedgerEntryState.UNLOADING):
         raise ValueError(f"{entry.item} is {entry.state} and has no order")
-    loading = entry.state is EntryState.LOADING
+    loading = entry.state is LedgerEntryState.LOADING
     return Order(
         kind=OrderKind.LOAD if loading else OrderKind.UNLOAD,
         item=entry.item,
@@ -232,7 +232,7 @@
     if entry.sends > 0 or (order.kind is OrderKind.LOAD and entry.seen):
         return replace_entry(ledger, order.item, entry)
     if order.kind is OrderKind.UNLOAD:
-        entry = _replace(entry, state=EntryState.LOADED, accepted=0)
+        entry = _replace(entry, state=LedgerEntryState.LOADED, accepted=0)
         return replace_entry(ledger, order.item, entry)
     return replace_entry(ledger, order.item, keep_late_orders(entry))
 
@@ -282,7 +282,7 @@
     if not item.base_key:
         return
     base = find_entry(ledger, item.base_key)
-    if base is None or base.state is not EntryState.LOADED:
+    if base is None or base.state is not LedgerEntryState.LOADED:
         detail = f"{item.key} needs {item.base_key} on {ledger.server}"
         raise OutdatedPlanError(detail=detail)
 
@@ -315,13 +315,13 @@
 
 
 def _is_present(entry: LedgerEntry) -> bool:
-    return entry.state is not EntryState.ABSENT
+    return entry.state is not LedgerEntryState.ABSENT
 
 
 def _matches_order(entry: LedgerEntry, order: Order) -> bool:
     kinds = {
-        EntryState.LOADING: OrderKind.LOAD,
-        EntryState.UNLOADING: OrderKind.UNLOAD,
+        LedgerEntryState.LOADING: OrderKind.LOAD,
+        LedgerEntryState.UNLOADING: OrderKind.UNLOAD,
     }
     return entry.number == order.number and kinds.get(entry.state) is order.kind
 
@@ -364,9 +364,9 @@
 def _is_overdue(entry: LedgerEntry, listed: ReportedItem | None, sequence: int) -> bool:
     if sequence < entry.since + RESEND_AFTER_REPORTS:
         return False
-    if entry.state is EntryState.LOADING:
+    if entry.state is LedgerEntryState.LOADING:
         return listed is None
-    if entry.state is EntryState.UNLOADING:
+    if entry.state is LedgerEntryState.UNLOADING:
         return listed is None or listed.state is ItemState.LOADED
     return False
 
@@ -399,8 +399,8 @@
 
 
 def _became_loaded(before: LedgerEntry | None, after: LedgerEntry) -> bool:
-    was = before is not None and before.state is EntryState.LOADED
-    return after.state is EntryState.LOADED and not was
+    was = before is not None and before.state is LedgerEntryState.LOADED
+    return after.state is LedgerEntryState.LOADED and not was
 
 
 def _became_absent(before: LedgerEntry, after: LedgerEntry | None) -> bool:
@@ -411,5 +411,5 @@
     if before is None or not _is_present(before):
         return after is not None and _is_present(after)
     if after is None or not _is_present(after):
-        return before.state is not EntryState.UNLOADING
+        return before.state is not LedgerEntryState.UNLOADING
     return after.memory_mib > before.memory_mib
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -52,7 +52,7 @@
 """Time for which a move must stay worthwhile at moves weight 1."""
 
 
-class DemandState(State):
+class MoveState(State):
     """Demand that an instance keeps between plans.
 
     :param smoothed: moving average of demand by item, in tokens per second.
@@ -79,7 +79,7 @@
     net_gain: float
 
 
-def smooth_demand(state: DemandState, demand: Mapping[str, float], *, now: int) -> None:
+def smooth_demand(state: MoveState, demand: Mapping[str, float], *, now: int) -> None:
     """Update the moving average with current demand, in tokens per second by item."""
     passed = now - state.updated_at if state.smoothed else 10 * HALF_LIFE_MS
     kept = 0.5 ** (passed / HALF_LIFE_MS)
@@ -91,7 +91,7 @@
 
 
 def propose_move(
-    state: DemandState, layout: Layout, *, moves_weight: float, now: int
+    state: MoveState, layout: Layout, *, moves_weight: float, now: int
 ) -> tuple[Load | Unload, ...]:
     """Return the steps of the move with the highest net gain.
 
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -35,8 +35,8 @@
     prefer_other_sites,
     sort_planned,
 )
-from arbutuspulley.placement.moves import DemandState, propose_move, smooth_demand
-from arbutuspulley.placement.records import EntryState, ServerLedger
+from arbutuspulley.placement.moves import MoveState, propose_move, smooth_demand
+from arbutuspulley.placement.records import LedgerEntryState, ServerLedger
 from arbutuspulley.placement.retirement import list_unneeded
 from arbutuspulley.rpc.messages import ServerSummary
 
@@ -73,7 +73,7 @@
     unneeded_since: dict[str, int] = {}
     target_servers: dict[str, frozenset[str]] = {}
     target_servers_version: int = -1
-    demand: DemandState = msgspec.field(default_factory=DemandState)
+    demand: MoveState = msgspec.field(default_factory=MoveState)
 
 
 class PlannerInputs(Value, frozen=True):
@@ -245,7 +245,7 @@
             continue
         for name in sorted(layout.ready.get(item.base_key, ())):
             entry = layout.servers[name].entries.get(key)
-            if entry is None or entry.state is not EntryState.LOADED:
+            if entry is None or entry.state is not LedgerEntryState.LOADED:
                 continue
             if entry.base != item.base_key and layout.reliable[key] - {name}:
                 unloads.append(Unload(server=name, item=key))
--- a/src/arbutuspulley/placement/records.py
+++ b/src/arbutuspulley/placement/records.py
@@ -10,7 +10,7 @@
 _Record = TypeVar("_Record", bound=Value)
 
 
-class EntryState(enum.StrEnum):
+class LedgerEntryState(enum.StrEnum):
     """State of an item on a server, as the ledger records it.
 
     ``ABSENT``: the item is proven to be unloaded, but an order that was sent earlier
@@ -40,7 +40,7 @@
 
     item: str
     memory_mib: int
-    state: EntryState
+    state: LedgerEntryState
     number: int
     base: str = ""
     fence: int = 0
@@ -142,4 +142,4 @@
 
 def is_reliable(entry: LedgerEntry) -> bool:
     """Return whether a copy is loaded and no order in flight can unload it."""
-    return entry.state is EntryState.LOADED and entry.late_unloads == 0
+    return entry.state is LedgerEntryState.LOADED and entry.late_unloads == 0
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -10,7 +10,7 @@
     get_item_name,
     rank_server,
 )
-from arbutuspulley.placement.records import EntryState, LedgerEntry
+from arbutuspulley.placement.records import LedgerEntry, LedgerEntryState
 
 
 def list_unneeded(layout: Layout) -> list[Unload]:
@@ -35,7 +35,7 @@
 def _list_loaded(layout: Layout) -> Iterator[tuple[ServerLayout, LedgerEntry]]:
     for server in layout.servers.values():
         for key in sorted(server.entries):
-            if server.entries[key].state is EntryState.LOADED:
+            if server.entries[key].state is LedgerEntryState.LOADED:
                 yield server, server.entries[key]
 
 
@@ -91,7 +91,7 @@
     adapters = [
         known
         for known in server.entries.values()
-        if known.base == entry.item and known.state is not EntryState.ABSENT
+        if known.base == entry.item and known.state is not LedgerEntryState.ABSENT
     ]
     if not adapters:
         return [_build_unload(item, server, entry)]
@@ -101,15 +101,15 @@
     return [
         Unload(server=server.name, item=known.item)
         for known in adapters
-        if known.state is EntryState.LOADED
+        if known.state is LedgerEntryState.LOADED
     ]
 
 
 def _is_redundant(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
-    if entry.state is EntryState.UNLOADING:
+    if entry.state is LedgerEntryState.UNLOADING:
         return True
     others = layout.reliable.get(entry.item, set()) - {server.name}
-    return entry.state is EntryState.LOADED and bool(others)
+    return entry.state is LedgerEntryState.LOADED and bool(others)
 
 
 def _build_unload(item: Item, server: ServerLayout, entry: LedgerEntry) -> Unload:
@@ -125,6 +125,6 @@
 def _is_base_in_use(layout: Layout, unload: Unload) -> bool:
     entries = layout.servers[unload.server].entries.values()
     return any(
-        entry.base == unload.item and entry.state is not EntryState.ABSENT
+        entry.base == unload.item and entry.state is not LedgerEntryState.ABSENT
         for entry in entries
     )
--- a/src/arbutuspulley/placement/slots.py
+++ b/src/arbutuspulley/placement/slots.py
@@ -12,7 +12,7 @@
 
 from arbutuspulley.configuration.schema import WeightStore
 from arbutuspulley.placement.records import (
-    EntryState,
+    LedgerEntryState,
     ServerLedger,
     SlotRecord,
     find_entry,
@@ -130,4 +130,4 @@
     if ledger is None or not alive:
         return False
     entry = find_entry(ledger, record.item)
-    return entry is not None and entry.state is EntryState.LOADING
+    return entry is not None and entry.state is LedgerEntryState.LOADING
--- a/src/arbutuspulley/standins/engine_control.py
+++ b/src/arbutuspulley/standins/engine_control.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from arbutuspulley.data import Document, Message, State
-from arbutuspulley.standins.engine_memory import OnOvercommit, SeenOrder
+from arbutuspulley.standins.engine_memory import OnOvercommit, RecordedOrder
 
 NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 Factor = Annotated[float, msgspec.Meta(gt=0)]
@@ -122,4 +122,4 @@
     refused: int
     runs: dict[str, RunCount]
     begun_by_prompt: dict[str, int]
-    orders: tuple[SeenOrder, ...]
+    orders: tuple[RecordedOrder, ...]
--- a/src/arbutuspulley/standins/engine_memory.py
+++ b/src/arbutuspulley/standins/engine_memory.py
@@ -51,7 +51,7 @@
     ready_at: int | None = None
 
 
-class SeenOrder(Message, frozen=True, omit_defaults=False):
+class RecordedOrder(Message, frozen=True, omit_defaults=False):
     """An order that was applied or refused, as shown in the counters."""
 
     kind: OrderKind
@@ -68,7 +68,7 @@
     :param fence: highest fencing token seen, if orders are checked.
     :param last_order: highest order number that was not stale.
     :param last_applied: last order that was not stale.
-    :param seen: the latest orders, for the counters.
+    :param recorded_orders: the latest orders, for the counters.
     :param peak_mib: peak memory use.
     :param overcommitted: load orders that would have exceeded the memory.
     :param died: whether one of these orders crashed the engine.
@@ -83,7 +83,7 @@
     fence: int = 0
     last_order: int = 0
     last_applied: Order | None = None
-    seen: list[SeenOrder] = msgspec.field(default_factory=list)
+    recorded_orders: list[RecordedOrder] = msgspec.field(default_factory=list)
     peak_mib: int = 0
     overcommitted: int = 0
     died: bool = False
@@ -99,8 +99,8 @@
         memory.last_applied = order
     if memory.checks_orders:
         memory.fence = max(memory.fence, order.fence)
-    memory.seen.append(
-        SeenOrder(
+    memory.recorded_orders.append(
+        RecordedOrder(
             kind=order.kind,
             item=order.item,
             fence=order.fence,
@@ -109,7 +109,7 @@
             detail=reply.detail,
         )
     )
-    del memory.seen[:-MAX_RECORDED_ORDERS]
+    del memory.recorded_orders[:-MAX_RECORDED_ORDERS]
     return reply
 
 
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -205,7 +205,7 @@
         refused=state.refused,
         runs=dict(state.runs),
         begun_by_prompt=dict(state.begun_by_prompt),
-        orders=tuple(memory.seen),
+        orders=tuple(memory.recorded_orders),
     )
 
 
--- a/tests/test_engine_state.py
+++ b/tests/test_engine_state.py
@@ -208,7 +208,9 @@
         advance(state, now=0)
         assert sum_memory(state.memory) <= 100
     seen = [
-        each for each in state.memory.seen if each.outcome is not OrderOutcome.STALE
+        each
+        for each in state.memory.recorded_orders
+        if each.outcome is not OrderOutcome.STALE
     ]
     if checks:
         marks = [(each.fence, each.number) for each in seen]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -20,8 +20,8 @@
     take_over,
 )
 from arbutuspulley.placement.records import (
-    EntryState,
     LedgerEntry,
+    LedgerEntryState,
     ServerLedger,
     find_entry,
     is_reliable,
@@ -232,7 +232,7 @@
 
 
 LOADED_ENTRY = LedgerEntry(
-    item="a@1", memory_mib=60, state=EntryState.LOADED, number=1, seen=True
+    item="a@1", memory_mib=60, state=LedgerEntryState.LOADED, number=1, seen=True
 )
 
 
@@ -245,7 +245,7 @@
         ((), lambda known: load(replace(known, boot_id="")), OutdatedPlanError),
         ((), lambda known: add_unload_intent(known, item="a@1"), OutdatedPlanError),
         (
-            (replace(LOADED_ENTRY, state=EntryState.LOADING),),
+            (replace(LOADED_ENTRY, state=LedgerEntryState.LOADING),),
             lambda known: add_unload_intent(known, item="a@1"),
             OutdatedPlanError,
         ),
--- a/tests/test_placement_properties.py
+++ b/tests/test_placement_properties.py
@@ -10,7 +10,7 @@
 from arbutuspulley.placement import ledger, transactions
 from arbutuspulley.placement.records import (
     CopiesRecord,
-    EntryState,
+    LedgerEntryState,
     ServerLedger,
     build_copies_key,
     build_ledger_key,
@@ -192,7 +192,7 @@
         """Load an item, or unload it if the owner's ledger says that it is loaded."""
         owner = self.find_owner(server, age)
         entry = find_entry(owner.ledger, item)
-        loaded = entry is not None and entry.state is EntryState.LOADED
+        loaded = entry is not None and entry.state is LedgerEntryState.LOADED
         try:
             current = self.unload(owner, item) if loaded else self.load(owner, item)
         except ArbutusError:
@@ -328,10 +328,10 @@
 
     def check_agreement(self, engine, known):
         states = {entry.item: entry.state for entry in known.entries}
-        loaded = {key for key in states if states[key] is EntryState.LOADED}
+        loaded = {key for key in states if states[key] is LedgerEntryState.LOADED}
         assert loaded == engine.items.keys()
-        others = set(states.values()) - {EntryState.LOADED}
-        assert others <= (set() if engine.checks else {EntryState.ABSENT})
+        others = set(states.values()) - {LedgerEntryState.LOADED}
+        assert others <= (set() if engine.checks else {LedgerEntryState.ABSENT})
 
 
 KINDS = {
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -26,7 +26,7 @@
     PlannerState,
     plan,
 )
-from arbutuspulley.placement.records import EntryState, ServerLedger
+from arbutuspulley.placement.records import LedgerEntryState, ServerLedger
 from arbutuspulley.ports.engines import ItemState, Report, ReportedItem
 from arbutuspulley.rpc.messages import ServerSummary
 
@@ -175,7 +175,7 @@
 
     def get_state(self, name, entry):
         done = self.now >= self.due.get((name, entry.item), 0)
-        if entry.state is EntryState.UNLOADING:
+        if entry.state is LedgerEntryState.UNLOADING:
             return None if done else ItemState.UNLOADING
         return ItemState.LOADED if done else ItemState.LOADING
 
@@ -189,7 +189,7 @@
         for name, known in self.ledgers.items():
             for entry in known.entries:
                 usable = name not in self.down and name not in self.leaving
-                if usable and entry.state is EntryState.LOADED:
+                if usable and entry.state is LedgerEntryState.LOADED:
                     ready.setdefault(entry.item, []).append(name)
         return ready
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -4,8 +4,8 @@
 
 from arbutuspulley.configuration.schema import WeightStore
 from arbutuspulley.placement.records import (
-    EntryState,
     LedgerEntry,
+    LedgerEntryState,
     ServerLedger,
     SlotRecord,
 )
@@ -29,8 +29,8 @@
     return ServerLedger(server="s", entries=(entry,))
 
 
-LOADING = build_ledger(EntryState.LOADING)
-LOADED = build_ledger(EntryState.LOADED)
+LOADING = build_ledger(LedgerEntryState.LOADING)
+LOADED = build_ledger(LedgerEntryState.LOADED)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_transactions.py
+++ b/tests/test_transactions.py
@@ -4,8 +4,8 @@
 
 from arbutuspulley.placement.records import (
     CopiesRecord,
-    EntryState,
     LedgerEntry,
+    LedgerEntryState,
     ServerLedger,
     SlotRecord,
     decode,
@@ -23,7 +23,7 @@
 )
 from arbutuspulley.ports.platform import Precondition
 
-ENTRY = LedgerEntry(item="a@1", memory_mib=1, state=EntryState.LOADED, number=1)
+ENTRY = LedgerEntry(item="a@1", memory_mib=1, state=LedgerEntryState.LOADED, number=1)
 LEDGER = ServerLedger(server="s0", fence=2, entries=(ENTRY,))
 OWNER = Precondition(key="g/owner/s0", revision=5)
 ROW = LedgerRow(ledger=LEDGER, revision=4, owner=OWNER)
