--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -6,7 +6,7 @@
 from arbutuspulley.admission.queue import AdmissionState, Admit, Refuse, Ticket
 from arbutuspulley.admission.queue_order import AGEING_MS
 from arbutuspulley.admission.slot_limits import TOKENS_PER_SLOT
-from arbutuspulley.bench.model import Model, Offer
+from arbutuspulley.bench.simulation import Model, Offer
 from arbutuspulley.configuration.schema import EMPTY
 from arbutuspulley.results import Code
 from arbutuspulley.routing import choice
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -13,7 +13,7 @@
     classify_callers,
     has_remote_modest_waiter,
 )
-from arbutuspulley.bench.model import Model, Offer, measure_met
+from arbutuspulley.bench.simulation import Model, Offer, measure_met
 from arbutuspulley.routing.load import ServerLoad, add_change, observe_report
 from arbutuspulley.rpc.messages import CallerUsage, EntryAddress, ServerSummary
 
