--- a/src/arbutuspulley/bench/simulation.py
+++ b/src/arbutuspulley/bench/simulation.py
@@ -48,7 +48,7 @@
     :param entries: indexes of the entries that the caller uses.
     :param start: time in ms at which the caller starts to send.
     :param live: whether its requests are live: their deadline is
-        :attr:`Model.target_ms` instead of 60 s.
+        :attr:`Simulation.target_ms` instead of 60 s.
     """
 
     caller: str
@@ -86,7 +86,7 @@
         return self.admitted_at - self.last_at < TARGET_MS
 
 
-class Model:
+class Simulation:
     """A simulated system of entries and servers.
 
     :param slots: number of requests that a server runs concurrently within the targets.
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -6,7 +6,7 @@
 from arbutuspulley.admission.queue import AdmissionState, Admit, Refuse, Ticket
 from arbutuspulley.admission.queue_order import AGEING_MS
 from arbutuspulley.admission.slot_limits import TOKENS_PER_SLOT
-from arbutuspulley.bench.simulation import Model, Offer
+from arbutuspulley.bench.simulation import Offer, Simulation
 from arbutuspulley.configuration.schema import EMPTY
 from arbutuspulley.results import Code
 from arbutuspulley.routing import choice
@@ -254,10 +254,10 @@
     """
 
     def measure(load):
-        model = Model(entries=entries)
-        rate = load * model.capacity
+        simulation = Simulation(entries=entries)
+        rate = load * simulation.capacity
         offer = Offer(caller="c", rate=rate, entries=tuple(range(entries)))
-        asked = model.run([offer], until=40_000)
+        asked = simulation.run([offer], until=40_000)
         return sum(one.meets_targets() and one.admitted_at >= 10_000 for one in asked)
 
     assert measure(2.0) >= 0.95 * measure(1.0)
@@ -269,16 +269,16 @@
     If live requests always went first, no summary would complete before their load
     ends.
     """
-    model = Model(entries=2, seed=2)
-    rate = 1.5 * model.capacity / 12
+    simulation = Simulation(entries=2, seed=2)
+    rate = 1.5 * simulation.capacity / 12
     offers = [Offer(caller=f"c{n}", rate=rate, entries=(0, 1)) for n in range(12)]
-    rate = 0.1 * model.capacity
+    rate = 0.1 * simulation.capacity
     offers.append(Offer(caller="recap", rate=rate, entries=(0, 1), live=False))
-    asked = model.run(offers, until=45_000)
+    asked = simulation.run(offers, until=45_000)
     recaps = [one for one in asked if not one.live and one.at < 25_000]
     assert len(recaps) > 50
     assert all(one.admitted_at is not None for one in recaps)
     met = sum(
         one.meets_targets() and one.admitted_at >= 10_000 for one in asked if one.live
     )
-    assert met >= 0.85 * 35 * model.capacity
+    assert met >= 0.85 * 35 * simulation.capacity
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -13,7 +13,7 @@
     classify_callers,
     has_remote_modest_waiter,
 )
-from arbutuspulley.bench.simulation import Model, Offer, measure_met
+from arbutuspulley.bench.simulation import Offer, Simulation, measure_met
 from arbutuspulley.routing.load import ServerLoad, add_change, observe_report
 from arbutuspulley.rpc.messages import CallerUsage, EntryAddress, ServerSummary
 
@@ -231,13 +231,13 @@
     from the flood through the other entries, and the quiet caller's requests, through
     one entry or all, wait for one of the few slots there and are refused.
     """
-    model = Model(entries=6, seed=2)
-    quiet = Offer(caller="q", rate=0.3 * model.capacity, entries=tuple(through))
-    flood = Offer(caller="f", rate=5 * model.capacity, entries=tuple(range(6)))
-    asked = model.run([quiet, flood], until=30_000)
+    simulation = Simulation(entries=6, seed=2)
+    quiet = Offer(caller="q", rate=0.3 * simulation.capacity, entries=tuple(through))
+    flood = Offer(caller="f", rate=5 * simulation.capacity, entries=tuple(range(6)))
+    asked = simulation.run([quiet, flood], until=30_000)
     assert measure_met(asked, caller="q") >= 0.95
     used = sum(one.meets_targets() and one.admitted_at >= 10_000 for one in asked)
-    assert used >= 0.8 * 20 * model.capacity
+    assert used >= 0.8 * 20 * simulation.capacity
 
 
 def test_a_borrowed_share_is_returned_within_two_seconds():
@@ -245,8 +245,10 @@
 
     Requests in flight are not preempted, so the second caller waits for free slots.
     """
-    model = Model(entries=2)
-    flood = Offer(caller="f", rate=3 * model.capacity, entries=(0, 1))
-    back = Offer(caller="b", rate=0.5 * model.capacity, entries=(0, 1), start=15_000)
-    asked = model.run([flood, back], until=25_000)
+    simulation = Simulation(entries=2)
+    flood = Offer(caller="f", rate=3 * simulation.capacity, entries=(0, 1))
+    back = Offer(
+        caller="b", rate=0.5 * simulation.capacity, entries=(0, 1), start=15_000
+    )
+    asked = simulation.run([flood, back], until=25_000)
     assert measure_met(asked, caller="b", until=17_000) >= 0.95
