--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -184,7 +184,7 @@
 ) -> SuspicionsReply:
     """Record deaths in memory while the store is down; peers are notified as usual.
 
-    A trial is not granted: another instance could try the same request concurrently.
+    A trial is not granted: another instance could run the same request concurrently.
     """
     if report.trial_id:
         return SuspicionsReply()
--- a/src/arbutuspulley/standins/engine_runtime.py
+++ b/src/arbutuspulley/standins/engine_runtime.py
@@ -1,8 +1,8 @@
-"""Runtime of the engine stand-in: steps the model and starts loads of weights.
+"""Runtime of the engine stand-in: advances its state and starts loads of weights.
 
-One thread steps the model and passes tokens to the worker threads that stream them.
+One thread advances the state and passes tokens to the worker threads that stream them.
 Another thread asks the weight store for permission to load. All threads share the
-model under one lock.
+state under one lock.
 """
 
 import os
@@ -36,7 +36,7 @@
 )
 
 IDLE_STEP_MS = 20
-"""Maximum time between two steps of the model."""
+"""Maximum time between two advances of the state."""
 
 LOAD_POLL_MS = 20
 """Interval at which loads that wait for the weight store are checked."""
@@ -54,9 +54,9 @@
 
 
 class EngineRuntime:
-    """The model with its lock and threads.
+    """The state of an engine with its lock and threads.
 
-    :param state: the model; access it only through :meth:`run_locked`.
+    :param state: state of the engine; access it only through :meth:`run_locked`.
     :param platform: ``host:port`` of the weight store; empty to load without one.
     :param load_ms: duration of a load without a weight store.
     :param crash: called when the engine crashes; by default the process exits.
@@ -109,7 +109,7 @@
             thread.join()
 
     def run_locked(self, work: Callable[[EngineState, int], _Result]) -> _Result:
-        """Call a short function with the model and the time in ms, under the lock."""
+        """Call a short function with the state and the time in ms, under the lock."""
         with self._changed:
             result = work(self._state, self._clock.now())
             self._changed.notify_all()
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -1,4 +1,4 @@
-"""Model of the engine stand-in: memory, batch, cache, reports and faults.
+"""State of the engine stand-in: memory, batch, cache, reports and faults.
 
 The functions are pure: no I/O and no clock reads. :mod:`.engine_runtime` calls them.
 """
--- a/tests/test_engine_state.py
+++ b/tests/test_engine_state.py
@@ -1,4 +1,4 @@
-"""Model of the engine stand-in: memory, orders, batch, cache and reports."""
+"""State of the engine stand-in: memory, orders, batch, cache and reports."""
 
 import random
 
