--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -81,7 +81,7 @@
             cache[key] = found
         return found
 
-    def send(arrival: Arrival, _tried: int) -> CallerAttempt:
+    def send(arrival: Arrival, _earlier_attempts: int) -> CallerAttempt:
         known = get_addresses(arrival)
         address = known.addresses[0]
         result = send_to_entry(address, arrival, run=run)
@@ -111,12 +111,12 @@
         item: _build_rotation(known) for item, known in holders.items()
     }
 
-    def send(arrival: Arrival, tried: int) -> CallerAttempt:
+    def send(arrival: Arrival, earlier_attempts: int) -> CallerAttempt:
         item = build_item_key(name=arrival.model, version=VERSION)
         began_at = read_clock()
         for number in range(1 + IMMEDIATE_RETRIES):
             counts.engine_attempts += 1
-            attempt_number = tried * (1 + IMMEDIATE_RETRIES) + number
+            attempt_number = earlier_attempts * (1 + IMMEDIATE_RETRIES) + number
             result = send_to_engine(
                 engines,
                 rotations[item](),
@@ -137,11 +137,11 @@
     rotation = itertools.cycle(addresses)
     lock = threading.Lock()
 
-    def take_next() -> str:
+    def get_next() -> str:
         with lock:
             return next(rotation)
 
-    return take_next
+    return get_next
 
 
 def _fetch_addresses(
--- a/src/arbutuspulley/configuration/difference.py
+++ b/src/arbutuspulley/configuration/difference.py
@@ -130,17 +130,17 @@
 
 def _compare_content(old: Configuration, new: Configuration) -> tuple[Difference, ...]:
     """Compare value by value; a site missing on one side is compared as empty."""
-    folded: dict[tuple[DifferenceKind, str, str, str], list[str]] = {}
+    merged: dict[tuple[DifferenceKind, str, str, str], list[str]] = {}
     names = old.sites.keys() | new.sites.keys()
     for change in _walk(_fill_sites(old, names), _fill_sites(new, names), ()):
         if change.path == _VERSION_PATH:
             continue
         site, path = _split_site_path(change.path)
         key = (change.kind, ".".join(path), *_show_values(change))
-        folded.setdefault(key, []).extend([site] if site else [])
+        merged.setdefault(key, []).extend([site] if site else [])
     return tuple(
         Difference(kind=kind, path=path, before=before, after=after, sites=tuple(sites))
-        for (kind, path, before, after), sites in folded.items()
+        for (kind, path, before, after), sites in merged.items()
     )
 
 
--- a/src/arbutuspulley/controller/loops.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -104,7 +104,7 @@
         planning_state = planning.PlanningState()
         self._start_loop(self._choose_renewal_interval, self._renew)
         self._start_loop(
-            lambda: self._choose_follow_interval(planning_state),
+            lambda: self._choose_sync_interval(planning_state),
             self._sync_rows_and_ownership,
         )
         self._start_loop_every(
@@ -193,7 +193,7 @@
         held = may_order(controller.lease, now=controller.clock.now())
         return controller.settings.renew_ms if held else LEASE_RETRY_INTERVAL_MS
 
-    def _choose_follow_interval(self, planning_state: planning.PlanningState) -> int:
+    def _choose_sync_interval(self, planning_state: planning.PlanningState) -> int:
         interval_ms = self._controller.settings.follow_ms
         if planning.has_loads(self._controller, planning_state):
             return interval_ms // PENDING_LOADS_SPEEDUP
--- a/src/arbutuspulley/entry/relay.py
+++ b/src/arbutuspulley/entry/relay.py
@@ -180,8 +180,8 @@
     if event is None:
         event, died = _classify_break(runtime, attempt, cursor)
     request_id = attempt.request.request_id
-    ended = dispatch.advance_request(runtime, request_id, event, died=died)
-    runtime.loop.spawn(ended)
+    coroutine = dispatch.advance_request(runtime, request_id, event, died=died)
+    runtime.loop.spawn(coroutine)
 
 
 def _exhaust(
@@ -238,8 +238,8 @@
 
 def _abandon(runtime: Runtime, call: Call, cursor: Cursor) -> None:
     event = lifecycle.CallerLeft(next_offset=cursor.offset)
-    left = dispatch.advance_request(runtime, call.request_id, event)
-    runtime.loop.spawn(left)
+    coroutine = dispatch.advance_request(runtime, call.request_id, event)
+    runtime.loop.spawn(coroutine)
 
 
 def _count_dropped(runtime: Runtime, call: Call, cursor: Cursor) -> None:
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -193,12 +193,12 @@
 def _list_busy_servers(runtime: Runtime) -> frozenset[str]:
     """Return the servers that are known to be reserved for other suspects."""
     state, now = runtime.state, runtime.clock.now()
-    held = {
+    reserved = {
         server
         for server, holder in state.trial_holders.items()
         if now - holder.requested_at < TRIAL_POLL_MS
     }
-    return frozenset(state.trials) | held
+    return frozenset(state.trials) | reserved
 
 
 def _clear_locally(runtime: Runtime, fingerprint: str, trial: Trial, ran: bool) -> None:
--- a/src/arbutuspulley/events.py
+++ b/src/arbutuspulley/events.py
@@ -232,16 +232,17 @@
         if second != self._rate_window_s:
             self._rate_window_s = second
             self._ordinary_count = self._failure_count = 0
-        room = MAX_BUFFERED_LINES - len(self._lines)
+        free_lines = MAX_BUFFERED_LINES - len(self._lines)
         if is_ordinary:
             self._ordinary_count += 1
             return (
                 self._ordinary_count <= self._lines_per_s
-                and room > MAX_BUFFERED_LINES // 2
+                and free_lines > MAX_BUFFERED_LINES // 2
             )
         self._failure_count += 1
         return (
-            self._failure_count <= FAILURE_RATE_FACTOR * self._lines_per_s and room > 0
+            self._failure_count <= FAILURE_RATE_FACTOR * self._lines_per_s
+            and free_lines > 0
         )
 
     def _schedule_flush(self) -> None:
--- a/src/arbutuspulley/membership/observation.py
+++ b/src/arbutuspulley/membership/observation.py
@@ -143,8 +143,8 @@
 
     :param referenced: the sessions that ownership rows reference.
     """
-    held = {row.record.session for row in state.rows.values() if row.record}
-    kept = held | referenced
+    current = {row.record.session for row in state.rows.values() if row.record}
+    kept = current | referenced
     state.last_seen = {key: at for key, at in state.last_seen.items() if key in kept}
     state.ended &= kept
 
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -100,24 +100,24 @@
     each against the memory that the previous ones leave free; otherwise two of them
     could rely on the same memory.
     """
-    short = measure_shortage_mib(layout, server, item) - _measure_pending(
+    shortage_mib = measure_shortage_mib(layout, server, item) - _measure_pending(
         layout, server
     )
     chosen: list[EvictionUnit] = []
-    trial = copy_layout(layout)
-    while short > 0:
+    tentative = copy_layout(layout)
+    while shortage_mib > 0:
         units = [
             unit
-            for unit in _list_units(trial, trial.servers[server.name], item)
+            for unit in _list_units(tentative, tentative.servers[server.name], item)
             if not _overlaps(server, unit, chosen)
         ]
-        unit = _choose_unit(units, short)
+        unit = _choose_unit(units, shortage_mib)
         if unit is None:
             return None
         chosen.append(unit)
-        short -= unit.freed_mib
+        shortage_mib -= unit.freed_mib
         for part in unit.moved:
-            add_planned(trial, trial.servers[unit.target], part)
+            add_planned(tentative, tentative.servers[unit.target], part)
     return EvictionPlan(
         server=server.name,
         cost_mib=sum(unit.cost_mib for unit in chosen),
@@ -125,9 +125,9 @@
     )
 
 
-def _choose_unit(units: list[EvictionUnit], short: int) -> EvictionUnit | None:
+def _choose_unit(units: list[EvictionUnit], shortage_mib: int) -> EvictionUnit | None:
     """Return the cheapest unit that frees enough, or else the one that frees most."""
-    enough = [unit for unit in units if unit.freed_mib >= short]
+    enough = [unit for unit in units if unit.freed_mib >= shortage_mib]
     if enough:
         return min(enough, key=lambda unit: (unit.cost_mib, unit.freed_mib, unit.key))
     free = [unit for unit in units if unit.cost_mib == 0]
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -264,12 +264,12 @@
 
 def _list_priorities(layout: Layout, item: Item, names: set[str]) -> Iterable[Priority]:
     present = len(layout.holding[item.key]) + layout.unreachable_copies.get(item.key, 0)
-    short = item.copies - present
-    if short <= 0:
+    missing_count = item.copies - present
+    if missing_count <= 0:
         return
     lost = present == 0 and item.name not in names
     yield Priority.LOST if lost else Priority.SHORT
-    for _ in range(short - 1):
+    for _ in range(missing_count - 1):
         yield Priority.SHORT
 
 
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -30,7 +30,7 @@
 """Token rate of one slot within the target of 37 ms between tokens."""
 
 MAX_UTILISATION = 0.8
-"""Share of a server's capacity above which requests miss the latency target."""
+"""Fraction of a server's capacity above which requests miss the latency target."""
 
 HORIZON_S = 600
 """Time over which gain and cost are compared; demand that changes tenfold in an hour
@@ -40,10 +40,10 @@
 """Time for which a load may stall the requests that run on its server."""
 
 MIN_MOVE_COST = 0.1
-"""Cost of a load or unload at moves weight 0, as a share of the server's capacity."""
+"""Cost of a load or unload at moves weight 0, as a fraction of the server's capacity."""
 
 MAX_MOVE_COST = 0.2
-"""Cost of a load or unload at moves weight 1, as a share of the server's capacity."""
+"""Cost of a load or unload at moves weight 1, as a fraction of the server's capacity."""
 
 MIN_MOVE_DELAY_MS = 5_000
 """Time for which a move must stay worthwhile at moves weight 0."""
@@ -53,7 +53,7 @@
 
 
 class MoveState(State):
-    """Demand that an instance keeps between plans.
+    """Demand and candidate moves that an instance keeps between plans.
 
     :param smoothed: moving average of demand by item, in tokens per second.
     :param updated_at: time of the last update, in milliseconds.
@@ -210,14 +210,16 @@
         if is_present(server, item.base_key):
             return ()
         item = layout.items[item.base_key]
-    short = measure_additional_mib(server, item) - measure_free_mib(layout, server)
-    if short <= 0:
+    shortage_mib = measure_additional_mib(server, item) - measure_free_mib(
+        layout, server
+    )
+    if shortage_mib <= 0:
         return (Load(server=server.name, item=item),)
     for loss, removable in sorted(
         _list_removable_copies(layout, server, loads, demand)
     ):
         entry = server.entries[removable]
-        if entry.memory_mib >= short and loss < move.net_gain / 2:
+        if entry.memory_mib >= shortage_mib and loss < move.net_gain / 2:
             return (
                 Unload(
                     server=server.name,
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -171,10 +171,10 @@
     when the configuration was accepted is followed.
     """
     missing = list_missing(layout)
-    trial = copy_layout(layout)
-    planned, unplaced = place_copies(trial, missing, prefer_other_sites)
+    tentative = copy_layout(layout)
+    planned, unplaced = place_copies(tentative, missing, prefer_other_sites)
     others: list[Action] = []
-    if unplaced or (planned and not can_change_all(trial)):
+    if unplaced or (planned and not can_change_all(tentative)):
         prefer = build_prefer_targets(_get_target_servers(state, configuration))
         planned, others = _plan_with_evictions(layout, missing, prefer)
     ordered = sort_planned(layout, planned, state.demand.smoothed)
@@ -240,8 +240,8 @@
     unloads: list[Unload] = []
     for key in sorted(layout.items):
         item = layout.items[key]
-        short = len(layout.holding[key]) < item.copies
-        if not item.base_key or not short or list_candidates(layout, item):
+        lacks_copies = len(layout.holding[key]) < item.copies
+        if not item.base_key or not lacks_copies or list_candidates(layout, item):
             continue
         for name in sorted(layout.ready.get(item.base_key, ())):
             entry = layout.servers[name].entries.get(key)
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -63,7 +63,7 @@
     ready_count = len(layout.ready[item.key])
     if ready_count == 0:
         return []
-    spare = ready_count + len(former) - item.copies
+    extra_copies = ready_count + len(former) - item.copies
     # Servers that have both versions come last: the next copy of the new version needs
     # a server without one, and may fit there only once the old version is unloaded.
     former = sorted(
@@ -75,7 +75,7 @@
     )
     steps = (_retire_copy(layout, item, server, entry) for server, entry in former)
     unload_groups = [step for step in steps if step is not None]
-    return [unload for step in unload_groups[: max(0, spare)] for unload in step]
+    return [unload for step in unload_groups[: max(0, extra_copies)] for unload in step]
 
 
 def _retire_copy(
@@ -95,8 +95,10 @@
     ]
     if not adapters:
         return [_build_unload(item, server, entry)]
-    short = len(layout.holding[item.key]) < item.copies
-    if not short or not all(_is_redundant(layout, server, known) for known in adapters):
+    lacks_copies = len(layout.holding[item.key]) < item.copies
+    if not lacks_copies or not all(
+        _is_redundant(layout, server, known) for known in adapters
+    ):
         return None
     return [
         Unload(server=server.name, item=known.item)
--- a/src/arbutuspulley/platform/incarnations.py
+++ b/src/arbutuspulley/platform/incarnations.py
@@ -21,5 +21,5 @@
 
 def get_server_id(incarnation: str) -> str:
     """Return a server's id on the wire."""
-    server_id, separator, _born = incarnation.rpartition(_SEPARATOR)
+    server_id, separator, _started = incarnation.rpartition(_SEPARATOR)
     return server_id if separator else incarnation
