--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -40,10 +40,10 @@
 """Time for which a load may stall the requests that run on its server."""
 
 MIN_MOVE_COST = 0.1
-"""Cost of a load or unload at moves weight 0, as a fraction of the server's capacity."""
+"""Cost of a load or unload at moves weight 0, as a fraction of server capacity."""
 
 MAX_MOVE_COST = 0.2
-"""Cost of a load or unload at moves weight 1, as a fraction of the server's capacity."""
+"""Cost of a load or unload at moves weight 1, as a fraction of server capacity."""
 
 MIN_MOVE_DELAY_MS = 5_000
 """Time for which a move must stay worthwhile at moves weight 0."""
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -36,7 +36,7 @@
     fleet = Fleet(configuration)
     fleet.run()
     keys = {f"{name}@1" for name in (*sizes, *dict(options.get("adapters", ())))}
-    assert fleet.list_answering().keys() == keys
+    assert fleet.list_ready().keys() == keys
 
 
 @pytest.mark.parametrize(
