--- a/src/arbutuspulley/controller/orders.py
+++ b/src/arbutuspulley/controller/orders.py
@@ -131,7 +131,7 @@
     *,
     usable: frozenset[str],
 ) -> bool:
-    """Commit the intent of an unload, wait until entries know it, and send the order.
+    """Commit the intent of an unload, and send its order once views omit the copy.
 
     :param usable: servers that are alive and not leaving.
     :return: whether the intent was committed.
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -82,8 +82,8 @@
 
 
 async def run_second(nodes, time, *, seconds=1):
-    """Advance the clock, with one round of following and claiming in each second, and a
-    renewal in every other one."""
+    """Advance the clock; each second rows are read and servers claimed, and in every
+    other one leases are renewed."""
     for _ in range(seconds):
         time.now += 1_000
         for node in nodes:
