--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -45,7 +45,7 @@
     reconcile,
 )
 from arbutuspulley.placement.planner import PlannerInputs, PlannerState, plan
-from arbutuspulley.placement.records import EntryState, ServerLedger
+from arbutuspulley.placement.records import LedgerEntryState, ServerLedger
 from arbutuspulley.ports.engines import ItemState, Report, ReportedItem
 from arbutuspulley.rpc.messages import ServerSummary
 
@@ -214,7 +214,7 @@
     late = [
         name
         for name, place in layout.servers.items()
-        if loads[name] > moves.measure_capacity(place)
+        if loads[name] > moves.measure_token_capacity(place)
     ]
     if not late:
         return ()
@@ -234,7 +234,7 @@
         spare = [
             key
             for key, entry in place.entries.items()
-            if entry.state is EntryState.LOADED and len(layout.answering[key]) > 1
+            if entry.state is LedgerEntryState.LOADED and len(layout.ready[key]) > 1
         ]
         if spare:
             coldest = min(spare, key=lambda key: run.demand.get(key, 0.0))
@@ -251,7 +251,7 @@
 def step(run: Run, decide: Decide, *, counted: bool) -> None:
     """Carry out the decided actions and advance the time by a step."""
     free = run.configuration.weight_store.loads_at_once - sum(
-        entry.state is EntryState.LOADING
+        entry.state is LedgerEntryState.LOADING
         for ledger in run.ledgers.values()
         for entry in ledger.entries
     )
@@ -290,7 +290,7 @@
     items: list[ReportedItem] = []
     for entry in known.entries:
         done = run.now_s >= run.due.get((name, entry.item), 0)
-        if done and entry.state is EntryState.UNLOADING:
+        if done and entry.state is LedgerEntryState.UNLOADING:
             continue
         state = ItemState.LOADED if done else ItemState(entry.state.value)
         items.append(
@@ -309,11 +309,11 @@
 def _count_late(run: Run) -> None:
     layout = _read_layout(run)
     loads = dict.fromkeys(layout.servers, 0.0)
-    for key, names in layout.answering.items():
+    for key, names in layout.ready.items():
         for name in names:
             loads[name] += run.demand.get(key, 0.0) / len(names)
     for name, place in layout.servers.items():
-        run.late += max(0.0, loads[name] - moves.measure_capacity(place))
+        run.late += max(0.0, loads[name] - moves.measure_token_capacity(place))
     run.asked += sum(run.demand.values())
 
 
@@ -324,7 +324,7 @@
     get_demand = build_demand(pool, chance)
     for _ in range(20 * pool.models * LOAD_S // STEP_S // pool.store.loads_at_once):
         step(run, decide, counted=False)
-        if all(_read_layout(run).answering.values()):
+        if all(_read_layout(run).ready.values()):
             break
     start = run.now_s
     while run.now_s < start + HOURS * DEMAND_SHIFT_S:
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -63,7 +63,7 @@
         channel.SETTLE: lambda request: _settle(controller, request),
         channel.REPORT_DEATH: lambda request: _record_deaths(controller, request),
         channel.CLEAR_SUSPICION: lambda request: _clear_suspicion(controller, request),
-        channel.TELL_SUSPICIONS: lambda update: _apply_suspicions(controller, update),
+        channel.NOTIFY_SUSPICIONS: lambda update: _apply_suspicions(controller, update),
         channel.EXCHANGE: lambda request: _exchange(controller, request),
         channel.STATUS: lambda request: _get_status(controller, request),
     }
@@ -116,7 +116,7 @@
         )
     if reply.state == ClaimState.UNAVAILABLE:
         now = controller.clock.now()
-        record_failure(controller.writes, now=now, chance=controller.chance)
+        record_failure(controller.write_outage, now=now, chance=controller.chance)
     return reply
 
 
@@ -184,7 +184,7 @@
 ) -> SuspicionsReply:
     """Record deaths in memory while the store is down; peers are notified as usual.
 
-    A trial is not granted: another instance could try the same request concurrently.
+    A trial is not granted: another instance could run the same request concurrently.
     """
     if report.trial_id:
         return SuspicionsReply()
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -178,7 +178,7 @@
         state.trial_holders[server] = TrialHolder(
             trial_id=reply.holder,
             seen_at=previous.seen_at if previous is not None and is_same else now,
-            asked_at=now,
+            requested_at=now,
         )
     return False
 
@@ -193,12 +193,12 @@
 def _list_busy_servers(runtime: Runtime) -> frozenset[str]:
     """Return the servers that are known to be reserved for other suspects."""
     state, now = runtime.state, runtime.clock.now()
-    held = {
+    reserved = {
         server
         for server, holder in state.trial_holders.items()
-        if now - holder.asked_at < TRIAL_POLL_MS
+        if now - holder.requested_at < TRIAL_POLL_MS
     }
-    return frozenset(state.trials) | held
+    return frozenset(state.trials) | reserved
 
 
 def _clear_locally(runtime: Runtime, fingerprint: str, trial: Trial, ran: bool) -> None:
@@ -218,8 +218,8 @@
             await runtime.controller.clear_suspicion(report)
         except PeerUnavailableError:
             bound = CLEARANCE_INITIAL_BACKOFF_MS << attempt
-            pause_ms = bound * (0.5 + runtime.chance.random() / 2)
-            await asyncio.sleep(pause_ms / SECOND_MS)
+            backoff_ms = bound * (0.5 + runtime.chance.random() / 2)
+            await asyncio.sleep(backoff_ms / SECOND_MS)
         else:
             return
 
--- a/src/arbutuspulley/placement/eviction.py
+++ b/src/arbutuspulley/placement/eviction.py
@@ -24,7 +24,7 @@
     rank_server,
 )
 from arbutuspulley.placement.missing_copies import list_candidates, measure_shortage_mib
-from arbutuspulley.placement.records import EntryState, LedgerEntry
+from arbutuspulley.placement.records import LedgerEntry, LedgerEntryState
 
 
 class EvictionUnit(Value, frozen=True):
@@ -83,11 +83,11 @@
 def is_removable(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
     """Return whether enough other copies of a configured item are ready."""
     item = layout.items.get(entry.item)
-    if item is None or entry.state is not EntryState.LOADED:
+    if item is None or entry.state is not LedgerEntryState.LOADED:
         return False
     if entry.base != item.base_key:
         return False
-    others = layout.answering[item.key] & layout.reliable.get(item.key, set())
+    others = layout.ready[item.key] & layout.reliable.get(item.key, set())
     return len(others - {server.name}) >= item.copies
 
 
@@ -100,24 +100,24 @@
     each against the memory that the previous ones leave free; otherwise two of them
     could rely on the same memory.
     """
-    short = measure_shortage_mib(layout, server, item) - _measure_pending(
+    shortage_mib = measure_shortage_mib(layout, server, item) - _measure_pending(
         layout, server
     )
     chosen: list[EvictionUnit] = []
-    trial = copy_layout(layout)
-    while short > 0:
+    tentative = copy_layout(layout)
+    while shortage_mib > 0:
         units = [
             unit
-            for unit in _list_units(trial, trial.servers[server.name], item)
+            for unit in _list_units(tentative, tentative.servers[server.name], item)
             if not _overlaps(server, unit, chosen)
         ]
-        unit = _choose_unit(units, short)
+        unit = _choose_unit(units, shortage_mib)
         if unit is None:
             return None
         chosen.append(unit)
-        short -= unit.freed_mib
+        shortage_mib -= unit.freed_mib
         for part in unit.moved:
-            add_planned(trial, trial.servers[unit.target], part)
+            add_planned(tentative, tentative.servers[unit.target], part)
     return EvictionPlan(
         server=server.name,
         cost_mib=sum(unit.cost_mib for unit in chosen),
@@ -125,9 +125,9 @@
     )
 
 
-def _choose_unit(units: list[EvictionUnit], short: int) -> EvictionUnit | None:
+def _choose_unit(units: list[EvictionUnit], shortage_mib: int) -> EvictionUnit | None:
     """Return the cheapest unit that frees enough, or else the one that frees most."""
-    enough = [unit for unit in units if unit.freed_mib >= short]
+    enough = [unit for unit in units if unit.freed_mib >= shortage_mib]
     if enough:
         return min(enough, key=lambda unit: (unit.cost_mib, unit.freed_mib, unit.key))
     free = [unit for unit in units if unit.cost_mib == 0]
@@ -139,13 +139,13 @@
     return sum(
         _measure_freed(server, entry)
         for entry in server.entries.values()
-        if entry.state is EntryState.UNLOADING or _is_retiring(layout, entry)
+        if entry.state is LedgerEntryState.UNLOADING or _is_retiring(layout, entry)
     )
 
 
 def _is_retiring(layout: Layout, entry: LedgerEntry) -> bool:
     """Return whether no site configures the entry's name any more."""
-    if entry.state is not EntryState.LOADED:
+    if entry.state is not LedgerEntryState.LOADED:
         return False
     names = {item.name for item in layout.items.values()}
     return get_item_name(entry.item) not in names
@@ -164,7 +164,7 @@
     for key in sorted(server.entries):
         entry = server.entries[key]
         wanted = layout.items.get(key)
-        if wanted is None or entry.state is not EntryState.LOADED:
+        if wanted is None or entry.state is not LedgerEntryState.LOADED:
             continue
         if entry.base != wanted.base_key or key == item.base_key:
             continue
@@ -198,7 +198,7 @@
     ]
     parts.insert(0, item)
     entries = [server.entries[part.key] for part in parts]
-    if any(entry.state is not EntryState.LOADED for entry in entries):
+    if any(entry.state is not LedgerEntryState.LOADED for entry in entries):
         return None
     freed = sum(_measure_freed(server, entry) for entry in entries)
     relocated = [part for part in parts if not _has_enough_copies(layout, server, part)]
@@ -233,10 +233,12 @@
 ) -> tuple[Action, ...]:
     """Return the unloads that are possible now; adapters go before their model."""
     adapters = parts[1:]
-    ready = [part for part in adapters or parts if _can_unload(layout, server, part)]
+    unloadable = [
+        part for part in adapters or parts if _can_unload(layout, server, part)
+    ]
     return tuple(
         Unload(server=server.name, item=part.key, min_copies=part.copies)
-        for part in ready
+        for part in unloadable
     )
 
 
@@ -271,14 +273,14 @@
     if not item.base_key:
         return False
     elsewhere = layout.holding[item.base_key] - {source.name}
-    return bool(elsewhere - layout.answering[item.base_key])
+    return bool(elsewhere - layout.ready[item.base_key])
 
 
 def _fits(layout: Layout, server: ServerLayout, parts: list[Item]) -> bool:
     if any(is_present(server, part.key) for part in parts):
         return False
     first = parts[0]
-    if first.base_key and server.name not in layout.answering.get(first.base_key, ()):
+    if first.base_key and server.name not in layout.ready.get(first.base_key, ()):
         return False
     needed = sum(measure_additional_mib(server, part) for part in parts)
     return needed <= measure_free_mib(layout, server)
--- a/src/arbutuspulley/placement/layout.py
+++ b/src/arbutuspulley/placement/layout.py
@@ -10,20 +10,20 @@
 from arbutuspulley.data import State
 from arbutuspulley.placement.ledger import get_reserved_mib, measure_occupied_mib
 from arbutuspulley.placement.records import (
-    EntryState,
     LedgerEntry,
+    LedgerEntryState,
     ServerLedger,
     is_reliable,
 )
 
-_PRESENT_OR_LOADING = (EntryState.LOADED, EntryState.LOADING)
+_PRESENT_OR_LOADING = (LedgerEntryState.LOADED, LedgerEntryState.LOADING)
 
 
 class ServerLayout(State):
     """One server that can be given loads.
 
     :param capacity_mib: memory of the server.
-    :param checks_orders: whether it refuses an order with an old fencing number.
+    :param checks_orders: whether it refuses an order with an old fencing token.
     :param occupied_mib: memory occupied according to its ledger, plus planned loads.
     :param entries: its ledger entries by item.
     :param planned: keys of items that the current plan loads there.
@@ -48,7 +48,7 @@
     :param servers: servers that are alive and not leaving, by name.
     :param items: configured items by key.
     :param adapters: adapters of each model by the model's key, sorted by key.
-    :param answering: servers where an item is loaded with its configured base.
+    :param ready: servers where an item is loaded with its configured base.
     :param holding: servers where it is loaded, is being loaded, or is planned to be.
     :param reliable: servers whose loaded copy no order in flight can unload, whatever
         its base.
@@ -59,7 +59,7 @@
     servers: dict[str, ServerLayout]
     items: dict[str, Item]
     adapters: dict[str, tuple[Item, ...]]
-    answering: dict[str, set[str]]
+    ready: dict[str, set[str]]
     holding: dict[str, set[str]]
     reliable: dict[str, set[str]]
     unreachable_copies: dict[str, int]
@@ -82,7 +82,7 @@
         servers=_build_servers(configuration, ledgers, usable),
         items=items,
         adapters=_group_adapters(items),
-        answering={key: set() for key in items},
+        ready={key: set() for key in items},
         holding={key: set() for key in items},
         reliable={},
         unreachable_copies=_count_unreachable_copies(ledgers, recently_down),
@@ -96,7 +96,7 @@
 def is_present(server: ServerLayout, key: str) -> bool:
     """Return whether an item is on a server in any state and can't be loaded there."""
     entry = server.entries.get(key)
-    present = entry is not None and entry.state is not EntryState.ABSENT
+    present = entry is not None and entry.state is not LedgerEntryState.ABSENT
     return present or key in server.planned
 
 
@@ -114,7 +114,7 @@
 def list_missing_adapters(
     layout: Layout, server: ServerLayout, model: str
 ) -> list[Item]:
-    """Return the adapters that are still to be loaded beside a model on a server."""
+    """Return the adapters that are still to be loaded for a model on a server."""
     adapters = layout.adapters.get(model, ())
     if not adapters or server.name not in layout.holding[model]:
         return []
@@ -163,7 +163,7 @@
         },
         items=layout.items,
         adapters=layout.adapters,
-        answering=layout.answering,
+        ready=layout.ready,
         holding={key: set(names) for key, names in layout.holding.items()},
         reliable=layout.reliable,
         unreachable_copies=layout.unreachable_copies,
@@ -239,5 +239,5 @@
         return
     if entry.state in _PRESENT_OR_LOADING:
         layout.holding[entry.item].add(server.name)
-    if entry.state is EntryState.LOADED:
-        layout.answering[entry.item].add(server.name)
+    if entry.state is LedgerEntryState.LOADED:
+        layout.ready[entry.item].add(server.name)
--- a/src/arbutuspulley/placement/missing_copies.py
+++ b/src/arbutuspulley/placement/missing_copies.py
@@ -79,11 +79,11 @@
     An adapter is listed once its model is loaded on some server. Within a priority the
     largest go first, because they fit on the fewest servers.
     """
-    names = _list_answering_names(layout)
+    names = _list_ready_names(layout)
     missing = [
         MissingCopy(item=item, priority=priority, size_mib=_measure_size(layout, item))
         for item in layout.items.values()
-        if not item.base_key or layout.answering.get(item.base_key)
+        if not item.base_key or layout.ready.get(item.base_key)
         for priority in _list_priorities(layout, item, names)
     ]
     missing.sort(key=lambda copy: (copy.priority, -copy.size_mib, copy.item.key))
@@ -98,7 +98,7 @@
     The first server in order of preference that also has memory for the item's adapters
     is chosen. If there is none, a lost model goes to a server where only the model
     itself fits. Any other copy waits for memory, because its adapters could never be
-    loaded beside it.
+    loaded on the same server.
     """
     item = copy.item
     candidates = list_candidates(layout, item)
@@ -126,7 +126,7 @@
     """Return the servers that may load an item, whether or not it fits now."""
     names: Iterable[str] = layout.servers
     if item.base_key:
-        names = sorted(layout.answering.get(item.base_key, ()))
+        names = sorted(layout.ready.get(item.base_key, ()))
     servers = [layout.servers[name] for name in names]
     return [
         server
@@ -245,7 +245,7 @@
 
 
 def _would_lack_adapters(layout: Layout, server: ServerLayout, item: Item) -> bool:
-    """Return whether a model's adapters could never be loaded beside it on a server.
+    """Return whether a model's adapters could never be loaded with it on a server.
 
     That is so if an adapter is loaded there for the model's previous version and no
     other server has a reliable copy of it: it cannot be unloaded to be loaded again for
@@ -258,18 +258,18 @@
     )
 
 
-def _list_answering_names(layout: Layout) -> set[str]:
+def _list_ready_names(layout: Layout) -> set[str]:
     return {get_item_name(key) for key, names in layout.reliable.items() if names}
 
 
 def _list_priorities(layout: Layout, item: Item, names: set[str]) -> Iterable[Priority]:
     present = len(layout.holding[item.key]) + layout.unreachable_copies.get(item.key, 0)
-    short = item.copies - present
-    if short <= 0:
+    missing_count = item.copies - present
+    if missing_count <= 0:
         return
     lost = present == 0 and item.name not in names
     yield Priority.LOST if lost else Priority.SHORT
-    for _ in range(short - 1):
+    for _ in range(missing_count - 1):
         yield Priority.SHORT
 
 
--- a/src/arbutuspulley/placement/moves.py
+++ b/src/arbutuspulley/placement/moves.py
@@ -30,7 +30,7 @@
 """Token rate of one slot within the target of 37 ms between tokens."""
 
 MAX_UTILISATION = 0.8
-"""Share of a server's capacity above which requests miss the latency target."""
+"""Fraction of a server's capacity above which requests miss the latency target."""
 
 HORIZON_S = 600
 """Time over which gain and cost are compared; demand that changes tenfold in an hour
@@ -40,10 +40,10 @@
 """Time for which a load may stall the requests that run on its server."""
 
 MIN_MOVE_COST = 0.1
-"""Cost of a load or unload at moves weight 0, as a share of the server's capacity."""
+"""Cost of a load or unload at moves weight 0, as a fraction of server capacity."""
 
 MAX_MOVE_COST = 0.2
-"""Cost of a load or unload at moves weight 1, as a share of the server's capacity."""
+"""Cost of a load or unload at moves weight 1, as a fraction of server capacity."""
 
 MIN_MOVE_DELAY_MS = 5_000
 """Time for which a move must stay worthwhile at moves weight 0."""
@@ -52,8 +52,8 @@
 """Time for which a move must stay worthwhile at moves weight 1."""
 
 
-class DemandState(State):
-    """Demand that an instance keeps between plans.
+class MoveState(State):
+    """Demand and candidate moves that an instance keeps between plans.
 
     :param smoothed: moving average of demand by item, in tokens per second.
     :param updated_at: time of the last update, in milliseconds.
@@ -79,7 +79,7 @@
     net_gain: float
 
 
-def smooth_demand(state: DemandState, demand: Mapping[str, float], *, now: int) -> None:
+def smooth_demand(state: MoveState, demand: Mapping[str, float], *, now: int) -> None:
     """Update the moving average with current demand, in tokens per second by item."""
     passed = now - state.updated_at if state.smoothed else 10 * HALF_LIFE_MS
     kept = 0.5 ** (passed / HALF_LIFE_MS)
@@ -91,7 +91,7 @@
 
 
 def propose_move(
-    state: DemandState, layout: Layout, *, moves_weight: float, now: int
+    state: MoveState, layout: Layout, *, moves_weight: float, now: int
 ) -> tuple[Load | Unload, ...]:
     """Return the steps of the move with the highest net gain.
 
@@ -124,7 +124,7 @@
     return loads
 
 
-def measure_capacity(server: ServerLayout) -> float:
+def measure_token_capacity(server: ServerLayout) -> float:
     """Return the tokens per second that a server yields within the latency target."""
     return server.slots * SLOT_TOKENS_PER_S
 
@@ -174,9 +174,9 @@
     )
     gain += _measure_overload(server, loads[server.name])
     gain -= _measure_overload(server, loads[server.name] + after)
-    cost = _interpolate(MIN_MOVE_COST, MAX_MOVE_COST, moves_weight) * measure_capacity(
-        server
-    )
+    cost = _interpolate(
+        MIN_MOVE_COST, MAX_MOVE_COST, moves_weight
+    ) * measure_token_capacity(server)
     cost *= _count_steps(layout, item, server)
     stall = loads[server.name] * LOAD_STALL_S / HORIZON_S
     return Move(item=item, server=server.name, gain=gain, net_gain=gain - cost - stall)
@@ -193,7 +193,7 @@
 
 
 def _measure_overload(server: ServerLayout, load: float) -> float:
-    return max(0.0, load - MAX_UTILISATION * measure_capacity(server))
+    return max(0.0, load - MAX_UTILISATION * measure_token_capacity(server))
 
 
 def _interpolate(low: float, high: float, weight: float) -> float:
@@ -206,18 +206,20 @@
     """Return the next step of a move: load its model first, or free memory for it."""
     server = layout.servers[move.server]
     item = move.item
-    if item.base_key and server.name not in layout.answering.get(item.base_key, ()):
+    if item.base_key and server.name not in layout.ready.get(item.base_key, ()):
         if is_present(server, item.base_key):
             return ()
         item = layout.items[item.base_key]
-    short = measure_additional_mib(server, item) - measure_free_mib(layout, server)
-    if short <= 0:
+    shortage_mib = measure_additional_mib(server, item) - measure_free_mib(
+        layout, server
+    )
+    if shortage_mib <= 0:
         return (Load(server=server.name, item=item),)
     for loss, removable in sorted(
         _list_removable_copies(layout, server, loads, demand)
     ):
         entry = server.entries[removable]
-        if entry.memory_mib >= short and loss < move.net_gain / 2:
+        if entry.memory_mib >= shortage_mib and loss < move.net_gain / 2:
             return (
                 Unload(
                     server=server.name,
--- a/src/arbutuspulley/placement/planner.py
+++ b/src/arbutuspulley/placement/planner.py
@@ -35,8 +35,8 @@
     prefer_other_sites,
     sort_planned,
 )
-from arbutuspulley.placement.moves import DemandState, propose_move, smooth_demand
-from arbutuspulley.placement.records import EntryState, ServerLedger
+from arbutuspulley.placement.moves import MoveState, propose_move, smooth_demand
+from arbutuspulley.placement.records import LedgerEntryState, ServerLedger
 from arbutuspulley.placement.retirement import list_unneeded
 from arbutuspulley.rpc.messages import ServerSummary
 
@@ -73,7 +73,7 @@
     unneeded_since: dict[str, int] = {}
     target_servers: dict[str, frozenset[str]] = {}
     target_servers_version: int = -1
-    demand: DemandState = msgspec.field(default_factory=DemandState)
+    demand: MoveState = msgspec.field(default_factory=MoveState)
 
 
 class PlannerInputs(Value, frozen=True):
@@ -171,10 +171,10 @@
     when the configuration was accepted is followed.
     """
     missing = list_missing(layout)
-    trial = copy_layout(layout)
-    planned, unplaced = place_copies(trial, missing, prefer_other_sites)
+    tentative = copy_layout(layout)
+    planned, unplaced = place_copies(tentative, missing, prefer_other_sites)
     others: list[Action] = []
-    if unplaced or (planned and not can_change_all(trial)):
+    if unplaced or (planned and not can_change_all(tentative)):
         prefer = build_prefer_targets(_get_target_servers(state, configuration))
         planned, others = _plan_with_evictions(layout, missing, prefer)
     ordered = sort_planned(layout, planned, state.demand.smoothed)
@@ -221,7 +221,7 @@
     :return: ``None`` if no server can; no action if such a copy is being loaded.
     """
     base = layout.items[copy.item.base_key]
-    if layout.holding[base.key] - layout.answering[base.key]:
+    if layout.holding[base.key] - layout.ready[base.key]:
         return ()
     wanted = MissingCopy(item=base, priority=Priority.SHORT, size_mib=copy.size_mib)
     server = find_server(layout, wanted, prefer)
@@ -240,12 +240,12 @@
     unloads: list[Unload] = []
     for key in sorted(layout.items):
         item = layout.items[key]
-        short = len(layout.holding[key]) < item.copies
-        if not item.base_key or not short or list_candidates(layout, item):
+        lacks_copies = len(layout.holding[key]) < item.copies
+        if not item.base_key or not lacks_copies or list_candidates(layout, item):
             continue
-        for name in sorted(layout.answering.get(item.base_key, ())):
+        for name in sorted(layout.ready.get(item.base_key, ())):
             entry = layout.servers[name].entries.get(key)
-            if entry is None or entry.state is not EntryState.LOADED:
+            if entry is None or entry.state is not LedgerEntryState.LOADED:
                 continue
             if entry.base != item.base_key and layout.reliable[key] - {name}:
                 unloads.append(Unload(server=name, item=key))
--- a/src/arbutuspulley/placement/records.py
+++ b/src/arbutuspulley/placement/records.py
@@ -10,7 +10,7 @@
 _Record = TypeVar("_Record", bound=Value)
 
 
-class EntryState(enum.StrEnum):
+class LedgerEntryState(enum.StrEnum):
     """State of an item on a server, as the ledger records it.
 
     ``ABSENT``: the item is proven to be unloaded, but an order that was sent earlier
@@ -28,7 +28,7 @@
 
     :param base: for an adapter, the key of the model that it extends.
     :param number: number of the latest order for this item.
-    :param fence: fencing number that the latest order carries.
+    :param fence: fencing token that the latest order carries.
     :param boot_id: boot of the engine to which the latest order is addressed.
     :param since: report sequence at which the latest order was committed.
     :param sends: committed orders of the current kind, load or unload.
@@ -40,7 +40,7 @@
 
     item: str
     memory_mib: int
-    state: EntryState
+    state: LedgerEntryState
     number: int
     base: str = ""
     fence: int = 0
@@ -56,7 +56,7 @@
 class ServerLedger(Value, frozen=True, omit_defaults=True):
     """Memory ledger of one server: all items that occupy its memory.
 
-    :param fence: fencing number of the owner that wrote it; it never decreases.
+    :param fence: fencing token of the owner that wrote it; it never decreases.
     :param next_order: number for the next order, across owners.
     :param boot_id: the engine's latest known boot; empty before the first report.
     :param sequence: sequence number of the newest report of that boot that was
@@ -142,4 +142,4 @@
 
 def is_reliable(entry: LedgerEntry) -> bool:
     """Return whether a copy is loaded and no order in flight can unload it."""
-    return entry.state is EntryState.LOADED and entry.late_unloads == 0
+    return entry.state is LedgerEntryState.LOADED and entry.late_unloads == 0
--- a/src/arbutuspulley/placement/retirement.py
+++ b/src/arbutuspulley/placement/retirement.py
@@ -10,7 +10,7 @@
     get_item_name,
     rank_server,
 )
-from arbutuspulley.placement.records import EntryState, LedgerEntry
+from arbutuspulley.placement.records import LedgerEntry, LedgerEntryState
 
 
 def list_unneeded(layout: Layout) -> list[Unload]:
@@ -35,7 +35,7 @@
 def _list_loaded(layout: Layout) -> Iterator[tuple[ServerLayout, LedgerEntry]]:
     for server in layout.servers.values():
         for key in sorted(server.entries):
-            if server.entries[key].state is EntryState.LOADED:
+            if server.entries[key].state is LedgerEntryState.LOADED:
                 yield server, server.entries[key]
 
 
@@ -60,10 +60,10 @@
 def _retire_former(
     layout: Layout, item: Item, former: list[tuple[ServerLayout, LedgerEntry]]
 ) -> list[Unload]:
-    answering = len(layout.answering[item.key])
-    if answering == 0:
+    ready_count = len(layout.ready[item.key])
+    if ready_count == 0:
         return []
-    spare = answering + len(former) - item.copies
+    extra_copies = ready_count + len(former) - item.copies
     # Servers that have both versions come last: the next copy of the new version needs
     # a server without one, and may fit there only once the old version is unloaded.
     former = sorted(
@@ -75,7 +75,7 @@
     )
     steps = (_retire_copy(layout, item, server, entry) for server, entry in former)
     unload_groups = [step for step in steps if step is not None]
-    return [unload for step in unload_groups[: max(0, spare)] for unload in step]
+    return [unload for step in unload_groups[: max(0, extra_copies)] for unload in step]
 
 
 def _retire_copy(
@@ -91,25 +91,27 @@
     adapters = [
         known
         for known in server.entries.values()
-        if known.base == entry.item and known.state is not EntryState.ABSENT
+        if known.base == entry.item and known.state is not LedgerEntryState.ABSENT
     ]
     if not adapters:
         return [_build_unload(item, server, entry)]
-    short = len(layout.holding[item.key]) < item.copies
-    if not short or not all(_is_redundant(layout, server, known) for known in adapters):
+    lacks_copies = len(layout.holding[item.key]) < item.copies
+    if not lacks_copies or not all(
+        _is_redundant(layout, server, known) for known in adapters
+    ):
         return None
     return [
         Unload(server=server.name, item=known.item)
         for known in adapters
-        if known.state is EntryState.LOADED
+        if known.state is LedgerEntryState.LOADED
     ]
 
 
 def _is_redundant(layout: Layout, server: ServerLayout, entry: LedgerEntry) -> bool:
-    if entry.state is EntryState.UNLOADING:
+    if entry.state is LedgerEntryState.UNLOADING:
         return True
     others = layout.reliable.get(entry.item, set()) - {server.name}
-    return entry.state is EntryState.LOADED and bool(others)
+    return entry.state is LedgerEntryState.LOADED and bool(others)
 
 
 def _build_unload(item: Item, server: ServerLayout, entry: LedgerEntry) -> Unload:
@@ -125,6 +127,6 @@
 def _is_base_in_use(layout: Layout, unload: Unload) -> bool:
     entries = layout.servers[unload.server].entries.values()
     return any(
-        entry.base == unload.item and entry.state is not EntryState.ABSENT
+        entry.base == unload.item and entry.state is not LedgerEntryState.ABSENT
         for entry in entries
     )
--- a/src/arbutuspulley/programs/console_http.py
+++ b/src/arbutuspulley/programs/console_http.py
@@ -220,7 +220,7 @@
     return int(text)
 
 
-def show_error(*, status: str, message: str, **_unused: str) -> bytes:
+def render_error(*, status: str, message: str, **_unused: str) -> bytes:
     """Format an error that CherryPy raised as a reply of the API."""
     code = Code.NOT_FOUND if status.startswith("404") else Code.BAD_PARAMETER
     _set_headers(_JSON)
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -1,4 +1,4 @@
-"""Model of the engine stand-in: memory, batch, cache, reports and faults.
+"""State of the engine stand-in: memory, batch, cache, reports and faults.
 
 The functions are pure: no I/O and no clock reads. :mod:`.engine_runtime` calls them.
 """
@@ -205,7 +205,7 @@
         refused=state.refused,
         runs=dict(state.runs),
         begun_by_prompt=dict(state.begun_by_prompt),
-        orders=tuple(memory.seen),
+        orders=tuple(memory.recorded_orders),
     )
 
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -65,8 +65,8 @@
         lease=LeaseState(instance=name, lease_ms=LEASE_MS),
         sessions=ObservationState(lease_ms=LEASE_MS),
         rows=GroupRows(group="main"),
-        reads=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
-        writes=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
+        read_outage=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
+        write_outage=OutageState(max_backoff_ms=choose_max_backoff_ms(LEASE_MS)),
         outgoing_updates=OutgoingUpdates(epoch=name),
     )
     node.activation.configuration = configuration
@@ -82,8 +82,8 @@
 
 
 async def run_second(nodes, time, *, seconds=1):
-    """Advance the clock, with one round of following and claiming in each second, and a
-    renewal in every other one."""
+    """Advance the clock; each second rows are read and servers claimed, and in every
+    other one leases are renewed."""
     for _ in range(seconds):
         time.now += 1_000
         for node in nodes:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -55,7 +55,7 @@
 
 
 class FakeCoordinator:
-    """The coordinator's part of a process, without any work."""
+    """Stub of a process's coordinator."""
 
     def __init__(self):
         self.is_active = False
@@ -83,14 +83,14 @@
 
 
 class FakeLink:
-    """A link that is up while the process it leads to coordinates."""
+    """A link that is up while the process at ``address`` is the coordinator."""
 
     def __init__(self, members, now):
         self._members = members
         self._now = now
         self.up_until = 0
         self.deliver_local = None
-        self.leads_to = ""
+        self.address = ""
         self.status = SimpleNamespace(is_holder=True)
 
     @property
@@ -99,7 +99,7 @@
             return True
         if self._now[0] < self.up_until:
             return True
-        leader = self._members.get(self.leads_to)
+        leader = self._members.get(self.address)
         return leader is not None and leader.coordinator.is_active
 
     def check_timeout(self):
@@ -109,17 +109,17 @@
         return "what runs here"
 
     def disconnect(self):
-        self.leads_to = ""
+        self.address = ""
 
     def fail_pending(self):
         pass
 
     def connect_to(self, address):
-        self.leads_to = address
+        self.address = address
 
 
 class Member:
-    """The part of one process in an election."""
+    """One process that takes part in elections."""
 
     def __init__(self, name, members, store, now, *, capacity, seed):
         state = build_state(clock=Clock(read=lambda: now[0]), name=name)
@@ -171,7 +171,7 @@
 
 
 def list_leaders(members):
-    return [name for name, one in members.items() if one.coordinator.is_active]
+    return [name for name, member in members.items() if member.coordinator.is_active]
 
 
 def publish_roster(members, capacities):
@@ -260,14 +260,14 @@
     now = [1_000]
     members = build_members([1.0] * 6, LeaseStore(now), now)
     publish_roster(members, [1.0] * 6)
-    delays = [one.election._draw_claim_delay() for one in members.values()]
+    delays = [member.election._draw_claim_delay() for member in members.values()]
     assert max(delays) < READ_JITTER_MS < MAX_CLAIM_DELAY_MS
 
 
 def test_new_coordinator_counts_requests_of_its_own_instance():
-    """Other instances report what they run as they link up, but nothing did so for the
-    coordinator's own instance: its servers got more requests than they had slots until
-    those runs had ended."""
+    """Other instances report their runs in flight when they connect, but those of the
+    coordinator's own instance were not counted: its servers got more requests than they
+    had slots until those runs had ended."""
     now = [0]
     members = build_members([1.0, 1.0], LeaseStore(now), now)
     run_members(members, now, ms=1_000, order=random.Random(1))
