--- a/scripts/bench_pool.py
+++ b/scripts/bench_pool.py
@@ -60,7 +60,7 @@
     """Return the medians of one pass of grants and two of orders, in ms."""
     samples: list[tuple[float, float, float]] = []
     for number in range(PASSES):
-        pool, now = build_pool(servers, chance=random.Random(seed + number))
+        pool, now = build_pool(servers, rng=random.Random(seed + number))
         grants = _time(functools.partial(plan_grants, pool, now=now))
         first = _time(functools.partial(plan_orders, pool, now=now))
         again = _time(functools.partial(plan_orders, pool, now=now + 1))
@@ -71,23 +71,23 @@
     return grants, first, again
 
 
-def build_pool(servers: int, *, chance: random.Random) -> tuple[PoolState, int]:
+def build_pool(servers: int, *, rng: random.Random) -> tuple[PoolState, int]:
     """Build a pool under load, and the time that it has come to, in ms."""
     spec = _build_spec(int(servers * MODELS_PER_SERVER))
     pool = PoolState(service="llm", spec=spec)
     names = list(spec.models)
     for number in range(servers):
-        server = _build_server(number, names, chance)
+        server = _build_server(number, names, rng)
         pool.servers[server.incarnation] = server
     now = 0
     for _ in range(ASKED):
         now += 2
-        record_demand(pool, _pick(names, chance), 800, now=now)
+        record_demand(pool, _pick(names, rng), 800, now=now)
     for number in range(servers * WAITING_PER_SERVER):
         pool.waiting[f"w{number}"] = WaitingRequest(
             key=f"w{number}",
             origin="n1",
-            need=_build_need(_pick(names, chance)),
+            need=_build_need(_pick(names, rng)),
             zone="z1",
             priority=0,
             arrived_at=now,
@@ -120,7 +120,7 @@
     )
 
 
-def _build_server(number: int, names: list[str], chance: random.Random) -> ServerState:
+def _build_server(number: int, names: list[str], rng: random.Random) -> ServerState:
     held = {names[(3 * number + step) % len(names)] for step in range(3)}
     server = ServerState(
         incarnation=f"s{number}",
@@ -133,7 +133,7 @@
     for run_number in range(RUNS_PER_SERVER):
         server.runs[f"r{number}-{run_number}"] = Run(
             origin="n1",
-            need=_build_need(chance.choice(sorted(held))),
+            need=_build_need(rng.choice(sorted(held))),
             granted_at=0,
             first_at=10,
             gap_target_ms=250,
@@ -145,11 +145,11 @@
     return ModelNeed(model=model, adapter="", prompt_tokens=800, output_tokens=400)
 
 
-def _pick(names: list[str], chance: random.Random) -> str:
+def _pick(names: list[str], rng: random.Random) -> str:
     busy = max(1, len(names) // 10)
-    if chance.random() < 0.75:
-        return names[chance.randrange(busy)]
-    return names[chance.randrange(len(names))]
+    if rng.random() < 0.75:
+        return names[rng.randrange(busy)]
+    return names[rng.randrange(len(names))]
 
 
 def _time(decide: Callable[[], object]) -> float:
--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -113,13 +113,13 @@
 )
 
 
-def build_lost(workload: Workload, chance: random.Random) -> list[Lost]:
+def build_lost(workload: Workload, rng: random.Random) -> list[Lost]:
     """Draw sizes evenly and demand with a long tail, as bursts make it."""
     return [
         Lost(
             number=number,
-            size=chance.randint(workload.smallest, workload.largest),
-            demand=chance.lognormvariate(0, 1.2),
+            size=rng.randint(workload.smallest, workload.largest),
+            demand=rng.lognormvariate(0, 1.2),
         )
         for number in range(workload.lost)
     ]
--- a/scripts/compare_moves.py
+++ b/scripts/compare_moves.py
@@ -125,11 +125,11 @@
 """Returns what to do now."""
 
 
-def build_run(pool: Pool, moves_weight: float, chance: random.Random) -> Run:
+def build_run(pool: Pool, moves_weight: float, rng: random.Random) -> Run:
     """Build an empty pool with random model sizes."""
     models = {
         f"m{number}": Model(
-            version="1", size_mib=chance.randint(pool.smallest, pool.largest)
+            version="1", size_mib=rng.randint(pool.smallest, pool.largest)
         )
         for number in range(pool.models)
     }
@@ -155,12 +155,10 @@
     )
 
 
-def build_demand(
-    pool: Pool, chance: random.Random
-) -> Callable[[int], dict[str, float]]:
+def build_demand(pool: Pool, rng: random.Random) -> Callable[[int], dict[str, float]]:
     """Return demand over time: each model moves tenfold and back, at its own time."""
-    phases = [chance.uniform(0, 2 * math.pi) for _ in range(pool.models)]
-    weights = [chance.lognormvariate(0, 0.7) for _ in range(pool.models)]
+    phases = [rng.uniform(0, 2 * math.pi) for _ in range(pool.models)]
+    weights = [rng.lognormvariate(0, 0.7) for _ in range(pool.models)]
     capacity = pool.servers * 16 * moves.SLOT_TOKENS_PER_S
 
     def ask(now_s: int) -> dict[str, float]:
@@ -313,9 +311,9 @@
 
 def simulate(pool: Pool, seed: int, decide: Decide, moves_weight: float) -> Run:
     """Fill a pool, then let demand shift for some hours."""
-    chance = random.Random(seed)
-    run = build_run(pool, moves_weight, chance)
-    ask = build_demand(pool, chance)
+    rng = random.Random(seed)
+    run = build_run(pool, moves_weight, rng)
+    ask = build_demand(pool, rng)
     for _ in range(20 * pool.models * LOAD_S // STEP_S // pool.store.loads_at_once):
         step(run, decide, counted=False)
         if all(_see(run).answering.values()):
--- a/scripts/compare_quotas.py
+++ b/scripts/compare_quotas.py
@@ -94,16 +94,16 @@
 
 def draw_requests(teams: list[Team], seed: int) -> list[Asked]:
     """Draw requests in the order of their times; the fourth team runs hot."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     found = []
     for rank, team in enumerate(teams):
         usual = team.rate_per_s / ROOM
         at = 0.0
         while at < LENGTH_MS:
             rate = usual * (HOT_TIMES if rank == 3 and int(at) in HOT else 1)
-            at += chance.expovariate(rate / 1_500 / SECOND_MS)
-            cost = min(4_300, int(chance.lognormvariate(7.0, 0.75)) + 80)
-            instance = chance.randrange(INSTANCES)
+            at += rng.expovariate(rate / 1_500 / SECOND_MS)
+            cost = min(4_300, int(rng.lognormvariate(7.0, 0.75)) + 80)
+            instance = rng.randrange(INSTANCES)
             found.append(Asked(at=int(at), team=rank, instance=instance, cost=cost))
     return sorted(found, key=lambda one: one.at)
 
--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -247,17 +247,17 @@
     :param tolerance: tolerance of all instances together; settings may change it.
     """
 
-    __slots__ = ("_buckets", "_chance", "_coordinated_at", "tolerance")
+    __slots__ = ("_buckets", "_coordinated_at", "_rng", "tolerance")
 
     def __init__(
         self,
         *,
         tolerance: QuotaTolerance,
         now: int = 0,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self.tolerance = tolerance
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._buckets: dict[str, TokenBucket] = {}
         self._coordinated_at = now
 
@@ -313,7 +313,7 @@
         """
         if cost <= limit.capacity:
             return limit.capacity
-        debt = cost * (self._chance.random() - fraction) - limit.capacity
+        debt = cost * (self._rng.random() - fraction) - limit.capacity
         return limit.capacity - max(0.0, debt)
 
     def _build_limit(self, team: Team, fraction: float) -> QuotaLimit | None:
--- a/src/arbutuspulley/bench/model.py
+++ b/src/arbutuspulley/bench/model.py
@@ -102,7 +102,7 @@
         seed: int = 1,
         target_ms: int = TARGET_MS,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.slots = slots
         self.target_ms = target_ms
         self.entries = [queue.AdmissionState(own=f"e{n}") for n in range(entries)]
@@ -129,9 +129,9 @@
     def _generate_requests(self, offer: Offer, now: int) -> None:
         expected = offer.rate * STEP_MS / 1_000
         while now >= offer.start and expected > 0:
-            if self.chance.random() < expected:
+            if self.rng.random() < expected:
                 request = SimulatedRequest(caller=offer.caller, at=now, live=offer.live)
-                request.entry = self.chance.choice(offer.entries)
+                request.entry = self.rng.choice(offer.entries)
                 self.requests.append(request)
                 self._submit(request, now)
             expected -= 1
@@ -169,7 +169,7 @@
         request.admitted_at = now
         request.server_overloaded = self.running[server] > self.slots * 9 // 8
         queue.record_first_token(entry, name, now=now + FIRST_TOKEN_MS)
-        ends = now + self.chance.expovariate(1 / MEAN_DURATION_MS)
+        ends = now + self.rng.expovariate(1 / MEAN_DURATION_MS)
         self._schedule(ends, partial(self._finish, number, name, server))
 
     def _finish(self, number: int, name: str, server: str, now: int) -> None:
--- a/src/arbutuspulley/bench/policies.py
+++ b/src/arbutuspulley/bench/policies.py
@@ -66,14 +66,14 @@
     """
     pool = urllib3.PoolManager(timeout=2.0, retries=False, maxsize=32)
     cache: dict[tuple[int, str], _CachedAddresses] = {}
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     lock = threading.Lock()
 
     def get_addresses(arrival: Arrival) -> _CachedAddresses:
         key = (arrival.number % DEVICES, arrival.model)
         with lock:
             known = cache.get(key)
-            shuffled = chance.sample(list(entries), len(entries))
+            shuffled = rng.sample(list(entries), len(entries))
         if known and known.addresses and read_clock() < known.until:
             return known
         found = _fetch_addresses(pool, shuffled, arrival.model)
--- a/src/arbutuspulley/bench/workloads.py
+++ b/src/arbutuspulley/bench/workloads.py
@@ -115,8 +115,8 @@
     for caller, rate in rates.items():
         # Each caller has its own random numbers, so that its requests don't depend on
         # the other callers of the run.
-        chance = random.Random(f"{seed}/{workload.name}/{caller}")
-        arrivals += _draw_arrivals(workload, caller, rate, duration_ms, chance)
+        rng = random.Random(f"{seed}/{workload.name}/{caller}")
+        arrivals += _draw_arrivals(workload, caller, rate, duration_ms, rng)
     arrivals.sort(key=lambda one: (one.at, one.caller))
     return [
         Arrival(
@@ -135,23 +135,23 @@
     caller: str,
     rate: float,
     duration_ms: int,
-    chance: random.Random,
+    rng: random.Random,
 ) -> list[Arrival]:
     drawn: list[Arrival] = []
     at = 0.0
     while True:
-        at += chance.expovariate(rate * BURST_FACTOR / SECOND_MS)
+        at += rng.expovariate(rate * BURST_FACTOR / SECOND_MS)
         if at >= duration_ms:
             return drawn
-        if chance.random() >= _get_rate_factor(at) / BURST_FACTOR:
+        if rng.random() >= _get_rate_factor(at) / BURST_FACTOR:
             continue
-        tokens = round(chance.expovariate(1 / MEAN_TOKENS))
+        tokens = round(rng.expovariate(1 / MEAN_TOKENS))
         drawn.append(
             Arrival(
                 number=0,
                 at=int(at),
                 caller=caller,
-                model=_draw_model(workload, chance),
+                model=_draw_model(workload, rng),
                 tokens=min(MAX_TOKENS, max(MIN_TOKENS, tokens)),
             )
         )
@@ -161,10 +161,10 @@
     return BURST_FACTOR if at % BURST_PERIOD_MS < BURST_MS else BASE_FACTOR
 
 
-def _draw_model(workload: Workload, chance: random.Random) -> str:
+def _draw_model(workload: Workload, rng: random.Random) -> str:
     fractions = [model.fraction for model in workload.models]
-    [model] = chance.choices(workload.models, fractions)
-    if model.adapter and chance.random() < _ADAPTER_FRACTION:
+    [model] = rng.choices(workload.models, fractions)
+    if model.adapter and rng.random() < _ADAPTER_FRACTION:
         return model.adapter
     return model.name
 
--- a/src/arbutuspulley/controller/exchange.py
+++ b/src/arbutuspulley/controller/exchange.py
@@ -191,7 +191,7 @@
 
 
 def choose_configuration_source(
-    peers: Iterable[PeerState], *, version: int, now: int, chance: random.Random
+    peers: Iterable[PeerState], *, version: int, now: int, rng: random.Random
 ) -> PeerState | None:
     """Choose one peer to fetch a newer configuration from, if a peer has one.
 
@@ -208,7 +208,7 @@
     if not newer:
         return None
     best = max(peer.configuration_version for peer in newer)
-    return chance.choice([peer for peer in newer if peer.configuration_version == best])
+    return rng.choice([peer for peer in newer if peer.configuration_version == best])
 
 
 def apply_reply(peer: PeerState, reply: ExchangeReply, *, now: int) -> bool:
--- a/src/arbutuspulley/controller/handlers.py
+++ b/src/arbutuspulley/controller/handlers.py
@@ -116,7 +116,7 @@
         )
     if reply.state == ClaimState.UNAVAILABLE:
         now = controller.clock.now()
-        record_failure(controller.writes, now=now, chance=controller.chance)
+        record_failure(controller.writes, now=now, rng=controller.rng)
     return reply
 
 
@@ -143,7 +143,7 @@
             )
             return
         except (PlatformUnavailableError, OutcomeUnknownError):
-            await asyncio.sleep(controller.chance.uniform(0.5, 1.5))
+            await asyncio.sleep(controller.rng.uniform(0.5, 1.5))
     log_event(
         Event.CLAIM_UNSETTLED,
         level=logging.ERROR,
--- a/src/arbutuspulley/controller/loops.py
+++ b/src/arbutuspulley/controller/loops.py
@@ -206,10 +206,10 @@
         self._spawn(self._run(choose_interval, step))
 
     async def _run(self, choose_interval: Callable[[], int], step: Step) -> None:
-        chance = self._controller.chance
+        rng = self._controller.rng
         while True:
             await _run_step(step)
-            factor = 1 + chance.uniform(-JITTER, JITTER)
+            factor = 1 + rng.uniform(-JITTER, JITTER)
             await asyncio.sleep(choose_interval() * factor / SECOND_MS)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, object]) -> None:
--- a/src/arbutuspulley/controller/peers.py
+++ b/src/arbutuspulley/controller/peers.py
@@ -37,7 +37,7 @@
     due = [peer for peer in controller.peers.values() if now >= peer.next_call_at]
     version = controller.activation.configuration.version
     source = choose_configuration_source(
-        due, version=version, now=now, chance=controller.chance
+        due, version=version, now=now, rng=controller.rng
     )
     await asyncio.gather(
         *(
@@ -124,4 +124,4 @@
     backoff_ms = min(
         MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** min(peer.failures - 1, 8)
     )
-    peer.next_call_at = now + controller.chance.randint(backoff_ms // 2, backoff_ms)
+    peer.next_call_at = now + controller.rng.randint(backoff_ms // 2, backoff_ms)
--- a/src/arbutuspulley/controller/platform_calls.py
+++ b/src/arbutuspulley/controller/platform_calls.py
@@ -76,7 +76,7 @@
     function: Callable[[], _Result],
 ) -> _Result:
     now = controller.clock.now()
-    if not may_call(outage, now=now, chance=controller.chance):
+    if not may_call(outage, now=now, rng=controller.rng):
         raise PlatformUnavailableError(detail="the platform is down")
     try:
         result = await asyncio.get_running_loop().run_in_executor(pool, function)
@@ -89,7 +89,7 @@
 
 def _record_failure(controller: Controller, outage: OutageState, detail: str) -> None:
     now = controller.clock.now()
-    if record_failure(outage, now=now, chance=controller.chance):
+    if record_failure(outage, now=now, rng=controller.rng):
         log_event(Event.PLATFORM_DOWN, level=logging.WARNING, detail=detail)
     controller.metrics.store_up.set(is_store_up(controller))
 
--- a/src/arbutuspulley/controller/sessions.py
+++ b/src/arbutuspulley/controller/sessions.py
@@ -80,7 +80,7 @@
     now = controller.clock.now()
     was_held = lease.sent_at is not None
     before = lease.session
-    renewal = leases.begin_renewal(lease, now=now, chance=controller.chance)
+    renewal = leases.begin_renewal(lease, now=now, rng=controller.rng)
     if renewal is None:
         controller.metrics.renewals.labels("kept_out").inc()
         return True
--- a/src/arbutuspulley/controller/state.py
+++ b/src/arbutuspulley/controller/state.py
@@ -84,7 +84,7 @@
 
     settings: ControllerSettings
     clock: Clock
-    chance: random.Random
+    rng: random.Random
     platform: Platform
     engines: Engines
     pools: Pools
--- a/src/arbutuspulley/entry/claims.py
+++ b/src/arbutuspulley/entry/claims.py
@@ -204,7 +204,7 @@
                 bound = min(
                     SETTLE_MAX_BACKOFF_MS, SETTLE_INITIAL_BACKOFF_MS << min(attempt, 8)
                 )
-                pause_ms = bound * (0.5 + runtime.chance.random() / 2)
+                pause_ms = bound * (0.5 + runtime.rng.random() / 2)
                 await asyncio.sleep(pause_ms / SECOND_MS)
             else:
                 return
--- a/src/arbutuspulley/entry/controller_sync.py
+++ b/src/arbutuspulley/entry/controller_sync.py
@@ -68,7 +68,7 @@
         bound = min(
             RECONNECT_MAX_BACKOFF_MS, RECONNECT_INITIAL_BACKOFF_MS << min(failures, 8)
         )
-        await asyncio.sleep(bound * (0.5 + runtime.chance.random() / 2) / SECOND_MS)
+        await asyncio.sleep(bound * (0.5 + runtime.rng.random() / 2) / SECOND_MS)
 
 
 async def report_regularly(runtime: Runtime) -> NoReturn:
--- a/src/arbutuspulley/entry/server_choice.py
+++ b/src/arbutuspulley/entry/server_choice.py
@@ -116,5 +116,5 @@
         cost=ongoing.cost,
         avoid=avoid,
         now=runtime.clock.now(),
-        chance=runtime.chance,
+        rng=runtime.rng,
     )
--- a/src/arbutuspulley/entry/services.py
+++ b/src/arbutuspulley/entry/services.py
@@ -189,7 +189,7 @@
     ]
     healthy = [address for address in usable if backoff_until.get(address, 0) <= now]
     candidates = healthy or usable
-    return runtime.chance.choice(candidates) if candidates else ""
+    return runtime.rng.choice(candidates) if candidates else ""
 
 
 def _record_success(runtime: Runtime, run: _ServiceRun) -> None:
--- a/src/arbutuspulley/entry/state.py
+++ b/src/arbutuspulley/entry/state.py
@@ -164,7 +164,7 @@
 class Runtime(Value, frozen=True):
     """Dependencies that the entry's functions share.
 
-    :param chance: random number generator.
+    :param rng: random number generator.
     """
 
     settings: Settings
@@ -174,4 +174,4 @@
     engines: Engines
     controller: ControllerClient
     metrics: Metrics
-    chance: random.Random
+    rng: random.Random
--- a/src/arbutuspulley/entry/trials.py
+++ b/src/arbutuspulley/entry/trials.py
@@ -218,7 +218,7 @@
             await runtime.controller.clear_suspicion(report)
         except PeerUnavailableError:
             bound = CLEARANCE_INITIAL_BACKOFF_MS << attempt
-            pause_ms = bound * (0.5 + runtime.chance.random() / 2)
+            pause_ms = bound * (0.5 + runtime.rng.random() / 2)
             await asyncio.sleep(pause_ms / SECOND_MS)
         else:
             return
--- a/src/arbutuspulley/membership/lease.py
+++ b/src/arbutuspulley/membership/lease.py
@@ -77,9 +77,7 @@
     return now < state.sent_at + state.lease_ms - compute_margin(state.lease_ms)
 
 
-def begin_renewal(
-    state: LeaseState, *, now: int, chance: random.Random
-) -> Renewal | None:
+def begin_renewal(state: LeaseState, *, now: int, rng: random.Random) -> Renewal | None:
     """Prepare the next renewal, with a new session if the old one expired.
 
     A session that was never confirmed keeps its id: the reply to its first renewal may
@@ -91,7 +89,7 @@
     if state.revision is None or _is_displaced(state, now=now):
         return None
     if not state.session or _is_expired(state, now=now):
-        _begin_session(state, chance=chance)
+        _begin_session(state, rng=rng)
     state.displaced_at = None
     state.renewal += 1
     return Renewal(
@@ -171,9 +169,9 @@
     )
 
 
-def _begin_session(state: LeaseState, *, chance: random.Random) -> None:
+def _begin_session(state: LeaseState, *, rng: random.Random) -> None:
     _end_session(state)
-    state.session = f"{chance.getrandbits(_SESSION_BITS):016x}"
+    state.session = f"{rng.getrandbits(_SESSION_BITS):016x}"
 
 
 def _end_session(state: LeaseState) -> None:
--- a/src/arbutuspulley/membership/outage.py
+++ b/src/arbutuspulley/membership/outage.py
@@ -47,7 +47,7 @@
     return min(MAX_BACKOFF_MS, lease_ms // 2)
 
 
-def may_call(state: OutageState, *, now: int, chance: random.Random) -> bool:
+def may_call(state: OutageState, *, now: int, rng: random.Random) -> bool:
     """Return whether a call may be made now; after a failure, reserve the next probe.
 
     Only one of the instance's loops gets the probe, so that the loops don't all retry
@@ -57,17 +57,17 @@
         return True
     if now < state.next_at:
         return False
-    state.next_at = now + _draw_backoff_ms(state, chance)
+    state.next_at = now + _draw_backoff_ms(state, rng)
     return True
 
 
-def record_failure(state: OutageState, *, now: int, chance: random.Random) -> bool:
+def record_failure(state: OutageState, *, now: int, rng: random.Random) -> bool:
     """Record a call that the platform did not answer.
 
     :return: whether the platform's state has changed to down.
     """
     state.failures += 1
-    state.next_at = now + _draw_backoff_ms(state, chance)
+    state.next_at = now + _draw_backoff_ms(state, rng)
     if state.failures < DOWN_AFTER_FAILURES or not state.up:
         return False
     state.up = False
@@ -85,8 +85,8 @@
     return was_down
 
 
-def _draw_backoff_ms(state: OutageState, chance: random.Random) -> int:
+def _draw_backoff_ms(state: OutageState, rng: random.Random) -> int:
     bound = compute_backoff_ms(
         INITIAL_BACKOFF_MS, max_ms=state.max_backoff_ms, count=state.failures
     )
-    return chance.randint(bound // 2, bound)
+    return rng.randint(bound // 2, bound)
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -161,7 +161,7 @@
             if info.is_ready and info.name != state.settings.name
         ]
         delay = get_claim_delay_ms(state.capacity, others)
-        return delay + state.chance.randrange(READ_JITTER_MS)
+        return delay + state.rng.randrange(READ_JITTER_MS)
 
     def _get_read_interval(self) -> int:
         fleet_ms = READ_INTERVAL_PER_INSTANCE_MS * self._state.instances
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -139,7 +139,7 @@
                 retry_after_ms=refused_ms,
             )
         progress = self.progress
-        progress.service = choose_service(self.route, chance=self._state.chance)
+        progress.service = choose_service(self.route, rng=self._state.rng)
         now = self._state.clock.now()
         record_request(self._state.get_budget(progress.service), now=now)
         try:
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -52,7 +52,7 @@
         self._local = LocalQuota(
             tolerance=build_tolerance(state.settings),
             now=state.clock.now(),
-            chance=state.chance,
+            rng=state.rng,
         )
         self._refused_until: dict[str, int] = {}
         link.on_quota_exceeded = self._take_overdrawn
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -64,7 +64,6 @@
         "budgets",
         "by_incarnation",
         "by_service",
-        "chance",
         "clock",
         "configuration",
         "configuration_body",
@@ -88,6 +87,7 @@
         "order_session",
         "records",
         "refused_entries",
+        "rng",
         "row_versions",
         "session",
         "settings",
@@ -107,7 +107,7 @@
         order_session: aiohttp.ClientSession,
         store: StoreClient,
         metrics: NodeMetrics,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.settings = settings
         self.clock = clock
@@ -115,7 +115,7 @@
         self.order_session = order_session
         self.store = store
         self.metrics = metrics
-        self.chance = chance
+        self.rng = rng
         self.configuration: FleetConfiguration | None = None
         self.configuration_body = b""
         self.versions = Versions()
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -252,7 +252,7 @@
         :param backoff_ms: maximum wait, in ms.
         :return: maximum wait before the attempt after that, in ms.
         """
-        jitter = self._state.chance.uniform(0.5, 1.0)
+        jitter = self._state.rng.uniform(0.5, 1.0)
         await asyncio.sleep(backoff_ms * jitter / SECOND_MS)
         return min(MAX_BACKOFF_MS, backoff_ms * 2)
 
@@ -273,7 +273,7 @@
             while self._is_store_relayed():
                 await asyncio.sleep(RELAY_POLL_MS / SECOND_MS)
             longest = get_max_fallback_delay_ms(self._state.instances)
-            wait = self._state.chance.uniform(MIN_FALLBACK_DELAY_MS, longest)
+            wait = self._state.rng.uniform(MIN_FALLBACK_DELAY_MS, longest)
             await asyncio.sleep(wait / SECOND_MS)
 
     async def _read_changes(self, version: int | None) -> int | None:
--- a/src/arbutuspulley/programs/controller.py
+++ b/src/arbutuspulley/programs/controller.py
@@ -65,7 +65,7 @@
     return Controller(
         settings=settings,
         clock=Clock(),
-        chance=random.Random(uuid.uuid4().int),
+        rng=random.Random(uuid.uuid4().int),
         platform=connect_platform(
             address=settings.platform, timeout_ms=_choose_store_timeout(settings)
         ),
--- a/src/arbutuspulley/programs/entry.py
+++ b/src/arbutuspulley/programs/entry.py
@@ -152,7 +152,7 @@
         engines=connect_engines(connections=threads),
         controller=connect_controller(client),
         metrics=build_metrics(),
-        chance=random.Random(),
+        rng=random.Random(),
     )
 
 
--- a/src/arbutuspulley/programs/node.py
+++ b/src/arbutuspulley/programs/node.py
@@ -127,7 +127,7 @@
             count_call=lambda call: metrics.store_calls.labels(call).inc(),
         ),
         metrics=metrics,
-        chance=random.Random(),
+        rng=random.Random(),
     )
     link = Link(state=state)
     lease = CoordinatorLeaseState(
--- a/src/arbutuspulley/routing/choice.py
+++ b/src/arbutuspulley/routing/choice.py
@@ -100,7 +100,7 @@
     item: str,
     cost: int,
     now: int,
-    chance: random.Random,
+    rng: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> str | None:
     """Return the server for a request.
@@ -109,7 +109,7 @@
     :param item: key of the item that must be loaded on the server.
     :param cost: estimated token cost of the request.
     :param avoid: servers that must not be chosen, even if there are no others.
-    :param chance: random number generator.
+    :param rng: random number generator.
     :return: name of the server, or ``None`` if none is eligible.
     """
     candidates = [
@@ -134,7 +134,7 @@
     # The least loaded server would be the same one for every entry until the next
     # report: all entries would use it at once and its queue would oscillate.
     sampled = (
-        chance.sample(available, SAMPLE_SIZE)
+        rng.sample(available, SAMPLE_SIZE)
         if len(available) > SAMPLE_SIZE
         else available
     )
--- a/src/arbutuspulley/routing/route_table.py
+++ b/src/arbutuspulley/routing/route_table.py
@@ -42,10 +42,10 @@
     return None
 
 
-def choose_service(route: Route, *, chance: random.Random) -> str:
+def choose_service(route: Route, *, rng: random.Random) -> str:
     """Choose the service for a request at random by the route's weights.
 
-    :param chance: random number generator.
+    :param rng: random number generator.
     """
     shares = route.shares
     if len(shares) == 1:
@@ -53,4 +53,4 @@
     weights = [max(0.0, share.weight) for share in shares]
     if not any(weights):
         return shares[0].service
-    return chance.choices(shares, weights)[0].service
+    return rng.choices(shares, weights)[0].service
--- a/src/arbutuspulley/standins/engine.py
+++ b/src/arbutuspulley/standins/engine.py
@@ -120,7 +120,7 @@
             token_ms=settings.token_ms,
             first_token_ms=settings.first_token_ms,
         ),
-        chance=random.Random(settings.seed),
+        rng=random.Random(settings.seed),
         report_lag_ms=settings.report_lag_ms,
     )
 
--- a/src/arbutuspulley/standins/engine_cache.py
+++ b/src/arbutuspulley/standins/engine_cache.py
@@ -67,7 +67,7 @@
     item: str,
     words: Sequence[str],
     now: int,
-    chance: random.Random,
+    rng: random.Random,
 ) -> int:
     """Look up the prefix of a prompt, then cache all blocks of the prompt.
 
@@ -81,18 +81,16 @@
         was_there = cache.blocks.pop(prefix, None) is not None
         cache.blocks[prefix] = item
         if not was_there:
-            _publish(cache, item, prefix, stored=True, now=now, chance=chance)
+            _publish(cache, item, prefix, stored=True, now=now, rng=rng)
     while len(cache.blocks) > cache.limit:
-        _evict(cache, next(iter(cache.blocks)), now, chance)
+        _evict(cache, next(iter(cache.blocks)), now, rng)
     return known * BLOCK_WORDS
 
 
-def evict_item(
-    cache: CacheState, item: str, *, now: int, chance: random.Random
-) -> None:
+def evict_item(cache: CacheState, item: str, *, now: int, rng: random.Random) -> None:
     """Evict all blocks of an item that was unloaded."""
     for prefix in [prefix for prefix, owner in cache.blocks.items() if owner == item]:
-        _evict(cache, prefix, now, chance)
+        _evict(cache, prefix, now, rng)
 
 
 def read_events(cache: CacheState, *, after: int, now: int) -> tuple[CacheEvent, ...]:
@@ -113,9 +111,9 @@
     return known
 
 
-def _evict(cache: CacheState, prefix: str, now: int, chance: random.Random) -> None:
+def _evict(cache: CacheState, prefix: str, now: int, rng: random.Random) -> None:
     item = cache.blocks.pop(prefix)
-    _publish(cache, item, prefix, stored=False, now=now, chance=chance)
+    _publish(cache, item, prefix, stored=False, now=now, rng=rng)
 
 
 def _publish(
@@ -125,10 +123,10 @@
     *,
     stored: bool,
     now: int,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
     cache.sequence += 1
-    if chance.random() < EVENT_LOSS_RATE:
+    if rng.random() < EVENT_LOSS_RATE:
         return
     event = CacheEvent(sequence=cache.sequence, item=item, prefix=prefix, stored=stored)
     cache.events.append(_PendingEvent(visible_at=now + EVENT_LAG_MS, event=event))
--- a/src/arbutuspulley/standins/engine_state.py
+++ b/src/arbutuspulley/standins/engine_state.py
@@ -76,7 +76,7 @@
     boot_id: str
     memory: MemoryState
     batch: BatchState
-    chance: random.Random
+    rng: random.Random
     report_lag_ms: int = 0
     cache: CacheState = msgspec.field(default_factory=CacheState)
     faults: Faults = msgspec.field(default_factory=Faults)
@@ -253,7 +253,7 @@
 def _finish_transitions(state: EngineState, now: int) -> None:
     in_use = {run.item for run in _list_runs(state)}
     for item in engine_memory.finish_transitions(state.memory, in_use=in_use, now=now):
-        engine_cache.evict_item(state.cache, item, now=now, chance=state.chance)
+        engine_cache.evict_item(state.cache, item, now=now, rng=state.rng)
 
 
 def _apply_due_orders(state: EngineState, now: int) -> None:
@@ -271,7 +271,7 @@
     while (run := engine_batch.schedule_next(state.batch)) is not None:
         _count_start(state, run)
         cached = engine_cache.cache_prompt(
-            state.cache, item=run.item, words=run.words, now=now, chance=state.chance
+            state.cache, item=run.item, words=run.words, now=now, rng=state.rng
         )
         # A resumed run also needs a prefill of the tokens that exist already.
         uncached = len(run.words) - cached + run.offset
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -259,7 +259,7 @@
         engines=ENGINES,
         controller=controller,
         metrics=build_metrics(),
-        chance=random.Random(number),
+        rng=random.Random(number),
     )
 
 
--- a/tests/node_states.py
+++ b/tests/node_states.py
@@ -36,7 +36,7 @@
         order_session=None,
         store=None,
         metrics=NodeMetrics(),
-        chance=random.Random(1),
+        rng=random.Random(1),
     )
 
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -51,7 +51,7 @@
     node = Controller(
         settings=build_settings(name),
         clock=Clock(read=lambda: time.now),
-        chance=random.Random(name),
+        rng=random.Random(name),
         platform=platform,
         engines=engines,
         pools=Pools(
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -47,17 +47,17 @@
     With three attempts per request, the attempts would grow to 1.11, 1.75 and 3 times
     the requests, when there is the least capacity for them.
     """
-    chance = random.Random(1)
+    rng = random.Random(1)
     state = RetryBudget()
     attempts = requests = 0
     for now in range(0, 100_000, 50):
         requests += 1
         attempts += 1
-        if chance.random() >= failing:
+        if rng.random() >= failing:
             record_success(state)
             continue
         if try_spend_retry(state, now=now):
             attempts += 1
-            if chance.random() >= failing:
+            if rng.random() >= failing:
                 record_success(state, retried=True)
     assert attempts / requests <= most
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -23,7 +23,7 @@
         cost=100,
         avoid=avoid,
         now=now,
-        chance=random.Random(seed),
+        rng=random.Random(seed),
     )
 
 
@@ -140,14 +140,14 @@
 
     Eight servers with 8 slots run at 0.7 of their capacity; reports are 2 s old.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     states = [RoutingState(site="a") for _ in range(entries)]
     running = [0] * 8
     queues = [[] for _ in range(8)]
     history, views, waits, events = [], [], [], []
     arrival = 0.0
     while arrival < 40_000:
-        arrival += chance.expovariate(8 * 8 * 0.7 / 3_000)
+        arrival += rng.expovariate(8 * 8 * 0.7 / 3_000)
         heapq.heappush(events, (arrival, len(events), None))
     for at in range(0, 60_000, 500):
         heapq.heappush(events, (at, -1, None))
@@ -155,7 +155,7 @@
     def start(server, entry, arrived, now):
         running[server] += 1
         waits.append(now - arrived)
-        ends = now + chance.expovariate(1 / 3_000)
+        ends = now + rng.expovariate(1 / 3_000)
         heapq.heappush(events, (ends, 10**6 + len(waits), (server, entry)))
 
     while events:
@@ -168,14 +168,14 @@
                 for n, (r, w) in enumerate(history[max(0, len(history) - 5)])
             ]
         elif ended is None:
-            entry = chance.randrange(entries)
+            entry = rng.randrange(entries)
             name = choose_server(
                 states[entry],
                 servers=views,
                 item="m@1",
                 cost=1,
                 now=int(now),
-                chance=chance,
+                rng=rng,
             )
             choice.begin_attempt(states[entry], name, 1, now=int(now))
             if running[int(name)] < 8:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -127,7 +127,7 @@
             state.settings, cores=capacity, link_mbps=1_000
         )
         state.store = store
-        state.chance = random.Random(seed)
+        state.rng = random.Random(seed)
         self.state = state
         self.coordinator = FakeCoordinator()
         self.lease = CoordinatorLeaseState(
--- a/tests/test_engine_state.py
+++ b/tests/test_engine_state.py
@@ -49,7 +49,7 @@
         boot_id="b1",
         memory=MemoryState(total_mib=100, checks_orders=checks),
         batch=BatchState(token_ms=TOKEN_MS, **{**limits, **batch}),
-        chance=random.Random(0),
+        rng=random.Random(0),
         report_lag_ms=lag_ms,
     )
     boot(state, now=0)
@@ -315,9 +315,9 @@
     assert read_report(state, now=200).items
 
 
-def cache_words(cache, words, *, now=0, chance=None):
-    chance = chance or random.Random(0)
-    return cache_prompt(cache, item=ITEM, words=words, now=now, chance=chance)
+def cache_words(cache, words, *, now=0, rng=None):
+    rng = rng or random.Random(0)
+    return cache_prompt(cache, item=ITEM, words=words, now=now, rng=rng)
 
 
 def test_a_cached_prefix_is_reused_until_it_is_evicted():
@@ -327,15 +327,13 @@
     assert cache_words(cache, words) == 2 * BLOCK_WORDS
     assert cache_words(cache, [*words[:BLOCK_WORDS], *words]) == BLOCK_WORDS
     assert len(cache.blocks) == 3
-    evict_item(cache, ITEM, now=0, chance=random.Random(0))
+    evict_item(cache, ITEM, now=0, rng=random.Random(0))
     assert cache.blocks == {}
 
 
 def test_cache_events_are_delayed_and_some_are_lost():
     cache = CacheState()
-    cache_words(
-        cache, list(map(str, range(400 * BLOCK_WORDS))), chance=random.Random(1)
-    )
+    cache_words(cache, list(map(str, range(400 * BLOCK_WORDS))), rng=random.Random(1))
     assert read_events(cache, after=0, now=EVENT_LAG_MS - 1) == ()
     events = read_events(cache, after=0, now=EVENT_LAG_MS)
     lost = cache.sequence - len(events)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -150,7 +150,7 @@
     ]
     peers[3].replied_at = 0
     choose = partial(
-        exchange.choose_configuration_source, peers, now=5_000, chance=random.Random(1)
+        exchange.choose_configuration_source, peers, now=5_000, rng=random.Random(1)
     )
     assert choose(version=3).address in ("x:2", "x:3")
     assert choose(version=5) is None
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -15,7 +15,7 @@
 
 def renew(state, now, revision):
     """Send a renewal that is confirmed immediately."""
-    renewal = leases.begin_renewal(state, now=now, chance=random.Random(now))
+    renewal = leases.begin_renewal(state, now=now, rng=random.Random(now))
     leases.confirm_renewal(state, renewal, revision=revision)
     return renewal
 
@@ -39,7 +39,7 @@
 
 def test_no_orders_before_the_first_confirmation():
     state = LeaseState(instance="a", lease_ms=LEASE_MS, revision=0)
-    leases.begin_renewal(state, now=0, chance=random.Random(0))
+    leases.begin_renewal(state, now=0, rng=random.Random(0))
     assert not leases.may_order(state, now=0)
 
 
@@ -65,7 +65,7 @@
     the previous renewal, even if it later reads its own row at the new revision.
     """
     state = build_held()
-    lost = leases.begin_renewal(state, now=5_000, chance=random.Random(1))
+    lost = leases.begin_renewal(state, now=5_000, rng=random.Random(1))
     row = build_row(lost.session)
     leases.resolve_conflict(state, row, revision=2, now=7_000)
     assert state.revision == 2
@@ -80,15 +80,15 @@
     have acted on that. Measured from the reply, the lease would overlap with theirs.
     """
     state = build_held()
-    slow = leases.begin_renewal(state, now=1_000, chance=random.Random(1))
+    slow = leases.begin_renewal(state, now=1_000, rng=random.Random(1))
     leases.confirm_renewal(state, slow, revision=2)
     assert not leases.may_order(state, now=21_000)
 
 
 def test_confirmation_of_an_earlier_session_is_ignored():
     state = build_held()
-    late = leases.begin_renewal(state, now=8_000, chance=random.Random(1))
-    leases.begin_renewal(state, now=30_000, chance=random.Random(2))
+    late = leases.begin_renewal(state, now=8_000, rng=random.Random(1))
+    leases.begin_renewal(state, now=30_000, rng=random.Random(2))
     leases.confirm_renewal(state, late, revision=2)
     assert not leases.may_order(state, now=8_001)
 
@@ -100,8 +100,8 @@
     longer knows, and the process would consider itself displaced.
     """
     state = LeaseState(instance="a", lease_ms=LEASE_MS, revision=0)
-    first = leases.begin_renewal(state, now=0, chance=random.Random(1))
-    second = leases.begin_renewal(state, now=50_000, chance=random.Random(2))
+    first = leases.begin_renewal(state, now=0, rng=random.Random(1))
+    second = leases.begin_renewal(state, now=50_000, rng=random.Random(2))
     assert first.session == second.session
     leases.resolve_conflict(state, build_row(first.session), revision=7, now=50_000)
     assert renew(state, 50_001, 8).revision == 7
@@ -114,12 +114,12 @@
     must neither give orders nor overwrite the row while the new process renews it.
     """
     state = build_held()
-    leases.begin_renewal(state, now=2_000, chance=random.Random(1))
+    leases.begin_renewal(state, now=2_000, rng=random.Random(1))
     leases.resolve_conflict(state, build_row("other"), revision=5, now=2_000)
     assert not leases.may_order(state, now=2_001)
-    chance = random.Random(2)
-    assert leases.begin_renewal(state, now=12_999, chance=chance) is None
-    assert leases.begin_renewal(state, now=13_000, chance=chance) is not None
+    rng = random.Random(2)
+    assert leases.begin_renewal(state, now=12_999, rng=rng) is None
+    assert leases.begin_renewal(state, now=13_000, rng=rng) is not None
 
 
 def test_abandoned_lease_requires_reading_its_row():
@@ -127,7 +127,7 @@
     before = state.session
     leases.abandon(state)
     assert not leases.may_order(state, now=1)
-    assert leases.begin_renewal(state, now=1, chance=random.Random(1)) is None
+    assert leases.begin_renewal(state, now=1, rng=random.Random(1)) is None
     leases.adopt_row(state, revision=40)
-    renewal = leases.begin_renewal(state, now=2, chance=random.Random(1))
+    renewal = leases.begin_renewal(state, now=2, rng=random.Random(1))
     assert (renewal.revision, renewal.ended) == (40, before)
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -143,7 +143,7 @@
     """
     holder = LeaseState(instance="a", lease_ms=LEASE_MS, revision=0)
     observer = ObservationState(lease_ms=LEASE_MS)
-    chance = random.Random(0)
+    rng = random.Random(0)
     now, revision, row = 0, 0, None
 
     def read(time):
@@ -158,7 +158,7 @@
             now += second
             observing.apply_scan(observer, rows, sent_at=read(sent_at), now=read(now))
         else:
-            renewal = leases.begin_renewal(holder, now=now, chance=chance)
+            renewal = leases.begin_renewal(holder, now=now, rng=rng)
             now += first
             revision += 1
             row = build_row(
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -10,8 +10,8 @@
 
 
 def record_failures(state, times, *, now=0):
-    chance = random.Random(1)
-    return [outage.record_failure(state, now=now, chance=chance) for _ in range(times)]
+    rng = random.Random(1)
+    return [outage.record_failure(state, now=now, rng=rng) for _ in range(times)]
 
 
 def test_down_after_two_failures_and_up_after_one_success():
@@ -33,7 +33,7 @@
     backoffs = set()
     for seed in range(200):
         state = OutageState(failures=failures - 1)
-        outage.record_failure(state, now=0, chance=random.Random(seed))
+        outage.record_failure(state, now=0, rng=random.Random(seed))
         backoffs.add(state.next_at)
     assert least <= min(backoffs) <= max(backoffs) <= most
     assert len(backoffs) > 20
@@ -42,10 +42,10 @@
 def test_only_one_of_several_loops_gets_the_probe():
     state = OutageState()
     record_failures(state, 10)
-    chance = random.Random(2)
-    assert not outage.may_call(state, now=state.next_at - 1, chance=chance)
+    rng = random.Random(2)
+    assert not outage.may_call(state, now=state.next_at - 1, rng=rng)
     due = state.next_at
-    tries = [outage.may_call(state, now=due, chance=chance) for _ in range(4)]
+    tries = [outage.may_call(state, now=due, rng=rng) for _ in range(4)]
     assert tries == [True, False, False, False]
 
 
@@ -55,17 +55,17 @@
     :return: when each instance's first call after the outage is made, in ms after its
         end, and the number of calls in each second.
     """
-    chance = random.Random(7)
+    rng = random.Random(7)
     states = [OutageState(up=True) for _ in range(instances)]
     first = {}
     probes = Counter()
     for now in range(0, length_ms + outage.MAX_BACKOFF_MS + step_ms, step_ms):
         for index, state in enumerate(states):
-            if index in first or not outage.may_call(state, now=now, chance=chance):
+            if index in first or not outage.may_call(state, now=now, rng=rng):
                 continue
             probes[now // 1_000] += 1
             if now < length_ms:
-                outage.record_failure(state, now=now, chance=chance)
+                outage.record_failure(state, now=now, rng=rng)
             else:
                 outage.record_success(state)
                 first[index] = now - length_ms
--- a/tests/test_pool_copies.py
+++ b/tests/test_pool_copies.py
@@ -24,25 +24,25 @@
     }
 
 
-def change(server, models, chance):
+def change(server, models, rng):
     """Change a server in the ways that planning and orders do."""
     held = sorted(server.models)
-    server.unloading = chance.choice([*held, "", ""])
-    server.loading = chance.choice([*models, "", "", ""])
-    server.planned = chance.choice([*models, "", "", ""])
-    server.is_leaving = chance.random() < 0.2
-    server.backoff_until = NOW + 500 if chance.random() < 0.2 else 0
+    server.unloading = rng.choice([*held, "", ""])
+    server.loading = rng.choice([*models, "", "", ""])
+    server.planned = rng.choice([*models, "", "", ""])
+    server.is_leaving = rng.random() < 0.2
+    server.backoff_until = NOW + 500 if rng.random() < 0.2 else 0
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_reindexing_after_each_change_matches_full_scan(seed):
-    chance = random.Random(seed)
-    pool, _now = build_pool(10, chance=chance)
+    rng = random.Random(seed)
+    pool, _now = build_pool(10, rng=rng)
     models = list(pool.spec.models)
     index = index_copies(pool, now=NOW)
     for _ in range(30):
-        server = chance.choice(list(pool.servers.values()))
-        change(server, models, chance)
+        server = rng.choice(list(pool.servers.values()))
+        change(server, models, rng)
         reindex_server(index, server)
         for model in models:
             found = {one.incarnation for one in get_copies(index, model)}
@@ -54,18 +54,18 @@
     """Eviction costs are cached for all models and servers of a planning cycle and
     invalidated as copies change. With a stale cache, the last copy of a model would be
     unloaded."""
-    chance = random.Random(seed)
-    pool, now = build_pool(10, chance=chance)
+    rng = random.Random(seed)
+    pool, now = build_pool(10, rng=rng)
     for server in pool.servers.values():
-        for key in [key for key in server.runs if chance.random() < 0.7]:
+        for key in [key for key in server.runs if rng.random() < 0.7]:
             del server.runs[key]
     cycle = begin_cycle(pool, now=now)
     models = list(pool.spec.models)
     servers = list(pool.servers.values())
     for _ in range(40):
-        for server in chance.sample(servers, 5):
+        for server in rng.sample(servers, 5):
             plan_eviction(cycle, server, _pick_missing(server, models))
-        server, wanted = chance.choice(servers), chance.choice(models)
+        server, wanted = rng.choice(servers), rng.choice(models)
         if wanted in server.models:
             continue
         before, server.planned = server.planned, wanted
@@ -85,7 +85,7 @@
 
 
 def test_no_server_gets_two_orders_in_one_planning_cycle():
-    pool, now = build_pool(20, chance=random.Random(3))
+    pool, now = build_pool(20, rng=random.Random(3))
     for server in pool.servers.values():
         server.runs.clear()
     for step in range(10):
--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -25,10 +25,10 @@
 from tests.pools import add_run, build_pool, build_server, build_spec
 
 
-def send_requests(pool, *, per_s, begin, end, chance, model="m0"):
+def send_requests(pool, *, per_s, begin, end, rng, model="m0"):
     now = begin
     while True:
-        now += chance.expovariate(per_s / 1_000)
+        now += rng.expovariate(per_s / 1_000)
         if now >= end:
             return
         record_demand(pool, model, 1_000, now=int(now))
@@ -37,23 +37,23 @@
 def test_rising_demand_is_detected_within_a_second():
     """Demand for a model suddenly rises fivefold. A moving average with a half-life of
     3 s showed twice the former demand after one second, and was too low for nine."""
-    chance = random.Random(3)
+    rng = random.Random(3)
     pool = build_pool(mean_tokens=1_000.0)
-    send_requests(pool, per_s=10, begin=0, end=20_000, chance=chance)
+    send_requests(pool, per_s=10, begin=0, end=20_000, rng=rng)
     before = get_demand(pool, "m0")
-    send_requests(pool, per_s=50, begin=20_000, end=21_200, chance=chance)
+    send_requests(pool, per_s=50, begin=20_000, end=21_200, rng=rng)
     assert before < 16_000
     assert get_demand(pool, "m0") > 25_000
 
 
 def test_random_variation_does_not_change_the_estimate():
-    chance = random.Random(5)
+    rng = random.Random(5)
     pool = build_pool(mean_tokens=1_000.0)
-    send_requests(pool, per_s=20, begin=0, end=10_000, chance=chance)
+    send_requests(pool, per_s=20, begin=0, end=10_000, rng=rng)
     seen = []
     for second in range(10, 60):
         begin = second * 1_000
-        send_requests(pool, per_s=20, begin=begin, end=begin + 1_000, chance=chance)
+        send_requests(pool, per_s=20, begin=begin, end=begin + 1_000, rng=rng)
         seen.append(get_demand(pool, "m0"))
     off = [one for one in seen if not 10_000 < one < 30_000]
     assert len(off) <= 3
@@ -64,13 +64,13 @@
     """All instances restart. Averages that started at zero showed 10 requests a second
     after one second instead of 50, and the model had no second copy for three."""
     pool = build_pool(mean_tokens=1_000.0)
-    send_requests(pool, per_s=50, begin=0, end=seconds * 1_000, chance=random.Random(1))
+    send_requests(pool, per_s=50, begin=0, end=seconds * 1_000, rng=random.Random(1))
     assert get_demand(pool, "m0") == pytest.approx(50_000, rel=0.4)
 
 
 def test_successor_inherits_the_demand_estimates():
     pool, successor = build_pool(), build_pool()
-    send_requests(pool, per_s=30, begin=0, end=9_000, chance=random.Random(2))
+    send_requests(pool, per_s=30, begin=0, end=9_000, rng=random.Random(2))
     inherit_demand(successor, list_demand(pool), now=77)
     known = get_demand(pool, "m0")
     assert get_demand(successor, "m0") == pytest.approx(known)
--- a/tests/test_pool_prefill_speed.py
+++ b/tests/test_pool_prefill_speed.py
@@ -29,13 +29,13 @@
 
     :param outliers: share of requests that take up to 400 ms longer.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     speed = PrefillSpeedState()
     for _ in range(requests):
-        tokens = int(min(3_800, chance.lognormvariate(6.8, 0.8)) + 100)
-        took = 20 + chance.random() * 20 + tokens / true_speed
-        if chance.random() < outliers:
-            took += chance.random() * 400
+        tokens = int(min(3_800, rng.lognormvariate(6.8, 0.8)) + 100)
+        took = 20 + rng.random() * 20 + tokens / true_speed
+        if rng.random() < outliers:
+            took += rng.random() * 400
         add_sample(speed, tokens=tokens, took_ms=took)
     return get_speed(speed)
 
@@ -64,13 +64,13 @@
     its servers. Every fourth request waits there behind unknown prompts, longer prompts
     for longer. The speed came out at a third of the true one, prompts were delayed for
     20 s, and 300 requests were refused that the servers could have served."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     speed = PrefillSpeedState()
     for number in range(60):
-        tokens = int(min(3_800, chance.lognormvariate(6.8, 0.8)) + 100)
-        took = 20 + chance.random() * 20 + tokens / 25.8
+        tokens = int(min(3_800, rng.lognormvariate(6.8, 0.8)) + 100)
+        took = 20 + rng.random() * 20 + tokens / 25.8
         if number % 4 == 0:
-            took += chance.random() * 0.3 * tokens
+            took += rng.random() * 0.3 * tokens
         add_sample(speed, tokens=tokens, took_ms=took)
     assert get_speed(speed) == pytest.approx(25.8, rel=0.25)
 
@@ -94,11 +94,11 @@
 
 def serve(pool, model, *, count, tokens_per_ms, start):
     """Serve one prompt after another on an idle server; return the time afterwards."""
-    chance = random.Random(3)
+    rng = random.Random(3)
     now = start
     for number in range(count):
         key = f"{model}-{number}"
-        tokens = chance.randint(300, 3_000)
+        tokens = rng.randint(300, 3_000)
         add_waiting(pool, key, model, tokens=tokens, now=now)
         plan_grants(pool, now=now)
         took = 15 + int(tokens / tokens_per_ms)
--- a/tests/test_pool_stream_gaps.py
+++ b/tests/test_pool_stream_gaps.py
@@ -59,12 +59,12 @@
 def test_prefill_per_gap_stays_bounded_while_prompts_keep_arriving():
     """Prompts keep arriving, each of which fits into one gap. Whatever their sizes, no
     window of the length of the gap target contains more prefill than the bound."""
-    chance = random.Random(7)
+    rng = random.Random(7)
     state = StreamGapState()
     now = 0
     spans = []
     for _ in range(400):
-        prefill_ms = chance.uniform(5, MAX_PREFILL_MS)
+        prefill_ms = rng.uniform(5, MAX_PREFILL_MS)
         start = find_start(
             state, prefill_ms=prefill_ms, gap_target_ms=GAP_TARGET_MS, now=now
         )
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -183,8 +183,8 @@
     team = build_team(rate=10_000, burst=10_000)
     whole = sum(parts)
     parts = [part / whole for part in parts]
-    chance = random.Random(1)
-    local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in parts]
+    rng = random.Random(1)
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in parts]
     ledger = build_full_ledger(team, TOLERANCE)
     ledger.set_refill_fraction(sum(parts[cut:]), now=0)
     spent, now = [], 0
@@ -248,8 +248,8 @@
 
 
 def test_an_uncoordinated_instance_refunds_requests_that_did_not_run():
-    chance = random.Random(NO_DEBT_SEED)
-    local, team = LocalQuota(tolerance=EXACT, chance=chance), build_team()
+    rng = random.Random(NO_DEBT_SEED)
+    local, team = LocalQuota(tolerance=EXACT, rng=rng), build_team()
     local.refund("t", 50)
     assert local.charge(team, 400, fraction=0.1, now=0) == 0
     assert local.charge(team, 400, fraction=0.1, now=0) > 0
@@ -280,8 +280,8 @@
 def test_disconnected_small_instances_serve_the_sum_of_their_fractions():
     """Guards against small instances without a coordinator that refuse all requests."""
     team = build_team(rate=78_000, burst=78_000)
-    chance = random.Random(1)
-    local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
+    rng = random.Random(1)
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in range(80)]
     spent = [
         (now, 1_500)
         for now in range(0, 8_000, 100)
@@ -296,8 +296,8 @@
     """Guards against instances that all serve a request larger than their bucket each
     time that the coordinator is lost."""
     team = build_team(rate=78_000, burst=78_000)
-    chance = random.Random(1)
-    local_quotas = [LocalQuota(tolerance=TOLERANCE, chance=chance) for _ in range(80)]
+    rng = random.Random(1)
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in range(80)]
     spent = []
     for now in range(0, 24_000, 100):
         for local in local_quotas:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -503,12 +503,12 @@
 
 
 def test_corrupted_frames_raise_msgspec_errors_only():
-    chance = random.Random(7)
+    rng = random.Random(7)
     good = encode(STATUS, StoreUpdate(rows=(build_row("a", 1),)))
     for _ in range(2_000):
         frame = bytearray(good)
-        for _ in range(chance.randrange(1, 4)):
-            frame[chance.randrange(len(frame))] = chance.randrange(256)
+        for _ in range(rng.randrange(1, 4)):
+            frame[rng.randrange(len(frame))] = rng.randrange(256)
         try:
             decode_from_coordinator(bytes(frame))
         except msgspec.MsgspecError:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -33,17 +33,17 @@
 def test_roster_copies_converge_under_random_changes():
     """Instances join, leave and change at random; each copy that gets the differences,
     or the full roster when it has none, equals the roster at every step."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     roster, copy = RosterState(site="a1", version=1), RosterCopy()
     present = {}
     for _ in range(300):
-        number = chance.randrange(20)
-        if number in present and chance.random() < 0.4:
+        number = rng.randrange(20)
+        if number in present and rng.random() < 0.4:
             del present[number]
         else:
-            present[number] = build_numbered(number, is_ready=chance.random() < 0.8)
+            present[number] = build_numbered(number, is_ready=rng.random() < 0.8)
         change = update_roster(roster, select_view(present.values(), site="a1"))
-        if chance.random() < 0.05:
+        if rng.random() < 0.05:
             copy = RosterCopy()
         if change is not None and copy.version:
             assert apply_change(copy, change)
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -63,11 +63,11 @@
 
 def test_requests_are_distributed_by_weight():
     route = build_route("/", shares=(("x", 90), ("y", 10)))
-    chance = random.Random(1)
-    drawn = [choose_service(route, chance=chance) for _ in range(2_000)]
+    rng = random.Random(1)
+    drawn = [choose_service(route, rng=rng) for _ in range(2_000)]
     assert 0.07 < drawn.count("y") / 2_000 < 0.13
 
 
 def test_zero_weights_choose_the_first_service():
     route = build_route("/", shares=(("x", 0), ("y", 0)))
-    assert choose_service(route, chance=random.Random(1)) == "x"
+    assert choose_service(route, rng=random.Random(1)) == "x"
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -78,23 +78,23 @@
 
 
 def test_deltas_of_random_texts_produce_the_newer_text():
-    chance = random.Random(5)
+    rng = random.Random(5)
     alphabet = [b"a", b"b},", b"},", b"c", b"", b'"x":1},']
     for _ in range(500):
         old, new = (
-            b"".join(chance.choices(alphabet, k=chance.randrange(30))) for _ in range(2)
+            b"".join(rng.choices(alphabet, k=rng.randrange(30))) for _ in range(2)
         )
         delta = build_versions(old, new).build_delta(1)
         assert build_versions(old).apply(delta) == new
 
 
 def test_a_damaged_delta_is_refused_or_produces_the_right_version():
-    chance = random.Random(6)
+    rng = random.Random(6)
     old, new = encode(1, ALL[:20]), encode(2, ALL[:21])
     frame = encode_frame([build_versions(old, new).build_delta(1)])
     for _ in range(2_000):
         damaged = bytearray(frame)
-        damaged[chance.randrange(len(damaged))] = chance.randrange(256)
+        damaged[rng.randrange(len(damaged))] = rng.randrange(256)
         try:
             messages = decode_from_coordinator(bytes(damaged))
         except msgspec.MsgspecError:
