--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -24,7 +24,7 @@
     MAX_REFUSALS,
     MAX_UNREACHABLE,
     RETRY_AFTER_MS,
-    CutError,
+    AnswerAbortedError,
     Progress,
     RequestFailedError,
 )
@@ -129,7 +129,7 @@
         """Return the answer to the caller.
 
         :raises RequestFailedError: if the request failed without an answer.
-        :raises CutError: if the answer has begun and can't be completed.
+        :raises AnswerAbortedError: if the answer has begun and can't be completed.
         """
         refused_ms = self._poison.get_refusal(self._request)
         if refused_ms is not None:
@@ -157,7 +157,7 @@
 
     def _build_timeout(self) -> Exception:
         if self._answer is not None:
-            return CutError("time is up")
+            return AnswerAbortedError("time is up")
         if self.progress.may_have_run:
             return RequestFailedError(status=504, reason="time is up")
         return RequestFailedError(
@@ -279,7 +279,7 @@
             self.progress.avoid.add(self.progress.server)
             raise RetryError
         if self._answer is not None:
-            raise CutError("the stream could not go on")
+            raise AnswerAbortedError("the stream could not go on")
         answer = web.Response(
             status=response.status,
             reason=response.reason,
@@ -399,7 +399,7 @@
             progress.resumes += self._answer is not None
             return RetryError()
         if self._answer is not None:
-            return CutError(detail)
+            return AnswerAbortedError(detail)
         return RequestFailedError(status=502, reason="the server broke off")
 
     def _may_retry(self) -> bool:
@@ -429,7 +429,7 @@
     ) -> Exception:
         """Build the error of a request that is not retried any more."""
         if self._answer is not None:
-            return CutError(reason)
+            return AnswerAbortedError(reason)
         if self.progress.may_have_run:
             return RequestFailedError(status=502, reason=reason)
         return RequestFailedError(
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -12,7 +12,7 @@
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.poison import PoisonGuard
-from arbutuspulley.node.progress import CutError, RequestFailedError
+from arbutuspulley.node.progress import AnswerAbortedError, RequestFailedError
 from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import build_refusal_headers, decode_request
@@ -64,7 +64,7 @@
             self._record_end(
                 how, request, exchange, status=error.status, why=error.reason
             )
-        except CutError as error:
+        except AnswerAbortedError as error:
             self._record_end("cut", request, exchange, status=0, why=str(error))
             _abort_connection(client)
             raise asyncio.CancelledError from None
--- a/src/arbutuspulley/node/progress.py
+++ b/src/arbutuspulley/node/progress.py
@@ -42,7 +42,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-class CutError(Exception):
+class AnswerAbortedError(Exception):
     """The answer has begun and can't be completed: its connection must be aborted."""
 
 
