--- a/src/arbutuspulley/admission/service_retry_budget.py
+++ b/src/arbutuspulley/admission/service_retry_budget.py
@@ -40,14 +40,16 @@
     _evict_expired(budget, now=now)
 
 
-def try_spend_retry(budget: ServiceRetryBudget, *, instances: float, now: int) -> bool:
+def try_spend_retry(
+    budget: ServiceRetryBudget, *, share_divisor: float, now: int
+) -> bool:
     """Count a retry if the budget allows it.
 
-    :param instances: number of instances that share the budget.
+    :param share_divisor: number by which an instance divides the shared allowance.
     :return: whether the request may be retried.
     """
     _evict_expired(budget, now=now)
-    extra = get_instance_share(budget.extra, instances=instances)
+    extra = get_instance_share(budget.extra, share_divisor=share_divisor)
     allowed = USABLE_FRACTION * (budget.ratio * len(budget.requests) + extra)
     if len(budget.retries) + 1 > allowed:
         return False
--- a/src/arbutuspulley/membership/limit_shares.py
+++ b/src/arbutuspulley/membership/limit_shares.py
@@ -5,9 +5,10 @@
 probably does not know of all."""
 
 
-def get_instance_share(limit: float, *, instances: float) -> float:
+def get_instance_share(limit: float, *, share_divisor: float) -> float:
     """Return the share of a limit that one instance may use without coordination.
 
-    :param instances: known number of instances that share the limit.
+    :param share_divisor: number by which the limit is divided, if it is larger than
+        :data:`MIN_INSTANCES`.
     """
-    return limit / max(MIN_INSTANCES, instances)
+    return limit / max(MIN_INSTANCES, share_divisor)
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -162,7 +162,7 @@
         """
         self.is_active = True
         self.isolated_since = None
-        self._state.coordinates = True
+        self._state.is_coordinator = True
         self._relay.reset()
         self._peers.reset()
         self._quotas.reset()
@@ -170,14 +170,14 @@
         self._pools.clear()
         self._inherited = inherited
         self.update_pools()
-        self._state.metrics.coordinates.set(1)
+        self._state.metrics.is_coordinator.set(1)
         self._spawn(self._run_periodic_tasks())
 
     def deactivate(self) -> None:
         """Stop being the coordinator, and close the links of all instances."""
         self.is_active = False
-        self._state.coordinates = False
-        self._state.metrics.coordinates.set(0)
+        self._state.is_coordinator = False
+        self._state.metrics.is_coordinator.set(0)
         if self._timer is not None:
             self._timer.cancel()
         for task in list(self._tasks):
@@ -258,7 +258,7 @@
                     writer = asyncio.create_task(
                         write_frames(peer, socket, request.transport)
                     )
-                peer.heard_at = self._state.clock.now()
+                peer.last_message_at = self._state.clock.now()
                 self.handle_messages(peer.info.name, messages)
         except msgspec.MsgspecError as error:
             log_event(Event.PEER_DOWN, detail=f"unreadable frame: {error}")
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -177,8 +177,8 @@
         state, progress = self._state, self.progress
         progress.server = entry.incarnation
         now = state.clock.now()
-        record = state.records
-        record_sent(record, entry)
+        stats = state.server_stats
+        record_sent(stats, entry)
         # Counted before the first byte may be sent: the time may run out, or the caller
         # may disconnect, before anything is received.
         progress.may_have_run += 1
@@ -212,7 +212,7 @@
         except NotSentError:
             outcome = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
-            record_unreachable(record, entry, now=state.clock.now())
+            record_unreachable(stats, entry, now=state.clock.now())
             raise self._handle_unreachable(entry) from None
         except BrokenError as error:
             self._poison.record_crash(
@@ -225,11 +225,11 @@
             raise
         finally:
             record_done(
-                record, entry, took_ms=took_ms, failed=outcome is AttemptOutcome.FAILED
+                stats, entry, took_ms=took_ms, failed=outcome is AttemptOutcome.FAILED
             )
             if took_ms is not None and not self.route.is_stream:
                 adjust_concurrency_limit(
-                    record,
+                    stats,
                     entry,
                     latency_target_ms=self.route.latency_target_ms,
                     now=state.clock.now(),
@@ -364,7 +364,7 @@
         )
         if self._request.need is None:
             progress.avoid.add(entry.incarnation)
-            record_refused(self._state.records, entry, now=self._state.clock.now())
+            record_refused(self._state.server_stats, entry, now=self._state.clock.now())
         if progress.refused <= MAX_REFUSALS and self._try_spend_retry():
             return RetryError()
         return self._build_failure("servers refused")
@@ -420,7 +420,7 @@
     def _try_spend_retry(self) -> bool:
         return try_spend_retry(
             self._state.get_budget(self.progress.service),
-            instances=self._state.share_divisor,
+            share_divisor=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -117,7 +117,7 @@
         self, incarnation: str, before: float | None, *, by: str
     ) -> None:
         limits = self._state.limits
-        clear_rate_limited(self._state.records, incarnation)
+        clear_rate_limited(self._state.server_stats, incarnation)
         self._update_gauge()
         log_event(
             Event.SERVER_LIMIT_CHANGED,
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -475,10 +475,10 @@
                 heartbeat_at = clock.now() + HEARTBEAT_MS
             frame, self._outgoing = self._outgoing, []
             if frame:
-                frame.extend(self._take_usage())
+                frame.extend(self._pop_usage())
                 await socket.send_bytes(encode_frame(frame))
 
-    def _take_usage(self) -> list[QuotaUsage]:
+    def _pop_usage(self) -> list[QuotaUsage]:
         spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
         self._usage.clear()
         return spent
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -27,11 +27,11 @@
         "_teams",
         "attempts",
         "configurations",
-        "coordinates",
         "first_part",
         "grant_wait",
         "in_flight",
         "instances_behind",
+        "is_coordinator",
         "limited_attempts",
         "limited_servers",
         "link_age",
@@ -125,7 +125,7 @@
             "How old what the coordinator last told can be",
             registry=registry,
         )
-        self.coordinates = Gauge(
+        self.is_coordinator = Gauge(
             "arbutus_coordinates", "1 while this one coordinates", registry=registry
         )
 
--- a/src/arbutuspulley/node/peer.py
+++ b/src/arbutuspulley/node/peer.py
@@ -25,7 +25,7 @@
 class Peer:
     """An instance that is linked to this coordinator.
 
-    :param heard_at: when its last message came, in ms.
+    :param last_message_at: when its last message came, in ms.
     :param last_heartbeat: number of its last heartbeat; 0: none came.
     :param heartbeats: when its heartbeats came, by number.
     :param statuses: when status messages were sent to it, by number.
@@ -48,11 +48,11 @@
         "build_configuration",
         "configuration",
         "follows_store",
-        "heard_at",
         "heartbeats",
         "info",
         "is_closed",
         "last_heartbeat",
+        "last_message_at",
         "last_status",
         "misses_store",
         "outgoing",
@@ -66,12 +66,12 @@
         self,
         *,
         info: NodeInfo,
-        heard_at: int,
+        last_message_at: int,
         configuration: int,
         build_configuration: Callable[[int], ToNode],
     ) -> None:
         self.info = info
-        self.heard_at = heard_at
+        self.last_message_at = last_message_at
         self.last_heartbeat = 0
         self.heartbeats = MessageTimes()
         self.last_status = 0
@@ -115,7 +115,7 @@
         if version > self.sent_version:
             self.wake.set()
 
-    def take_outgoing(self) -> list[ToNode]:
+    def pop_outgoing(self) -> list[ToNode]:
         """Return the messages to be sent now, in their order.
 
         The configuration comes first: status messages and grants may refer to it.
@@ -135,7 +135,7 @@
         while not peer.is_closed:
             await peer.wake.wait()
             peer.wake.clear()
-            frame = peer.take_outgoing()
+            frame = peer.pop_outgoing()
             if frame:
                 async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await socket.send_bytes(encode_frame(frame))
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -95,7 +95,7 @@
         peer = self._by_name[info.name] = Peer(
             # Its heartbeats report whether it is ready.
             info=msgspec.structs.replace(info, is_ready=False),
-            heard_at=self._state.clock.now(),
+            last_message_at=self._state.clock.now(),
             configuration=hello.configuration,
             build_configuration=(
                 self._state.versions.build_delta
@@ -172,7 +172,7 @@
         return [
             peer
             for peer in self._by_name.values()
-            if now - peer.heard_at < COORDINATOR_TIMEOUT_MS
+            if now - peer.last_message_at < COORDINATOR_TIMEOUT_MS
         ]
 
     def list_linked(self) -> list[NodeInfo]:
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -105,15 +105,15 @@
         service = self._get_service()
         connections = service.max_connections if service else 0
         return choose_server(
-            self._state.records,
+            self._state.server_stats,
             self._state.by_service.get(self._progress.service, ()),
             zone=self._state.settings.site,
             need=None if is_plain else self._request.need,
             avoid=frozenset(avoid),
             max_in_flight=get_max_in_flight(
-                connections, instances=self._state.share_divisor
+                connections, share_divisor=self._state.share_divisor
             ),
-            sharing_instances=self._state.share_divisor,
+            share_divisor=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
@@ -127,7 +127,7 @@
             if not wait_ms:
                 return entry
             now = self._state.clock.now()
-            set_rate_limited(self._state.records, entry, until=now + wait_ms)
+            set_rate_limited(self._state.server_stats, entry, until=now + wait_ms)
 
     def get_retry_after(self) -> int | None:
         """Return when a server's rate limit may permit the request, in ms from now.
@@ -141,7 +141,7 @@
     def _list_limit_ends(self) -> list[int]:
         """Return until when rate limits exclude each of the service's servers."""
         return [
-            get_stats(self._state.records, entry).rate_limited_until
+            get_stats(self._state.server_stats, entry).rate_limited_until
             for entry in self._state.by_service.get(self._progress.service, ())
             if not entry.is_leaving and entry.incarnation not in self._progress.avoid
         ]
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -224,5 +224,5 @@
         by_service.setdefault(entry.service, []).append(entry)
     state.by_service = by_service
     state.by_incarnation = {one.incarnation: one for one in state.entries.values()}
-    evict_unlisted(state.records, state.entries.values())
+    evict_unlisted(state.server_stats, state.entries.values())
     state.notify_change()
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -47,7 +47,7 @@
     :param nodes_updated_at: time of the last coordinator status, in ms.
     :param instances: number of instances that the coordinator can reach.
     :param advertised: number of instances whose addresses are given to callers.
-    :param coordinates: whether this instance is the coordinator.
+    :param is_coordinator: whether this instance is the coordinator.
     :param estimates: estimates last sent by the coordinator; used if this instance
         becomes its successor.
     :param stopping_at: when SIGTERM arrived, in ms; ``None`` before.
@@ -67,7 +67,6 @@
         "clock",
         "configuration",
         "configuration_body",
-        "coordinates",
         "deferrable_rows",
         "entries",
         "entry_bodies",
@@ -76,6 +75,7 @@
         "freshness",
         "in_flight",
         "instances",
+        "is_coordinator",
         "keys",
         "limits",
         "metrics",
@@ -85,10 +85,10 @@
         "on_store_lost",
         "on_store_update",
         "order_session",
-        "records",
         "refused_entries",
         "rng",
         "row_versions",
+        "server_stats",
         "session",
         "settings",
         "stopping_at",
@@ -128,7 +128,7 @@
         self.refused_entries: dict[str, str] = {}
         self.by_incarnation: dict[str, ServerEntry] = {}
         self.by_service: dict[str, list[ServerEntry]] = {}
-        self.records = LocalServerStats()
+        self.server_stats = LocalServerStats()
         self.budgets: dict[str, ServiceRetryBudget] = {}
         self.row_versions: dict[str, int] = {}
         self.deferrable_rows: set[str] = set()
@@ -140,7 +140,7 @@
         self.advertised = 0
         self._share_divisor = 0.0
         self._share_divisor_basis: tuple[object, ...] = ()
-        self.coordinates = False
+        self.is_coordinator = False
         self.estimates = CoordinatorEstimates(speeds={})
         self.in_flight = 0
         self.stopping_at: int | None = None
@@ -177,7 +177,7 @@
             frontend=settings.frontend,
             is_ready=self.is_ready,
             capacity=self.capacity,
-            coordinates=self.coordinates,
+            coordinates=self.is_coordinator,
         )
 
     @property
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -109,7 +109,7 @@
     need: ModelNeed | None,
     avoid: frozenset[str],
     max_in_flight: int,
-    sharing_instances: float = 1,
+    share_divisor: float = 1,
     now: int,
 ) -> ServerEntry | None:
     """Return the best server, or ``None`` if none is eligible.
@@ -118,7 +118,7 @@
     :param need: the model that must be loaded; ``None`` for plain services.
     :param avoid: incarnations that have refused or failed this request.
     :param max_in_flight: requests that this instance may have in flight at one server.
-    :param sharing_instances: number of instances that use the servers, as far as known.
+    :param share_divisor: number by which an instance divides a shared limit.
     """
     usable = [
         entry
@@ -127,7 +127,7 @@
         and entry.incarnation not in avoid
         and get_stats(stats, entry).rate_limited_until <= now
         and (
-            _has_room(get_stats(stats, entry), entry, sharing_instances)
+            _has_room(get_stats(stats, entry), entry, share_divisor)
             if need is None
             else any(one.model == need.model for one in entry.loaded_models)
         )
@@ -149,18 +149,22 @@
     return server
 
 
-def get_max_in_flight(connections: int, *, instances: float) -> int:
+def get_max_in_flight(connections: int, *, share_divisor: float) -> int:
     """Return how many requests one instance may have in flight at one server.
 
     :param connections: connections that a server accepts from all instances; 0 if
         unknown.
-    :param instances: number of instances that share them.
+    :param share_divisor: number by which an instance divides them.
     """
     if not connections:
         return UNLIMITED
     return max(
         1,
-        int(get_instance_share(CONNECTION_FRACTION * connections, instances=instances)),
+        int(
+            get_instance_share(
+                CONNECTION_FRACTION * connections, share_divisor=share_divisor
+            )
+        ),
     )
 
 
@@ -258,11 +262,9 @@
         del stats.servers[incarnation]
 
 
-def _has_room(
-    server: ServerStats, entry: ServerEntry, sharing_instances: float
-) -> bool:
+def _has_room(server: ServerStats, entry: ServerEntry, share_divisor: float) -> bool:
     minimum = get_instance_share(
-        MIN_LIMIT_PER_SLOT * entry.slots, instances=sharing_instances
+        MIN_LIMIT_PER_SLOT * entry.slots, share_divisor=share_divisor
     )
     return server.in_flight < max(1.0, minimum, server.concurrency_limit)
 
--- a/tests/test_acquisition.py
+++ b/tests/test_acquisition.py
@@ -193,4 +193,4 @@
     trial.acquisition.refund()
     assert trial.acquisition._charged is None
     assert trial.list_costs() == []
-    assert trial.link._take_usage() == []
+    assert trial.link._pop_usage() == []
--- a/tests/test_advertisement.py
+++ b/tests/test_advertisement.py
@@ -109,17 +109,17 @@
     state.settings = msgspec.structs.replace(state.settings, cores=2.15, link_mbps=100)
     state.nodes = tuple(build_area(LARGE, *[SMALL] * 20))
     state.instances, state.advertised = 72, 6
-    assert get_max_in_flight(490, instances=state.share_divisor) >= 50
+    assert get_max_in_flight(490, share_divisor=state.share_divisor) >= 50
     budget = ServiceRetryBudget(ratio=0.2, extra=184, window_ms=10_000)
     record_request(budget, now=0)
     repeats = sum(
-        try_spend_retry(budget, instances=state.share_divisor, now=1)
+        try_spend_retry(budget, share_divisor=state.share_divisor, now=1)
         for _ in range(100)
     )
     assert repeats >= 20
     state.settings = msgspec.structs.replace(state.settings, cores=0.5, link_mbps=5)
     state.nodes = tuple(build_area(LARGE, LARGE, *[SMALL] * 20))
-    assert get_max_in_flight(490, instances=state.share_divisor) == 1
+    assert get_max_in_flight(490, share_divisor=state.share_divisor) == 1
 
 
 def test_directory_limits_the_number_of_addresses():
--- a/tests/test_local_choice.py
+++ b/tests/test_local_choice.py
@@ -148,11 +148,11 @@
     [(96, 6, 12), (96, 3, 12), (96, 24, 3), (4, 6, 1), (360, 360, 1)],
 )
 def test_connections_are_divided_among_all_instances(connections, instances, expected):
-    assert get_max_in_flight(connections, instances=instances) == expected
+    assert get_max_in_flight(connections, share_divisor=instances) == expected
 
 
 def test_an_unknown_connection_limit_does_not_limit():
-    assert get_max_in_flight(0, instances=6) > 1_000_000
+    assert get_max_in_flight(0, share_divisor=6) > 1_000_000
 
 
 def complete_requests(stats, *, took_ms, count, now, running=0):
@@ -204,7 +204,7 @@
         need=None,
         avoid=frozenset(),
         max_in_flight=100,
-        sharing_instances=sharers,
+        share_divisor=sharers,
         now=0,
     )
     assert (entry.incarnation if entry else None) == expected
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -72,7 +72,7 @@
 
     def _begin_frames(self):
         for name, left in self._remaining.items():
-            frame = [] if left else self._peers.get(name).take_outgoing()
+            frame = [] if left else self._peers.get(name).pop_outgoing()
             if frame:
                 self._frames[name] = encode_frame(frame)
                 self._remaining[name] = len(self._frames[name])
@@ -147,24 +147,24 @@
         info=build_info("x"), configuration=known, reads_updates=reads_updates
     )
     link = Link(state=other)
-    link.receive(peers.add(hello).take_outgoing())
+    link.receive(peers.add(hello).pop_outgoing())
     assert other.configuration_body == state.configuration_body
 
 
 def test_configuration_is_not_sent_to_an_up_to_date_instance():
     _state, peers = build_peers(5)
     peer = peers.add(Hello(info=build_info("x"), configuration=5))
-    assert peer.take_outgoing() == []
+    assert peer.pop_outgoing() == []
     late = peers.add(Hello(info=build_info("y"), configuration=4))
     peers.handle_heartbeat("y", Heartbeat(is_ready=True, configuration=5))
-    assert not any(isinstance(one, ConfigurationDelta) for one in late.take_outgoing())
+    assert not any(isinstance(one, ConfigurationDelta) for one in late.pop_outgoing())
 
 
 def test_configuration_is_sent_before_the_status():
     _state, peers = build_peers(5)
     peer = peers.add(Hello(info=build_info("x"), reads_updates=True))
     peers.send_status(is_holder=True)
-    kinds = [type(one) for one in peer.take_outgoing()]
+    kinds = [type(one) for one in peer.pop_outgoing()]
     assert kinds == [ConfigurationDelta, CoordinatorStatus]
 
 
@@ -175,10 +175,10 @@
         peers.add(Hello(info=build_info(name), configuration=5))
         peers.handle_heartbeat(name, Heartbeat(is_ready=True, follows_store=True))
     peers.send_status(is_holder=True)
-    assert peers.get("c").take_outgoing()[-1].followers == ("a", "b")
+    assert peers.get("c").pop_outgoing()[-1].followers == ("a", "b")
     peers.handle_heartbeat("a", Heartbeat(is_ready=True, misses_store=True))
     peers.send_status(is_holder=True)
-    assert peers.get("c").take_outgoing()[-1].followers == ("b", "c")
+    assert peers.get("c").pop_outgoing()[-1].followers == ("b", "c")
 
 
 def test_heartbeat_updates_whether_the_store_is_followed():
--- a/tests/test_quota_charging.py
+++ b/tests/test_quota_charging.py
@@ -26,7 +26,7 @@
 class Instance:
     """An instance with its link and its quota charger; it may be the coordinator."""
 
-    def __init__(self, *, coordinates=False, **settings):
+    def __init__(self, *, is_coordinator=False, **settings):
         self.now = [100_000]
         self.state = build_state(
             clock=Clock(read=lambda: self.now[0]),
@@ -37,7 +37,7 @@
         )
         self.link = Link(state=self.state)
         self.sent = []
-        if coordinates:
+        if is_coordinator:
             self.link.deliver_local = self.sent.extend
         self.charger = QuotaCharger(state=self.state, link=self.link)
 
@@ -46,7 +46,7 @@
 
 
 def test_plain_requests_are_reported_and_refunded_to_the_coordinator_once():
-    instance = Instance(coordinates=True)
+    instance = Instance(is_coordinator=True)
     quota_charge = instance.charge(200)
     instance.charger.refund(quota_charge)
     assert instance.sent == [
@@ -60,12 +60,12 @@
     instance.link.receive([CoordinatorStatus(is_holder=True)])
     instance.charge(200)
     instance.charge(300)
-    assert instance.link._take_usage() == [QuotaUsage(team="t", cost=500)]
-    assert instance.link._take_usage() == []
+    assert instance.link._pop_usage() == [QuotaUsage(team="t", cost=500)]
+    assert instance.link._pop_usage() == []
 
 
 def test_a_team_over_its_quota_is_refused_until_the_quota_is_refilled():
-    instance = Instance(coordinates=True)
+    instance = Instance(is_coordinator=True)
     instance.link.receive([QuotaExceeded(team="t", wait_ms=700)])
     with pytest.raises(RequestFailedError) as raised:
         instance.charge(200)
@@ -87,7 +87,7 @@
 
 
 def test_a_refund_after_the_link_was_closed_is_lost():
-    instance = Instance(coordinates=True)
+    instance = Instance(is_coordinator=True)
     quota_charge = instance.charge(200)
     instance.link.close()
     instance.charger.refund(quota_charge)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -18,18 +18,18 @@
         for budget in budgets:
             record_request(budget, now=now)
             requests += 1
-            retries += try_spend_retry(budget, instances=6, now=now)
+            retries += try_spend_retry(budget, share_divisor=6, now=now)
     assert 0.1 * requests < retries <= 0.2 * requests + 52
 
 
 def test_an_isolated_instance_spends_only_its_share():
     budget = ServiceRetryBudget(ratio=0.2, extra=60, window_ms=10_000)
-    taken = [try_spend_retry(budget, instances=1, now=0) for _ in range(60)]
+    taken = [try_spend_retry(budget, share_divisor=1, now=0) for _ in range(60)]
     assert sum(taken) == 8
 
 
 def test_retries_expire_from_the_window():
     budget = ServiceRetryBudget(ratio=0.0, extra=12, window_ms=10_000)
-    assert try_spend_retry(budget, instances=6, now=0)
-    assert not try_spend_retry(budget, instances=6, now=9_999)
-    assert try_spend_retry(budget, instances=6, now=10_000)
+    assert try_spend_retry(budget, share_divisor=6, now=0)
+    assert not try_spend_retry(budget, share_divisor=6, now=9_999)
+    assert try_spend_retry(budget, share_divisor=6, now=10_000)
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -38,7 +38,7 @@
     state = build_state()
     state.by_service = {"s": list(entries)}
     for entry in entries:
-        record = get_stats(state.records, entry)
+        record = get_stats(state.server_stats, entry)
         record.in_flight, record.concurrency_limit = 4, 1.0
     return state
 
@@ -52,7 +52,7 @@
     async def scenario():
         state = build_full(entries=(A, B))
         loop = asyncio.get_running_loop()
-        record = get_stats(state.records, B)
+        record = get_stats(state.server_stats, B)
         loop.call_later(free_after_s, lambda: setattr(record, "in_flight", 0))
         await asyncio.sleep(0 if free_after_s else 0.001)
         return await build_choice(state).choose_plain()
