--- a/src/arbutuspulley/admission/decision.py
+++ b/src/arbutuspulley/admission/decision.py
@@ -66,7 +66,9 @@
         usage[ticket.caller] = usage.get(ticket.caller, 0.0) + weighted_cost
     largest = max(usage, key=lambda caller: (usage[caller], caller))
     positions = order_waiting(state.waiting.values(), state.accounts, now=now)
-    last = [one.ticket for one in positions if one.ticket.caller == largest][-1]
+    last = [
+        position.ticket for position in positions if position.ticket.caller == largest
+    ][-1]
     holders = list_holders(state, last.item, now=now)
     ahead = dict.fromkeys(holders, float(MAX_WAITING))
     wait_ms = _estimate_wait(state, ahead, holders)
@@ -166,13 +168,13 @@
 def _compute_share(state: AdmissionState, caller: str) -> float:
     """Return a caller's weight as a fraction of that of all callers active here."""
     active = {ticket.caller for ticket in state.waiting.values()}
-    active.update(one.ticket.caller for one in state.running.values())
+    active.update(running.ticket.caller for running in state.running.values())
     active.add(caller)
     weights = {name: state.accounts.callers[name].weight for name in active}
     return weights[caller] / sum(weights.values())
 
 
 def _is_above_share(state: AdmissionState, caller: str, share_fraction: float) -> bool:
-    in_flight = sum(one.ticket.cost for one in state.running.values())
+    in_flight = sum(running.ticket.cost for running in state.running.values())
     own = state.accounts.callers[caller].in_flight
     return share_fraction < 1 and own > share_fraction * in_flight
--- a/src/arbutuspulley/admission/shares.py
+++ b/src/arbutuspulley/admission/shares.py
@@ -105,10 +105,10 @@
     for share in state.callers.values():
         share.remote_tokens_per_s = 0.0
         share.remote_waiting = 0
-    for one in usage:
-        share = state.callers.setdefault(one.caller, CallerShare(clock=state.clock))
-        share.remote_tokens_per_s = one.tokens_per_s
-        share.remote_waiting = one.waiting
+    for remote in usage:
+        share = state.callers.setdefault(remote.caller, CallerShare(clock=state.clock))
+        share.remote_tokens_per_s = remote.tokens_per_s
+        share.remote_waiting = remote.waiting
         share.last_seen_at = now
 
 
@@ -137,8 +137,8 @@
     for name in names:
         excess = rates[name] - least
         start = get_start_time(state, name)
-        room = max(0.0, excess * MAX_DEBT_S - (start - state.clock))
-        debt = min(excess * elapsed_s, room)
+        headroom = max(0.0, excess * MAX_DEBT_S - (start - state.clock))
+        debt = min(excess * elapsed_s, headroom)
         if debt > 0:
             state.callers[name].clock = start + debt
 
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -187,14 +187,14 @@
         # After the first event the caller waits for the next one.
         is_begun = progress.first_ms is not None
         since = progress.last_event_at if is_begun else progress.started_at
-        aim_ms = route.gap_target_ms if is_begun else route.latency_target_ms
+        target_ms = route.gap_target_ms if is_begun else route.latency_target_ms
         return GrantRequest(
             key=self._request.attempt_id,
             service=progress.service,
             need=need,
             zone=self._state.settings.site,
             priority=self.priority,
-            aim_ms=since + aim_ms - now,
+            aim_ms=since + target_ms - now,
             left_ms=min(progress.ends_at, since + self._first_part_timeout_ms) - now,
             avoid=tuple(progress.avoid),
             is_repeat=bool(progress.server),
--- a/src/arbutuspulley/node/directory.py
+++ b/src/arbutuspulley/node/directory.py
@@ -54,8 +54,8 @@
         """
         nodes = self._list_ready()
         for area in (
-            [one for one in nodes if one.site == site],
-            [one for one in nodes if one.region == region],
+            [node for node in nodes if node.site == site],
+            [node for node in nodes if node.region == region],
         ):
             if len(area) >= MIN_NEARBY_INSTANCES:
                 return _list_frontends(select_advertised(area))
@@ -84,4 +84,4 @@
 
 
 def _list_frontends(nodes: list[NodeInfo]) -> list[str]:
-    return [one.frontend for one in nodes[:MAX_ADDRESSES]]
+    return [node.frontend for node in nodes[:MAX_ADDRESSES]]
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -72,7 +72,7 @@
         "_acquisition",
         "_answer",
         "_client",
-        "_cutter",
+        "_event_buffer",
         "_limits",
         "_link",
         "_poison",
@@ -105,7 +105,7 @@
         self._request = request
         self._client = client
         self._answer: web.StreamResponse | None = None
-        self._cutter = EventBuffer()
+        self._event_buffer = EventBuffer()
         remaining_ms = route.timeout_ms
         if request.wait_ms is not None:
             remaining_ms = min(remaining_ms, request.wait_ms)
@@ -300,16 +300,16 @@
                 raise BrokenError(f"{type(error).__name__}: {error}") from error
             if not chunk:
                 break
-            events = take_complete_events(self._cutter, chunk)
+            events = take_complete_events(self._event_buffer, chunk)
             if not events:
                 continue
             self._record_events(entry, events)
             answer = await self._start_answer(response)
             await answer.write(events)
-            self.progress.last_event_id = self._cutter.last_id
+            self.progress.last_event_id = self._event_buffer.last_id
         answer = await self._start_answer(response)
-        if self._cutter.partial:
-            await answer.write(self._cutter.partial)
+        if self._event_buffer.partial:
+            await answer.write(self._event_buffer.partial)
         await answer.write_eof()
         return answer
 
@@ -334,8 +334,8 @@
         if progress.first_ms is None:
             self._record_first_part()
         else:
-            pause_ms = now - progress.last_event_at
-            progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
+            gap_ms = now - progress.last_event_at
+            progress.longest_gap_ms = max(progress.longest_gap_ms, gap_ms)
         if not progress.events:
             self._link.send(
                 ResponseStarted(
@@ -395,7 +395,7 @@
             repeat=self.route.retry_policy.value,
         )
         if self._may_retry():
-            self._cutter.partial = b""
+            self._event_buffer.partial = b""
             progress.resumes += self._answer is not None
             return RetryError()
         if self._answer is not None:
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -137,10 +137,8 @@
     ) -> None:
         self._state.metrics.requests.labels(how).inc()
         progress = exchange.progress if exchange else None
-        if progress is not None and progress.longest_pause_ms:
-            self._state.metrics.longest_pause.observe(
-                progress.longest_pause_ms / SECOND_MS
-            )
+        if progress is not None and progress.longest_gap_ms:
+            self._state.metrics.longest_gap.observe(progress.longest_gap_ms / SECOND_MS)
         configuration = self._state.configuration
         need = request.need
         log_event(
@@ -156,7 +154,7 @@
             server=progress.server if progress else "",
             waited_ms=progress.waited_ms if progress else 0,
             first_ms=progress.first_ms if progress else None,
-            longest_pause_ms=progress.longest_pause_ms if progress else 0,
+            longest_pause_ms=progress.longest_gap_ms if progress else 0,
             took_ms=self._state.clock.now() - progress.started_at if progress else 0,
             refused=progress.refused if progress else 0,
             unreached=progress.unreached if progress else 0,
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -93,7 +93,7 @@
     def _apply_server_limits(self, message: ServerLimits) -> None:
         """Apply rate limits that the coordinator sent."""
         limits = self._state.limits
-        received = {one.incarnation: one.per_s for one in message.limits}
+        received = {limit.incarnation: limit.per_s for limit in message.limits}
         if message.are_all:
             received = dict.fromkeys(limits.list_limits()) | received
             self._confirmed.clear()
@@ -130,6 +130,8 @@
     def _update_gauge(self) -> None:
         state = self._state
         listed = [
-            one for one in state.limits.list_limits() if one in state.by_incarnation
+            incarnation
+            for incarnation in state.limits.list_limits()
+            if incarnation in state.by_incarnation
         ]
         state.metrics.limited_servers.set(len(listed))
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -92,7 +92,7 @@
         "_coordinator_version",
         "_heartbeats",
         "_is_closed",
-        "_last_heard_at",
+        "_last_status_at",
         "_opened_at",
         "_outgoing",
         "_pending",
@@ -114,7 +114,7 @@
         self._address = ""
         self._confirmation = Confirmation(state=state)
         self._heartbeats = HeartbeatTracker(now=state.clock.now())
-        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_status_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
         # Version of the coordinator's active configuration; None until its first status
         # on this connection.
@@ -140,7 +140,7 @@
         """Whether the coordinator is in this process or sent a message recently."""
         if self.deliver_local is not None:
             return True
-        return self._state.clock.now() - self._last_heard_at < COORDINATOR_TIMEOUT_MS
+        return self._state.clock.now() - self._last_status_at < COORDINATOR_TIMEOUT_MS
 
     @property
     def is_store_relayed(self) -> bool:
@@ -177,8 +177,8 @@
         """Requests in flight, with the time that each has run."""
         now = self._state.clock.now()
         return [
-            msgspec.structs.replace(run, ran_ms=now - begun_at)
-            for begun_at, run in self._running.values()
+            msgspec.structs.replace(run, ran_ms=now - started_at)
+            for started_at, run in self._running.values()
         ]
 
     async def request_grant(self, request: GrantRequest) -> Granted:
@@ -322,8 +322,8 @@
         """Connect to a coordinator, unless the link is already connected to it."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
-        is_silent = now - max(self._last_heard_at, self._opened_at) > RECONNECT_MS
-        if address == self._address and is_alive and not is_silent:
+        is_timed_out = now - max(self._last_status_at, self._opened_at) > RECONNECT_MS
+        if address == self._address and is_alive and not is_timed_out:
             return
         self.disconnect()
         self._address = address
@@ -337,7 +337,7 @@
             self._task.cancel()
             self._task = None
         self._address = ""
-        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_status_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     def fail_pending(self) -> None:
@@ -372,7 +372,7 @@
 
     def _apply_status(self, status: CoordinatorStatus) -> None:
         self.status = status
-        self._last_heard_at = self._state.clock.now()
+        self._last_status_at = self._state.clock.now()
         self._heartbeats.record_acknowledged(status.beat)
         if (
             self._coordinator_version is None
@@ -381,12 +381,12 @@
             self._coordinator_version = status.configuration
         state = self._state
         if self.deliver_local is None:
-            self._confirmation.record_status(status, at=self._last_heard_at)
-            age_ms = self._heartbeats.get_age(self._last_heard_at)
+            self._confirmation.record_status(status, at=self._last_status_at)
+            age_ms = self._heartbeats.get_age(self._last_status_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = status.instances
         state.advertised = status.takers
-        state.nodes_updated_at = self._last_heard_at
+        state.nodes_updated_at = self._last_status_at
         state.store_version = max(state.store_version, status.store_version)
         self._send_newer_configuration()
 
@@ -421,10 +421,10 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             detail = type(error).__name__
         except ExceptionGroup as error:
-            detail = ",".join(type(one).__name__ for one in error.exceptions)
-        was_heard = self._last_heard_at >= opened_at
+            detail = ",".join(type(inner).__name__ for inner in error.exceptions)
+        has_received_status = self._last_status_at >= opened_at
         self._handle_lost(address, detail, is_connected=is_connected)
-        return was_heard
+        return has_received_status
 
     def _handle_lost(self, address: str, detail: str, *, is_connected: bool) -> None:
         log_event(
@@ -433,7 +433,7 @@
             detail=detail,
             was_up=is_connected,
         )
-        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_status_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     async def _read(self, socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -479,9 +479,9 @@
                 await socket.send_bytes(encode_frame(frame))
 
     def _pop_usage(self) -> list[QuotaUsage]:
-        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
+        usage = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
         self._usage.clear()
-        return spent
+        return usage
 
     def build_hello(self) -> Hello:
         """Build the first message to a new coordinator."""
@@ -493,8 +493,8 @@
             configuration=state.configuration_version,
             reads_updates=True,
             limits=tuple(
-                ServerLimit(incarnation=one, per_s=per_s)
-                for one, per_s in state.limits.list_limits().items()
+                ServerLimit(incarnation=incarnation, per_s=per_s)
+                for incarnation, per_s in state.limits.list_limits().items()
             ),
         )
 
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -36,7 +36,7 @@
         "limited_servers",
         "link_age",
         "log_lines",
-        "longest_pause",
+        "longest_gap",
         "orders",
         "refusals",
         "registry",
@@ -97,7 +97,7 @@
             registry=registry,
             buckets=_SECONDS,
         )
-        self.longest_pause = Histogram(
+        self.longest_gap = Histogram(
             "arbutus_longest_pause_seconds",
             "Longest pause between two events of a stream",
             registry=registry,
--- a/src/arbutuspulley/node/progress.py
+++ b/src/arbutuspulley/node/progress.py
@@ -58,7 +58,7 @@
     :param sent_at: when the request was sent to that server, in ms.
     :param events: number of events of the stream that the last server sent.
     :param last_event_at: when the last of these events arrived, in ms.
-    :param longest_pause_ms: longest time between two events, over all servers, in ms.
+    :param longest_gap_ms: longest time between two events, over all servers, in ms.
     :param resumes: how often the stream was resumed at another server.
     """
 
@@ -77,7 +77,7 @@
     last_event_id: str = ""
     events: int = 0
     last_event_at: int = 0
-    longest_pause_ms: int = 0
+    longest_gap_ms: int = 0
     resumes: int = 0
     is_late: bool = False
 
--- a/src/arbutuspulley/node/quota_charging.py
+++ b/src/arbutuspulley/node/quota_charging.py
@@ -55,7 +55,7 @@
             rng=state.rng,
         )
         self._refused_until: dict[str, int] = {}
-        link.on_quota_exceeded = self._take_overdrawn
+        link.on_quota_exceeded = self._apply_quota_exceeded
 
     def get_cost(self, team: Team | None, request: InboundRequest) -> int:
         """Return the cost of a request; 0: its team has no quota."""
@@ -91,12 +91,12 @@
         """Record that a coordinator currently charges the quotas."""
         self._local.record_coordinated(self._state.clock.now())
 
-    def refund(self, payment: QuotaCharge) -> None:
+    def refund(self, quota_charge: QuotaCharge) -> None:
         """Refund the charge of a request that did not run."""
-        if payment.is_local:
-            self._local.refund(payment.team, payment.cost)
+        if quota_charge.is_local:
+            self._local.refund(quota_charge.team, quota_charge.cost)
         else:
-            self._link.report_usage(payment.team, -payment.cost)
+            self._link.report_usage(quota_charge.team, -quota_charge.cost)
 
     def build_refusal(
         self, team: str, attempt_id: str, wait_ms: int
@@ -118,5 +118,5 @@
             status=429, reason="the team's quota is used up", retry_after_ms=wait_ms
         )
 
-    def _take_overdrawn(self, message: QuotaExceeded) -> None:
+    def _apply_quota_exceeded(self, message: QuotaExceeded) -> None:
         self._refused_until[message.team] = self._state.clock.now() + message.wait_ms
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -114,7 +114,7 @@
             they continue.
         """
         now = self._state.clock.now()
-        self._mark_silent(linked, now=now)
+        self._mark_unreachable(linked, now=now)
         self._lost = {
             name: (info, at)
             for name, (info, at) in self._lost.items()
@@ -135,7 +135,7 @@
             share *= counted / self._expected
         return max(0.0, share)
 
-    def _mark_silent(self, linked: Sequence[NodeInfo], *, now: int) -> None:
+    def _mark_unreachable(self, linked: Sequence[NodeInfo], *, now: int) -> None:
         """Count unreachable instances as lost, since their links may end later."""
         names = {info.name for info in linked}
         for info in self._linked:
--- a/src/arbutuspulley/node/server_rows.py
+++ b/src/arbutuspulley/node/server_rows.py
@@ -31,8 +31,8 @@
     state: NodeState,
     rows: list[StoredRow],
     *,
-    is_whole: bool,
-    was_away: bool,
+    is_full_read: bool,
+    was_unavailable: bool,
     version: int = 0,
 ) -> StoreUpdate:
     """Update the server entries from rows of the store.
@@ -40,12 +40,12 @@
     Rows arrive by several paths, and the newest version of each wins: a row that was
     deferred by a relay must not restore a server that has left since.
 
-    :param is_whole: whether these are all server rows of the store.
-    :param was_away: whether the store was unavailable shortly before.
+    :param is_full_read: whether these are all server rows of the store.
+    :param was_unavailable: whether the store was unavailable shortly before.
     :param version: version of the store that the rows were read at; 0: unknown.
     :return: the rows that were newer than the known ones.
     """
-    if is_whole:
+    if is_full_read:
         rows = [*rows, *_list_missing(state, rows, version)]
     newer = [row for row in rows if _is_newer(state, row)]
     gone = [row.key for row in newer if row.value is None]
@@ -54,7 +54,7 @@
         if row.value is not None:
             _apply_entry(state, row.key, row.value)
     state.store_version = max(state.store_version, version)
-    if was_away and gone:
+    if was_unavailable and gone:
         asyncio.get_running_loop().call_later(
             LAPSED_ENTRY_GRACE_MS / SECOND_MS,
             _drop_lapsed,
@@ -71,7 +71,7 @@
         RelayedRow(key=row.key, version=row.version, value=row.value or b"")
         for row in newer
     )
-    return StoreUpdate(rows=relayed, was_away=was_away)
+    return StoreUpdate(rows=relayed, was_away=was_unavailable)
 
 
 def list_rows(state: NodeState, *, after: int) -> tuple[RelayedRow, ...]:
@@ -141,7 +141,7 @@
     state.refused_entries.pop(server_id, None)
     state.entries[server_id] = entry
     state.entry_bodies[server_id] = value
-    if before is not None and _differs_in_holdings_only(before, entry):
+    if before is not None and _differs_in_loaded_models_only(before, entry):
         state.deferrable_rows.add(server_id)
     else:
         state.deferrable_rows.discard(server_id)
@@ -151,7 +151,7 @@
         log_event(Event.SERVER_LEAVING, server=server_id, service=entry.service)
 
 
-def _differs_in_holdings_only(before: ServerEntry, entry: ServerEntry) -> bool:
+def _differs_in_loaded_models_only(before: ServerEntry, entry: ServerEntry) -> bool:
     return msgspec.structs.replace(before, loaded_models=entry.loaded_models) == entry
 
 
@@ -191,7 +191,11 @@
     state: NodeState, gone: list[str], snapshot: dict[str, ServerEntry]
 ) -> None:
     """Drop lapsed entries that were not written again after the store recovered."""
-    dropped = [one for one in gone if state.entries.get(one) is snapshot.get(one)]
+    dropped = [
+        server_id
+        for server_id in gone
+        if state.entries.get(server_id) is snapshot.get(server_id)
+    ]
     _drop_entries(state, gone, snapshot)
     rows = tuple(
         RelayedRow(key=key, version=state.row_versions.get(key, 0)) for key in dropped
@@ -223,6 +227,8 @@
     for entry in state.entries.values():
         by_service.setdefault(entry.service, []).append(entry)
     state.by_service = by_service
-    state.by_incarnation = {one.incarnation: one for one in state.entries.values()}
+    state.by_incarnation = {
+        entry.incarnation: entry for entry in state.entries.values()
+    }
     evict_unlisted(state.server_stats, state.entries.values())
     state.notify_change()
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -186,8 +186,10 @@
         own = self.build_info()
         basis = (own, self.nodes, self.advertised, self.instances)
         if basis != self._share_divisor_basis:
-            near = [one for one in self.nodes if one.is_ready and one.site == own.site]
-            near = [own, *(one for one in near if one.name != own.name)]
+            near = [
+                node for node in self.nodes if node.is_ready and node.site == own.site
+            ]
+            near = [own, *(node for node in near if node.name != own.name)]
             self._share_divisor = get_share_divisor(
                 is_advertised=own in select_advertised(near),
                 advertised=self.advertised,
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -145,8 +145,8 @@
 class ApplyRows(Protocol):
     """Applies rows of a table.
 
-    ``is_whole`` is whether these are all rows of the table as of ``version``,
-    ``was_away`` whether the store was unavailable shortly before.
+    ``is_full_read`` is whether these are all rows of the table as of ``version``,
+    ``was_unavailable`` whether the store was unavailable shortly before.
     """
 
     def __call__(
@@ -154,8 +154,8 @@
         state: NodeState,
         rows: list[StoredRow],
         *,
-        is_whole: bool,
-        was_away: bool,
+        is_full_read: bool,
+        was_unavailable: bool,
         version: int,
     ) -> StoreUpdate:
         """Apply the rows and return those that were newer than the known ones."""
@@ -181,7 +181,7 @@
         "_batch_ms",
         "_failed_at",
         "_get_version",
-        "_is_behind",
+        "_has_missed_versions",
         "_is_starting",
         "_is_store_relayed",
         "_record_confirmed",
@@ -206,7 +206,7 @@
     ) -> None:
         self._state = state
         self._record_confirmed = record_confirmed
-        self._is_behind = False
+        self._has_missed_versions = False
         self._wants_newest_only = wants_newest_only
         self._get_version = get_version
         self._is_store_relayed = is_store_relayed
@@ -228,8 +228,8 @@
                 await self._wait_while_relayed()
                 version = self._get_version()
             try:
-                asked_after, version = version, await self._read_changes(version)
-                if asked_after is not None:
+                read_after, version = version, await self._read_changes(version)
+                if read_after is not None:
                     is_history_lost = False
                 if not is_history_lost:
                     backoff_ms = INITIAL_BACKOFF_MS
@@ -284,7 +284,7 @@
         :return: the version for the next call.
         """
         store = self._state.store
-        asked_at = self._state.clock.now()
+        called_at = self._state.clock.now()
         if version is None:
             answer = await store.read(self._table)
         else:
@@ -295,18 +295,20 @@
         update = self._apply_rows(
             self._state,
             answer.rows,
-            is_whole=version is None,
-            was_away=now - self._recovered_at < LAPSED_ENTRY_GRACE_MS,
+            is_full_read=version is None,
+            was_unavailable=now - self._recovered_at < LAPSED_ENTRY_GRACE_MS,
             version=answer.version,
         )
-        self._record_confirmed(asked_at)
+        self._record_confirmed(called_at)
         if update.configuration or update.rows:
             self._state.notify_store_update(update)
-        if self._wants_newest_only and self._update_behind(answer, update, version):
+        if self._wants_newest_only and self._check_missed_versions(
+            answer, update, version
+        ):
             return None
         return answer.version
 
-    def _update_behind(
+    def _check_missed_versions(
         self, answer: RowsAnswer, update: StoreUpdate, version: int | None
     ) -> bool:
         """Return whether several versions were missed, so that the row must be read.
@@ -314,10 +316,10 @@
         Reads then repeat until one returns nothing newer.
         """
         if version is not None:
-            self._is_behind = len(answer.rows) > 1
+            self._has_missed_versions = len(answer.rows) > 1
         elif not update.configuration:
-            self._is_behind = False
-        return self._is_behind
+            self._has_missed_versions = False
+        return self._has_missed_versions
 
     def _record_failure(self, detail: str) -> None:
         if self._state.followed_at.pop(self._table, None) is not None:
@@ -426,8 +428,10 @@
     body = update.configuration
     is_newer = bool(body) and activate_configuration(state, body, by=by)
     rows = [
-        StoredRow(key=one.key, version=one.version, value=one.value or None)
-        for one in update.rows
+        StoredRow(key=row.key, version=row.version, value=row.value or None)
+        for row in update.rows
     ]
-    applied = apply_server_rows(state, rows, is_whole=False, was_away=update.was_away)
+    applied = apply_server_rows(
+        state, rows, is_full_read=False, was_unavailable=update.was_away
+    )
     return msgspec.structs.replace(applied, configuration=body if is_newer else b"")
--- a/src/arbutuspulley/node/versions.py
+++ b/src/arbutuspulley/node/versions.py
@@ -52,7 +52,9 @@
             del self._bodies[min(self._bodies)]
 
     def _exceeds_limits(self, newest: int) -> bool:
-        older = [len(body) for one, body in self._bodies.items() if one != newest]
+        older = [
+            len(body) for version, body in self._bodies.items() if version != newest
+        ]
         return len(older) >= MAX_VERSIONS or sum(older) > MAX_OLDER_BYTES
 
     def build_delta(self, base: int) -> ConfigurationDelta:
--- a/src/arbutuspulley/pool/answers.py
+++ b/src/arbutuspulley/pool/answers.py
@@ -138,9 +138,9 @@
     if report.is_busy:
         server.next_order_at = asked_at + CONFLICT_BACKOFF_MS
     server.models = {
-        one.model: set(one.adapters)
-        for one in report.loaded_models
-        if not (report.is_busy and one.model == server.unloading)
+        loaded.model: set(loaded.adapters)
+        for loaded in report.loaded_models
+        if not (report.is_busy and loaded.model == server.unloading)
     }
     if not report.is_busy:
         server.loading = ""
--- a/src/arbutuspulley/pool/copies.py
+++ b/src/arbutuspulley/pool/copies.py
@@ -57,7 +57,7 @@
     """Update the index after a load or unload was planned or ordered at a server."""
     for model in index.models_by_server.pop(server.incarnation, ()):
         copies = index.copies[model]
-        index.copies[model] = [one for one in copies if one is not server]
+        index.copies[model] = [copy for copy in copies if copy is not server]
     _add_server(index, server)
 
 
--- a/src/arbutuspulley/pool/eviction.py
+++ b/src/arbutuspulley/pool/eviction.py
@@ -98,12 +98,12 @@
     :param now: in ms.
     """
     min_requests_per_s: float | None = None
-    if any(one.limit is not None for one in pool.servers.values()):
+    if any(server.limit is not None for server in pool.servers.values()):
         min_requests_per_s = LIMITED_COPY_FRACTION * get_copy_request_rate(pool)
     return PlanningCycle(
         pool=pool,
         index=index_copies(pool, now=now, min_requests_per_s=min_requests_per_s),
-        waiting=Counter(one.need.model for one in pool.waiting.values()),
+        waiting=Counter(request.need.model for request in pool.waiting.values()),
     )
 
 
@@ -132,10 +132,10 @@
     accepted = server.accepted_orders or 0
     models |= {
         model
-        for model, late in server.previous_loads.items()
-        if late.expected_orders >= accepted
+        for model, load in server.previous_loads.items()
+        if load.expected_orders >= accepted
     }
-    used = sum(spec.models[one].size_mb for one in models if one in spec.models)
+    used = sum(spec.models[model].size_mb for model in models if model in spec.models)
     for model, adapters in server.models.items():
         if model in spec.models:
             used += len(adapters) * spec.models[model].adapter_mb
@@ -180,11 +180,11 @@
         free += spec.models[unloading].size_mb
         wait_ms = estimate_unload_wait(pool, server, unloading, now=cycle.index.now)
     candidates = [
-        rate_candidate(cycle, server, held)
-        for held in server.models
-        if held != unloading
+        rate_candidate(cycle, server, model)
+        for model in server.models
+        if model != unloading
     ]
-    candidates.sort(key=lambda one: (one.cost, one.model))
+    candidates.sort(key=lambda candidate: (candidate.cost, candidate.model))
     return EvictionOptions(free_mb=free, wait_ms=wait_ms, candidates=tuple(candidates))
 
 
@@ -231,11 +231,15 @@
     :return: model and adapter; ``None`` if none can be evicted.
     """
     in_use = {(run.need.model, run.need.adapter) for run in server.runs.values()}
-    in_use |= {(one.need.model, one.need.adapter) for one in pool.waiting.values()}
-    held = [
+    in_use |= {
+        (request.need.model, request.need.adapter) for request in pool.waiting.values()
+    }
+    evictable = [
         (model, adapter)
         for model, adapters in server.models.items()
         for adapter in adapters
         if (model, adapter) not in in_use
     ]
-    return min(held, key=lambda pair: server.adapter_used_at.get(pair, 0), default=None)
+    return min(
+        evictable, key=lambda pair: server.adapter_used_at.get(pair, 0), default=None
+    )
--- a/src/arbutuspulley/pool/grants.py
+++ b/src/arbutuspulley/pool/grants.py
@@ -128,13 +128,13 @@
     index = index_copies(pool, now=now)
     ready_times = {
         model: list_copy_ready_times(pool, model, index)
-        for model in {one.need.model for one in pool.waiting.values()}
+        for model in {request.need.model for request in pool.waiting.values()}
     }
     reserved_ms: dict[str, float] = {}
     usages: dict[str, _Usage] = {}
     pool.next_start_at = None
     for waiting in sorted(
-        pool.waiting.values(), key=lambda one: _get_start_order(one, now)
+        pool.waiting.values(), key=lambda request: _get_start_order(request, now)
     ):
         model = waiting.need.model
         times = ready_times[model]
@@ -179,20 +179,24 @@
     if not pool.waiting:
         return None
     times = [] if pool.next_start_at is None else [pool.next_start_at]
-    times += [one.loading_until for one in pool.servers.values() if one.loading]
+    times += [
+        server.loading_until for server in pool.servers.values() if server.loading
+    ]
     for server in pool.servers.values():
         times.extend(server.adapters_due.values())
         limited_ms = get_rate_limit_wait(server, now=now)
         if limited_ms:
             times.append(now + limited_ms)
     times += [
-        t
-        for one in pool.servers.values()
-        for t in one.model_backoff_until.values()
-        if t > now
+        until
+        for server in pool.servers.values()
+        for until in server.model_backoff_until.values()
+        if until > now
     ]
-    times.extend(one.late_at for one in pool.waiting.values() if one.late_at > now)
-    times.extend(one.give_up_at for one in pool.waiting.values())
+    times.extend(
+        request.late_at for request in pool.waiting.values() if request.late_at > now
+    )
+    times.extend(request.give_up_at for request in pool.waiting.values())
     return max(now + 1, int(min(times, default=now + 50)))
 
 
--- a/src/arbutuspulley/pool/load_rate.py
+++ b/src/arbutuspulley/pool/load_rate.py
@@ -79,5 +79,5 @@
 
     Further loads only slow each other down.
     """
-    longest = max((one.load_ms for one in pool.spec.models.values()), default=0)
+    longest = max((model.load_ms for model in pool.spec.models.values()), default=0)
     return max(1, math.ceil(pool.spec.loads_per_s * longest / 1_000))
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -176,7 +176,11 @@
     ]
     return min(
         candidates,
-        key=lambda one: (one.limit is not None, one.prefill_until, len(one.runs)),
+        key=lambda server: (
+            server.limit is not None,
+            server.prefill_until,
+            len(server.runs),
+        ),
         default=None,
     )
 
@@ -185,11 +189,11 @@
     pool: PoolState, server: ServerState, model: str, adapter: str
 ) -> PlannedOrder | None:
     spec = pool.spec
-    count = sum(len(held) for held in server.models.values())
+    count = sum(len(adapters) for adapters in server.models.values())
     count += len(server.adapters_due) + len(server.adapters_unloading)
     needed = spec.models[model].adapter_mb
-    is_room = count_used_mb(spec, server) + needed <= spec.memory_mb
-    if count < spec.adapter_slots and is_room:
+    has_memory = count_used_mb(spec, server) + needed <= spec.memory_mb
+    if count < spec.adapter_slots and has_memory:
         return _build_order(pool, server, OrderKind.LOAD, model, adapter)
     victim = choose_adapter_to_evict(pool, server)
     if victim is None:
@@ -228,7 +232,7 @@
     """Return how many requests no longer have to wait with another copy of a model."""
     pool, waiting = cycle.pool, cycle.waiting[model]
     found = get_copies(cycle.index, model)
-    copies = sum(not _is_unload_delayed(cycle, one, model) for one in found)
+    copies = sum(not _is_unload_delayed(cycle, server, model) for server in found)
     gain = estimate_excess_requests(pool, model, copies) - estimate_excess_requests(
         pool, model, copies + 1
     )
@@ -284,8 +288,8 @@
     best: ServerState | None = None
     best_worth = 0.0
     may_load_from_store = may_load(pool, now=now)
-    usable = [one for one in pool.servers.values() if is_usable(one, now=now)]
-    are_all_limited = all(one.limit is not None for one in usable)
+    usable = [server for server in pool.servers.values() if is_usable(server, now=now)]
+    are_all_limited = all(server.limit is not None for server in usable)
     for server in usable:
         if server.limit is not None and not are_all_limited:
             continue
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -236,9 +236,11 @@
     The loaded models of an entry are used only for a new server: for known servers, the
     coordinator's own orders are more recent, and reports correct them.
     """
-    listed = {one.incarnation: one for one in entries if one.service == pool.service}
+    listed = {
+        entry.incarnation: entry for entry in entries if entry.service == pool.service
+    }
     removed_by_id: dict[str, ServerState] = {}
-    for incarnation in [one for one in pool.servers if one not in listed]:
+    for incarnation in [name for name in pool.servers if name not in listed]:
         removed = pool.servers.pop(incarnation)
         removed_by_id[removed.server_id] = removed
     for incarnation, entry in listed.items():
@@ -261,7 +263,7 @@
         address=entry.address,
         zone=entry.zone,
         slots=entry.slots,
-        models={one.model: set(one.adapters) for one in entry.loaded_models},
+        models={loaded.model: set(loaded.adapters) for loaded in entry.loaded_models},
     )
 
 
@@ -308,8 +310,8 @@
         server.in_memory |= {server.loading}
         server.on_disk |= {server.loading}
         server.loading = ""
-    for model, late in list(server.previous_loads.items()):
-        if now >= late.expires_at:
+    for model, load in list(server.previous_loads.items()):
+        if now >= load.expires_at:
             del server.previous_loads[model]
     for (model, adapter), due in list(server.adapters_due.items()):
         if now >= due:
@@ -375,13 +377,13 @@
     state = pool.speeds.get(get_size_class(pool.spec, model))
     if state is not None:
         return get_speed(state)
-    known = (get_speed(one) for one in pool.speeds.values())
+    known = (get_speed(speed) for speed in pool.speeds.values())
     return min(known, default=DEFAULT_SPEED)
 
 
 def list_prefill_speeds(pool: PoolState) -> dict[str, float]:
     """Return the prefill speeds by size class in tokens a ms, for a successor."""
-    return {kind: get_speed(one) for kind, one in pool.speeds.items()}
+    return {size_class: get_speed(speed) for size_class, speed in pool.speeds.items()}
 
 
 def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
@@ -389,15 +391,15 @@
 
     :param speeds: tokens a ms by size class.
     """
-    for kind, speed in speeds.items():
-        pool.speeds.setdefault(kind, PrefillSpeedState(prior=speed))
+    for size_class, speed in speeds.items():
+        pool.speeds.setdefault(size_class, PrefillSpeedState(prior=speed))
 
 
 def _get_speed_state(pool: PoolState, model: str) -> PrefillSpeedState:
-    kind = get_size_class(pool.spec, model)
-    state = pool.speeds.get(kind)
+    size_class = get_size_class(pool.spec, model)
+    state = pool.speeds.get(size_class)
     if state is None:
-        state = pool.speeds[kind] = PrefillSpeedState(
+        state = pool.speeds[size_class] = PrefillSpeedState(
             prior=get_prefill_speed(pool, model)
         )
     return state
--- a/src/arbutuspulley/pool/waits.py
+++ b/src/arbutuspulley/pool/waits.py
@@ -22,7 +22,7 @@
     """
     copies = get_copies(index, model)
     return sorted(
-        _estimate_ready_time(pool, one, model, now=index.now) for one in copies
+        _estimate_ready_time(pool, server, model, now=index.now) for server in copies
     )
 
 
@@ -52,11 +52,11 @@
     :return: 0 if it is not known.
     """
     servers = index.limited.get(model, [])
-    limits = [one.limit for one in servers if one.limit is not None]
+    limits = [server.limit for server in servers if server.limit is not None]
     rate = sum(limit.rate_per_ms for limit in limits)
     if not rate:
         return 0.0
-    return min(get_wait(one, now=index.now) for one in limits) + requests / rate
+    return min(get_wait(limit, now=index.now) for limit in limits) + requests / rate
 
 
 def estimate_retry_after(
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -127,13 +127,15 @@
         and entry.incarnation not in avoid
         and get_stats(stats, entry).rate_limited_until <= now
         and (
-            _has_room(get_stats(stats, entry), entry, share_divisor)
+            _is_below_limit(get_stats(stats, entry), entry, share_divisor)
             if need is None
-            else any(one.model == need.model for one in entry.loaded_models)
+            else any(loaded.model == need.model for loaded in entry.loaded_models)
         )
         and get_stats(stats, entry).in_flight < max_in_flight
     ]
-    available = [one for one in usable if get_stats(stats, one).backoff_until <= now]
+    available = [
+        entry for entry in usable if get_stats(stats, entry).backoff_until <= now
+    ]
     return min(
         available or usable,
         key=lambda entry: _rank(get_stats(stats, entry), entry, zone),
@@ -258,11 +260,13 @@
 def evict_unlisted(stats: LocalServerStats, entries: Iterable[ServerEntry]) -> None:
     """Remove the statistics of servers that are not listed."""
     listed = {entry.incarnation for entry in entries}
-    for incarnation in [one for one in stats.servers if one not in listed]:
+    for incarnation in [name for name in stats.servers if name not in listed]:
         del stats.servers[incarnation]
 
 
-def _has_room(server: ServerStats, entry: ServerEntry, share_divisor: float) -> bool:
+def _is_below_limit(
+    server: ServerStats, entry: ServerEntry, share_divisor: float
+) -> bool:
     minimum = get_instance_share(
         MIN_LIMIT_PER_SLOT * entry.slots, share_divisor=share_divisor
     )
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -84,7 +84,7 @@
         by="coordinator",
     )
     read = [StoredRow(key="c", version=4, value=build_value())]
-    apply_server_rows(state, read, is_whole=True, was_away=False, version=8)
+    apply_server_rows(state, read, is_full_read=True, was_unavailable=False, version=8)
     assert set(state.entries) == {"new", "c"}
 
 
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -27,11 +27,13 @@
     return StoredRow(key=name, version=version, value=msgspec.json.encode(value))
 
 
-def take(state, *rows, is_whole=False, was_away=False):
-    apply_server_rows(state, list(rows), is_whole=is_whole, was_away=was_away)
+def apply_rows(state, *rows, is_full_read=False, was_unavailable=False):
+    apply_server_rows(
+        state, list(rows), is_full_read=is_full_read, was_unavailable=was_unavailable
+    )
 
 
-def gone(name):
+def build_removal(name):
     return StoredRow(key=name, version=9, value=None)
 
 
@@ -60,8 +62,8 @@
     """A server leaves while changes are not received, and the next full read does not
     contain it. Guards against an entry that is kept and gets requests long after."""
     state = build_state()
-    take(state, build_row("a"), build_row("b"), is_whole=True)
-    take(state, build_row("b"), is_whole=True)
+    apply_rows(state, build_row("a"), build_row("b"), is_full_read=True)
+    apply_rows(state, build_row("b"), is_full_read=True)
     assert set(state.entries) == {"b"}
     assert [one.incarnation for one in state.by_service["s"]] == ["b"]
 
@@ -69,7 +71,7 @@
 def test_an_invalid_entry_does_not_affect_others():
     state = build_state()
     wrong = StoredRow(key="x", version=1, value=b"[]")
-    take(state, wrong, build_row("a"))
+    apply_rows(state, wrong, build_row("a"))
     assert set(state.entries) == {"a"}
 
 
@@ -83,9 +85,9 @@
     """A server that was leaving crashes and restarts under the same id before its row
     has lapsed. The new incarnation gets requests, and the old one no longer exists."""
     state = build_state()
-    take(state, build_start("a", 10, state="draining"), is_whole=True)
+    apply_rows(state, build_start("a", 10, state="draining"), is_full_read=True)
     first = state.entries["a"].incarnation
-    take(state, build_start("a", 20))
+    apply_rows(state, build_start("a", 20))
     second = state.entries["a"]
     assert not second.is_leaving
     assert set(state.by_incarnation) == {second.incarnation}
@@ -94,25 +96,25 @@
 
 def test_a_row_of_a_previous_incarnation_is_ignored():
     state = build_state()
-    take(state, build_start("a", 20), is_whole=True)
-    take(state, build_start("a", 10, state="draining"))
+    apply_rows(state, build_start("a", 20), is_full_read=True)
+    apply_rows(state, build_start("a", 10, state="draining"))
     assert state.entries["a"].started_ms == 20
 
 
 def test_a_row_overwritten_by_another_writer_is_rejected(monkeypatch):
     """Another program repeatedly overwrites a server's row with invalid data. Guards
     against requests to a server without a valid entry, and against a flooded log."""
-    told = []
+    logged = []
     monkeypatch.setattr(
-        server_rows, "log_event", lambda event, **_fields: told.append(event)
+        server_rows, "log_event", lambda event, **_fields: logged.append(event)
     )
     state = build_state()
-    take(state, build_row("a"), build_row("b"), is_whole=True)
+    apply_rows(state, build_row("a"), build_row("b"), is_full_read=True)
     for version in range(3):
-        take(state, StoredRow(key="a", version=version, value=b'{"State": 1}'))
+        apply_rows(state, StoredRow(key="a", version=version, value=b'{"State": 1}'))
     assert set(state.entries) == {"b"}
-    assert told.count(Event.SERVER_ENTRY_REFUSED) == 1
-    take(state, build_row("a", version=9))
+    assert logged.count(Event.SERVER_ENTRY_REFUSED) == 1
+    apply_rows(state, build_row("a", version=9))
     assert set(state.entries) == {"a", "b"}
     assert state.refused_entries == {}
 
@@ -126,10 +128,10 @@
 
     async def scenario():
         state = build_state()
-        take(state, build_row("a"), build_row("b"), is_whole=True)
-        take(state, is_whole=True, was_away=True)
+        apply_rows(state, build_row("a"), build_row("b"), is_full_read=True)
+        apply_rows(state, is_full_read=True, was_unavailable=True)
         assert set(state.entries) == {"a", "b"}
-        take(state, build_row("a", version=5))
+        apply_rows(state, build_row("a", version=5))
         await asyncio.sleep(0.12)
         assert set(state.entries) == {"a"}
 
@@ -138,8 +140,8 @@
 
 def test_a_removal_is_applied_at_once():
     state = build_state()
-    take(state, build_row("a"), is_whole=True)
-    take(state, gone("a"))
+    apply_rows(state, build_row("a"), is_full_read=True)
+    apply_rows(state, build_removal("a"))
     assert state.entries == {}
 
 
@@ -250,30 +252,30 @@
     """Guards against a network link that is filled with all versions written during the
     failure, so that the newest is active seconds late, again and again."""
     monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
-    swallowed = PlatformUnavailableError(detail="swallowed")
-    calls, in_force = follow_script(
-        follow_configuration, (1,), (2,), swallowed, swallowed, (30,)
+    unavailable = PlatformUnavailableError(detail="swallowed")
+    calls, active_version = follow_script(
+        follow_configuration, (1,), (2,), unavailable, unavailable, (30,)
     )
     assert calls == ["read", 1, 2, "read", "read", 30]
-    assert in_force == 30
+    assert active_version == 30
 
 
 def test_a_slow_reader_reads_only_the_newest_configuration():
     """Guards against answers that take longer than the interval between changes, so
     that each answer is larger than the one before."""
-    calls, in_force = follow_script(
+    calls, active_version = follow_script(
         follow_configuration, (1,), (2,), (3, 4), (7,), (9,), (9,), (10,)
     )
     assert calls == ["read", 1, 2, "read", "read", "read", 9, 10]
-    assert in_force == 10
+    assert active_version == 10
 
 
 def test_server_changes_are_resumed_after_a_failure(monkeypatch):
     """Each server row matters, and removals appear only in the changes."""
     monkeypatch.setattr(store_watch, "INITIAL_BACKOFF_MS", 1)
     monkeypatch.setattr(store_watch, "CHANGE_BATCH_MS", 0)
-    swallowed = PlatformUnavailableError(detail="swallowed")
-    calls, _in_force = follow_script(follow_servers, (1,), swallowed, (5, 6))
+    unavailable = PlatformUnavailableError(detail="swallowed")
+    calls, _active_version = follow_script(follow_servers, (1,), unavailable, (5, 6))
     assert calls == ["read", 1, 1, 6]
 
 
