--- a/src/arbutuspulley/admission/freshness.py
+++ b/src/arbutuspulley/admission/freshness.py
@@ -13,7 +13,8 @@
 from collections import deque
 
 MAX_MESSAGE_TIMES = 40
-"""Messages per link whose times are kept: those of 10 s, longer than any bound."""
+"""Messages per link whose times are kept: the messages of 10 s, longer than any
+bound."""
 
 CLOCK_DRIFT_MARGIN_MS = 100
 """Safety margin subtracted from the revocation bound, in ms: the clocks of two machines
--- a/src/arbutuspulley/admission/queue.py
+++ b/src/arbutuspulley/admission/queue.py
@@ -3,7 +3,7 @@
 All functions take the state of one entry and return effects. The caller calls
 :func:`apply_view` with each view, :func:`submit` for each request,
 :func:`assign` once the server is chosen, :func:`record_first_token`,
-:func:`finish` or :func:`cancel` as the request goes on, and :func:`tick` every
+:func:`finish` or :func:`cancel` as the request proceeds, and :func:`tick` every
 :data:`TICK_MS`.
 """
 
@@ -179,7 +179,7 @@
 
 
 def tick(state: AdmissionState, *, now: int) -> tuple[Effect, ...]:
-    """Charge remote usage, then admit requests and refuse those that would be late."""
+    """Charge remote usage, then admit requests and refuse ones that would be late."""
     waiting = {ticket.caller for ticket in state.waiting.values()}
     shares.charge_remote_usage(state.accounts, waiting=waiting, now=now)
     shares.evict_idle(state.accounts, now=now)
--- a/src/arbutuspulley/admission/quota.py
+++ b/src/arbutuspulley/admission/quota.py
@@ -46,7 +46,7 @@
 class QuotaTolerance(Value, frozen=True):
     """Usage beyond a quota that is tolerated in a window, for all instances together.
 
-    :param overage: fraction of what the quota allows in the window.
+    :param overage: fraction of the usage that the quota allows in the window.
     :param extra: allowance in addition to that, in the quota's unit.
     """
 
@@ -262,7 +262,7 @@
         self._coordinated_at = now
 
     def record_coordinated(self, now: int) -> None:
-        """Record that a coordinator counts now; its buckets refill instead of these."""
+        """Record that a coordinator charges now; its buckets refill, not these."""
         self._coordinated_at = now
 
     def get_uncoordinated_ms(self, now: int) -> int:
@@ -287,7 +287,7 @@
             self._buckets[team.name] = bucket
         coordinated_ms = max(0, self._coordinated_at - bucket.updated_at)
         if coordinated_ms:
-            # While a coordinator counts, only the tolerance refills, once per window.
+            # While a coordinator charges, only the tolerance refills, once per window.
             recovered = limit.capacity * coordinated_ms / self.tolerance.window_ms
             balance = min(limit.capacity, bucket.balance + recovered)
             bucket.balance = min(
--- a/src/arbutuspulley/admission/service_retry_budget.py
+++ b/src/arbutuspulley/admission/service_retry_budget.py
@@ -3,7 +3,7 @@
 Servers count the requests that arrive more than once. If all instances together sent
 more of these than a ratio of the requests plus a fixed allowance, a fault would
 multiply the load. Each instance spends its own share of both, so the total holds
-without communication, also when an instance is cut off from the others.
+without communication, also when an instance is disconnected from the others.
 """
 
 from collections import deque
--- a/src/arbutuspulley/admission/slot_limits.py
+++ b/src/arbutuspulley/admission/slot_limits.py
@@ -2,7 +2,7 @@
 
 The entries of a group share the servers without coordinating each request. Each
 entry is guaranteed a share of a server's slots. Slots that the server's reports show
-as free are lent to the entries in equal shares; an entry returns what it uses above
+as free are lent to the entries in equal shares; an entry returns the slots above
 its guaranteed share as soon as a report shows the server above its slots.
 """
 
--- a/src/arbutuspulley/node/acquisition.py
+++ b/src/arbutuspulley/node/acquisition.py
@@ -44,7 +44,7 @@
     """Gets a server for each attempt of one request.
 
     :param access: admission by the caller's key.
-    :param charger: charges the request, once.
+    :param charger: charges the request to its team's quota, once.
     :param limits: rate limits of the servers.
     :param remaining_ms: time left for the complete answer, in ms.
     """
@@ -117,7 +117,7 @@
 
         :raises NoServerError: if no server is available.
         :raises RetryError: if the granted server no longer exists, or if a coordinator
-            has been found that must be asked.
+            has been found, which must grant a server.
         :raises RequestFailedError: if the team's quota is used up, or the caller's key
             is no longer valid.
         """
--- a/src/arbutuspulley/node/advertisement.py
+++ b/src/arbutuspulley/node/advertisement.py
@@ -1,8 +1,8 @@
 """Selects the instances that are advertised to callers, and their shares of limits.
 
 Where a few instances of a data centre have much more capacity than the rest, only these
-are advertised. They then also get a larger share of what all instances have in common,
-such as the connections that a server accepts and the retry budget.
+are advertised. They then also get a larger share of the limits that all instances
+share, such as the connections that a server accepts and the retry budget.
 """
 
 from collections.abc import Iterable, Sequence
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -92,7 +92,7 @@
 class Coordinator:
     """The coordinator's part of a process, inactive unless this instance is elected.
 
-    :param receive_local: receives what the coordinator sends to its own instance.
+    :param receive_local: receives the coordinator's messages to its own instance.
     """
 
     __slots__ = (
@@ -158,7 +158,7 @@
     def activate(self, inherited: InheritedLoads) -> None:
         """Become the coordinator.
 
-        :param inherited: what is known of loads that previous coordinators ordered.
+        :param inherited: loads that previous coordinators ordered, as far as known.
         """
         self.is_active = True
         self.isolated_since = None
@@ -270,7 +270,7 @@
         return socket
 
     def schedule_planning(self) -> None:
-        """Schedule one planning cycle soon, for all messages that come until then."""
+        """Schedule one planning cycle soon, for all messages that arrive until then."""
         if self.is_active and not self._is_planning_scheduled:
             self._is_planning_scheduled = True
             loop = asyncio.get_running_loop()
@@ -335,7 +335,8 @@
     ) -> None:
         """Record rate limits that an instance has read.
 
-        :param is_initial: whether these are all that it knows, sent as it links up.
+        :param is_initial: whether these are all limits that the instance knows, as sent
+            when it links up.
         """
         record = self._rates.record_initial if is_initial else self._rates.record
         if record(limits, now=self._state.clock.now()):
--- a/src/arbutuspulley/node/election.py
+++ b/src/arbutuspulley/node/election.py
@@ -171,7 +171,7 @@
         """Return when the lease is to be read again, in ms.
 
         That is once it has been free for this instance's claim delay. An instance that
-        reads it just as it becomes free would claim it before those with more capacity.
+        reads it just as it becomes free would claim it before one with more capacity.
         """
         now = self._state.clock.now()
         wait = get_claim_wait_ms(self._lease, now=now)
@@ -261,8 +261,8 @@
             self._link.disconnect()
             self._link.deliver_local = self._deliver_locally
             self._coordinator.activate(inherited)
-            # The coordinator has no link to its own instance, which reports what it
-            # runs here.
+            # The coordinator has no link to its own instance, which reports its running
+            # requests here.
             self._deliver_locally([self._link.build_hello()])
 
     def _deliver_locally(self, messages: list[ToCoordinator]) -> None:
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -273,8 +273,8 @@
             body = await response.read()
         except (aiohttp.ClientError, ConnectionError) as error:
             raise BrokenError(f"{type(error).__name__}: {error}") from error
-        # A server error counts as run, so only requests that may run twice are retried:
-        # another server may not have that error.
+        # After a server error the request counts as run, so it is retried only if it
+        # may run twice: another server may not have that error.
         if response.status >= 500 and self._may_retry():
             self.progress.avoid.add(self.progress.server)
             raise RetryError
--- a/src/arbutuspulley/node/heartbeats.py
+++ b/src/arbutuspulley/node/heartbeats.py
@@ -1,6 +1,6 @@
 """Age of the coordinator's status, measured by the heartbeats that it acknowledges.
 
-Status messages that come at their usual intervals do not show how long each was in
+Status messages that arrive at their usual intervals do not show how long each was in
 transit: behind a full link all of them are equally late, and the clocks of two
 instances can't be compared. The time since the newest acknowledged heartbeat was sent
 is an upper bound.
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -16,8 +16,8 @@
 class LimitGuard:
     """Keeps this instance's requests within the servers' rate limits.
 
-    The coordinator counts requests of all instances: those to model servers when it
-    grants them, those to plain servers when it is asked for permission. An instance
+    The coordinator counts requests of all instances: requests to model servers when it
+    grants them, requests to plain servers when it is asked for permission. An instance
     without a coordinator keeps to its own share of each limit.
     """
 
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -57,8 +57,9 @@
 """Interval of the heartbeats and of the coordinator's status, in ms."""
 
 COORDINATOR_TIMEOUT_MS = 800
-"""A coordinator that sent nothing for this long, in ms, gets no requests any more. This
-is three heartbeat intervals, and short against latency targets of 600 ms and more."""
+"""Timeout of the coordinator, in ms: if it has sent no message for this long, it gets
+no more requests. This is three heartbeat intervals, and short against latency targets
+of 600 ms and more."""
 
 MAX_RELAY_AGE_MS = 1_000
 """Maximum age of relayed store data, in ms; beyond it an instance calls the store
@@ -66,8 +67,8 @@
 the instance calls the store, a change is still active within 2 s."""
 
 RECONNECT_MS = 1_600
-"""A connection that was silent for this long, in ms, is reopened: an open connection
-may stay silent for good while new ones work."""
+"""Time without a message after which a connection is reopened, in ms: it may transmit
+nothing any more while new ones work."""
 
 PERMISSION_TIMEOUT_S = 0.2
 """Timeout of a :class:`PermissionRequest`, in s. The answer needs no scheduling, and
@@ -209,7 +210,7 @@
         return granted
 
     async def request_permission(self, message: PermissionRequest) -> None:
-        """Wait for permission to send a request to a server that sets a rate limit.
+        """Wait for permission to send a request to a server that states a rate limit.
 
         :raises LinkLostError: if no coordinator answers.
         :raises RefusedError: if it may not be sent now.
@@ -356,7 +357,7 @@
         self._pending.refuse_all()
 
     def check_timeout(self) -> None:
-        """Fail pending requests if the coordinator is silent; called periodically."""
+        """Fail pending requests if the coordinator has timed out; call at intervals."""
         if self.deliver_local is None and self._pending and not self.is_up:
             self.fail_pending()
 
@@ -393,8 +394,8 @@
     async def _run(self, address: str) -> None:
         """Keep the link open; reconnect if the last connection received a status.
 
-        If only the connections were reset, the coordinator is still there. Finding it
-        again through the lease left each instance without it for up to half a second.
+        If only the connections were reset, the coordinator is still active. Looking it
+        up in the lease left each instance without one for up to half a second.
         """
         while await self._serve_connection(address):
             continue
--- a/src/arbutuspulley/node/messages.py
+++ b/src/arbutuspulley/node/messages.py
@@ -11,7 +11,7 @@
 
 
 class NodeInfo(Message, frozen=True):
-    """What an instance reports about itself.
+    """Description of an instance.
 
     :param site: the instance's data centre.
     :param capacity: capacity in cores, limited by the bandwidth of its network link.
@@ -47,7 +47,7 @@
     The instance that reads it in an answer of the server sends it to the coordinator.
 
     :param per_s: requests per second, for all instances together; ``None``: the server
-        sets no limit.
+        states no limit.
     """
 
     incarnation: str
@@ -125,7 +125,7 @@
 
 
 class PermissionRequest(Message, frozen=True, tag="permission"):
-    """Asks to send a request to a server that sets a rate limit.
+    """Asks for permission to send a request to a server that states a rate limit.
 
     Answered by :class:`Granted` or :class:`Refused`.
     """
@@ -322,7 +322,7 @@
     """Rate limits of servers that the coordinator knows.
 
     :param limits: changed limits, or all limits.
-    :param are_all: whether ``limits`` is complete: all other servers set no limit.
+    :param are_all: whether ``limits`` is complete: all other servers state no limit.
     """
 
     limits: tuple[ServerLimit, ...]
--- a/src/arbutuspulley/node/orders.py
+++ b/src/arbutuspulley/node/orders.py
@@ -54,9 +54,9 @@
     async def drain(self) -> bool:
         """Wait for the orders that are being sent, and cancel those that take too long.
 
-        Only an answer proves that an order has arrived. A connection reset drops what
-        this process has not sent yet, but not what is queued in a full link: an order
-        of a holder that had stepped down reached its server 11 ms after its
+        Only an answer proves that an order has arrived. A connection reset drops data
+        that this process has not sent yet, but not data that is queued in a full link:
+        an order of a holder that had stepped down reached its server 11 ms after its
         successor's.
 
         :return: whether all recent orders were answered.
--- a/src/arbutuspulley/node/pacing.py
+++ b/src/arbutuspulley/node/pacing.py
@@ -1,8 +1,8 @@
 """Limits how often the coordinator plans, so that other work gets its share of time.
 
-A planning cycle costs the same whether one message has come or a hundred. Under load,
-one would follow each message, and the coordinator's own links, lease renewals and
-callers would be delayed.
+A planning cycle takes the same time for one message as for a hundred. Under load, one
+would follow each message, and the coordinator's own links, lease renewals and callers
+would be delayed.
 """
 
 MAX_BUSY_RATIO = 0.25
--- a/src/arbutuspulley/node/peer.py
+++ b/src/arbutuspulley/node/peer.py
@@ -25,9 +25,9 @@
 class Peer:
     """An instance that is linked to this coordinator.
 
-    :param last_message_at: when its last message came, in ms.
-    :param last_heartbeat: number of its last heartbeat; 0: none came.
-    :param heartbeats: when its heartbeats came, by number.
+    :param last_message_at: when its last message arrived, in ms.
+    :param last_heartbeat: number of its last heartbeat; 0: none arrived.
+    :param heartbeats: when its heartbeats arrived, by number.
     :param statuses: when status messages were sent to it, by number.
     :param last_status: number of the last status that was sent to it.
     :param configuration: version of its active configuration, as last reported; 0:
@@ -36,8 +36,8 @@
     :param build_configuration: returns the message that leads from a version to the
         newest.
     :param misses_store: whether the store gives it no usable answer; ``None``: it has
-        not called the store lately.
-    :param follows_store: whether it has lately received all changes from the store.
+        not called the store recently.
+    :param follows_store: whether it has recently received all changes from the store.
     :param roster_sent_at: when it was last sent the full roster, in ms; negative: not
         yet.
     :param is_closed: whether the link is to be closed.
@@ -94,9 +94,9 @@
     def send(self, message: ToNode) -> None:
         """Queue a message.
 
-        A newer status or newer estimates replace those that are still queued: on a slow
-        link, old ones would delay what callers wait for. The new message is queued
-        last, since a status refers to all that was sent before it.
+        A newer status or newer estimates replace the ones that are still queued: on a
+        slow link, old ones would delay grants. The new message is queued last, since a
+        status refers to all messages that were sent before it.
         """
         if isinstance(message, CoordinatorStatus | CoordinatorEstimates):
             kind = type(message)
--- a/src/arbutuspulley/node/peers.py
+++ b/src/arbutuspulley/node/peers.py
@@ -29,9 +29,9 @@
 from arbutuspulley.node.store_watch import is_following_store
 
 SUCCESSOR_COUNT = 4
-"""Number of instances that are sent the coordinator's estimates, those with the most
-capacity: one of them becomes the next coordinator. Sent to all, the traffic would grow
-with the number of models times the number of instances."""
+"""Number of instances with the most capacity that are sent the coordinator's estimates:
+one of them becomes the next coordinator. Sent to all, the traffic would grow with the
+number of models times the number of instances."""
 
 MAX_LOGGED_OUTDATED = 10
 """Maximum number of outdated instances that a log line names; it also has their
@@ -39,13 +39,13 @@
 
 FULL_ROSTER_INTERVAL_MS = 1_000
 """Minimum interval between two full rosters to an instance that reports none, in ms: it
-does so in each heartbeat until the roster has come."""
+does so in each heartbeat until the roster has arrived."""
 
 
 class Peers:
     """All linked instances, by name.
 
-    :param receive_local: receives what is sent to the coordinator's own instance.
+    :param receive_local: receives the messages to the coordinator's own instance.
     """
 
     __slots__ = (
@@ -90,7 +90,7 @@
         return self._by_name.get(name)
 
     def add(self, hello: Hello) -> Peer:
-        """Add an instance that has linked up, and send it what it misses."""
+        """Add an instance that has linked up, and send it the data that it lacks."""
         info = hello.info
         peer = self._by_name[info.name] = Peer(
             # Its heartbeats report whether it is ready.
@@ -119,7 +119,7 @@
         return True
 
     def handle_heartbeat(self, origin: str, heartbeat: Heartbeat) -> bool:
-        """Record what an instance reports in a heartbeat.
+        """Apply a heartbeat of an instance.
 
         :return: whether it has just lost the store.
         """
@@ -167,7 +167,7 @@
         )
 
     def list_reachable(self) -> list[Peer]:
-        """Return the instances that sent a message lately."""
+        """Return the instances that have sent a message recently."""
         now = self._state.clock.now()
         return [
             peer
@@ -295,8 +295,8 @@
     def list_outdated(self) -> list[str]:
         """Return the instances that have an older active configuration.
 
-        Those without one are not ready, and have not reported a version yet or never
-        do.
+        Instances without a configuration are not ready, and are not listed: they have
+        not reported a version yet, or never do.
         """
         version = self._state.configuration_version
         return [
--- a/src/arbutuspulley/node/pool_updates.py
+++ b/src/arbutuspulley/node/pool_updates.py
@@ -53,8 +53,8 @@
 ) -> None:
     """Add requests that an instance runs and this coordinator has not granted.
 
-    The message does not say when the first part of each answer came; their prefill
-    counts as done.
+    The message does not contain when the first part of each answer arrived; prefill of
+    these requests counts as complete.
     """
     for run in hello.running:
         started_at = now - run.ran_ms
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -25,8 +25,8 @@
 
 LOST_INSTANCE_TTL_MS = 20 * SECOND_MS
 """Time for which an instance whose link is lost is assumed to continue on its own, in
-ms: network faults mostly last some seconds, and a share that is reserved for an
-instance that is gone serves nobody."""
+ms: network faults mostly last some seconds, and a share that is reserved for a
+stopped instance serves nobody."""
 
 RECONNECT_GRACE_MS = 2 * SECOND_MS
 """Time for which a new coordinator waits for the instances that it knows of, in ms;
@@ -79,7 +79,7 @@
         return Refused(key=request.key, retry_after_ms=wait_ms, is_over_quota=True)
 
     def charge_usage(self, usage: QuotaUsage, *, now: int) -> QuotaExceeded | None:
-        """Charge what an instance has spent.
+        """Charge the usage that an instance reports.
 
         :return: the message to that instance if the team is now over its quota.
         """
@@ -110,8 +110,8 @@
     ) -> float:
         """Return the share of a limit not reserved for instances without a link.
 
-        :param decay_ms: time after which those use nothing any more, in ms; ``None``:
-            they continue.
+        :param decay_ms: time after which an instance without a link uses nothing any
+            more, in ms; ``None``: it continues.
         """
         now = self._state.clock.now()
         self._mark_unreachable(linked, now=now)
@@ -123,8 +123,8 @@
         lost = [info for info, _at in self._lost.values()]
         among = [*linked, *lost]
         if len(lost) > len(linked):
-            # This side is the disconnected one; on the other side, the next coordinator
-            # grants the rest.
+            # This coordinator is on the disconnected side; on the other side, the next
+            # coordinator grants the rest.
             decay_ms = None
         share = 1.0
         for info, at in self._lost.values():
--- a/src/arbutuspulley/node/roster.py
+++ b/src/arbutuspulley/node/roster.py
@@ -1,10 +1,10 @@
 """The roster of instances, sent to each data centre as a version and its changes.
 
-An instance names addresses to callers, mostly of its own data centre. So its roster has
-all instances there and a few of each other data centre. The full roster goes only to an
-instance that has none; after that, only changes are sent. If the full roster went to
-all instances at each heartbeat, the traffic on the coordinator's link would grow with
-the square of their number.
+An instance returns addresses to callers, mostly of its own data centre. So its roster
+has all instances there and a few of each other data centre. The full roster goes only
+to an instance that has none; after that, only changes are sent. If the full roster went
+to all instances at each heartbeat, the traffic on the coordinator's link would grow
+with the square of their number.
 """
 
 from collections.abc import Iterable
--- a/src/arbutuspulley/node/server_choice.py
+++ b/src/arbutuspulley/node/server_choice.py
@@ -28,9 +28,9 @@
 
 FIRST_COORDINATOR_WAIT_FRACTION = 0.6
 """Fraction of its latency target for which a request waits for the first coordinator
-status after this process has started. After a power failure of all instances, each of
-the first that are back would send prompts that the others don't know of to the same
-servers, and all streams there would stall. A status arrives within about 0.3 s."""
+status after this process has started. After a power failure of all instances, the
+first ones that have restarted would send prompts to the same servers without knowing of
+each other's, and all streams there would stall. A status arrives within about 0.3 s."""
 
 SLOT_WAIT_FRACTION = 0.25
 """Fraction of its latency target for which a request waits for a free slot at a server
--- a/src/arbutuspulley/node/store_watch.py
+++ b/src/arbutuspulley/node/store_watch.py
@@ -158,7 +158,7 @@
         was_unavailable: bool,
         version: int,
     ) -> StoreUpdate:
-        """Apply the rows and return those that were newer than the known ones."""
+        """Apply the rows and return the ones that were newer than the known rows."""
 
 
 class _TableFollower:
--- a/src/arbutuspulley/pool/eviction.py
+++ b/src/arbutuspulley/pool/eviction.py
@@ -38,8 +38,8 @@
     """A model that may be evicted from a server.
 
     :param cost: in requests that would have to wait.
-    :param wait_ms: how long its unload would wait for runs.
-    :param size_mb: memory that it would free, including its adapters.
+    :param wait_ms: how long its unload would wait for runs, in ms.
+    :param size_mb: memory that it would free, including its adapters, in MB.
     """
 
     model: str
@@ -53,7 +53,7 @@
 
     :param victims: names of the models, in order of their unloads.
     :param cost: in requests that will have to wait.
-    :param wait_ms: how long the unloads wait for runs.
+    :param wait_ms: how long the unloads wait for runs, in ms.
     """
 
     victims: tuple[str, ...]
@@ -64,8 +64,8 @@
 class EvictionOptions(Value, frozen=True):
     """Free memory of a server and its eviction candidates.
 
-    :param free_mb: free memory once the unload in progress is complete.
-    :param wait_ms: how long that unload still takes.
+    :param free_mb: free memory once the unload in progress is complete, in MB.
+    :param wait_ms: how long that unload still takes, in ms.
     :param candidates: in order of cost, cheapest first.
     """
 
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -41,9 +41,9 @@
 from arbutuspulley.ports.fleet import OrderKind
 
 MIN_GAIN = 1.5
-"""Minimum net gain of another copy, in requests: those that no longer have to wait,
-less those that have to wait for the evicted models. Loads cost money, and below this
-value models of similar demand evict each other."""
+"""Minimum net gain of another copy, in requests: the requests that no longer have to
+wait, less the requests that have to wait for the evicted models. Loads cost money, and
+below this value models of similar demand evict each other."""
 
 MISSING_GAIN_PER_S = 1.0
 """Growth of the gain of a model without a copy for each second that requests wait for
@@ -53,8 +53,8 @@
 """Maximum of that growth, in requests."""
 
 COPY_BACKLOG_MS = 250
-"""Backlog that one copy can work off within latency targets, in ms: what remains of
-targets of some 600 ms after a prompt's own prefill and the order of a load."""
+"""Backlog that one copy can work off within latency targets, in ms: the rest
+of targets of some 600 ms after a prompt's own prefill and the order of a load."""
 
 RUN_COST = 0.05
 """Cost of each request that runs on a server when a model is loaded there, in requests:
--- a/src/arbutuspulley/pool/prefill_speed.py
+++ b/src/arbutuspulley/pool/prefill_speed.py
@@ -27,14 +27,15 @@
 slope."""
 
 MAX_SAMPLES = 64
-"""Number of requests that are kept: those of some seconds for a busy model."""
+"""Number of requests that are kept: for a busy model, the requests of some seconds."""
 
 MIN_TOKEN_DIFFERENCE = 300
 """Minimum difference of two prompts in tokens for their slope to count: times vary by
 some 10 ms, which is the prefill time of as many tokens."""
 
 PRIOR_SLOPES = 60
-"""Weight of the prior estimate, in slopes between pairs: those of about 15 requests."""
+"""Weight of the prior estimate, in slopes between pairs: as many as about 15 requests
+have."""
 
 REFRESH_SAMPLES = 4
 """New requests after which the speed is computed again: 2,000 slopes take 0.3 ms."""
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -29,7 +29,7 @@
 failure."""
 
 MAX_BACKOFF_MS = 4_000
-"""Maximum backoff, in ms: crashed servers are back after 4 to 6 s."""
+"""Maximum backoff, in ms: crashed servers have restarted after 4 to 6 s."""
 
 
 FAILURE_SMOOTHING = 0.1
@@ -75,7 +75,7 @@
     :param gap_target_ms: longest gap between its events that is on time; 0: any, also
         for a request that is late already.
     :param prefill_before_ms: total prefill time of its server at its first event.
-    :param first_at: when the first part of its answer came, in ms; ``None`` before.
+    :param first_at: when the first part of its answer arrived, in ms; ``None`` before.
     :param was_prefill_idle: whether its server had no prefill in progress when it was
         granted.
     :param is_repeat: whether a server has refused it before.
@@ -139,7 +139,7 @@
     :param backoff_until: no new requests or orders before this time, in ms.
     :param failures: consecutive failures to connect.
     :param failure_share: moving average of the share of requests that failed.
-    :param limit: rate limit that the server names; ``None`` if it names none.
+    :param limit: rate limit that the server states; ``None`` if it states none.
     :param in_memory: models whose weights are in the server's host memory.
     :param on_disk: models whose weights are on the server's disk.
     :param runs: requests in flight, by key.
@@ -362,8 +362,8 @@
 def get_size_class(spec: EngineSpec, model: str) -> str:
     """Return the size class of a model; all models of one class share a prefill speed.
 
-    A rarely used model gets too few requests for an estimate of its own; those for
-    models of the same size serve as well.
+    A rarely used model gets too few requests for an estimate of its own; requests for
+    models of the same size are as suitable.
     """
     found = spec.models.get(model)
     return f"{found.size_mb:g}/{found.adapter_mb:g}" if found else ""
--- a/src/arbutuspulley/pool/stream_gaps.py
+++ b/src/arbutuspulley/pool/stream_gaps.py
@@ -4,8 +4,8 @@
 rate bounds its average, but not the prefill within one gap: with two or three prompts
 in a row, all streams of a server had gaps of 250 to 300 ms with a target of 250, and a
 seventh of all answers was late just because of that. So prefill within any window as
-long as the lowest gap target is bounded by what the decode of an event leaves of it.
-The decode time is estimated from the streams.
+long as the lowest gap target is bounded by the time that the decode of an event leaves
+of it. The decode time is estimated from the streams.
 
 A prompt that exceeds this bound by itself can't be delayed for ever. It starts once
 enough time without prefill has passed in the window before it to make up for the
--- a/src/arbutuspulley/routing/choice.py
+++ b/src/arbutuspulley/routing/choice.py
@@ -1,6 +1,6 @@
 """Chooses the server for a request.
 
-Each entry decides independently, from stale reports that other entries read too.
+Each entry decides independently, from stale reports that other entries also read.
 Three measures follow from this: a report is corrected by the attempts that this entry
 has begun and ended since (:mod:`.load`), the better of two random servers is chosen,
 and a server that fails is not used during a short backoff.
@@ -50,7 +50,7 @@
     :param backoff_until: time from which one request may probe the server, in ms.
     :param probing: whether that request is in flight.
     :param leaving_since: time of its refusal as leaving in ms, or ``None``.
-    :param boot_id: incarnation of the engine that these belong to.
+    :param boot_id: incarnation of the engine that this health applies to.
     """
 
     load: ServerLoad = msgspec.field(default_factory=ServerLoad)
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -20,7 +20,7 @@
 failure."""
 
 MAX_UNREACHABLE_BACKOFF_MS = 4_000
-"""Longest such backoff, in ms: crashed servers are back after 4 to 6 s."""
+"""Longest such backoff, in ms: crashed servers have restarted after 4 to 6 s."""
 
 REFUSED_BACKOFF_MS = 100
 """Backoff after a server refuses a request as not run, in ms; it doubles with each
@@ -29,7 +29,7 @@
 request, too, while other servers have free slots."""
 
 MAX_REFUSED_BACKOFF_MS = 800
-"""Longest such backoff, in ms: a server that has room again is used within a second."""
+"""Longest such backoff, in ms: a server with free slots is used within a second."""
 
 EWMA_WEIGHT = 0.15
 """Weight of the newest sample in a server's moving averages: about the last seven
