--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -61,10 +61,10 @@
         self.is_active = False
         self.isolated_since = None
         self.best = 0.0
-        self.taken = []
+        self.received = []
 
     def handle_messages(self, origin, messages):
-        self.taken.append((origin, messages))
+        self.received.append((origin, messages))
 
     def activate(self, _inherited):
         self.is_active = True
@@ -83,14 +83,14 @@
 
 
 class FakeLink:
-    """A link that is up while the process it leads to coordinates."""
+    """A link that is up while the coordinator at its address is active."""
 
     def __init__(self, members, now):
         self._members = members
         self._now = now
         self.up_until = 0
         self.deliver_local = None
-        self.leads_to = ""
+        self.address = ""
         self.status = SimpleNamespace(is_holder=True)
 
     @property
@@ -99,7 +99,7 @@
             return True
         if self._now[0] < self.up_until:
             return True
-        leader = self._members.get(self.leads_to)
+        leader = self._members.get(self.address)
         return leader is not None and leader.coordinator.is_active
 
     def check_timeout(self):
@@ -109,13 +109,13 @@
         return "what runs here"
 
     def disconnect(self):
-        self.leads_to = ""
+        self.address = ""
 
     def fail_pending(self):
         pass
 
     def connect_to(self, address):
-        self.leads_to = address
+        self.address = address
 
 
 class Member:
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_lost_coordinator_is_replaced_with_few_lease_reads(seed):
-    """A coordinator's machine loses power, and its links fall silent. Each of 72
+    """A coordinator's machine loses power, and its links transmit nothing. Each of 72
     instances read the lease every 0.4 s until it was free, then all claimed it at the
     same moment; a small one that read it just then was faster than the large ones."""
     now = [1_000]
@@ -265,11 +265,11 @@
 
 
 def test_new_coordinator_counts_requests_of_its_own_instance():
-    """Other instances report what they run as they link up, but nothing did so for the
-    coordinator's own instance: its servers got more requests than they had slots until
-    those runs had ended."""
+    """Other instances report their running requests when they link up, but nothing did
+    so for the coordinator's own instance: its servers got more requests than they had
+    slots until those runs had ended."""
     now = [0]
     members = build_members([1.0, 1.0], LeaseStore(now), now)
     run_members(members, now, ms=1_000, order=random.Random(1))
     (leader,) = list_leaders(members)
-    assert members[leader].coordinator.taken == [(leader, ["what runs here"])]
+    assert members[leader].coordinator.received == [(leader, ["what runs here"])]
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -54,14 +54,14 @@
     assert not freshness.is_within(200, now=300)
 
 
-def test_marks_know_the_last_messages():
-    marks = MessageTimes()
+def test_message_times_are_kept_for_the_last_messages():
+    times = MessageTimes()
     for number in range(1, MAX_MESSAGE_TIMES + 2):
-        marks.record(number, at=10 * number)
-    assert marks.find_time(1) is None
-    assert marks.find_time(2) == 20
-    assert marks.find_number(39) == 3
-    assert marks.find_number(None) == 0
+        times.record(number, at=10 * number)
+    assert times.find_time(1) is None
+    assert times.find_time(2) == 20
+    assert times.find_number(39) == 3
+    assert times.find_number(None) == 0
 
 
 def test_a_status_confirms_as_of_a_heartbeat_sent_before_the_store_call():
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -23,7 +23,7 @@
 INFO = build_info("c")
 
 
-class CoordinatorTrial:
+class FakeCoordinator:
     """The coordinator's end of links.
 
     :param statuses: statuses that are sent on the connections in turn before each is
@@ -50,9 +50,9 @@
         return socket
 
 
-async def run_link(trial, *, until):
-    """Connect a link to the trial until a condition holds."""
-    runner = web.ServerRunner(web.Server(trial.handle))
+async def run_link(coordinator, *, until):
+    """Connect a link to a fake coordinator until a condition holds."""
+    runner = web.ServerRunner(web.Server(coordinator.handle))
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
@@ -79,23 +79,23 @@
     the coordinator in the store's lease, without a coordinator for up to half a
     second."""
     status = CoordinatorStatus(is_holder=True, instances=2)
-    trial = CoordinatorTrial(status, status)
+    coordinator = FakeCoordinator(status, status)
     _state, is_over = asyncio.run(
-        run_link(trial, until=lambda _link: trial.connections == 3)
+        run_link(coordinator, until=lambda _link: coordinator.connections == 3)
     )
-    assert trial.connections == 3
+    assert coordinator.connections == 3
     # The third connection received no status: its peer is not the coordinator.
     assert is_over
 
 
 def test_a_link_starts_with_a_hello_and_receives_the_roster():
-    trial = CoordinatorTrial(
+    coordinator = FakeCoordinator(
         CoordinatorStatus(is_holder=True, instances=2, store_version=9)
     )
     state, _is_over = asyncio.run(
-        run_link(trial, until=lambda _link: trial.connections == 2)
+        run_link(coordinator, until=lambda _link: coordinator.connections == 2)
     )
-    (hello, first), later = trial.frames[0], trial.frames[1]
+    (hello, first), later = coordinator.frames[0], coordinator.frames[1]
     assert isinstance(hello, Hello) and hello.store_version == 0
     assert isinstance(first, Heartbeat) and first.roster == 0
     assert later[-1].roster == 5
@@ -104,9 +104,9 @@
 
 
 def test_a_link_does_not_reconnect_to_an_instance_that_is_not_coordinator():
-    trial = CoordinatorTrial()
-    asyncio.run(run_link(trial, until=lambda _link: trial.connections == 1))
-    assert trial.connections == 1
+    coordinator = FakeCoordinator()
+    asyncio.run(run_link(coordinator, until=lambda _link: coordinator.connections == 1))
+    assert coordinator.connections == 1
 
 
 def test_a_hello_reports_how_long_each_request_has_run():
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -55,24 +55,24 @@
 
     def transmit(self, ms):
         """Let time pass; the bandwidth is shared evenly between peers with a frame."""
-        room = ms * LINK_BYTES_PER_MS
-        while room > 0:
+        capacity = ms * LINK_BYTES_PER_MS
+        while capacity > 0:
             self._begin_frames()
-            busy = [name for name, left in self._remaining.items() if left]
+            busy = [name for name, remaining in self._remaining.items() if remaining]
             if not busy:
                 return
-            part = max(1, room // len(busy))
+            share = max(1, capacity // len(busy))
             for name in busy:
-                sent = min(part, self._remaining[name])
+                sent = min(share, self._remaining[name])
                 self._remaining[name] -= sent
-                room -= sent
+                capacity -= sent
                 if not self._remaining[name]:
                     frame = decode_from_coordinator(self._frames[name])
                     self._links[name].receive(frame)
 
     def _begin_frames(self):
-        for name, left in self._remaining.items():
-            frame = [] if left else self._peers.get(name).pop_outgoing()
+        for name, remaining in self._remaining.items():
+            frame = [] if remaining else self._peers.get(name).pop_outgoing()
             if frame:
                 self._frames[name] = encode_frame(frame)
                 self._remaining[name] = len(self._frames[name])
--- a/tests/test_pool_copies.py
+++ b/tests/test_pool_copies.py
@@ -24,7 +24,7 @@
     }
 
 
-def change(server, models, rng):
+def change_server(server, models, rng):
     """Change a server in the ways that planning and orders do."""
     held = sorted(server.models)
     server.unloading = rng.choice([*held, "", ""])
@@ -42,7 +42,7 @@
     index = index_copies(pool, now=NOW)
     for _ in range(30):
         server = rng.choice(list(pool.servers.values()))
-        change(server, models, rng)
+        change_server(server, models, rng)
         reindex_server(index, server)
         for model in models:
             found = {one.incarnation for one in get_copies(index, model)}
--- a/tests/test_pool_demand.py
+++ b/tests/test_pool_demand.py
@@ -50,13 +50,13 @@
     rng = random.Random(5)
     pool = build_pool(mean_tokens=1_000.0)
     send_requests(pool, per_s=20, begin=0, end=10_000, rng=rng)
-    seen = []
+    estimates = []
     for second in range(10, 60):
         begin = second * 1_000
         send_requests(pool, per_s=20, begin=begin, end=begin + 1_000, rng=rng)
-        seen.append(get_demand(pool, "m0"))
-    off = [one for one in seen if not 10_000 < one < 30_000]
-    assert len(off) <= 3
+        estimates.append(get_demand(pool, "m0"))
+    outliers = [demand for demand in estimates if not 10_000 < demand < 30_000]
+    assert len(outliers) <= 3
 
 
 @pytest.mark.parametrize("seconds", [1, 2, 4, 8])
@@ -94,9 +94,9 @@
         output_tokens=460,
         expected_tokens=expected,
     )
-    weight = estimate_token_cost(pool, need)
-    assert (weight > prompt) == (binds == "slots")
-    prefill_ms = weight * 1_000 / get_copy_token_rate(pool, "m0")
+    token_cost = estimate_token_cost(pool, need)
+    assert (token_cost > prompt) == (binds == "slots")
+    prefill_ms = token_cost * 1_000 / get_copy_token_rate(pool, "m0")
     assert slots * prefill_ms >= estimate_run_time(pool.durations, need)
 
 
--- a/tests/test_pool_duration.py
+++ b/tests/test_pool_duration.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("expected", "output", "ran_ms", "left"),
+    ("expected", "output", "ran_ms", "remaining"),
     [
         (100, 400, 0, 100 * DEFAULT_TOKEN_MS),
         (100, 400, 400, 1_000),
@@ -42,19 +42,19 @@
         "longer than expected",
     ],
 )
-def test_remaining_time_of_a_run(expected, output, ran_ms, left):
+def test_remaining_time_of_a_run(expected, output, ran_ms, remaining):
     need = build_need(expected=expected, output=output)
     assert estimate_remaining_time(
         DurationState(), need, ran_ms=ran_ms
-    ) == pytest.approx(left)
+    ) == pytest.approx(remaining)
 
 
 def test_token_time_is_estimated_from_ended_runs():
     state = DurationState()
     for _ in range(200):
         record_run_time(state, build_need(expected=100), took_ms=3_000)
-    left = estimate_remaining_time(state, build_need(expected=50), ran_ms=0)
-    assert left == pytest.approx(1_500, rel=0.05)
+    remaining = estimate_remaining_time(state, build_need(expected=50), ran_ms=0)
+    assert remaining == pytest.approx(1_500, rel=0.05)
 
 
 def add_demand(pool, model, *, now, waiting=3):
--- a/tests/test_pool_grants.py
+++ b/tests/test_pool_grants.py
@@ -8,8 +8,8 @@
 from tests.pools import add_waiting, build_pool, build_server
 
 
-def get_granted(decided):
-    return {one.key: one.incarnation for one in decided if isinstance(one, Grant)}
+def get_granted(decisions):
+    return {one.key: one.incarnation for one in decisions if isinstance(one, Grant)}
 
 
 def test_prompts_of_one_server_start_one_after_another():
@@ -32,8 +32,8 @@
     add_waiting(pool, "late", "m0", priority=0, late_at=5)
     add_waiting(pool, "plain", "m0", priority=2)
     add_waiting(pool, "urgent", "m0", priority=0, arrived_at=5)
-    decided = [plan_grants(pool, now=now) for now in (10, 60, 90, 180)]
-    keys = [[(one.key, one.is_late) for one in some] for some in decided]
+    decisions = [plan_grants(pool, now=now) for now in (10, 60, 90, 180)]
+    keys = [[(one.key, one.is_late) for one in cycle] for cycle in decisions]
     assert keys == [[("urgent", False)], [], [("plain", False)], [("late", True)]]
 
 
@@ -111,9 +111,9 @@
 def test_request_that_waits_too_long_is_refused_with_retry_after():
     pool = build_pool(build_server("s0", "m1"))
     add_waiting(pool, "r0", "m0", give_up_at=100)
-    decided = plan_grants(pool, now=100)
-    assert [type(one) for one in decided] == [Refusal]
-    assert decided[0].retry_after_ms >= 200
+    decisions = plan_grants(pool, now=100)
+    assert [type(one) for one in decisions] == [Refusal]
+    assert decisions[0].retry_after_ms >= 200
     assert pool.waiting == {}
 
 
--- a/tests/test_pool_limits.py
+++ b/tests/test_pool_limits.py
@@ -1,4 +1,4 @@
-"""Grants and orders for model servers that name a rate limit."""
+"""Grants and orders for model servers that state a rate limit."""
 
 from arbutuspulley.admission.rate_limits import RateLimitLedger
 from arbutuspulley.pool.copies import get_copies
@@ -23,13 +23,13 @@
 
 def grant_all(pool, *, until, every_ms=100):
     """Add requests at a constant rate and return the decisions with their times."""
-    decided = []
+    decisions = []
     for now in range(0, until, every_ms):
         add_waiting(pool, f"r{now}", "m0", now=now, tokens=100)
-        decided += [(now, one) for one in plan_grants(pool, now=now)]
+        decisions += [(now, one) for one in plan_grants(pool, now=now)]
         for server in pool.servers.values():
             server.runs.clear()
-    return decided
+    return decisions
 
 
 def test_limited_server_is_granted_no_more_than_its_limit():
@@ -37,8 +37,8 @@
     server = build_server("s0", "m0")
     limit_server(server, 2.0)
     pool = build_pool(server)
-    decided = grant_all(pool, until=10_000)
-    granted = [now for now, one in decided if isinstance(one, Grant)]
+    decisions = grant_all(pool, until=10_000)
+    granted = [now for now, one in decisions if isinstance(one, Grant)]
     assert 18 <= len(granted) <= 20
 
 
@@ -46,8 +46,8 @@
     limited, other = build_server("s0", "m0"), build_server("s1", "m0")
     limit_server(limited, 0.5)
     pool = build_pool(limited, other)
-    decided = grant_all(pool, until=4_000)
-    granted = [one.incarnation for _, one in decided if isinstance(one, Grant)]
+    decisions = grant_all(pool, until=4_000)
+    granted = [one.incarnation for _, one in decisions if isinstance(one, Grant)]
     assert len(granted) == 40
     assert granted.count("s0") <= 2
 
--- a/tests/test_pool_orders.py
+++ b/tests/test_pool_orders.py
@@ -47,7 +47,7 @@
     )
 
 
-def test_a_missing_model_is_loaded_where_there_is_room():
+def test_a_missing_model_is_loaded_where_memory_is_free():
     pool = build_pool(build_server("s0", "m0", "m1"), build_server("s1", "m0"))
     add_waiting(pool, "r0", "m2")
     orders = plan_orders(pool, now=10)
@@ -139,8 +139,8 @@
     assert orders[0].kind is OrderKind.UNLOAD
     apply_answers(pool, orders, OrderAnswer.ACCEPTED, now=20)
     assert [one.kind for one in plan_orders(pool, now=30)] != [OrderKind.LOAD]
-    answer_now = plan_orders(pool, now=40)
-    assert all(one.kind is OrderKind.UNLOAD for one in answer_now)
+    orders = plan_orders(pool, now=40)
+    assert all(one.kind is OrderKind.UNLOAD for one in orders)
 
 
 def test_idle_adapter_is_evicted_at_once():
@@ -175,7 +175,7 @@
     assert [one.kind for one in orders] == [OrderKind.UNLOAD]
 
 
-def test_a_model_with_many_waiting_gets_another_copy():
+def test_a_model_with_many_waiting_requests_gets_another_copy():
     pool = build_pool(build_server("s0", "m0", prefill_until=900), build_server("s1"))
     for number in range(8):
         add_waiting(pool, f"r{number}", "m0")
@@ -208,10 +208,10 @@
     pool = build_pool(server)
     add_waiting(pool, "r0", "m2")
     apply_answers(pool, plan_orders(pool, now=10), OrderAnswer.UNKNOWN, now=210)
-    again = plan_orders(pool, now=220)
-    assert format_orders(again) == ["load m2 s0 0"]
+    retried = plan_orders(pool, now=220)
+    assert format_orders(retried) == ["load m2 s0 0"]
     assert len(pool.loads) == 1
-    apply_answers(pool, again, OrderAnswer.CONFLICT, now=230)
+    apply_answers(pool, retried, OrderAnswer.CONFLICT, now=230)
     assert server.accepted_orders is None
 
 
@@ -258,14 +258,14 @@
 
 def test_loads_stay_below_the_rate_limit_of_the_weight_store():
     pool = build_pool(build_server("s0"))
-    begun = 0
+    load_count = 0
     for now in range(0, 20_000, 50):
         if may_load(pool, now=now):
             record_load(pool, now=now)
-            begun += 1
+            load_count += 1
             recent = [at for at in pool.loads if at > now - 5_000]
             assert len(recent) <= 2 * 5 * 1.1 + 3
-    assert begun >= 38
+    assert load_count >= 38
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pool_prefill_speed.py
+++ b/tests/test_pool_prefill_speed.py
@@ -53,8 +53,9 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_outliers_do_not_distort_the_speed(seed):
-    """A few short prompts take long for other reasons. The slope came out near zero,
-    the speed at its upper bound, and prompts were no longer rate-limited at all."""
+    """A few short prompts take long for other reasons. The estimated slope
+    was near zero, the speed at its upper bound, and prompts were no longer rate-limited
+    at all."""
     assert 14 < estimate_speed(25.8, requests=60, outliers=0.15, seed=seed) < 45
 
 
@@ -62,8 +63,8 @@
 def test_unknown_prefills_after_a_takeover_do_not_distort_the_speed(seed):
     """A coordinator that has just taken over does not know the prefills in progress on
     its servers. Every fourth request waits there behind unknown prompts, longer prompts
-    for longer. The speed came out at a third of the true one, prompts were delayed for
-    20 s, and 300 requests were refused that the servers could have served."""
+    for longer. The estimated speed was a third of the true one, prompts were delayed
+    for 20 s, and 300 requests were refused that the servers could have served."""
     rng = random.Random(seed)
     speed = PrefillSpeedState()
     for number in range(60):
--- a/tests/test_pool_restart.py
+++ b/tests/test_pool_restart.py
@@ -17,11 +17,11 @@
 from tests.pools import add_run, add_waiting, build_pool
 
 
-def build_entry(born, *models):
+def build_entry(started_ms, *models):
     return ServerEntry(
         server_id="s0",
-        incarnation=f"s0@{born}",
-        started_ms=born,
+        incarnation=f"s0@{started_ms}",
+        started_ms=started_ms,
         service="llm",
         address="s0:1",
         zone="z1",
--- a/tests/test_pool_stream_gaps.py
+++ b/tests/test_pool_stream_gaps.py
@@ -115,7 +115,7 @@
         granted = [one for one in plan_grants(pool, now=now) if isinstance(one, Grant)]
         starts += [now] * len(granted)
         now = find_next_wakeup(pool, now=now)
-    gaps = [later - one for one, later in itertools.pairwise(starts)]
+    gaps = [later - earlier for earlier, later in itertools.pairwise(starts)]
     assert min(gaps) >= 175
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -49,16 +49,16 @@
 
 
 def get_allowed(team, tolerance=TOLERANCE):
-    """Return the most that a team may spend in one window."""
+    """Return the most that a team may use in one window."""
     base = team.rate_per_s * tolerance.window_ms / 1_000 + team.burst
     return base * (1 + tolerance.overage) + tolerance.extra
 
 
-def find_max_spent(spent, window_ms=8_000):
-    """Return the most that was spent in any window."""
+def find_max_usage(usage, window_ms=8_000):
+    """Return the most that was used in any window."""
     return max(
-        sum(cost for at, cost in spent if begin <= at < begin + window_ms)
-        for begin, _ in spent
+        sum(cost for at, cost in usage if begin <= at < begin + window_ms)
+        for begin, _ in usage
     )
 
 
@@ -140,14 +140,14 @@
 def test_a_new_coordinator_does_not_grant_the_burst_again():
     """The coordinator dies repeatedly while a team uses all that it is granted."""
     team = build_team(rate=20_000, burst=20_000)
-    spent = []
+    usage = []
     ledger = build_full_ledger(team, TOLERANCE)
     for now in range(0, 16_000, 10):
         if now in (4_000, 7_000):
             ledger = build_ledger(team, TOLERANCE, now=now)
         while ledger.charge("t", 1_500, now=now) == 0:
-            spent.append((now, 1_500))
-    assert find_max_spent(spent) <= get_allowed(team)
+            usage.append((now, 1_500))
+    assert find_max_usage(usage) <= get_allowed(team)
 
 
 def test_a_new_team_has_its_whole_quota_at_once():
@@ -171,36 +171,38 @@
 
 
 @given(
-    parts=st.lists(st.floats(0.01, 1), min_size=1, max_size=8),
-    cut=st.integers(0, 8),
-    asks=st.lists(
+    fractions=st.lists(st.floats(0.01, 1), min_size=1, max_size=8),
+    disconnected=st.integers(0, 8),
+    requests=st.lists(
         st.tuples(st.integers(0, 7), st.integers(0, 40), st.integers(100, 4_000)),
         max_size=200,
     ),
 )
-def test_disconnected_instances_keep_a_team_within_the_tolerance(parts, cut, asks):
+def test_disconnected_instances_keep_a_team_within_the_tolerance(
+    fractions, disconnected, requests
+):
     """Some instances are disconnected and use local buckets, the others the ledger."""
     team = build_team(rate=10_000, burst=10_000)
-    whole = sum(parts)
-    parts = [part / whole for part in parts]
+    total = sum(fractions)
+    fractions = [fraction / total for fraction in fractions]
     rng = random.Random(1)
-    local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in parts]
+    local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in fractions]
     ledger = build_full_ledger(team, TOLERANCE)
-    ledger.set_refill_fraction(sum(parts[cut:]), now=0)
-    spent, now = [], 0
-    for which, pause, cost in asks:
+    ledger.set_refill_fraction(sum(fractions[disconnected:]), now=0)
+    usage, now = [], 0
+    for which, pause, cost in requests:
         now += pause
-        index = which % len(parts)
-        if index < cut:
+        index = which % len(fractions)
+        if index < disconnected:
             wait = local_quotas[index].charge(
-                team, cost, fraction=parts[index], now=now
+                team, cost, fraction=fractions[index], now=now
             )
         else:
             wait = ledger.charge("t", cost, now=now)
         if not wait:
-            spent.append((now, cost))
-    if spent:
-        assert find_max_spent(spent) <= get_allowed(team)
+            usage.append((now, cost))
+    if usage:
+        assert find_max_usage(usage) <= get_allowed(team)
 
 
 @given(
@@ -212,17 +214,17 @@
 def test_ledger_agrees_with_a_reference_model(steps):
     team = build_team()
     ledger = build_full_ledger(team)
-    left, now = 2_000.0, 0
+    balance, now = 2_000.0, 0
     for pause, cost, runs in steps:
         now += pause
-        left = min(2_000.0, left + pause)
-        is_allowed = left >= min(cost, 2_000)
+        balance = min(2_000.0, balance + pause)
+        is_allowed = balance >= min(cost, 2_000)
         assert (ledger.charge("t", cost, now=now) == 0) is is_allowed
         if is_allowed and runs:
-            left -= cost
+            balance -= cost
         elif is_allowed:
             ledger.record_usage("t", -cost, now=now)
-    assert ledger.get_balance("t", now=now) == pytest.approx(left)
+    assert ledger.get_balance("t", now=now) == pytest.approx(balance)
 
 
 def test_an_uncoordinated_instance_serves_its_own_fraction():
@@ -237,14 +239,14 @@
 def test_flapping_links_give_an_instance_no_second_quota():
     """Guards against an instance that begins with a full bucket at each link loss."""
     local, team = LocalQuota(tolerance=TOLERANCE), build_team(rate=8_000, burst=8_000)
-    spent = 0
+    usage = 0
     for now in range(0, 8_000, 10):
         if now % 1_000 < 500:
             local.record_coordinated(now)
         elif local.charge(team, 100, fraction=0.5, now=now) == 0:
-            spent += 100
+            usage += 100
     tolerance = build_limit(team, TOLERANCE).tolerance * 0.5
-    assert spent <= 4_000 * 8 * 0.5 + 2 * tolerance + 100
+    assert usage <= 4_000 * 8 * 0.5 + 2 * tolerance + 100
 
 
 def test_an_uncoordinated_instance_refunds_requests_that_did_not_run():
@@ -258,23 +260,23 @@
 
 
 @pytest.mark.parametrize(
-    ("lost_ms", "ends_ms", "part"),
+    ("lost_ms", "decay_ms", "expected"),
     [(0, 5_000, 1), (2_500, 5_000, 0.5), (9_000, 5_000, 0), (9_000, None, 1)],
 )
-def test_the_fraction_of_a_disconnected_instance_decays(lost_ms, ends_ms, part):
-    assert get_disconnected_fraction(lost_ms, decay_ms=ends_ms) == part
+def test_the_fraction_of_a_disconnected_instance_decays(lost_ms, decay_ms, expected):
+    assert get_disconnected_fraction(lost_ms, decay_ms=decay_ms) == expected
 
 
 def test_many_disconnected_small_instances_stay_within_the_tolerance():
     """Guards against instances that each serve a request larger than their bucket."""
     team = build_team(rate=78_000, burst=78_000)
     local_quotas = [LocalQuota(tolerance=TOLERANCE) for _ in range(80)]
-    spent = sum(
+    usage = sum(
         1_500
         for local in local_quotas
         if local.charge(team, 1_500, fraction=0.15 / 80, now=0) == 0
     )
-    assert spent <= build_limit(team, TOLERANCE).tolerance
+    assert usage <= build_limit(team, TOLERANCE).tolerance
 
 
 def test_disconnected_small_instances_serve_the_sum_of_their_fractions():
@@ -282,14 +284,14 @@
     team = build_team(rate=78_000, burst=78_000)
     rng = random.Random(1)
     local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in range(80)]
-    spent = [
+    usage = [
         (now, 1_500)
         for now in range(0, 8_000, 100)
         for local in local_quotas
         if local.charge(team, 1_500, fraction=1 / 80, now=now) == 0
     ]
     usual = team.rate_per_s * 8
-    assert 0.9 * usual <= find_max_spent(spent) <= get_allowed(team)
+    assert 0.9 * usual <= find_max_usage(usage) <= get_allowed(team)
 
 
 def test_flapping_links_let_small_instances_serve_no_more():
@@ -298,14 +300,14 @@
     team = build_team(rate=78_000, burst=78_000)
     rng = random.Random(1)
     local_quotas = [LocalQuota(tolerance=TOLERANCE, rng=rng) for _ in range(80)]
-    spent = []
+    usage = []
     for now in range(0, 24_000, 100):
         for local in local_quotas:
             if now % 6_000 < 5_000:
                 local.record_coordinated(now)
             elif local.charge(team, 1_500, fraction=1 / 80, now=now) == 0:
-                spent.append((now, 1_500))
+                usage.append((now, 1_500))
     tolerance = build_limit(team, TOLERANCE).tolerance
     for begin in range(5_000, 24_000, 6_000):
-        at_once = sum(cost for at, cost in spent if begin <= at < begin + 1_000)
+        at_once = sum(cost for at, cost in usage if begin <= at < begin + 1_000)
         assert at_once <= team.rate_per_s + tolerance
--- a/tests/test_quota_charging.py
+++ b/tests/test_quota_charging.py
@@ -109,7 +109,7 @@
     return quotas
 
 
-def ask(quotas, cost, *, now, key="a"):
+def charge_grant_request(quotas, cost, *, now, key="a"):
     return quotas.charge(
         GrantRequest(
             key=key,
@@ -130,19 +130,19 @@
     instance = Instance()
     quotas = build_quotas(instance)
     now = instance.now[0]
-    assert ask(quotas, 1, now=now).retry_after_ms == 2
-    assert ask(quotas, 1_000, now=now + 5_000) is None
-    refused = ask(quotas, 400, now=now + 5_000)
+    assert charge_grant_request(quotas, 1, now=now).retry_after_ms == 2
+    assert charge_grant_request(quotas, 1_000, now=now + 5_000) is None
+    refused = charge_grant_request(quotas, 400, now=now + 5_000)
     assert refused.is_over_quota
     assert refused.retry_after_ms == 401
-    overdrawn = quotas.charge_usage(QuotaUsage(team="t", cost=600), now=now + 5_100)
-    assert overdrawn == QuotaExceeded(team="t", wait_ms=501)
+    exceeded = quotas.charge_usage(QuotaUsage(team="t", cost=600), now=now + 5_100)
+    assert exceeded == QuotaExceeded(team="t", wait_ms=501)
     assert quotas.charge_usage(QuotaUsage(team="t", cost=-600), now=now + 5_100) is None
 
 
 def test_a_free_request_is_not_charged():
     quotas = build_quotas(Instance())
-    assert all(ask(quotas, 0, now=1) is None for _ in range(9))
+    assert all(charge_grant_request(quotas, 0, now=1) is None for _ in range(9))
 
 
 def test_the_share_of_a_disconnected_instance_stays_reserved():
@@ -160,9 +160,9 @@
     assert quotas._ledger.refill_fraction == 1
 
 
-def test_the_share_of_a_silent_instance_stays_reserved():
-    """Guards against a coordinator that is silently partitioned and uses full quotas in
-    addition to its successor: the links are closed seconds later, or never."""
+def test_the_share_of_an_unreachable_instance_stays_reserved():
+    """Guards against a coordinator that is partitioned without notice and uses full
+    quotas in addition to its successor: links are closed seconds later, or never."""
     quotas = build_quotas(Instance())
     infos = [build_info(name) for name in ("a", "b", "c", "d")]
     quotas.update_linked(infos)
@@ -226,20 +226,20 @@
     quotas = build_quotas(instance)
     infos = [build_info("a"), build_info("b")]
     quotas.mark_lost(infos[1])
-    parts = []
+    shares = []
     for _ in range(3):
         quotas.update_linked(infos[:1])
-        parts.append(quotas._ledger.refill_fraction)
+        shares.append(quotas._ledger.refill_fraction)
         instance.now[0] += 2_500
-    assert parts == [0.5, 0.75, 1]
+    assert shares == [0.5, 0.75, 1]
     for cost in (5_000, 1):
         with pytest.raises(RequestFailedError):
             instance.charge(cost)
 
 
 def test_messages_of_older_versions_are_decoded_without_the_new_fields():
-    ask_before = GrantRequest(
+    old_request = GrantRequest(
         key="a", service="s", need=NEED, zone="z", priority=1, aim_ms=1, left_ms=1
     )
-    body = msgspec.msgpack.encode(ask_before)
+    body = msgspec.msgpack.encode(old_request)
     assert msgspec.msgpack.decode(body, type=GrantRequest).cost == 0
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -30,46 +30,46 @@
 
 
 def test_a_limit_holds_until_a_later_request_is_answered_without_it():
-    table = KnownRateLimits()
-    assert table.update_from_answer("s0", 2.0, sent_at=0, now=100)
-    assert not table.update_from_answer("s0", 2.0, sent_at=50, now=150)
-    assert table.update_from_answer("s0", None, sent_at=120, now=200)
-    assert table.get("s0") is None
+    known = KnownRateLimits()
+    assert known.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    assert not known.update_from_answer("s0", 2.0, sent_at=50, now=150)
+    assert known.update_from_answer("s0", None, sent_at=120, now=200)
+    assert known.get("s0") is None
 
 
 def test_a_stale_answer_does_not_lift_a_limit():
     """An answer that was sent before the server was overloaded arrives after one that
     states its limit, on another connection."""
-    table = KnownRateLimits()
-    table.update_from_answer("s0", 2.0, sent_at=0, now=100)
-    assert not table.update_from_answer("s0", None, sent_at=90, now=110)
-    assert not table.update_from_answer("s0", 5.0, sent_at=90, now=110)
-    assert table.get("s0") == 2.0
+    known = KnownRateLimits()
+    known.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    assert not known.update_from_answer("s0", None, sent_at=90, now=110)
+    assert not known.update_from_answer("s0", 5.0, sent_at=90, now=110)
+    assert known.get("s0") == 2.0
 
 
 def test_a_lower_limit_applies_at_once():
-    table = KnownRateLimits()
-    table.update_from_answer("s0", 2.0, sent_at=0, now=100)
-    assert table.update_from_answer("s0", 1.0, sent_at=90, now=110)
-    assert table.get("s0") == 1.0
+    known = KnownRateLimits()
+    known.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    assert known.update_from_answer("s0", 1.0, sent_at=90, now=110)
+    assert known.get("s0") == 1.0
 
 
 def test_a_limit_survives_the_lapse_of_its_server_entry():
-    """Guards against full load on an overloaded server once its entry is back."""
-    table = KnownRateLimits()
-    table.update_from_answer("s0", 2.0, sent_at=0, now=100)
-    table.evict_unlisted({})
-    assert table.get("s0") == 2.0
+    """Guards against full load on an overloaded server once it is listed again."""
+    known = KnownRateLimits()
+    known.update_from_answer("s0", 2.0, sent_at=0, now=100)
+    known.evict_unlisted({})
+    assert known.get("s0") == 2.0
 
 
 def test_the_oldest_limits_of_unlisted_servers_are_evicted():
-    table = KnownRateLimits()
+    known = KnownRateLimits()
     for number in range(MAX_UNLISTED + 2):
-        table.update_from_answer(f"s{number}", 2.0, sent_at=0, now=100)
-    table.evict_unlisted({"s1"})
-    assert table.get("s0") is None
-    assert table.get("s1") == 2.0
-    assert len(table.list_limits()) == MAX_UNLISTED + 1
+        known.update_from_answer(f"s{number}", 2.0, sent_at=0, now=100)
+    known.evict_unlisted({"s1"})
+    assert known.get("s0") is None
+    assert known.get("s1") == 2.0
+    assert len(known.list_limits()) == MAX_UNLISTED + 1
 
 
 def find_max_sent(sent):
@@ -135,8 +135,8 @@
     sent = [
         now
         for now in range(0, 8_000, 50)
-        for one in local_limits
-        if not one.charge("s0", 1.0, fraction=1 / 60, now=now)
+        for local in local_limits
+        if not local.charge("s0", 1.0, fraction=1 / 60, now=now)
     ]
     assert sent == []
     assert (
@@ -178,16 +178,16 @@
             if change in ("found", "next"):
                 ledger = RateLimitLedger()
                 ledger.reset({"s0": per_s}, now=now)
-            kept = {"lost": 0, "some": 2}.get(change, 1)
-            linked = set(range(0, instances, kept)) if kept else set()
+            step = {"lost": 0, "some": 2}.get(change, 1)
+            linked = set(range(0, instances, step)) if step else set()
             ledger.set_refill_fraction(len(linked) / instances, now=now)
         for number in range(instances):
             if number in linked:
                 wait_ms = ledger.charge("s0", now=now)
             else:
-                part = 1 / instances
+                fraction = 1 / instances
                 wait_ms = local_limits[number].charge(
-                    "s0", per_s, fraction=part, now=now
+                    "s0", per_s, fraction=fraction, now=now
                 )
             if not wait_ms:
                 sent.append(now)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -315,7 +315,7 @@
     ],
     ids=["followed", "not followed", "by this instance"],
 )
-def test_which_instances_rely_on_the_relay(status, expected):
+def test_store_is_relayed_only_to_instances_that_do_not_follow_it(status, expected):
     now = [0]
     link = Link(state=build_state(clock=Clock(read=lambda: now[0])))
     link.receive([status])
@@ -386,7 +386,7 @@
 
 
 def test_follower_relays_store_updates():
-    """The coordinator is disconnected from the store, and nobody has noticed yet."""
+    """The coordinator is disconnected from the store, which is not detected yet."""
     state = build_state()
     link = Link(state=state)
     update = StoreUpdate(rows=(build_row("a", 1),))
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -21,7 +21,7 @@
 """Maximum number of requests of all nodes together to a limited server in a window."""
 
 PROPAGATION_S = 0.5
-"""Time after which a node that has passed on a limit has to keep to it, in s."""
+"""Time after which a node that has relayed a limit has to keep to it, in s."""
 
 LOAD_S = 9.0
 
@@ -37,7 +37,7 @@
 
 
 def find_max_in_window(arrivals):
-    """Return the maximum number of requests that came in any window."""
+    """Return the maximum number of requests that arrived in any window."""
     return max(
         (sum(begin <= at < begin + WINDOW_S for at in arrivals) for begin in arrivals),
         default=0,
@@ -101,15 +101,15 @@
     loop.call_later(LOSS_S, node.send_signal, signal.SIGCONT)
 
 
-def cut_from_store(_node, proxy):
+def disconnect_from_store(_node, proxy):
     proxy.drop(Direction.TO_CLIENT, Direction.TO_TARGET)
     asyncio.get_running_loop().call_later(LOSS_S, proxy.heal)
 
 
 @pytest.mark.parametrize("path", ["/chat/", "/book/"], ids=["model", "plain"])
-@pytest.mark.parametrize("lose", [kill, freeze, cut_from_store])
+@pytest.mark.parametrize("lose", [kill, freeze, disconnect_from_store])
 def test_rate_limit_holds_when_the_coordinator_is_lost(tmp_path, lose, path):
-    """Guards against a limit that is forgotten or granted twice at a takeover."""
+    """Guards against a limit that is lost or granted twice at a takeover."""
     model = "m0" if path == "/chat/" else ""
 
     async def scenario(fleet, session, proxies):
