--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -67,8 +67,8 @@
 the instance calls the store, a change is still active within 2 s."""
 
 RECONNECT_MS = 1_600
-"""Time without a message after which a connection is reopened, in ms: it may transmit
-nothing any more while new ones work."""
+"""Time without a message after which a connection is reopened, in ms: an open one may
+transmit nothing any more while new ones work."""
 
 PERMISSION_TIMEOUT_S = 0.2
 """Timeout of a :class:`PermissionRequest`, in s. The answer needs no scheduling, and
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -25,8 +25,8 @@
 
 LOST_INSTANCE_TTL_MS = 20 * SECOND_MS
 """Time for which an instance whose link is lost is assumed to continue on its own, in
-ms: network faults mostly last some seconds, and a share that is reserved for a
-stopped instance serves nobody."""
+ms: network faults mostly last some seconds, and a share that is reserved for an
+instance that no longer runs serves nobody."""
 
 RECONNECT_GRACE_MS = 2 * SECOND_MS
 """Time for which a new coordinator waits for the instances that it knows of, in ms;
--- a/src/arbutuspulley/pool/orders.py
+++ b/src/arbutuspulley/pool/orders.py
@@ -53,8 +53,8 @@
 """Maximum of that growth, in requests."""
 
 COPY_BACKLOG_MS = 250
-"""Backlog that one copy can work off within latency targets, in ms: the rest
-of targets of some 600 ms after a prompt's own prefill and the order of a load."""
+"""Backlog that one copy can work off within latency targets, in ms: the rest of
+targets of some 600 ms after a prompt's own prefill and the order of a load."""
 
 RUN_COST = 0.05
 """Cost of each request that runs on a server when a model is loaded there, in requests:
