--- a/scripts/compare_load_order.py
+++ b/scripts/compare_load_order.py
@@ -121,13 +121,13 @@
 )
 
 
-def draw_lost_models(workload: Workload, chance: random.Random) -> list[LostModel]:
+def draw_lost_models(workload: Workload, rng: random.Random) -> list[LostModel]:
     """Draw uniform sizes, and demand with a long tail as it occurs in bursts."""
     return [
         LostModel(
             number=number,
-            size=chance.randint(workload.smallest, workload.largest),
-            demand=chance.lognormvariate(0, 1.2),
+            size=rng.randint(workload.smallest, workload.largest),
+            demand=rng.lognormvariate(0, 1.2),
         )
         for number in range(workload.lost)
     ]
--- a/scripts/compare_quotas.py
+++ b/scripts/compare_quotas.py
@@ -93,16 +93,16 @@
 
 def draw_requests(teams: list[Team], seed: int) -> list[Request]:
     """Draw requests in order of time; the load of the fourth team surges."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     found = []
     for rank, team in enumerate(teams):
         usual = team.rate_per_s / RATE_HEADROOM
         at = 0.0
         while at < LENGTH_MS:
             rate = usual * (SURGE_FACTOR if rank == 3 and int(at) in SURGE_MS else 1)
-            at += chance.expovariate(rate / 1_500 / SECOND_MS)
-            cost = min(4_300, int(chance.lognormvariate(7.0, 0.75)) + 80)
-            instance = chance.randrange(INSTANCES)
+            at += rng.expovariate(rate / 1_500 / SECOND_MS)
+            cost = min(4_300, int(rng.lognormvariate(7.0, 0.75)) + 80)
+            instance = rng.randrange(INSTANCES)
             found.append(Request(at=int(at), team=rank, instance=instance, cost=cost))
     return sorted(found, key=lambda one: one.at)
 
--- a/src/arbutuspulley/node/coordinator.py
+++ b/src/arbutuspulley/node/coordinator.py
@@ -92,7 +92,7 @@
 class Coordinator:
     """The coordinator's part of a process, inactive unless this instance is elected.
 
-    :param receive_local: receives what the coordinator sends to its own instance.
+    :param receive_local: receives the coordinator's messages to its own instance.
     """
 
     __slots__ = (
@@ -158,11 +158,11 @@
     def activate(self, inherited: InheritedLoads) -> None:
         """Become the coordinator.
 
-        :param inherited: what is known of loads that previous coordinators ordered.
+        :param inherited: loads that previous coordinators ordered, as far as known.
         """
         self.is_active = True
         self.isolated_since = None
-        self._state.coordinates = True
+        self._state.is_coordinator = True
         self._relay.reset()
         self._peers.reset()
         self._quotas.reset()
@@ -170,14 +170,14 @@
         self._pools.clear()
         self._inherited = inherited
         self.update_pools()
-        self._state.metrics.coordinates.set(1)
+        self._state.metrics.is_coordinator.set(1)
         self._spawn(self._run_periodic_tasks())
 
     def deactivate(self) -> None:
         """Stop being the coordinator, and close the links of all instances."""
         self.is_active = False
-        self._state.coordinates = False
-        self._state.metrics.coordinates.set(0)
+        self._state.is_coordinator = False
+        self._state.metrics.is_coordinator.set(0)
         if self._timer is not None:
             self._timer.cancel()
         for task in list(self._tasks):
@@ -258,7 +258,7 @@
                     writer = asyncio.create_task(
                         write_frames(peer, socket, request.transport)
                     )
-                peer.heard_at = self._state.clock.now()
+                peer.last_message_at = self._state.clock.now()
                 self.handle_messages(peer.info.name, messages)
         except msgspec.MsgspecError as error:
             log_event(Event.PEER_DOWN, detail=f"unreadable frame: {error}")
@@ -270,7 +270,7 @@
         return socket
 
     def schedule_planning(self) -> None:
-        """Schedule one planning cycle soon, for all messages that come until then."""
+        """Schedule one planning cycle soon, for all messages that arrive until then."""
         if self.is_active and not self._is_planning_scheduled:
             self._is_planning_scheduled = True
             loop = asyncio.get_running_loop()
@@ -335,7 +335,8 @@
     ) -> None:
         """Record rate limits that an instance has read.
 
-        :param is_initial: whether these are all that it knows, sent as it links up.
+        :param is_initial: whether these are all limits that the instance knows, as sent
+            when it links up.
         """
         record = self._rates.record_initial if is_initial else self._rates.record
         if record(limits, now=self._state.clock.now()):
--- a/src/arbutuspulley/node/exchange.py
+++ b/src/arbutuspulley/node/exchange.py
@@ -24,7 +24,7 @@
     MAX_REFUSALS,
     MAX_UNREACHABLE,
     RETRY_AFTER_MS,
-    CutError,
+    AnswerAbortedError,
     Progress,
     RequestFailedError,
 )
@@ -72,7 +72,7 @@
         "_acquisition",
         "_answer",
         "_client",
-        "_cutter",
+        "_event_buffer",
         "_limits",
         "_link",
         "_poison",
@@ -105,7 +105,7 @@
         self._request = request
         self._client = client
         self._answer: web.StreamResponse | None = None
-        self._cutter = EventBuffer()
+        self._event_buffer = EventBuffer()
         remaining_ms = route.timeout_ms
         if request.wait_ms is not None:
             remaining_ms = min(remaining_ms, request.wait_ms)
@@ -129,7 +129,7 @@
         """Return the answer to the caller.
 
         :raises RequestFailedError: if the request failed without an answer.
-        :raises CutError: if the answer has begun and can't be completed.
+        :raises AnswerAbortedError: if the answer has begun and can't be completed.
         """
         refused_ms = self._poison.get_refusal(self._request)
         if refused_ms is not None:
@@ -139,7 +139,7 @@
                 retry_after_ms=refused_ms,
             )
         progress = self.progress
-        progress.service = choose_service(self.route, chance=self._state.chance)
+        progress.service = choose_service(self.route, rng=self._state.rng)
         now = self._state.clock.now()
         record_request(self._state.get_budget(progress.service), now=now)
         try:
@@ -157,7 +157,7 @@
 
     def _build_timeout(self) -> Exception:
         if self._answer is not None:
-            return CutError("time is up")
+            return AnswerAbortedError("time is up")
         if self.progress.may_have_run:
             return RequestFailedError(status=504, reason="time is up")
         return RequestFailedError(
@@ -177,8 +177,8 @@
         state, progress = self._state, self.progress
         progress.server = entry.incarnation
         now = state.clock.now()
-        record = state.records
-        record_sent(record, entry)
+        stats = state.server_stats
+        record_sent(stats, entry)
         # Counted before the first byte may be sent: the time may run out, or the caller
         # may disconnect, before anything is received.
         progress.may_have_run += 1
@@ -212,7 +212,7 @@
         except NotSentError:
             outcome = AttemptOutcome.UNREACHED
             progress.may_have_run -= 1
-            record_unreachable(record, entry, now=state.clock.now())
+            record_unreachable(stats, entry, now=state.clock.now())
             raise self._handle_unreachable(entry) from None
         except BrokenError as error:
             self._poison.record_crash(
@@ -225,11 +225,11 @@
             raise
         finally:
             record_done(
-                record, entry, took_ms=took_ms, failed=outcome is AttemptOutcome.FAILED
+                stats, entry, took_ms=took_ms, failed=outcome is AttemptOutcome.FAILED
             )
             if took_ms is not None and not self.route.is_stream:
                 adjust_concurrency_limit(
-                    record,
+                    stats,
                     entry,
                     latency_target_ms=self.route.latency_target_ms,
                     now=state.clock.now(),
@@ -273,13 +273,13 @@
             body = await response.read()
         except (aiohttp.ClientError, ConnectionError) as error:
             raise BrokenError(f"{type(error).__name__}: {error}") from error
-        # A server error counts as run, so only requests that may run twice are retried:
-        # another server may not have that error.
+        # After a server error the request counts as run, so it is retried only if it
+        # may run twice: another server may not have that error.
         if response.status >= 500 and self._may_retry():
             self.progress.avoid.add(self.progress.server)
             raise RetryError
         if self._answer is not None:
-            raise CutError("the stream could not go on")
+            raise AnswerAbortedError("the stream could not go on")
         answer = web.Response(
             status=response.status,
             reason=response.reason,
@@ -300,16 +300,16 @@
                 raise BrokenError(f"{type(error).__name__}: {error}") from error
             if not chunk:
                 break
-            events = take_complete_events(self._cutter, chunk)
+            events = take_complete_events(self._event_buffer, chunk)
             if not events:
                 continue
             self._record_events(entry, events)
             answer = await self._start_answer(response)
             await answer.write(events)
-            self.progress.last_event_id = self._cutter.last_id
+            self.progress.last_event_id = self._event_buffer.last_id
         answer = await self._start_answer(response)
-        if self._cutter.partial:
-            await answer.write(self._cutter.partial)
+        if self._event_buffer.partial:
+            await answer.write(self._event_buffer.partial)
         await answer.write_eof()
         return answer
 
@@ -334,8 +334,8 @@
         if progress.first_ms is None:
             self._record_first_part()
         else:
-            pause_ms = now - progress.last_event_at
-            progress.longest_pause_ms = max(progress.longest_pause_ms, pause_ms)
+            gap_ms = now - progress.last_event_at
+            progress.longest_gap_ms = max(progress.longest_gap_ms, gap_ms)
         if not progress.events:
             self._link.send(
                 ResponseStarted(
@@ -364,7 +364,7 @@
         )
         if self._request.need is None:
             progress.avoid.add(entry.incarnation)
-            record_refused(self._state.records, entry, now=self._state.clock.now())
+            record_refused(self._state.server_stats, entry, now=self._state.clock.now())
         if progress.refused <= MAX_REFUSALS and self._try_spend_retry():
             return RetryError()
         return self._build_failure("servers refused")
@@ -395,11 +395,11 @@
             repeat=self.route.retry_policy.value,
         )
         if self._may_retry():
-            self._cutter.partial = b""
+            self._event_buffer.partial = b""
             progress.resumes += self._answer is not None
             return RetryError()
         if self._answer is not None:
-            return CutError(detail)
+            return AnswerAbortedError(detail)
         return RequestFailedError(status=502, reason="the server broke off")
 
     def _may_retry(self) -> bool:
@@ -420,7 +420,7 @@
     def _try_spend_retry(self) -> bool:
         return try_spend_retry(
             self._state.get_budget(self.progress.service),
-            instances=self._state.share_divisor,
+            share_divisor=self._state.share_divisor,
             now=self._state.clock.now(),
         )
 
@@ -429,7 +429,7 @@
     ) -> Exception:
         """Build the error of a request that is not retried any more."""
         if self._answer is not None:
-            return CutError(reason)
+            return AnswerAbortedError(reason)
         if self.progress.may_have_run:
             return RequestFailedError(status=502, reason=reason)
         return RequestFailedError(
--- a/src/arbutuspulley/node/frontend.py
+++ b/src/arbutuspulley/node/frontend.py
@@ -12,7 +12,7 @@
 from arbutuspulley.node.limits import LimitGuard
 from arbutuspulley.node.link import Link
 from arbutuspulley.node.poison import PoisonGuard
-from arbutuspulley.node.progress import CutError, RequestFailedError
+from arbutuspulley.node.progress import AnswerAbortedError, RequestFailedError
 from arbutuspulley.node.quota_charging import QuotaCharger
 from arbutuspulley.node.state import NodeState
 from arbutuspulley.platform.requests import build_refusal_headers, decode_request
@@ -64,7 +64,7 @@
             self._record_end(
                 how, request, exchange, status=error.status, why=error.reason
             )
-        except CutError as error:
+        except AnswerAbortedError as error:
             self._record_end("cut", request, exchange, status=0, why=str(error))
             _abort_connection(client)
             raise asyncio.CancelledError from None
@@ -137,10 +137,8 @@
     ) -> None:
         self._state.metrics.requests.labels(how).inc()
         progress = exchange.progress if exchange else None
-        if progress is not None and progress.longest_pause_ms:
-            self._state.metrics.longest_pause.observe(
-                progress.longest_pause_ms / SECOND_MS
-            )
+        if progress is not None and progress.longest_gap_ms:
+            self._state.metrics.longest_gap.observe(progress.longest_gap_ms / SECOND_MS)
         configuration = self._state.configuration
         need = request.need
         log_event(
@@ -156,7 +154,7 @@
             server=progress.server if progress else "",
             waited_ms=progress.waited_ms if progress else 0,
             first_ms=progress.first_ms if progress else None,
-            longest_pause_ms=progress.longest_pause_ms if progress else 0,
+            longest_pause_ms=progress.longest_gap_ms if progress else 0,
             took_ms=self._state.clock.now() - progress.started_at if progress else 0,
             refused=progress.refused if progress else 0,
             unreached=progress.unreached if progress else 0,
--- a/src/arbutuspulley/node/limits.py
+++ b/src/arbutuspulley/node/limits.py
@@ -16,8 +16,8 @@
 class LimitGuard:
     """Keeps this instance's requests within the servers' rate limits.
 
-    The coordinator counts requests of all instances: those to model servers when it
-    grants them, those to plain servers when it is asked for permission. An instance
+    The coordinator counts requests of all instances: requests to model servers when it
+    grants them, requests to plain servers when it is asked for permission. An instance
     without a coordinator keeps to its own share of each limit.
     """
 
@@ -93,7 +93,7 @@
     def _apply_server_limits(self, message: ServerLimits) -> None:
         """Apply rate limits that the coordinator sent."""
         limits = self._state.limits
-        received = {one.incarnation: one.per_s for one in message.limits}
+        received = {limit.incarnation: limit.per_s for limit in message.limits}
         if message.are_all:
             received = dict.fromkeys(limits.list_limits()) | received
             self._confirmed.clear()
@@ -117,7 +117,7 @@
         self, incarnation: str, before: float | None, *, by: str
     ) -> None:
         limits = self._state.limits
-        clear_rate_limited(self._state.records, incarnation)
+        clear_rate_limited(self._state.server_stats, incarnation)
         self._update_gauge()
         log_event(
             Event.SERVER_LIMIT_CHANGED,
@@ -130,6 +130,8 @@
     def _update_gauge(self) -> None:
         state = self._state
         listed = [
-            one for one in state.limits.list_limits() if one in state.by_incarnation
+            incarnation
+            for incarnation in state.limits.list_limits()
+            if incarnation in state.by_incarnation
         ]
         state.metrics.limited_servers.set(len(listed))
--- a/src/arbutuspulley/node/link.py
+++ b/src/arbutuspulley/node/link.py
@@ -57,8 +57,9 @@
 """Interval of the heartbeats and of the coordinator's status, in ms."""
 
 COORDINATOR_TIMEOUT_MS = 800
-"""A coordinator that sent nothing for this long, in ms, gets no requests any more. This
-is three heartbeat intervals, and short against latency targets of 600 ms and more."""
+"""Timeout of the coordinator, in ms: if it has sent no message for this long, it gets
+no more requests. This is three heartbeat intervals, and short against latency targets
+of 600 ms and more."""
 
 MAX_RELAY_AGE_MS = 1_000
 """Maximum age of relayed store data, in ms; beyond it an instance calls the store
@@ -66,8 +67,8 @@
 the instance calls the store, a change is still active within 2 s."""
 
 RECONNECT_MS = 1_600
-"""A connection that was silent for this long, in ms, is reopened: an open connection
-may stay silent for good while new ones work."""
+"""Time without a message after which a connection is reopened, in ms: an open one may
+transmit nothing any more while new ones work."""
 
 PERMISSION_TIMEOUT_S = 0.2
 """Timeout of a :class:`PermissionRequest`, in s. The answer needs no scheduling, and
@@ -92,7 +93,7 @@
         "_coordinator_version",
         "_heartbeats",
         "_is_closed",
-        "_last_heard_at",
+        "_last_status_at",
         "_opened_at",
         "_outgoing",
         "_pending",
@@ -114,7 +115,7 @@
         self._address = ""
         self._confirmation = Confirmation(state=state)
         self._heartbeats = HeartbeatTracker(now=state.clock.now())
-        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_status_at = -COORDINATOR_TIMEOUT_MS
         self._is_closed = False
         # Version of the coordinator's active configuration; None until its first status
         # on this connection.
@@ -140,7 +141,7 @@
         """Whether the coordinator is in this process or sent a message recently."""
         if self.deliver_local is not None:
             return True
-        return self._state.clock.now() - self._last_heard_at < COORDINATOR_TIMEOUT_MS
+        return self._state.clock.now() - self._last_status_at < COORDINATOR_TIMEOUT_MS
 
     @property
     def is_store_relayed(self) -> bool:
@@ -177,8 +178,8 @@
         """Requests in flight, with the time that each has run."""
         now = self._state.clock.now()
         return [
-            msgspec.structs.replace(run, ran_ms=now - begun_at)
-            for begun_at, run in self._running.values()
+            msgspec.structs.replace(run, ran_ms=now - started_at)
+            for started_at, run in self._running.values()
         ]
 
     async def request_grant(self, request: GrantRequest) -> Granted:
@@ -209,7 +210,7 @@
         return granted
 
     async def request_permission(self, message: PermissionRequest) -> None:
-        """Wait for permission to send a request to a server that sets a rate limit.
+        """Wait for permission to send a request to a server that states a rate limit.
 
         :raises LinkLostError: if no coordinator answers.
         :raises RefusedError: if it may not be sent now.
@@ -322,8 +323,8 @@
         """Connect to a coordinator, unless the link is already connected to it."""
         now = self._state.clock.now()
         is_alive = self._task is not None and not self._task.done()
-        is_silent = now - max(self._last_heard_at, self._opened_at) > RECONNECT_MS
-        if address == self._address and is_alive and not is_silent:
+        is_timed_out = now - max(self._last_status_at, self._opened_at) > RECONNECT_MS
+        if address == self._address and is_alive and not is_timed_out:
             return
         self.disconnect()
         self._address = address
@@ -337,7 +338,7 @@
             self._task.cancel()
             self._task = None
         self._address = ""
-        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_status_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     def fail_pending(self) -> None:
@@ -356,7 +357,7 @@
         self._pending.refuse_all()
 
     def check_timeout(self) -> None:
-        """Fail pending requests if the coordinator is silent; called periodically."""
+        """Fail pending requests if the coordinator has timed out; call at intervals."""
         if self.deliver_local is None and self._pending and not self.is_up:
             self.fail_pending()
 
@@ -372,7 +373,7 @@
 
     def _apply_status(self, status: CoordinatorStatus) -> None:
         self.status = status
-        self._last_heard_at = self._state.clock.now()
+        self._last_status_at = self._state.clock.now()
         self._heartbeats.record_acknowledged(status.beat)
         if (
             self._coordinator_version is None
@@ -381,20 +382,20 @@
             self._coordinator_version = status.configuration
         state = self._state
         if self.deliver_local is None:
-            self._confirmation.record_status(status, at=self._last_heard_at)
-            age_ms = self._heartbeats.get_age(self._last_heard_at)
+            self._confirmation.record_status(status, at=self._last_status_at)
+            age_ms = self._heartbeats.get_age(self._last_status_at)
             state.metrics.link_age.set(age_ms / SECOND_MS)
         state.instances = status.instances
         state.advertised = status.takers
-        state.nodes_updated_at = self._last_heard_at
+        state.nodes_updated_at = self._last_status_at
         state.store_version = max(state.store_version, status.store_version)
         self._send_newer_configuration()
 
     async def _run(self, address: str) -> None:
         """Keep the link open; reconnect if the last connection received a status.
 
-        If only the connections were reset, the coordinator is still there. Finding it
-        again through the lease left each instance without it for up to half a second.
+        If only the connections were reset, the coordinator is still active. Looking it
+        up in the lease left each instance without one for up to half a second.
         """
         while await self._serve_connection(address):
             continue
@@ -421,10 +422,10 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             detail = type(error).__name__
         except ExceptionGroup as error:
-            detail = ",".join(type(one).__name__ for one in error.exceptions)
-        was_heard = self._last_heard_at >= opened_at
+            detail = ",".join(type(inner).__name__ for inner in error.exceptions)
+        has_received_status = self._last_status_at >= opened_at
         self._handle_lost(address, detail, is_connected=is_connected)
-        return was_heard
+        return has_received_status
 
     def _handle_lost(self, address: str, detail: str, *, is_connected: bool) -> None:
         log_event(
@@ -433,7 +434,7 @@
             detail=detail,
             was_up=is_connected,
         )
-        self._last_heard_at = -COORDINATOR_TIMEOUT_MS
+        self._last_status_at = -COORDINATOR_TIMEOUT_MS
         self.fail_pending()
 
     async def _read(self, socket: aiohttp.ClientWebSocketResponse) -> None:
@@ -475,13 +476,13 @@
                 heartbeat_at = clock.now() + HEARTBEAT_MS
             frame, self._outgoing = self._outgoing, []
             if frame:
-                frame.extend(self._take_usage())
+                frame.extend(self._pop_usage())
                 await socket.send_bytes(encode_frame(frame))
 
-    def _take_usage(self) -> list[QuotaUsage]:
-        spent = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
+    def _pop_usage(self) -> list[QuotaUsage]:
+        usage = [QuotaUsage(team=team, cost=cost) for team, cost in self._usage.items()]
         self._usage.clear()
-        return spent
+        return usage
 
     def build_hello(self) -> Hello:
         """Build the first message to a new coordinator."""
@@ -493,8 +494,8 @@
             configuration=state.configuration_version,
             reads_updates=True,
             limits=tuple(
-                ServerLimit(incarnation=one, per_s=per_s)
-                for one, per_s in state.limits.list_limits().items()
+                ServerLimit(incarnation=incarnation, per_s=per_s)
+                for incarnation, per_s in state.limits.list_limits().items()
             ),
         )
 
--- a/src/arbutuspulley/node/metrics.py
+++ b/src/arbutuspulley/node/metrics.py
@@ -27,16 +27,16 @@
         "_teams",
         "attempts",
         "configurations",
-        "coordinates",
         "first_part",
         "grant_wait",
         "in_flight",
         "instances_behind",
+        "is_coordinator",
         "limited_attempts",
         "limited_servers",
         "link_age",
         "log_lines",
-        "longest_pause",
+        "longest_gap",
         "orders",
         "refusals",
         "registry",
@@ -97,7 +97,7 @@
             registry=registry,
             buckets=_SECONDS,
         )
-        self.longest_pause = Histogram(
+        self.longest_gap = Histogram(
             "arbutus_longest_pause_seconds",
             "Longest pause between two events of a stream",
             registry=registry,
@@ -125,7 +125,7 @@
             "How old what the coordinator last told can be",
             registry=registry,
         )
-        self.coordinates = Gauge(
+        self.is_coordinator = Gauge(
             "arbutus_coordinates", "1 while this one coordinates", registry=registry
         )
 
--- a/src/arbutuspulley/node/peer.py
+++ b/src/arbutuspulley/node/peer.py
@@ -25,9 +25,9 @@
 class Peer:
     """An instance that is linked to this coordinator.
 
-    :param heard_at: when its last message came, in ms.
-    :param last_heartbeat: number of its last heartbeat; 0: none came.
-    :param heartbeats: when its heartbeats came, by number.
+    :param last_message_at: when its last message arrived, in ms.
+    :param last_heartbeat: number of its last heartbeat; 0: none arrived.
+    :param heartbeats: when its heartbeats arrived, by number.
     :param statuses: when status messages were sent to it, by number.
     :param last_status: number of the last status that was sent to it.
     :param configuration: version of its active configuration, as last reported; 0:
@@ -36,8 +36,8 @@
     :param build_configuration: returns the message that leads from a version to the
         newest.
     :param misses_store: whether the store gives it no usable answer; ``None``: it has
-        not called the store lately.
-    :param follows_store: whether it has lately received all changes from the store.
+        not called the store recently.
+    :param follows_store: whether it has recently received all changes from the store.
     :param roster_sent_at: when it was last sent the full roster, in ms; negative: not
         yet.
     :param is_closed: whether the link is to be closed.
@@ -48,11 +48,11 @@
         "build_configuration",
         "configuration",
         "follows_store",
-        "heard_at",
         "heartbeats",
         "info",
         "is_closed",
         "last_heartbeat",
+        "last_message_at",
         "last_status",
         "misses_store",
         "outgoing",
@@ -66,12 +66,12 @@
         self,
         *,
         info: NodeInfo,
-        heard_at: int,
+        last_message_at: int,
         configuration: int,
         build_configuration: Callable[[int], ToNode],
     ) -> None:
         self.info = info
-        self.heard_at = heard_at
+        self.last_message_at = last_message_at
         self.last_heartbeat = 0
         self.heartbeats = MessageTimes()
         self.last_status = 0
@@ -94,9 +94,9 @@
     def send(self, message: ToNode) -> None:
         """Queue a message.
 
-        A newer status or newer estimates replace those that are still queued: on a slow
-        link, old ones would delay what callers wait for. The new message is queued
-        last, since a status refers to all that was sent before it.
+        A newer status or newer estimates replace the ones that are still queued: on a
+        slow link, old ones would delay grants. The new message is queued last, since a
+        status refers to all messages that were sent before it.
         """
         if isinstance(message, CoordinatorStatus | CoordinatorEstimates):
             kind = type(message)
@@ -115,7 +115,7 @@
         if version > self.sent_version:
             self.wake.set()
 
-    def take_outgoing(self) -> list[ToNode]:
+    def pop_outgoing(self) -> list[ToNode]:
         """Return the messages to be sent now, in their order.
 
         The configuration comes first: status messages and grants may refer to it.
@@ -135,7 +135,7 @@
         while not peer.is_closed:
             await peer.wake.wait()
             peer.wake.clear()
-            frame = peer.take_outgoing()
+            frame = peer.pop_outgoing()
             if frame:
                 async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await socket.send_bytes(encode_frame(frame))
--- a/src/arbutuspulley/node/quotas.py
+++ b/src/arbutuspulley/node/quotas.py
@@ -26,7 +26,7 @@
 LOST_INSTANCE_TTL_MS = 20 * SECOND_MS
 """Time for which an instance whose link is lost is assumed to continue on its own, in
 ms: network faults mostly last some seconds, and a share that is reserved for an
-instance that is gone serves nobody."""
+instance that no longer runs serves nobody."""
 
 RECONNECT_GRACE_MS = 2 * SECOND_MS
 """Time for which a new coordinator waits for the instances that it knows of, in ms;
@@ -79,7 +79,7 @@
         return Refused(key=request.key, retry_after_ms=wait_ms, is_over_quota=True)
 
     def charge_usage(self, usage: QuotaUsage, *, now: int) -> QuotaExceeded | None:
-        """Charge what an instance has spent.
+        """Charge the usage that an instance reports.
 
         :return: the message to that instance if the team is now over its quota.
         """
@@ -110,11 +110,11 @@
     ) -> float:
         """Return the share of a limit not reserved for instances without a link.
 
-        :param decay_ms: time after which those use nothing any more, in ms; ``None``:
-            they continue.
+        :param decay_ms: time after which an instance without a link uses nothing any
+            more, in ms; ``None``: it continues.
         """
         now = self._state.clock.now()
-        self._mark_silent(linked, now=now)
+        self._mark_unreachable(linked, now=now)
         self._lost = {
             name: (info, at)
             for name, (info, at) in self._lost.items()
@@ -123,8 +123,8 @@
         lost = [info for info, _at in self._lost.values()]
         among = [*linked, *lost]
         if len(lost) > len(linked):
-            # This side is the disconnected one; on the other side, the next coordinator
-            # grants the rest.
+            # This coordinator is on the disconnected side; on the other side, the next
+            # coordinator grants the rest.
             decay_ms = None
         share = 1.0
         for info, at in self._lost.values():
@@ -135,7 +135,7 @@
             share *= counted / self._expected
         return max(0.0, share)
 
-    def _mark_silent(self, linked: Sequence[NodeInfo], *, now: int) -> None:
+    def _mark_unreachable(self, linked: Sequence[NodeInfo], *, now: int) -> None:
         """Count unreachable instances as lost, since their links may end later."""
         names = {info.name for info in linked}
         for info in self._linked:
--- a/src/arbutuspulley/node/state.py
+++ b/src/arbutuspulley/node/state.py
@@ -47,7 +47,7 @@
     :param nodes_updated_at: time of the last coordinator status, in ms.
     :param instances: number of instances that the coordinator can reach.
     :param advertised: number of instances whose addresses are given to callers.
-    :param coordinates: whether this instance is the coordinator.
+    :param is_coordinator: whether this instance is the coordinator.
     :param estimates: estimates last sent by the coordinator; used if this instance
         becomes its successor.
     :param stopping_at: when SIGTERM arrived, in ms; ``None`` before.
@@ -64,11 +64,9 @@
         "budgets",
         "by_incarnation",
         "by_service",
-        "chance",
         "clock",
         "configuration",
         "configuration_body",
-        "coordinates",
         "deferrable_rows",
         "entries",
         "entry_bodies",
@@ -77,6 +75,7 @@
         "freshness",
         "in_flight",
         "instances",
+        "is_coordinator",
         "keys",
         "limits",
         "metrics",
@@ -86,9 +85,10 @@
         "on_store_lost",
         "on_store_update",
         "order_session",
-        "records",
         "refused_entries",
+        "rng",
         "row_versions",
+        "server_stats",
         "session",
         "settings",
         "stopping_at",
@@ -107,7 +107,7 @@
         order_session: aiohttp.ClientSession,
         store: StoreClient,
         metrics: NodeMetrics,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.settings = settings
         self.clock = clock
@@ -115,7 +115,7 @@
         self.order_session = order_session
         self.store = store
         self.metrics = metrics
-        self.chance = chance
+        self.rng = rng
         self.configuration: FleetConfiguration | None = None
         self.configuration_body = b""
         self.versions = Versions()
@@ -128,7 +128,7 @@
         self.refused_entries: dict[str, str] = {}
         self.by_incarnation: dict[str, ServerEntry] = {}
         self.by_service: dict[str, list[ServerEntry]] = {}
-        self.records = LocalServerStats()
+        self.server_stats = LocalServerStats()
         self.budgets: dict[str, ServiceRetryBudget] = {}
         self.row_versions: dict[str, int] = {}
         self.deferrable_rows: set[str] = set()
@@ -140,7 +140,7 @@
         self.advertised = 0
         self._share_divisor = 0.0
         self._share_divisor_basis: tuple[object, ...] = ()
-        self.coordinates = False
+        self.is_coordinator = False
         self.estimates = CoordinatorEstimates(speeds={})
         self.in_flight = 0
         self.stopping_at: int | None = None
@@ -177,7 +177,7 @@
             frontend=settings.frontend,
             is_ready=self.is_ready,
             capacity=self.capacity,
-            coordinates=self.coordinates,
+            coordinates=self.is_coordinator,
         )
 
     @property
@@ -186,8 +186,10 @@
         own = self.build_info()
         basis = (own, self.nodes, self.advertised, self.instances)
         if basis != self._share_divisor_basis:
-            near = [one for one in self.nodes if one.is_ready and one.site == own.site]
-            near = [own, *(one for one in near if one.name != own.name)]
+            near = [
+                node for node in self.nodes if node.is_ready and node.site == own.site
+            ]
+            near = [own, *(node for node in near if node.name != own.name)]
             self._share_divisor = get_share_divisor(
                 is_advertised=own in select_advertised(near),
                 advertised=self.advertised,
--- a/src/arbutuspulley/pool/state.py
+++ b/src/arbutuspulley/pool/state.py
@@ -29,7 +29,7 @@
 failure."""
 
 MAX_BACKOFF_MS = 4_000
-"""Maximum backoff, in ms: crashed servers are back after 4 to 6 s."""
+"""Maximum backoff, in ms: crashed servers have restarted after 4 to 6 s."""
 
 
 FAILURE_SMOOTHING = 0.1
@@ -75,7 +75,7 @@
     :param gap_target_ms: longest gap between its events that is on time; 0: any, also
         for a request that is late already.
     :param prefill_before_ms: total prefill time of its server at its first event.
-    :param first_at: when the first part of its answer came, in ms; ``None`` before.
+    :param first_at: when the first part of its answer arrived, in ms; ``None`` before.
     :param was_prefill_idle: whether its server had no prefill in progress when it was
         granted.
     :param is_repeat: whether a server has refused it before.
@@ -139,7 +139,7 @@
     :param backoff_until: no new requests or orders before this time, in ms.
     :param failures: consecutive failures to connect.
     :param failure_share: moving average of the share of requests that failed.
-    :param limit: rate limit that the server names; ``None`` if it names none.
+    :param limit: rate limit that the server states; ``None`` if it states none.
     :param in_memory: models whose weights are in the server's host memory.
     :param on_disk: models whose weights are on the server's disk.
     :param runs: requests in flight, by key.
@@ -236,9 +236,11 @@
     The loaded models of an entry are used only for a new server: for known servers, the
     coordinator's own orders are more recent, and reports correct them.
     """
-    listed = {one.incarnation: one for one in entries if one.service == pool.service}
+    listed = {
+        entry.incarnation: entry for entry in entries if entry.service == pool.service
+    }
     removed_by_id: dict[str, ServerState] = {}
-    for incarnation in [one for one in pool.servers if one not in listed]:
+    for incarnation in [name for name in pool.servers if name not in listed]:
         removed = pool.servers.pop(incarnation)
         removed_by_id[removed.server_id] = removed
     for incarnation, entry in listed.items():
@@ -261,7 +263,7 @@
         address=entry.address,
         zone=entry.zone,
         slots=entry.slots,
-        models={one.model: set(one.adapters) for one in entry.loaded_models},
+        models={loaded.model: set(loaded.adapters) for loaded in entry.loaded_models},
     )
 
 
@@ -308,8 +310,8 @@
         server.in_memory |= {server.loading}
         server.on_disk |= {server.loading}
         server.loading = ""
-    for model, late in list(server.previous_loads.items()):
-        if now >= late.expires_at:
+    for model, load in list(server.previous_loads.items()):
+        if now >= load.expires_at:
             del server.previous_loads[model]
     for (model, adapter), due in list(server.adapters_due.items()):
         if now >= due:
@@ -360,8 +362,8 @@
 def get_size_class(spec: EngineSpec, model: str) -> str:
     """Return the size class of a model; all models of one class share a prefill speed.
 
-    A rarely used model gets too few requests for an estimate of its own; those for
-    models of the same size serve as well.
+    A rarely used model gets too few requests for an estimate of its own; requests for
+    models of the same size are as suitable.
     """
     found = spec.models.get(model)
     return f"{found.size_mb:g}/{found.adapter_mb:g}" if found else ""
@@ -375,13 +377,13 @@
     state = pool.speeds.get(get_size_class(pool.spec, model))
     if state is not None:
         return get_speed(state)
-    known = (get_speed(one) for one in pool.speeds.values())
+    known = (get_speed(speed) for speed in pool.speeds.values())
     return min(known, default=DEFAULT_SPEED)
 
 
 def list_prefill_speeds(pool: PoolState) -> dict[str, float]:
     """Return the prefill speeds by size class in tokens a ms, for a successor."""
-    return {kind: get_speed(one) for kind, one in pool.speeds.items()}
+    return {size_class: get_speed(speed) for size_class, speed in pool.speeds.items()}
 
 
 def inherit_prefill_speeds(pool: PoolState, speeds: dict[str, float]) -> None:
@@ -389,15 +391,15 @@
 
     :param speeds: tokens a ms by size class.
     """
-    for kind, speed in speeds.items():
-        pool.speeds.setdefault(kind, PrefillSpeedState(prior=speed))
+    for size_class, speed in speeds.items():
+        pool.speeds.setdefault(size_class, PrefillSpeedState(prior=speed))
 
 
 def _get_speed_state(pool: PoolState, model: str) -> PrefillSpeedState:
-    kind = get_size_class(pool.spec, model)
-    state = pool.speeds.get(kind)
+    size_class = get_size_class(pool.spec, model)
+    state = pool.speeds.get(size_class)
     if state is None:
-        state = pool.speeds[kind] = PrefillSpeedState(
+        state = pool.speeds[size_class] = PrefillSpeedState(
             prior=get_prefill_speed(pool, model)
         )
     return state
--- a/src/arbutuspulley/routing/choice.py
+++ b/src/arbutuspulley/routing/choice.py
@@ -1,6 +1,6 @@
 """Chooses the server for a request.
 
-Each entry decides independently, from stale reports that other entries read too.
+Each entry decides independently, from stale reports that other entries also read.
 Three measures follow from this: a report is corrected by the attempts that this entry
 has begun and ended since (:mod:`.load`), the better of two random servers is chosen,
 and a server that fails is not used during a short backoff.
@@ -50,7 +50,7 @@
     :param backoff_until: time from which one request may probe the server, in ms.
     :param probing: whether that request is in flight.
     :param leaving_since: time of its refusal as leaving in ms, or ``None``.
-    :param boot_id: incarnation of the engine that these belong to.
+    :param boot_id: incarnation of the engine that this health applies to.
     """
 
     load: ServerLoad = msgspec.field(default_factory=ServerLoad)
@@ -100,7 +100,7 @@
     item: str,
     cost: int,
     now: int,
-    chance: random.Random,
+    rng: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> str | None:
     """Return the server for a request.
@@ -109,7 +109,7 @@
     :param item: key of the item that must be loaded on the server.
     :param cost: estimated token cost of the request.
     :param avoid: servers that must not be chosen, even if there are no others.
-    :param chance: random number generator.
+    :param rng: random number generator.
     :return: name of the server, or ``None`` if none is eligible.
     """
     candidates = [
@@ -134,7 +134,7 @@
     # The least loaded server would be the same one for every entry until the next
     # report: all entries would use it at once and its queue would oscillate.
     sampled = (
-        chance.sample(available, SAMPLE_SIZE)
+        rng.sample(available, SAMPLE_SIZE)
         if len(available) > SAMPLE_SIZE
         else available
     )
--- a/src/arbutuspulley/routing/local_choice.py
+++ b/src/arbutuspulley/routing/local_choice.py
@@ -20,7 +20,7 @@
 failure."""
 
 MAX_UNREACHABLE_BACKOFF_MS = 4_000
-"""Longest such backoff, in ms: crashed servers are back after 4 to 6 s."""
+"""Longest such backoff, in ms: crashed servers have restarted after 4 to 6 s."""
 
 REFUSED_BACKOFF_MS = 100
 """Backoff after a server refuses a request as not run, in ms; it doubles with each
@@ -29,7 +29,7 @@
 request, too, while other servers have free slots."""
 
 MAX_REFUSED_BACKOFF_MS = 800
-"""Longest such backoff, in ms: a server that has room again is used within a second."""
+"""Longest such backoff, in ms: a server with free slots is used within a second."""
 
 EWMA_WEIGHT = 0.15
 """Weight of the newest sample in a server's moving averages: about the last seven
@@ -109,7 +109,7 @@
     need: ModelNeed | None,
     avoid: frozenset[str],
     max_in_flight: int,
-    sharing_instances: float = 1,
+    share_divisor: float = 1,
     now: int,
 ) -> ServerEntry | None:
     """Return the best server, or ``None`` if none is eligible.
@@ -118,7 +118,7 @@
     :param need: the model that must be loaded; ``None`` for plain services.
     :param avoid: incarnations that have refused or failed this request.
     :param max_in_flight: requests that this instance may have in flight at one server.
-    :param sharing_instances: number of instances that use the servers, as far as known.
+    :param share_divisor: number by which an instance divides a shared limit.
     """
     usable = [
         entry
@@ -127,13 +127,15 @@
         and entry.incarnation not in avoid
         and get_stats(stats, entry).rate_limited_until <= now
         and (
-            _has_room(get_stats(stats, entry), entry, sharing_instances)
+            _is_below_limit(get_stats(stats, entry), entry, share_divisor)
             if need is None
-            else any(one.model == need.model for one in entry.loaded_models)
+            else any(loaded.model == need.model for loaded in entry.loaded_models)
         )
         and get_stats(stats, entry).in_flight < max_in_flight
     ]
-    available = [one for one in usable if get_stats(stats, one).backoff_until <= now]
+    available = [
+        entry for entry in usable if get_stats(stats, entry).backoff_until <= now
+    ]
     return min(
         available or usable,
         key=lambda entry: _rank(get_stats(stats, entry), entry, zone),
@@ -149,18 +151,22 @@
     return server
 
 
-def get_max_in_flight(connections: int, *, instances: float) -> int:
+def get_max_in_flight(connections: int, *, share_divisor: float) -> int:
     """Return how many requests one instance may have in flight at one server.
 
     :param connections: connections that a server accepts from all instances; 0 if
         unknown.
-    :param instances: number of instances that share them.
+    :param share_divisor: number by which an instance divides them.
     """
     if not connections:
         return UNLIMITED
     return max(
         1,
-        int(get_instance_share(CONNECTION_FRACTION * connections, instances=instances)),
+        int(
+            get_instance_share(
+                CONNECTION_FRACTION * connections, share_divisor=share_divisor
+            )
+        ),
     )
 
 
@@ -254,15 +260,15 @@
 def evict_unlisted(stats: LocalServerStats, entries: Iterable[ServerEntry]) -> None:
     """Remove the statistics of servers that are not listed."""
     listed = {entry.incarnation for entry in entries}
-    for incarnation in [one for one in stats.servers if one not in listed]:
+    for incarnation in [name for name in stats.servers if name not in listed]:
         del stats.servers[incarnation]
 
 
-def _has_room(
-    server: ServerStats, entry: ServerEntry, sharing_instances: float
+def _is_below_limit(
+    server: ServerStats, entry: ServerEntry, share_divisor: float
 ) -> bool:
     minimum = get_instance_share(
-        MIN_LIMIT_PER_SLOT * entry.slots, instances=sharing_instances
+        MIN_LIMIT_PER_SLOT * entry.slots, share_divisor=share_divisor
     )
     return server.in_flight < max(1.0, minimum, server.concurrency_limit)
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -61,10 +61,10 @@
         self.is_active = False
         self.isolated_since = None
         self.best = 0.0
-        self.taken = []
+        self.received = []
 
     def handle_messages(self, origin, messages):
-        self.taken.append((origin, messages))
+        self.received.append((origin, messages))
 
     def activate(self, _inherited):
         self.is_active = True
@@ -127,7 +127,7 @@
             state.settings, cores=capacity, link_mbps=1_000
         )
         state.store = store
-        state.chance = random.Random(seed)
+        state.rng = random.Random(seed)
         self.state = state
         self.coordinator = FakeCoordinator()
         self.lease = CoordinatorLeaseState(
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_lost_coordinator_is_replaced_with_few_lease_reads(seed):
-    """A coordinator's machine loses power, and its links fall silent. Each of 72
+    """A coordinator's machine loses power, and its links transmit nothing. Each of 72
     instances read the lease every 0.4 s until it was free, then all claimed it at the
     same moment; a small one that read it just then was faster than the large ones."""
     now = [1_000]
@@ -272,4 +272,4 @@
     members = build_members([1.0, 1.0], LeaseStore(now), now)
     run_members(members, now, ms=1_000, order=random.Random(1))
     (leader,) = list_leaders(members)
-    assert members[leader].coordinator.taken == [(leader, ["what runs here"])]
+    assert members[leader].coordinator.received == [(leader, ["what runs here"])]
--- a/tests/test_pool_stream_gaps.py
+++ b/tests/test_pool_stream_gaps.py
@@ -59,12 +59,12 @@
 def test_prefill_per_gap_stays_bounded_while_prompts_keep_arriving():
     """Prompts keep arriving, each of which fits into one gap. Whatever their sizes, no
     window of the length of the gap target contains more prefill than the bound."""
-    chance = random.Random(7)
+    rng = random.Random(7)
     state = StreamGapState()
     now = 0
     spans = []
     for _ in range(400):
-        prefill_ms = chance.uniform(5, MAX_PREFILL_MS)
+        prefill_ms = rng.uniform(5, MAX_PREFILL_MS)
         start = find_start(
             state, prefill_ms=prefill_ms, gap_target_ms=GAP_TARGET_MS, now=now
         )
@@ -115,7 +115,7 @@
         granted = [one for one in plan_grants(pool, now=now) if isinstance(one, Grant)]
         starts += [now] * len(granted)
         now = find_next_wakeup(pool, now=now)
-    gaps = [later - one for one, later in itertools.pairwise(starts)]
+    gaps = [later - earlier for earlier, later in itertools.pairwise(starts)]
     assert min(gaps) >= 175
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -84,7 +84,7 @@
         by="coordinator",
     )
     read = [StoredRow(key="c", version=4, value=build_value())]
-    apply_server_rows(state, read, is_whole=True, was_away=False, version=8)
+    apply_server_rows(state, read, is_full_read=True, was_unavailable=False, version=8)
     assert set(state.entries) == {"new", "c"}
 
 
@@ -315,7 +315,7 @@
     ],
     ids=["followed", "not followed", "by this instance"],
 )
-def test_which_instances_rely_on_the_relay(status, expected):
+def test_store_is_relayed_only_to_instances_that_do_not_follow_it(status, expected):
     now = [0]
     link = Link(state=build_state(clock=Clock(read=lambda: now[0])))
     link.receive([status])
@@ -386,7 +386,7 @@
 
 
 def test_follower_relays_store_updates():
-    """The coordinator is disconnected from the store, and nobody has noticed yet."""
+    """The coordinator is disconnected from the store, which is not detected yet."""
     state = build_state()
     link = Link(state=state)
     update = StoreUpdate(rows=(build_row("a", 1),))
@@ -503,12 +503,12 @@
 
 
 def test_corrupted_frames_raise_msgspec_errors_only():
-    chance = random.Random(7)
+    rng = random.Random(7)
     good = encode(STATUS, StoreUpdate(rows=(build_row("a", 1),)))
     for _ in range(2_000):
         frame = bytearray(good)
-        for _ in range(chance.randrange(1, 4)):
-            frame[chance.randrange(len(frame))] = chance.randrange(256)
+        for _ in range(rng.randrange(1, 4)):
+            frame[rng.randrange(len(frame))] = rng.randrange(256)
         try:
             decode_from_coordinator(bytes(frame))
         except msgspec.MsgspecError:
