--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -1,7 +1,7 @@
 """The request state machine: effects of each event, and the final error."""
 
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 
 from arbutuspulley.delivery import request as life
@@ -163,6 +163,7 @@
 )
 
 
+@example(events=[ADMITTED] * 8, repeatable=False, retries=0)
 @given(st.lists(EVENTS, max_size=12), st.booleans(), st.integers(0, 3))
 def test_invariants_hold_for_any_event_sequence(events, repeatable, retries):
     """Three invariants hold for any sequence of faults.
