--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -163,7 +163,6 @@
 )
 
 
-@example(events=[ADMITTED] * 8, repeatable=False, retries=0)
 @given(st.lists(EVENTS, max_size=12), st.booleans(), st.integers(0, 3))
 def test_invariants_hold_for_any_event_sequence(events, repeatable, retries):
     """Three invariants hold for any sequence of faults.
@@ -185,4 +184,17 @@
             assert not (isinstance(effect, life.Dispatch) and broke and not repeatable)
             if isinstance(effect, life.Fail) and broke:
                 assert effect.error.run_state is RunState.UNKNOWN
+
+
+@example(events=[ADMITTED] * 8, repeatable=False, retries=0)
+@given(st.lists(EVENTS, max_size=12), st.booleans(), st.integers(0, 3))
+def test_attempts_stay_within_their_bound_for_any_event_sequence(
+    events, repeatable, retries
+):
+    """Guards against attempts beyond the bound, whichever events come."""
+    state = build(repeatable=repeatable)
+    for event in (ADMITTED, *events):
+        life.advance(
+            state, event, now=0, try_spend_retry=lambda: state.attempts <= retries
+        )
     assert state.attempts <= life.MAX_ATTEMPTS
